--- a/internal/proxy/leave_test.go
+++ b/internal/proxy/leave_test.go
@@ -405,7 +405,7 @@
 		for _, after := range []time.Duration{span - 1, span} {
 			r := &request{}
 			r.window.span = span
-			older, newer := &attempt{req: r}, &attempt{req: r, n: 1}
+			older, newer := &attempt{req: r, deadline: noDeadline}, &attempt{req: r, n: 1, deadline: noDeadline}
 			want(t, "the newer, first", newer.claim(time.Hour), true)
 			if never {
 				r.window.never(newer)
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"log/slog"
-	"math"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -264,7 +263,7 @@
 	now := l.now()
 	l.requests[r.ID] = r
 	if r.Upload {
-		r.deadline = math.MaxInt64 // until it has been written
+		r.deadline = noDeadline // until it has been written
 	} else {
 		r.deadline = r.at + r.Budget
 		r.Budget = max(0, r.deadline-now)
@@ -425,18 +424,16 @@
 		return
 	}
 	now := l.now()
-	a := &attempt{req: r, n: len(r.attempts), peer: p, sentAt: now, address: p.address}
+	a := &attempt{req: r, n: len(r.attempts), peer: p, sentAt: now, address: p.address, deadline: r.deadline}
 	r.attempts, r.out = append(r.attempts, a), r.out+1
-	wait := r.deadline - now
 	if r.Upload {
-		wait = r.Budget
 		a.written = func() { l.post(written{a}) }
 	}
-	if timeout > 0 && timeout < wait {
-		wait = timeout
-		l.alarm(alarm{at: now + timeout, attempt: a})
+	if timeout > 0 && timeout < a.remaining(now) {
+		a.deadline = now + timeout
+		l.alarm(alarm{at: a.deadline, attempt: a})
 	}
-	ok := !r.closed && wait > 0 && p.state == sprucehill.Active
+	ok := !r.closed && a.remaining(now) > 0 && p.state == sprucehill.Active
 	if ok {
 		a.conn, ok = l.take(p)
 	}
@@ -446,11 +443,7 @@
 		return
 	}
 	p.out[a], a.message = struct{}{}, r.message
-	go func() {
-		a.head = a.message.head(wait)
-		res := l.dial.run(a)
-		l.post(finished{a, res})
-	}()
+	go func() { l.post(finished{a, l.dial.run(a)}) }()
 }
 
 // Refuse answers a client that another try is harmless.
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -43,9 +43,11 @@
 
 // request adds a request to a loop.
 func (l *loop) request(id sprucehill.RequestID) *request {
+	text := fmt.Sprintf("%016x", id)
 	r := &request{reply: make(chan answer, 1), deadline: l.now() + time.Minute,
-		message: message{line: "POST /x", host: "x", header: http.Header{}}}
+		message: message{line: "POST /x", host: "x", header: http.Header{"X-Request-Id": {text}}}}
 	r.ID = id
+	clientLedger.add(text, time.Minute)
 	l.requests[id] = r
 	return r
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -30,6 +30,9 @@
 {"name":"checkin","target_us":2000000,"give_up_us":4000000,"repeat":"non_idempotent","worth":1}],
 "reporting":{"via":"piggyback"}}`
 
+// classDeadline is the longest that a client of settingsText waits.
+const classDeadline = 4 * time.Second
+
 // server is an upstream whose answers a test writes byte by byte.
 type server struct {
 	addr     string
@@ -57,13 +60,13 @@
 			s.mu.Lock()
 			s.conns++
 			s.mu.Unlock()
-			go s.converse(c, answer)
+			go s.converse(t, c, answer)
 		}
 	}()
 	return s
 }
 
-func (s *server) converse(c net.Conn, answer func(net.Conn, *http.Request) bool) {
+func (s *server) converse(t testing.TB, c net.Conn, answer func(net.Conn, *http.Request) bool) {
 	defer func() {
 		c.Close()
 		s.mu.Lock()
@@ -72,10 +75,15 @@
 	}()
 	in := bufio.NewReader(c)
 	for {
+		if _, err := in.Peek(1); err != nil {
+			return
+		}
+		firstByte := time.Now()
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
+		clientLedger.check(t, r, firstByte)
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
@@ -192,10 +200,11 @@
 		t.Fatal(err)
 	}
 	change(&c)
-	l, err := c.Open()
+	opened, err := c.Open()
 	if err != nil {
 		t.Fatal(err)
 	}
+	l := recordingListener{opened.(*net.TCPListener)}
 	ctx, cancel := context.WithCancel(context.Background())
 	b := &balancer{url: "http://" + l.Addr().String(), registry: g, cancel: cancel, ended: make(chan error, 1), moves: make(chan string),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}}
@@ -285,11 +294,22 @@
 	return b.do(t, r)
 }
 
+// testDialer is a dialer whose clock stands still.
 func testDialer() dialer {
 	return dialer{open: net.DialTimeout, timeout: time.Second, tries: &metrics.Counter{}, held: newBudget(1 << 20),
 		now: func() time.Duration { return time.Hour }}
 }
 
+// directAttempt is an attempt for a testDialer, of a request whose client waits for a second.
+func directAttempt(m message, address string, c *conn) *attempt {
+	if m.header == nil {
+		m.header = http.Header{}
+	}
+	m.header.Set("X-Request-Id", "direct")
+	clientLedger.add("direct", time.Second)
+	return &attempt{req: &request{}, message: m, peer: &peer{}, address: address, conn: c, deadline: time.Hour + time.Second}
+}
+
 func want(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if got != want {
@@ -338,8 +358,9 @@
 				if class == "pay" {
 					h.Set("Idempotency-Key", "1")
 				}
-				m := message{line: "POST /x", host: "x", header: h}
-				return d.run(&attempt{req: &request{}, message: m, peer: p, address: s.addr, conn: c, head: m.head(time.Second)})
+				a := directAttempt(message{line: "POST /x", host: "x", header: h}, s.addr, c)
+				a.peer = p
+				return d.run(a)
 			}
 			first := send(nil)
 			want(t, "first", first.status, sprucehill.OK)
@@ -365,8 +386,7 @@
 		t.Fatal(err)
 	}
 	run := func(c *conn) result {
-		m := message{line: "POST /x", host: "x"}
-		return d.run(&attempt{req: &request{}, message: m, peer: &peer{}, address: s.addr, conn: c, head: m.head(time.Second)})
+		return d.run(directAttempt(message{line: "POST /x", host: "x"}, s.addr, c))
 	}
 	r := run(c)
 	want(t, "first", r.status, sprucehill.OK)
@@ -408,8 +428,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newServer(t, c.answer)
-			m := message{line: "POST /x", host: "x", body: []byte("b")}
-			r := testDialer().run(&attempt{req: &request{}, message: m, peer: &peer{}, address: s.addr, head: m.head(time.Second)})
+			r := testDialer().run(directAttempt(message{line: "POST /x", host: "x", body: []byte("b")}, s.addr, nil))
 			want(t, "status", any(r.status), c.status)
 			want(t, "kept", r.conn != nil, c.keeps)
 			if c.status == sprucehill.OK {
@@ -430,7 +449,7 @@
 
 	// What waits for its connection when its request ends or its upstream leaves is not sent any more.
 	s := newServer(t, okAll)
-	a := &attempt{req: &request{}, address: s.addr, head: []byte("POST /x HTTP/1.1\r\n\r\n")}
+	a := directAttempt(message{line: "POST /x", host: "x"}, s.addr, nil)
 	want(t, "dropped", a.drop(), true)
 	r := d.run(a)
 	want(t, "status", r.status, sprucehill.Moot)
--- a/internal/proxy/stop_test.go
+++ b/internal/proxy/stop_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"fmt"
 	"io"
-	"math"
 	"net"
 	"net/http"
 	"strings"
@@ -176,7 +175,7 @@
 	}
 	client.Close()
 	<-s.arrivals
-	b.await(t, "its time has begun", func(l *loop) bool { return q.deadline != math.MaxInt64 })
+	b.await(t, "its time has begun", func(l *loop) bool { return q.deadline != noDeadline })
 	b.inLoop(t, func(*loop) {
 		kill := time.Duration(f.toldAt.Load()) + min(f.longest, killCounts) + killed
 		if q.deadline >= kill {
@@ -285,7 +284,7 @@
 
 // slowAccept is a listener whose accepting stops until the test lets it go on. It tells that it has been told to end.
 type slowAccept struct {
-	*net.TCPListener
+	recordingListener
 	goOn   chan struct{}
 	toEnd  chan struct{}
 	ending sync.Once
@@ -293,7 +292,7 @@
 
 func (l *slowAccept) Accept() (net.Conn, error) {
 	<-l.goOn
-	return l.TCPListener.Accept()
+	return l.recordingListener.Accept()
 }
 
 func (l *slowAccept) SetDeadline(t time.Time) error {
@@ -311,7 +310,7 @@
 func TestStopTakesWhatWaitsToBeAccepted(t *testing.T) {
 	s := newServer(t, okAll)
 	l := &slowAccept{goOn: make(chan struct{}), toEnd: make(chan struct{})}
-	b := newBalancerOn(t, newRegistry(t), func(x net.Listener) net.Listener { l.TCPListener = x.(*net.TCPListener); return l },
+	b := newBalancerOn(t, newRegistry(t), func(x net.Listener) net.Listener { l.recordingListener = x.(recordingListener); return l },
 		func(*Config) {}, up("s-00000001", s))
 	var waiting []net.Conn
 	for range 5 {
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -5,6 +5,7 @@
 	"bytes"
 	"errors"
 	"io"
+	"math"
 	"net"
 	"net/http"
 	"os"
@@ -90,24 +91,41 @@
 	peer    *peer
 	sentAt  time.Duration
 	address string
-	head    []byte // the message as it goes on the wire, but for its body
-	stage   atomic.Int32
-	given   atomic.Bool // given up: its connection is to be closed
-	written func()      // an upload: called when its last byte is written
-	conn    *conn       // read by the loop only once the attempt is claimed
-	told    bool        // the loop: the module has had its outcome
+	// deadline is when the balancer stops waiting for the attempt, on the loop's clock; noDeadline: an upload without a
+	// time-out of its own, whose time begins with its last byte.
+	deadline time.Duration
+	head     []byte // the message as it goes on the wire, but for its body; rendered once the attempt is claimed
+	stage    atomic.Int32
+	given    atomic.Bool // given up: its connection is to be closed
+	written  func()      // an upload: called when its last byte is written
+	conn     *conn       // read by the loop only once the attempt is claimed
+	told     bool        // the loop: the module has had its outcome
+}
+
+// noDeadline is the deadline of what is not bound in time yet.
+const noDeadline time.Duration = math.MaxInt64
+
+// remaining returns for how long after now, on the loop's clock, the balancer will wait for the attempt's answer. Of an upload
+// that is its request's whole budget until the last byte has been written, unless the attempt's own time-out or the end of the
+// process comes first.
+func (a *attempt) remaining(now time.Duration) time.Duration {
+	left := a.deadline - now
+	if a.req.Upload {
+		left = min(left, a.req.within(now, a.req.Budget))
+	}
+	return left
 }
 
 // drop keeps an attempt that has not begun to be written from being sent.
 func (a *attempt) drop() bool { return a.stage.CompareAndSwap(waiting, dropped) }
 
-// claim takes the attempt for writing at a time. False: it has been dropped, or its connection came up so late that it
-// would be a repeat which upstreams do not know as one any more, and is dropped now.
+// claim takes the attempt for writing at a time. False: it has been dropped, or its connection came up so late that no time
+// remains for it or that it would be a repeat which upstreams do not know as one any more, and is dropped now.
 func (a *attempt) claim(now time.Duration) bool {
 	w := &a.req.window
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if slices.ContainsFunc(w.ran, func(x ran) bool { return now-x.at >= w.span }) {
+	if a.remaining(now) <= 0 || slices.ContainsFunc(w.ran, func(x ran) bool { return now-x.at >= w.span }) {
 		a.drop()
 	}
 	if !a.stage.CompareAndSwap(waiting, claimed) {
@@ -275,9 +293,11 @@
 		return result{status: sprucehill.ConnectFailed}
 	}
 	a.conn = c
-	if !a.claim(d.now()) { // its request ended, its upstream left, or it is late
+	now := d.now() // after the wait for the connection
+	if !a.claim(now) {
 		return result{status: sprucehill.Moot, conn: c}
 	}
+	a.head = a.message.head(a.remaining(now))
 	sent, spent, err := d.write(a, c)
 	switch {
 	case sent:
@@ -432,8 +452,8 @@
 	length int64     // of an upload; -1: unknown
 }
 
-// head renders m but for its body for an attempt that waits so long.
-func (m *message) head(wait time.Duration) []byte {
+// head renders m but for its body, for an attempt whose answer is waited for so long from now on.
+func (m *message) head(remaining time.Duration) []byte {
 	b := buffers.Get().(*bytes.Buffer)
 	defer buffers.Put(b)
 	b.Reset()
@@ -441,7 +461,7 @@
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(m.host)
 	b.WriteString("\r\nX-Deadline-Ms: ")
-	b.WriteString(strconv.FormatInt(max(1, wait.Milliseconds()), 10))
+	b.WriteString(strconv.FormatInt(max(1, remaining.Milliseconds()), 10))
 	b.WriteString("\r\n")
 	m.header.WriteSubset(b, notEndToEnd) // a buffer takes all
 	switch {
