--- /dev/null
+++ b/internal/proxy/discovery_test.go
@@ -0,0 +1,168 @@
+package proxy
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+
+	"sprucehill"
+)
+
+// agent is a discovery agent whose answers a test writes byte by byte, one connection and call at a time.
+type agent struct {
+	addr  string
+	calls chan agentCall
+}
+
+// agentCall is a call of an agent, to be answered on its connection.
+type agentCall struct {
+	net.Conn
+	query string
+}
+
+func newAgent(t *testing.T) *agent {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	a := &agent{addr: l.Addr().String(), calls: make(chan agentCall, 1000)}
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			t.Cleanup(func() { c.Close() })
+			go a.converse(c)
+		}
+	}()
+	return a
+}
+
+// converse reads the calls of a connection.
+func (a *agent) converse(c net.Conn) {
+	in := bufio.NewReader(c)
+	for {
+		r, err := http.ReadRequest(in)
+		if err != nil {
+			return
+		}
+		a.calls <- agentCall{c, r.URL.RawQuery}
+	}
+}
+
+// newBalancerOfAgent starts a balancer that follows an agent.
+func newBalancerOfAgent(t *testing.T, a *agent, change func(*Config), members ...member) *balancer {
+	t.Helper()
+	return newBalancerWith(t, newRegistry(t), func(c *Config) {
+		change(c)
+		c.Discovery = a.addr
+	}, members...)
+}
+
+// chunked is a body in chunks of n bytes.
+func chunked(body string, n int) string {
+	var text strings.Builder
+	for ; len(body) > n; body = body[n:] {
+		fmt.Fprintf(&text, "%x\r\n%s\r\n", n, body[:n])
+	}
+	fmt.Fprintf(&text, "%x\r\n%s\r\n0\r\n\r\n", len(body), body)
+	return text.String()
+}
+
+// A list counts in every form that HTTP and JSON have for it.
+func TestListsAreReadInEveryForm(t *testing.T) {
+	s := newServer(t, okAll)
+	list := listing{Revision: 12, Members: []member{draining(up("s-00000001", s)), up("s-00000002", s)}}
+	plain, err := json.Marshal(list)
+	if err != nil {
+		t.Fatal(err)
+	}
+	indented, err := json.MarshalIndent(list, "", "    ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	const head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
+	lengthOf := func(body []byte) string { return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body) }
+	for name, x := range map[string]struct {
+		text   string
+		pieces int // bytes a piece; 0: in one
+		closes bool
+	}{
+		"plain":               {lengthOf(plain), 0, false},
+		"indented":            {lengthOf(indented), 0, false},
+		"windows line ends":   {lengthOf([]byte(strings.ReplaceAll(string(indented), "\n", "\r\n"))), 0, false},
+		"byte by byte":        {lengthOf(plain), 1, false},
+		"in pieces":           {lengthOf(indented), 7, false},
+		"in chunks":           {head + "Transfer-Encoding: chunked\r\n\r\n" + chunked(string(indented), 5), 0, false},
+		"in chunks, cut":      {head + "Transfer-Encoding: chunked\r\n\r\n" + chunked(string(indented), 5), 3, false},
+		"ended by a close":    {head + "Connection: close\r\n\r\n" + string(plain), 0, true},
+		"after a 1xx":         {"HTTP/1.1 103 Early Hints\r\n\r\n" + lengthOf(plain), 0, false},
+		"with an unknown key": {lengthOf([]byte(strings.Replace(string(plain), "{", `{"more":{"a":[1]},`, 1))), 0, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			a := newAgent(t)
+			b := newBalancerOfAgent(t, a, func(*Config) {}, up("s-00000001", s))
+			call := <-a.calls
+			want(t, "first call", call.query, watchQuery(10))
+			for text, n := x.text, max(x.pieces, 1); len(text) > 0; {
+				if x.pieces == 0 {
+					n = len(text)
+				}
+				n = min(n, len(text))
+				if _, err := io.WriteString(call, text[:n]); err != nil {
+					t.Fatal(err)
+				}
+				text = text[n:]
+			}
+			if x.closes {
+				call.Close()
+			}
+			want(t, "next call", (<-a.calls).query, watchQuery(12))
+			b.inLoop(t, func(l *loop) {
+				want(t, "state of the first", l.peers[1].state, sprucehill.Draining)
+				want(t, "state of the second", l.peers[2].state, sprucehill.Active)
+			})
+		})
+	}
+}
+
+// A watch may end instead of telling anything, by a close, a reset, or half an answer. It is opened anew, and the complete
+// list that the agent then gives says what there is: an upstream that it leaves out is gone, also where that still answers.
+func TestWatchThatEndsIsOpenedAnew(t *testing.T) {
+	for _, mode := range []string{"pushed", "on_request"} {
+		for name, end := range map[string]func(c agentCall){
+			"closed":                 func(c agentCall) { c.Close() },
+			"reset":                  func(c agentCall) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
+			"half an answer":         func(c agentCall) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"rev"); c.Close() },
+			"half a line":            func(c agentCall) { io.WriteString(c, "HTTP/1.1 200 O"); c.Close() },
+			"an answer with no list": func(c agentCall) { io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n") },
+		} {
+			t.Run(mode+", "+name, func(t *testing.T) {
+				left, stays, a := newServer(t, okAll), newServer(t, okAll), newAgent(t)
+				b := newBalancerOfAgent(t, a, with(t, `"membership_mode":"on_request"`, `"membership_mode":"`+mode+`"`),
+					up("s-00000001", left), up("s-00000002", stays))
+				end(<-a.calls)
+				text, err := json.Marshal(listing{Revision: 12, Complete: true, Members: []member{up("s-00000002", stays)}})
+				if err != nil {
+					t.Fatal(err)
+				}
+				fmt.Fprintf(<-a.calls, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+				want(t, "next call", (<-a.calls).query, watchQuery(12))
+				for range 10 {
+					status, _ := b.do(t, b.ask("checkin", ""))
+					want(t, "status", status, 200)
+				}
+				want(t, "requests at the one that was left out", len(left.arrivals), 0)
+				want(t, "requests at the other", len(stays.arrivals), 10)
+			})
+		}
+	}
+}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -361,3 +361,58 @@
 		}
 	}
 }
+
+// An answer without a length ends with its connection's close. A reset on the way is no end of it: what may run twice gets
+// another, what may not has failed, and a client that has got a part can tell that it is not complete.
+func TestResetIsNoEndOfAnAnswer(t *testing.T) {
+	for _, x := range []struct {
+		name, class string
+		size        int64
+		status      int // of a client that can be given another answer or an error; 0: it has got a part
+	}{
+		{"short, may run twice", "read", 100, 200},
+		{"short, must not", "checkin", 100, 502},
+		{"nothing but the head", "checkin", 0, 502},
+		{"passed on as it comes", "read", 8 * maxBody, 0},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			proceed := make(chan struct{})
+			first := true // one request at a time
+			s := newServer(t, func(c net.Conn, r *http.Request) bool {
+				if !first {
+					return okAll(c, r)
+				}
+				first = false
+				io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
+				io.Copy(c, noise(x.size))
+				if x.status == 0 {
+					<-proceed // its client has the beginning; a reset throws away what has not been read
+				}
+				c.(*net.TCPConn).SetLinger(0)
+				return false
+			})
+			b := newBalancer(t, up("s-00000001", s))
+			resp, err := b.client.Do(b.ask(x.class, ""))
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer resp.Body.Close()
+			if x.status == 0 {
+				if _, err := io.ReadFull(resp.Body, make([]byte, 1000)); err != nil {
+					t.Fatal(err)
+				}
+				close(proceed)
+				if _, err := io.Copy(io.Discard, resp.Body); err == nil {
+					t.Error("a part was taken for a complete answer")
+				}
+				return
+			}
+			body, err := io.ReadAll(resp.Body)
+			if err != nil {
+				t.Fatal(err)
+			}
+			want(t, "status", resp.StatusCode, x.status)
+			want(t, "the answer is the second one's", string(body) == "done", x.status == 200)
+		})
+	}
+}
