--- a/balancer.go
+++ b/balancer.go
@@ -42,6 +42,7 @@
 	ticksPerAim           = 16              // housekeeping runs this often in the shortest aim
 	waitGrowth            = 2               // trials, failed connects and discovery calls are spaced by this growth
 	toldLate              = 6 * time.Second // at the latest after it was due counts as told what discovery has to tell
+	blockedMost           = 2 * time.Second // nothing but rejections, before an upstream that rests gets an attempt
 	logEvery              = 5 * time.Second
 	tickToken, watchToken = 1, 2
 )
@@ -55,7 +56,7 @@
 	}
 	b := &Balancer{s: s, host: host, rng: rand.New(rand.NewPCG(seed, 0)), classes: map[string]*class{},
 		tenants: map[string]*tenant{}, safest: Unsafe, requests: map[RequestID]*request{},
-		byID: map[UpstreamID]*upstream{}, logged: map[string]time.Duration{}, stepAt: now, tightAt: now}
+		byID: map[UpstreamID]*upstream{}, logged: map[string]time.Duration{}, stepAt: now, tightAt: now, sentAt: now}
 	shortest := s.Classes[0].Aim
 	for _, c := range s.Classes {
 		b.classes[c.Name] = &class{Class: c}
@@ -184,6 +185,7 @@
 		u.spentAt = now
 	}
 	u.outs, u.carried, u.spent = append(u.outs, a), u.carried+r.units, u.spent+max(1, r.units)
+	b.sentAt = now
 	b.host.Send(r.ID, u.ID, timeout)
 }
 
@@ -591,6 +593,9 @@
 			best = u
 		}
 	}
+	if best == nil && legal {
+		best = b.lastResort(r, now)
+	}
 	if best != nil {
 		b.missed(best, now)
 		b.turn = max(b.turn, best.due)
@@ -600,6 +605,30 @@
 	return best, legal
 }
 
+// lastResort is the upstream whose health-check request is due first, once this balancer has had to reject all that it
+// got for so long: the waits between attempts at an upstream grow without a bound. The safest class goes first.
+func (b *Balancer) lastResort(r *request, now time.Duration) (best *upstream) {
+	if b.sentAt >= b.blockedAt {
+		b.blockedAt = now
+	}
+	wait := blockedMost
+	if r.class.Repeat != b.safest {
+		wait += blockedMost / 2
+	}
+	if now-b.blockedAt < wait {
+		return nil
+	}
+	for _, u := range b.near {
+		if !u.member || u.zone.left || u.zone.failed || !b.maySend(r, u, now) || !b.inTime(u, r, now) {
+			continue
+		}
+		if (best == nil || u.trialAt < best.trialAt) && (b.ramp(u, now) == 1 || b.coldRoom(u, r, now)) {
+			best = u
+		}
+	}
+	return best
+}
+
 // --- Admission ---
 
 // dispatch sends held requests while turns come free, and ends those that could not be answered in time. A
--- a/state.go
+++ b/state.go
@@ -100,6 +100,7 @@
 	calm                    float64     // that of an upstream, as a good part of the fleet has it
 	tick, stepAt, watchWait time.Duration
 	tightAt                 time.Duration // last time that no upstream could take a request
+	sentAt, blockedAt       time.Duration // its last attempt; the first request after it that no upstream could take
 	logged                  map[string]time.Duration
 }
 
