--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -136,7 +136,7 @@
 	l.state = newState(c, l.log)
 	l.follow(c.Discovery, l.state.known.Revision)
 	if l.state.restored {
-		l.discovery.rest.Store(rand.New(rand.NewPCG(c.Seed, 1)).Int64N(int64(spreadCalls)))
+		l.discovery.rest.Store(rand.New(rand.NewPCG(c.Seed, 1)).Int64N(int64(longestSpread(c.Settings)) + 1))
 	}
 	return l
 }
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -19,12 +19,7 @@
 // bench is a loop that does not run: its methods are called one by one, and what it is told is in its events.
 func bench(t *testing.T, maxConns int) *loop {
 	t.Helper()
-	f := file{Name: "n0", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:1", Seed: "1", Settings: json.RawMessage(settingsText)}
-	f.Limits.MemoryMB, f.Limits.Sockets = 192, 1024
-	c, err := f.config()
-	if err != nil {
-		t.Fatal(err)
-	}
+	c := benchConfig(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	l := newLoop(ctx, &c)
@@ -35,6 +30,18 @@
 	return l
 }
 
+// benchConfig is the configuration of a loop that does not run.
+func benchConfig(t *testing.T) Config {
+	t.Helper()
+	f := file{Name: "n0", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:1", Seed: "1", Settings: json.RawMessage(settingsText)}
+	f.Limits.MemoryMB, f.Limits.Sockets = 192, 1024
+	c, err := f.config()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
 // join adds an upstream to a loop.
 func join(l *loop, id sprucehill.UpstreamID, s *server) *peer {
 	l.peers[id] = &peer{id: id, address: s.addr, out: map[*attempt]struct{}{}}
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -36,6 +36,15 @@
 	spreadCalls = 250 * time.Millisecond
 )
 
+// longestSpread bounds the wait before the first call to discovery. Where lists are pushed, what the agent has counts as told
+// from the first moment, so the call has to be answered within the grace for draining upstreams.
+func longestSpread(s sprucehill.Settings) time.Duration {
+	if s.OnRequest {
+		return spreadCalls
+	}
+	return min(spreadCalls, s.Rules.DrainGrace/2)
+}
+
 // Keeper keeps states. Only Keep waits for the disk.
 type Keeper interface {
 	Load(kind string) (durable.Record, bool)
--- a/internal/proxy/state_test.go
+++ b/internal/proxy/state_test.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"encoding/json"
 	"errors"
 	"strings"
 	"sync"
@@ -134,3 +135,34 @@
 		t.Errorf("%s", state)
 	}
 }
+
+// A balancer that knows its upstreams from before spreads its first call to discovery. Where lists are pushed it must still
+// have its answer within the grace, since what the agent holds counts as told at once; the wait was up to 250 ms whatever the
+// grace.
+func TestFirstCallIsWithinTheGrace(t *testing.T) {
+	const grace = 100 * time.Millisecond
+	list, err := json.Marshal(keptList{Discovery: "127.0.0.1:1", List: listing{Revision: 12, Complete: true,
+		Members: []member{{ID: "s-00000001", HostPort: "127.0.0.1:1", Phase: "up"}}}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, x := range []struct {
+		onRequest bool
+		longest   time.Duration
+	}{{true, spreadCalls}, {false, grace / 2}} {
+		for seed := range uint64(50) {
+			shelf := newShelf()
+			if err := shelf.Keep(kindList, versionList, time.Now(), list); err != nil {
+				t.Fatal(err)
+			}
+			c := benchConfig(t)
+			c.Keeper, c.Seed = shelf, seed
+			c.Settings.OnRequest, c.Settings.Rules.DrainGrace = x.onRequest, grace
+			l := newLoop(t.Context(), &c)
+			want(t, "knows its upstreams from before", l.state.restored, true)
+			if wait := time.Duration(l.discovery.rest.Load()); wait > x.longest {
+				t.Errorf("on request %v, seed %d: %v before the first call, want at most %v", x.onRequest, seed, wait, x.longest)
+			}
+		}
+	}
+}
