--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -8,7 +8,9 @@
 	"io"
 	"net"
 	"net/http"
+	"os"
 	"runtime"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -416,3 +418,72 @@
 		})
 	}
 }
+
+// An answer that never ends is broken off: one that is held by its client's deadline, one that is passed on once nothing has
+// come for as long as an upstream may pause, or once it is longer than any answer is. Its client gets an error, or can tell.
+func TestAnswerThatNeverEndsIsBrokenOff(t *testing.T) {
+	const deadline = 300 * time.Millisecond
+	for _, x := range []struct {
+		name, beginning string
+		endless         bool // bytes go on and on
+		status          int  // 0: a part of the answer is passed on
+	}{
+		{"nothing", "", false, http.StatusGatewayTimeout},
+		{"half a head", "HTTP/1.1 200 OK\r\nContent-Le", false, http.StatusGatewayTimeout},
+		{"half a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", false, http.StatusGatewayTimeout},
+		{"half a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf", false, http.StatusGatewayTimeout},
+		{"no length, endless", "HTTP/1.1 200 OK\r\n\r\n", true, 0},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			release := make(chan struct{})
+			s := newServer(t, func(c net.Conn, _ *http.Request) bool {
+				io.WriteString(c, x.beginning)
+				if x.endless {
+					io.Copy(c, &counting{}) // until the connection is closed
+				} else {
+					<-release
+				}
+				return false
+			})
+			b := newBalancer(t, up("s-00000001", s))
+			defer close(release)
+			resp, err := b.client.Do(b.ask("checkin", "", "X-Deadline-Ms", strconv.FormatInt(deadline.Milliseconds(), 10)))
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer resp.Body.Close()
+			n, err := io.Copy(io.Discard, resp.Body)
+			if x.status != 0 {
+				want(t, "status", resp.StatusCode, x.status)
+				return
+			}
+			if err == nil || n < longestAnswer {
+				t.Errorf("%d bytes were passed on, then %v; want a break behind %d", n, err, longestAnswer)
+			}
+		})
+	}
+}
+
+// A connection that never comes up has not carried its request: within the settings' time the request goes elsewhere, also
+// one that must not run twice.
+func TestConnectionThatNeverComesUp(t *testing.T) {
+	dead, alive := newServer(t, okAll), newServer(t, okAll)
+	b := newBalancerWith(t, newRegistry(t), func(c *Config) {
+		connectTimeout := c.Links.ConnectTimeout
+		c.open = func(network, address string, timeout time.Duration) (net.Conn, error) {
+			if timeout != connectTimeout {
+				t.Errorf("a connection has %v to come up, the settings say %v", timeout, connectTimeout)
+			}
+			if address == dead.addr {
+				time.Sleep(timeout)
+				return nil, os.ErrDeadlineExceeded
+			}
+			return net.DialTimeout(network, address, timeout)
+		}
+	}, up("s-00000001", dead), up("s-00000002", alive))
+	for range 4 {
+		status, _ := b.do(t, b.ask("checkin", ""))
+		want(t, "status", status, 200)
+	}
+	want(t, "requests at the one that can be reached", len(alive.arrivals), 4)
+}
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -174,10 +174,18 @@
 	resp *http.Response
 	conn *conn
 	peer *peer
+	read int64 // bytes of the body that have been passed on
 }
 
-// next reads what comes next; an upstream that gives nothing for long ends the stream.
-func (s *stream) next(p []byte) (int, error) {
+// errEndless says that an answer without a length has gone on for longer than any does.
+var errEndless = errors.New("an answer that does not end")
+
+// next reads what comes next; an upstream that gives nothing for long, or goes on and on, ends the stream.
+func (s *stream) next(p []byte) (n int, err error) {
+	if s.read > longestAnswer {
+		return 0, errEndless
+	}
+	defer func() { s.read += int64(n) }()
 	if err := s.conn.SetReadDeadline(time.Now().Add(stall)); err != nil {
 		return 0, err
 	}
