--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -9,6 +9,7 @@
 	"strconv"
 	"strings"
 	"sync"
+	"syscall"
 	"testing"
 	"time"
 
@@ -18,15 +19,19 @@
 // deadlineTolerance is how much more time than is left an upstream may be told of, by the operators' word.
 const deadlineTolerance = 10 * time.Millisecond
 
-// clientLedger knows until when the clients of the present test wait, by request id. The stand-ins of upstreams hold what
-// each attempt tells them against it.
-var clientLedger = &deadlineLedger{requests: map[string]*clientRequest{}}
+// clientLedger knows until when the clients of the present test wait, by request id, and when each attempt was written. The
+// stand-ins of upstreams hold what each attempt tells them against it.
+var clientLedger = &deadlineLedger{requests: map[string]*clientRequest{}, written: map[writtenAttempt]time.Time{}}
 
 type deadlineLedger struct {
 	mu       sync.Mutex
 	requests map[string]*clientRequest
+	written  map[writtenAttempt]time.Time
 }
 
+// writtenAttempt names an attempt by what it says on the wire.
+type writtenAttempt struct{ id, milliseconds string }
+
 // clientRequest is a request as the balancer's machine got it. The ledger's lock guards it.
 type clientRequest struct {
 	budget   time.Duration // from its last byte
@@ -59,8 +64,24 @@
 	return r.budget - now.Sub(r.lastByte), true
 }
 
-// check fails the test where an attempt whose first byte came at a time tells more than its client still waits.
-func (l *deadlineLedger) check(t testing.TB, r *http.Request, firstByte time.Time) {
+// attemptWritten notes that the head of an attempt is about to be written.
+func (l *deadlineLedger) attemptWritten(head string) {
+	key := writtenAttempt{fieldOf(head, "X-Request-Id"), fieldOf(head, "X-Deadline-Ms")}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.written[key] = time.Now()
+}
+
+// firstByteOf is when an attempt was written, as its connection has noted it: a stand-in on a busy machine reads it later.
+func (l *deadlineLedger) firstByteOf(r *http.Request) (time.Time, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	at, ok := l.written[writtenAttempt{r.Header.Get("X-Request-Id"), r.Header.Get("X-Deadline-Ms")}]
+	return at, ok
+}
+
+// check fails the test where an attempt tells more than its client still waited for at its first byte.
+func (l *deadlineLedger) check(t testing.TB, r *http.Request) {
 	t.Helper()
 	id := r.Header.Get("X-Request-Id")
 	if id == "" && (r.URL.Path == "/load" || r.URL.Path == "/healthz") {
@@ -72,6 +93,11 @@
 		return
 	}
 	told := time.Duration(milliseconds) * time.Millisecond
+	firstByte, noted := l.firstByteOf(r)
+	if !noted {
+		t.Errorf("request %q came on a connection that notes nothing", id)
+		return
+	}
 	left, known := l.remaining(id, firstByte)
 	if !known {
 		t.Errorf("an upstream got request %q, which no client sent", id)
@@ -81,6 +107,46 @@
 	}
 }
 
+// recordingOpener opens connections to upstreams that note when each attempt is written.
+func recordingOpener(open opener) opener {
+	if open == nil {
+		open = net.DialTimeout
+	}
+	return func(network, address string, timeout time.Duration) (net.Conn, error) {
+		c, err := open(network, address, timeout)
+		if err != nil {
+			return nil, err
+		}
+		return recordingUpstreamConn{c}, nil
+	}
+}
+
+// recordingUpstreamConn is a connection to an upstream that notes when each attempt is written.
+type recordingUpstreamConn struct{ net.Conn }
+
+func (c recordingUpstreamConn) Write(p []byte) (int, error) {
+	if bytes.Contains(p, []byte("\r\nX-Deadline-Ms: ")) {
+		clientLedger.attemptWritten(string(p))
+	}
+	return c.Conn.Write(p)
+}
+
+func (c recordingUpstreamConn) CloseWrite() error { return c.Conn.(halfCloser).CloseWrite() }
+
+func (c recordingUpstreamConn) SyscallConn() (syscall.RawConn, error) {
+	return c.Conn.(syscall.Conn).SyscallConn()
+}
+
+// fieldOf is a field of a head; empty: it has none.
+func fieldOf(head, name string) string {
+	for line := range strings.SplitSeq(head, "\r\n") {
+		if key, value, _ := strings.Cut(line, ":"); strings.EqualFold(key, name) {
+			return strings.TrimSpace(value)
+		}
+	}
+	return ""
+}
+
 // recordingListener notes in the ledger what its connections bring.
 type recordingListener struct{ *net.TCPListener }
 
@@ -130,26 +196,18 @@
 
 // begin takes a head that has come whole.
 func (c *recordingConn) begin(head string, now time.Time) {
-	field := func(name string) string {
-		for line := range strings.SplitSeq(head, "\r\n") {
-			if key, value, _ := strings.Cut(line, ":"); strings.EqualFold(key, name) {
-				return strings.TrimSpace(value)
-			}
-		}
-		return ""
-	}
 	r := &clientRequest{budget: classDeadline, lastByte: now}
-	if ms, err := strconv.ParseInt(field("X-Deadline-Ms"), 10, 32); err == nil && ms >= 0 {
+	if ms, err := strconv.ParseInt(fieldOf(head, "X-Deadline-Ms"), 10, 32); err == nil && ms >= 0 {
 		r.budget = min(r.budget, time.Duration(ms)*time.Millisecond)
 	}
-	c.bodyLeft, _ = strconv.Atoi(field("Content-Length"))
-	if field("Transfer-Encoding") != "" {
+	c.bodyLeft, _ = strconv.Atoi(fieldOf(head, "Content-Length"))
+	if fieldOf(head, "Transfer-Encoding") != "" {
 		c.bodyLeft = -1
 	}
 	if r.complete = c.bodyLeft == 0; !r.complete {
 		c.request, c.tail = r, ""
 	}
-	clientLedger.put(field("X-Request-Id"), r)
+	clientLedger.put(fieldOf(head, "X-Request-Id"), r)
 }
 
 // recordBody takes what has come of the present body and returns how much of p that is.
@@ -189,7 +247,7 @@
 				t.Run(fmt.Sprintf("retry %v, upload %v, time-out %v", retry, upload, ownTimeout), func(t *testing.T) {
 					s, g := newServer(t, okAll), newGate(t)
 					l := bench(t, 10)
-					l.dial.open = g.open
+					l.dial.open = recordingOpener(g.open)
 					join(l, 1, s)
 					r := l.requestFor(1, budget)
 					if upload {
@@ -242,7 +300,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			s, g := newServer(t, okAll), newGate(t)
 			l := bench(t, 10)
-			l.dial.open = g.open
+			l.dial.open = recordingOpener(g.open)
 			join(l, 1, s)
 			r := l.requestFor(1, x.budget)
 			if x.upload {
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -22,6 +22,7 @@
 	c := benchConfig(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
+	c.open = recordingOpener(nil)
 	l := newLoop(ctx, &c)
 	if err := l.start(&c); err != nil {
 		t.Fatal(err)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -75,15 +75,11 @@
 	}()
 	in := bufio.NewReader(c)
 	for {
-		if _, err := in.Peek(1); err != nil {
-			return
-		}
-		firstByte := time.Now()
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		clientLedger.check(t, r, firstByte)
+		clientLedger.check(t, r)
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
@@ -200,6 +196,7 @@
 		t.Fatal(err)
 	}
 	change(&c)
+	c.open = recordingOpener(c.open)
 	opened, err := c.Open()
 	if err != nil {
 		t.Fatal(err)
@@ -296,7 +293,7 @@
 
 // testDialer is a dialer whose clock stands still.
 func testDialer() dialer {
-	return dialer{open: net.DialTimeout, timeout: time.Second, tries: &metrics.Counter{}, held: newBudget(1 << 20),
+	return dialer{open: recordingOpener(nil), timeout: time.Second, tries: &metrics.Counter{}, held: newBudget(1 << 20),
 		now: func() time.Duration { return time.Hour }}
 }
 
