--- a/internal/proxy/ahead.go
+++ b/internal/proxy/ahead.go
@@ -26,8 +26,9 @@
 	departed chan struct{} // closed at that leave; nil: nobody waits for it
 	looking  chan struct{} // closed once nothing is read ahead any more; nil: nothing is
 	kept     []byte
-	over     bool  // more came than is kept
-	ended    error // what reading ahead ended with
+	keptAt   time.Duration // when the last of them came, on the loop's clock
+	over     bool          // more came than is kept
+	ended    error         // what reading ahead ended with
 }
 
 // take gives what was read ahead, or the end that was read; kept is false where there is neither.
@@ -82,6 +83,16 @@
 	go c.readAhead(c.looking)
 }
 
+// keep keeps what has been read ahead. The lock is held.
+func (c *framedConn) keep(p []byte) {
+	c.over = c.over || len(c.kept)+len(p) > aheadKept
+	if len(p) == 0 || c.over {
+		return
+	}
+	c.kept = append(c.kept, p...)
+	c.keptAt = c.now()
+}
+
 // readAhead reads until the client leaves, unfollow stops it, or aheadMost is reached.
 func (c *framedConn) readAhead(done chan struct{}) {
 	defer close(done)
@@ -91,9 +102,7 @@
 		n, err := c.Conn.Read(buf[:])
 		most -= n
 		c.mu.Lock()
-		if c.over = c.over || len(c.kept)+n > aheadKept; !c.over {
-			c.kept = append(c.kept, buf[:n]...)
-		}
+		c.keep(buf[:n])
 		if err != nil && c.departed != nil { // else unfollow has ended the read
 			c.ended = err
 			close(c.departed)
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"bufio"
 	"bytes"
 	"fmt"
 	"io"
@@ -334,3 +335,41 @@
 	r.within = func(_, most time.Duration) time.Duration { return most }
 	clientLedger.put(r.message.header.Get("X-Request-Id"), &clientRequest{budget: r.Budget})
 }
+
+// A request that came behind another waits for its turn, and its time counts from its own last byte all the same. It counted
+// from its turn, so that its upstream was told too much.
+func TestTimeOfARequestBehindAnotherCountsFromItsLastByte(t *testing.T) {
+	const wait = 400 * time.Millisecond
+	for _, x := range []struct {
+		name    string
+		inPiece bool // it comes in one piece with the first
+	}{
+		{"later", false},
+		{"in one piece", true},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			s, g := newServer(t, okAll), newGate(t)
+			b := newBalancerWith(t, newRegistry(t), func(c *Config) { c.open = g.open }, up("s-00000001", s))
+			var text bytes.Buffer
+			if err := b.ask("checkin", "").Write(&text); err != nil {
+				t.Fatal(err)
+			}
+			now, later := "", text.String()
+			if x.inPiece {
+				now, later = later, ""
+			}
+			c := b.raw(t, "checkin", "", now)
+			up := g.next(t) // the first has been taken
+			if _, err := io.WriteString(c, later); err != nil {
+				t.Fatal(err)
+			}
+			time.Sleep(wait)
+			close(up.up)
+			g.lift()
+			in := bufio.NewReader(c)
+			for range 2 {
+				begun{Conn: c, in: in}.answer(t, http.StatusOK) // the upstream holds what it is told against the ledger
+			}
+		})
+	}
+}
--- a/internal/proxy/framing.go
+++ b/internal/proxy/framing.go
@@ -88,6 +88,8 @@
 	err    error // what is wrong with what was read last
 	shut   bool  // closed between requests: what is read at that very moment goes no further
 	served int   // requests that have been answered
+	// arrivals are when the last byte came of each complete request that is not answered, the present one first.
+	arrivals []time.Duration
 	ahead
 }
 
@@ -97,6 +99,20 @@
 	defer c.mu.Unlock()
 	c.served++
 	c.behind = false
+	if len(c.arrivals) > 0 {
+		c.arrivals = c.arrivals[1:]
+	}
+}
+
+// arrivedAt is when the last byte of the present request came, on the loop's clock, or now where it has not come. A request
+// behind another may have come long before its turn.
+func (c *framedConn) arrivedAt() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.arrivals) > 0 {
+		return c.arrivals[0]
+	}
+	return c.now()
 }
 
 // rests tells whether the connection is between requests: no byte has been read of one that is not answered.
@@ -131,9 +147,11 @@
 	}
 	behind := c.scan.wholes > c.served // the present request has come: what reads now only looks for its client's leave
 	n, err, kept := c.take(p)
+	readAt := c.keptAt
 	c.mu.Unlock()
 	if !kept {
 		n, err = c.Conn.Read(p)
+		readAt = c.now()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,6 +166,9 @@
 		c.headAt = c.now()
 	}
 	good, bad := c.scan.feed(p[:n])
+	for range c.scan.wholes - wholes {
+		c.arrivals = append(c.arrivals, readAt)
+	}
 	if !c.scan.fresh() && (fresh || c.scan.wholes > wholes) { // another has begun
 		if c.headBy = time.Now().Add(slowClient); c.inHead() {
 			c.Conn.SetReadDeadline(c.headBy)
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -469,7 +469,8 @@
 
 // request reads a client's request. One that is malformed never reaches the module.
 func (f *frontend) request(w http.ResponseWriter, r *http.Request) (*request, *upload, int, error) {
-	at := f.now()
+	conn := connOf(r)
+	at := conn.arrivedAt()
 	bad := func(format string, args ...any) (*request, *upload, int, error) {
 		return nil, nil, http.StatusBadRequest, fmt.Errorf(format, args...)
 	}
@@ -494,7 +495,7 @@
 	var body []byte
 	more := false
 	if r.ContentLength != 0 {
-		u.credit = min(slowClient, max(leastCredit, overdue-(at-connOf(r).headAt)))
+		u.credit = min(slowClient, max(leastCredit, overdue-(at-conn.headAt)))
 		var err error
 		var whole bool
 		body, whole, err = f.held.hold(u, r.ContentLength, func() bool { return false })
@@ -503,7 +504,7 @@
 			return bad("body: %w", err)
 		}
 		more = !whole
-		at = f.now() // it counts from its last byte
+		at = conn.arrivedAt() // it counts from its last byte
 	}
 	if class.Repeat == sprucehill.Safe && len(body) > 0 {
 		f.held.give(cap(body))
