--- a/balancer.go
+++ b/balancer.go
@@ -27,7 +27,7 @@
 	smoothing             = 0.1             // weight of a new sample in running means
 	sharers               = 4.0             // balancers that share an upstream, where there are enough
 	subsetLeast           = 2               // upstreams that a balancer uses at least
-	boundStart            = 14.0            // attempts out at one upstream, over all balancers, at first
+	boundStart            = 8.0             // attempts out at one upstream, over all balancers, at first
 	boundLeast            = 0.25            // over all balancers: with pauses, so that a crowded server can rest
 	boundCut              = 0.8             // on a crowded answer; twice on a full queue or a time-out
 	boundGrowth           = 0.5             // on an answer of one with use to spare, while turns are short
