--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -65,6 +65,13 @@
 	return r.budget - now.Sub(r.lastByte), true
 }
 
+// knows tells whether the balancer's machine has got a request.
+func (l *deadlineLedger) knows(id string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.requests[id] != nil
+}
+
 // attemptWritten notes that the head of an attempt is about to be written.
 func (l *deadlineLedger) attemptWritten(head string) {
 	key := writtenAttempt{fieldOf(head, "X-Request-Id"), fieldOf(head, "X-Deadline-Ms")}
--- a/internal/proxy/framing.go
+++ b/internal/proxy/framing.go
@@ -10,6 +10,7 @@
 	"strings"
 	"sync"
 	"sync/atomic"
+	"syscall"
 	"time"
 )
 
@@ -209,6 +210,27 @@
 	return c.err == nil
 }
 
+// closedByClient looks, without waiting, whether the client has closed or reset the connection behind what has been read of it.
+// net/http sees that only once it reads again, beside the request's way to an upstream.
+func (c *framedConn) closedByClient() bool {
+	socket, ok := c.Conn.(syscall.Conn)
+	if !ok {
+		return false
+	}
+	raw, err := socket.SyscallConn()
+	if err != nil {
+		return true
+	}
+	closed := false
+	err = raw.Control(func(fd uintptr) {
+		var next [1]byte
+		n, _, err := syscall.Recvfrom(int(fd), next[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		waiting := errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
+		closed = n <= 0 && !waiting
+	})
+	return closed || err != nil
+}
+
 // halfCloser is a connection whose sending can be ended alone.
 type halfCloser interface{ CloseWrite() error }
 
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -267,6 +267,11 @@
 
 // serveRequest hands a request to the loop and passes on what it answers.
 func (f *frontend) serveRequest(w http.ResponseWriter, r *http.Request, q *request, body *upload) {
+	conn := connOf(r)
+	if conn.closedByClient() {
+		f.abort(w, q, body)
+		return
+	}
 	if !q.Upload {
 		f.figures.inProgress.Add(1)
 	}
@@ -275,7 +280,6 @@
 			f.figures.inProgress.Add(-1)
 		}
 	}()
-	conn := connOf(r)
 	departed := conn.follow()
 	defer conn.unfollow()
 	left := r.Context().Done() // also where its body did not come
@@ -319,6 +323,11 @@
 // gone ends a request whose client owes a part of it, or waits for its answer no more.
 func (f *frontend) gone(w http.ResponseWriter, q *request, body *upload) {
 	f.post(left{q})
+	f.abort(w, q, body)
+}
+
+// abort ends a request that gets no answer of the loop's.
+func (f *frontend) abort(w http.ResponseWriter, q *request, body *upload) {
 	if !q.Upload || body.taken.Load() {
 		panic(http.ErrAbortHandler) // or net/http would say 200, and a client may only have ended its sending
 	}
--- a/internal/proxy/leave_test.go
+++ b/internal/proxy/leave_test.go
@@ -49,6 +49,32 @@
 	}
 }
 
+// liftUntil lets up each connection that is asked for until something is so, and returns how many there were.
+func (g *gate) liftUntil(t *testing.T, is func() bool) (lifted int) {
+	t.Helper()
+	eventually(t, "the connections that are asked for have come up", func() bool {
+		select {
+		case d := <-g.asked:
+			close(d.up)
+			lifted++
+		default:
+		}
+		return is()
+	})
+	return lifted
+}
+
+// attemptsOut is how many attempts have not ended.
+func (b *balancer) attemptsOut(t *testing.T) (out int) {
+	t.Helper()
+	b.inLoop(t, func(l *loop) {
+		for _, p := range l.peers {
+			out += len(p.out)
+		}
+	})
+	return out
+}
+
 func (g *gate) lift() { g.once.Do(func() { close(g.all) }) }
 
 func (g *gate) open(network, address string, timeout time.Duration) (net.Conn, error) {
@@ -217,14 +243,24 @@
 				c.open = g.open
 			}, up("s-00000001", s))
 			forbidden := map[string]bool{}
+			dialed := 0
 			for range clients {
 				c := b.raw(t, []string{"read", "pay", "checkin"}[rng.IntN(3)], "", "")
 				id := fmt.Sprintf("%016x", lastID)
 				phase := rng.IntN(4)
-				if phase == 0 {
+				if phase == 0 { // its leave may be seen before a connection is asked for
 					c.Close()
+					eventually(t, "the request has been read", func() bool { return clientLedger.knows(id) })
+					b.closed(t)
+					b.leaveTaken(t)
+					forbidden[id] = true
+					dialed += g.liftUntil(t, func() bool { return b.attemptsOut(t) == 0 })
+					b.settled(t)
+					b.inLoop(t, func(l *loop) { l.Disconnect(1) })
+					continue
 				}
 				d := g.next(t)
+				dialed++
 				switch phase {
 				case 2: // in either order
 					go close(d.up)
@@ -236,14 +272,14 @@
 				}
 				c.Close()
 				b.leaveTaken(t)
-				if phase < 2 {
+				if phase == 1 {
 					forbidden[id] = true
 					close(d.up)
 				}
 				b.settled(t)
 				b.inLoop(t, func(l *loop) { l.Disconnect(1) }) // the next needs one of its own
 			}
-			s.quiet(t, clients)
+			s.quiet(t, dialed)
 			sent := 0
 			for len(s.arrivals) > 0 {
 				r := <-s.arrivals
@@ -415,3 +451,36 @@
 		}
 	}
 }
+
+// A client sends its request and leaves before the balancer has read any of it: nothing is sent on. The request went to an
+// upstream before net/http's next read showed the leave.
+func TestLeftBeforeItsRequestWasReadIsNotSent(t *testing.T) {
+	const clients = 50
+	for name, leave := range map[string]func(c *net.TCPConn){
+		"closes": func(c *net.TCPConn) {},
+		"resets": func(c *net.TCPConn) { c.SetLinger(0) },
+	} {
+		for _, class := range []string{"read", "pay", "checkin"} {
+			t.Run(class+" "+name, func(t *testing.T) {
+				s := newServer(t, okAll)
+				l := &slowAccept{goOn: make(chan struct{}), toEnd: make(chan struct{})}
+				b := newBalancerOn(t, newRegistry(t), func(x net.Listener) net.Listener {
+					l.recordingListener = x.(recordingListener)
+					return l
+				}, func(*Config) {}, up("s-00000001", s))
+				for range clients {
+					c := b.raw(t, class, "", "").(*net.TCPConn)
+					leave(c)
+					c.Close()
+				}
+				last := b.raw(t, class, "", "") // behind all of them
+				close(l.goOn)
+				begun{Conn: last, in: bufio.NewReader(last)}.answer(t, http.StatusOK)
+				last.Close()
+				b.closed(t)
+				b.settled(t)
+				want(t, "requests at the upstream", len(s.arrivals), 1)
+			})
+		}
+	}
+}
