--- a/admission_test.go
+++ b/admission_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 )
@@ -30,15 +31,14 @@
 				class     string
 				balancers int
 			}{{"read", 2}, {"write", 2}, {"read", 300}, {"write", 300}} {
-				class := x.class
-				t.Run(fmt.Sprintf("%s, %d upstreams, %s, %d balancers", name, upstreams, class, x.balancers), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s, %d upstreams, %s, %d balancers", name, upstreams, x.class, x.balancers), func(t *testing.T) {
 					world := newFailingWorld(t, upstreams, x.balancers)
-					world.play(class, OK, 50*ms, every, 10*time.Second)
+					world.play(x.class, OK, 50*ms, every, 10*time.Second)
 					latency := failure.latency
 					if failure.status == Timeout {
 						latency = time.Second
 					}
-					pause := world.play(class, failure.status, latency, every, lasts)
+					pause := world.play(x.class, failure.status, latency, every, lasts)
 					if pause > longestPause {
 						t.Errorf("no attempt for %v while requests came every %v", pause, every)
 					}
@@ -85,7 +85,7 @@
 					attempts[a] = true
 					last = w.now
 					w.pending = append(w.pending, pendingOutcome{w.now + latency, Outcome{ID: a.r.ID, Upstream: u.ID,
-						Attempt: attemptNumber(a), Latency: latency, Status: status, Closed: status == OK}})
+						Attempt: slices.Index(a.r.attempts, a), Latency: latency, Status: status, Closed: status == OK}})
 				}
 			}
 		}
@@ -98,12 +98,3 @@
 	}
 	return longest
 }
-
-func attemptNumber(a *attempt) int {
-	for i, x := range a.r.attempts {
-		if x == a {
-			return i
-		}
-	}
-	return -1
-}
