--- /dev/null
+++ b/internal/lab/model/actions_test.go
@@ -0,0 +1,246 @@
+//go:build !race
+
+// The race detector makes these days eight times as slow and tells nothing more of them: .ci/run plays them without it.
+
+package model
+
+import (
+	"context"
+	"encoding/binary"
+	"flag"
+	"fmt"
+	"hash"
+	"hash/fnv"
+	"io/fs"
+	"math"
+	"os"
+	"path/filepath"
+	"runtime"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"sprucehill"
+	"sprucehill/internal/lab/day"
+)
+
+var renewActions = flag.Bool("renew-actions", false, "write testdata/actions.txt anew, for a change that means to decide otherwise")
+
+const (
+	recordedActions = "testdata/actions.txt"
+	examples        = "../../../examples"
+	recordedSeeds   = 3
+)
+
+// The kinds of recorded actions. Their numbers are part of the recorded hashes.
+const (
+	recordSend byte = iota + 1
+	recordRefuse
+	recordFail
+	recordCancel
+	recordProbe
+	recordDisconnect
+	recordWatch
+	recordFetch
+	recordTimer
+)
+
+// actionRecorder hashes what one balancer's module asks for, with the moment at which it asks, and passes it on. Log lines
+// are not recorded: their words decide nothing.
+type actionRecorder struct {
+	sprucehill.Host
+	now     time.Duration
+	sum     hash.Hash64
+	actions int
+}
+
+func (r *actionRecorder) record(kind byte, values ...uint64) {
+	text := binary.LittleEndian.AppendUint64([]byte{kind}, uint64(r.now))
+	for _, v := range values {
+		text = binary.LittleEndian.AppendUint64(text, v)
+	}
+	r.sum.Write(text)
+	r.actions++
+}
+
+func (r *actionRecorder) Send(id sprucehill.RequestID, up sprucehill.UpstreamID, timeout time.Duration) {
+	r.record(recordSend, uint64(id), uint64(up), uint64(timeout))
+	r.Host.Send(id, up, timeout)
+}
+
+func (r *actionRecorder) Refuse(id sprucehill.RequestID, retryAfter time.Duration) {
+	r.record(recordRefuse, uint64(id), uint64(retryAfter))
+	r.Host.Refuse(id, retryAfter)
+}
+
+func (r *actionRecorder) Fail(id sprucehill.RequestID) {
+	r.record(recordFail, uint64(id))
+	r.Host.Fail(id)
+}
+
+func (r *actionRecorder) Cancel(id sprucehill.RequestID, attempt int) {
+	r.record(recordCancel, uint64(id), uint64(attempt))
+	r.Host.Cancel(id, attempt)
+}
+
+func (r *actionRecorder) Probe(up sprucehill.UpstreamID) {
+	r.record(recordProbe, uint64(up))
+	r.Host.Probe(up)
+}
+
+func (r *actionRecorder) Disconnect(up sprucehill.UpstreamID) {
+	r.record(recordDisconnect, uint64(up))
+	r.Host.Disconnect(up)
+}
+
+func (r *actionRecorder) Watch(on bool) {
+	value := uint64(0)
+	if on {
+		value = 1
+	}
+	r.record(recordWatch, value)
+	r.Host.Watch(on)
+}
+
+func (r *actionRecorder) Fetch() {
+	r.record(recordFetch)
+	r.Host.Fetch()
+}
+
+func (r *actionRecorder) SetTimer(after time.Duration, token uint64) {
+	r.record(recordTimer, uint64(after), token)
+	r.Host.SetTimer(after, token)
+}
+
+// recordedModule tells the recorder the time of each event before the module gets it.
+type recordedModule struct {
+	*sprucehill.Balancer
+	recorder *actionRecorder
+}
+
+func (m recordedModule) Members(now time.Duration, mode sprucehill.ListMode, list []sprucehill.Upstream) {
+	m.recorder.now = now
+	m.Balancer.Members(now, mode, list)
+}
+
+func (m recordedModule) Request(now time.Duration, r sprucehill.Request) {
+	m.recorder.now = now
+	m.Balancer.Request(now, r)
+}
+
+func (m recordedModule) Outcome(now time.Duration, o sprucehill.Outcome) {
+	m.recorder.now = now
+	m.Balancer.Outcome(now, o)
+}
+
+func (m recordedModule) Timer(now time.Duration, token uint64) {
+	m.recorder.now = now
+	m.Balancer.Timer(now, token)
+}
+
+// Snapshot records what the module knows, since a restart decides by it.
+func (m recordedModule) Snapshot(now time.Duration) sprucehill.Knowledge {
+	k := m.Balancer.Snapshot(now)
+	for _, u := range k.Upstreams {
+		m.recorder.record(0, uint64(u.ID), math.Float64bits(u.Factor), math.Float64bits(u.Bound), math.Float64bits(u.Latency))
+	}
+	return k
+}
+
+// playRecorded plays a day and returns how many actions its modules asked for, and their hash. Modules are taken in the
+// order of their seeds, whatever order the workers start them in.
+func playRecorded(ctx context.Context, d *day.Day) (actions int, sum uint64, err error) {
+	var mu sync.Mutex
+	recorders := map[uint64]*actionRecorder{}
+	policy := func(s sprucehill.Settings, seed uint64, now time.Duration, host sprucehill.Host) (sprucehill.Events, error) {
+		r := &actionRecorder{Host: host, now: now, sum: fnv.New64a()}
+		b, err := sprucehill.New(s, seed, now, r)
+		if err != nil {
+			return nil, err
+		}
+		mu.Lock()
+		defer mu.Unlock()
+		if recorders[seed] != nil {
+			return nil, fmt.Errorf("two modules have the seed %d", seed)
+		}
+		recorders[seed] = r
+		return recordedModule{b, r}, nil
+	}
+	if _, err := playWith(ctx, d, Options{Workers: runtime.GOMAXPROCS(0)}, policy); err != nil {
+		return 0, 0, err
+	}
+	seeds := make([]uint64, 0, len(recorders))
+	for seed := range recorders {
+		seeds = append(seeds, seed)
+	}
+	slices.Sort(seeds)
+	all := fnv.New64a()
+	for _, seed := range seeds {
+		r := recorders[seed]
+		actions += r.actions
+		all.Write(r.sum.Sum(binary.LittleEndian.AppendUint64(nil, seed)))
+	}
+	return actions, all.Sum64(), nil
+}
+
+// exampleDays is every day file under examples/, in order.
+func exampleDays(t *testing.T) []string {
+	t.Helper()
+	var files []string
+	err := filepath.WalkDir(examples, func(path string, e fs.DirEntry, err error) error {
+		if err == nil && !e.IsDir() && strings.HasSuffix(path, ".toml") {
+			files = append(files, path)
+		}
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return files
+}
+
+// The same events give the same actions as when they were recorded: on every example day, on three seeds, each module's
+// actions and their moments hash to what testdata/actions.txt has. A change that means to decide otherwise renews the file
+// (go test ./internal/lab/model -run TestActionsAreAsRecorded -renew-actions) and says so in its commit.
+func TestActionsAreAsRecorded(t *testing.T) {
+	var lines []string
+	for _, file := range exampleDays(t) {
+		for seed := uint64(1); seed <= recordedSeeds; seed++ {
+			d, err := day.LoadFile(file)
+			if err != nil {
+				t.Fatal(err)
+			}
+			d.Seed = seed
+			begun := time.Now()
+			actions, sum, err := playRecorded(t.Context(), d)
+			if err != nil {
+				t.Fatalf("%s, seed %d: %v", file, seed, err)
+			}
+			name := strings.TrimPrefix(filepath.ToSlash(file), examples+"/")
+			lines = append(lines, fmt.Sprintf("%s seed=%d actions=%d hash=%016x", name, seed, actions, sum))
+			t.Logf("%s: %v", lines[len(lines)-1], time.Since(begun).Round(time.Millisecond))
+		}
+	}
+	got := strings.Join(lines, "\n") + "\n"
+	if *renewActions {
+		if err := os.WriteFile(recordedActions, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(recordedActions)
+	if err != nil {
+		t.Fatal(err)
+	}
+	recorded := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
+	if len(recorded) != len(lines) {
+		t.Fatalf("%d days recorded, %d played", len(recorded), len(lines))
+	}
+	for i := range lines {
+		if lines[i] != recorded[i] {
+			t.Errorf("the module decides otherwise than when it was recorded:\n got %s\nwant %s", lines[i], recorded[i])
+		}
+	}
+}
--- a/internal/lab/model/sim.go
+++ b/internal/lab/model/sim.go
@@ -191,14 +191,19 @@
 
 // Play models a day and returns its history.
 func Play(ctx context.Context, d *day.Day, o Options) ([]history.Event, error) {
-	s := &sim{day: d, fleet: d.Fleet(), arrivals: d.Arrivals()}
-	s.paths = d.NewPaths(s.fleet)
-	_, s.hits = d.Timetable()
-	s.least = s.paths.Least()
 	policy, err := policyOf(o.Policy)
 	if err != nil {
 		return nil, err
 	}
+	return playWith(ctx, d, o, policy)
+}
+
+// playWith is Play with the given policy in every balancer.
+func playWith(ctx context.Context, d *day.Day, o Options, policy newPolicy) ([]history.Event, error) {
+	s := &sim{day: d, fleet: d.Fleet(), arrivals: d.Arrivals()}
+	s.paths = d.NewPaths(s.fleet)
+	_, s.hits = d.Timetable()
+	s.least = s.paths.Least()
 	if err := s.populate(policy); err != nil {
 		return nil, err
 	}
