--- a/balancer/actions_test.go
+++ b/balancer/actions_test.go
@@ -58,12 +58,12 @@
 	last     RequestID
 	out      []streamAttempt // attempts whose outcome is still to come
 	timers   []alarm
-	list     []Upstream
+	list     []Endpoint
 }
 
 type streamAttempt struct {
 	id RequestID
-	up UpstreamID
+	up EndpointID
 	n  int
 	at time.Duration
 }
@@ -72,7 +72,7 @@
 	t.Helper()
 	x := &stream{t: t, settings: s, seed: seed, now: time.Hour, list: fleet(9)}
 	x.begin()
-	x.balancer.Members(x.now, ListFull, x.list)
+	x.balancer.OnEndpointUpdate(x.now, UpdateComplete, x.list)
 	return x
 }
 
@@ -85,7 +85,7 @@
 		lines = x.host.lines
 	}
 	x.out, x.timers = nil, nil
-	x.host = &recorder{lines: lines, hook: func(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64) {
+	x.host = &recorder{lines: lines, hook: func(kind string, id RequestID, up EndpointID, d time.Duration, n uint64) {
 		switch kind {
 		case "send":
 			x.out = append(x.out, streamAttempt{id, up, attempts[id], x.now})
@@ -114,7 +114,7 @@
 		x.timers = nil
 		for _, a := range due {
 			if a.at <= x.now {
-				b.Timer(x.now, a.token)
+				b.OnTimer(x.now, a.token)
 			} else {
 				x.timers = append(x.timers, a)
 			}
@@ -122,33 +122,33 @@
 	case "members":
 		x.members(h)
 	case "list failed":
-		b.Members(x.now, ListFailed, nil)
+		b.OnEndpointUpdate(x.now, UpdateFailed, nil)
 	case "written":
 		if a, ok := x.attempt(h); ok {
-			b.Written(x.now, a.id, a.n)
+			b.OnBodySent(x.now, a.id, a.n)
 		}
 	case "started":
 		if a, ok := x.attempt(h); ok {
-			b.Started(x.now, a.id, a.n)
+			b.OnStreamStarted(x.now, a.id, a.n)
 		}
 	case "gone":
-		b.Gone(x.now, x.last-RequestID(h.pick%5))
+		b.OnClientDisconnected(x.now, x.last-RequestID(h.pick%5))
 	case "probed":
-		b.Probed(x.now, ProbeResult{Upstream: UpstreamID(h.pick%9 + 1), Latency: h.span, Load: Load{Fields: HasUtil | HasQueue, Util: h.share, Queue: float64(h.pick % 3)}})
+		b.OnHealthCheckResult(x.now, HealthCheckResult{Endpoint: EndpointID(h.pick%9 + 1), Latency: h.span, Load: LoadReport{Fields: HasUtilization | HasQueue, Utilization: h.share, Queue: float64(h.pick % 3)}})
 	case "fleet":
-		b.Fleet(x.now, Fleet{Balancers: 1 + h.pick%7, Rank: h.pick % 3, Most: 1 + h.pick%9})
+		b.OnFleetSizeChanged(x.now, FleetSize{Balancers: 1 + h.pick%7, Rank: h.pick % 3, MaxBalancers: 1 + h.pick%9})
 	case "leave zone":
-		x.host.note(fmt.Sprintf("left %t", b.LeaveZone(x.now, []string{"near", "far"}[h.pick%2])), 0, 0, 0, 0)
+		x.host.note(fmt.Sprintf("left %t", b.DrainZone(x.now, []string{"near", "far"}[h.pick%2])), 0, 0, 0, 0)
 	case "return zone":
-		x.host.note(fmt.Sprintf("returned %t", b.ReturnZone(x.now, []string{"near", "far"}[h.pick%2])), 0, 0, 0, 0)
+		x.host.note(fmt.Sprintf("returned %t", b.ReinstateZone(x.now, []string{"near", "far"}[h.pick%2])), 0, 0, 0, 0)
 	case "restart":
 		if h.pick%8 > 0 { // seldom
 			return
 		}
-		known := b.Snapshot(x.now)
+		known := b.TakeSnapshot(x.now)
 		x.now += h.span * 100
 		x.begin()
-		x.balancer.Members(x.now, ListCached, x.list)
+		x.balancer.OnEndpointUpdate(x.now, UpdateCached, x.list)
 		x.balancer.Restore(x.now, known)
 	default:
 		x.t.Fatalf("no event is called %q", h.kind)
@@ -158,13 +158,13 @@
 func (x *stream) request(h happening) {
 	x.last++
 	class := x.settings.Classes[h.pick%len(x.settings.Classes)]
-	r := Request{ID: x.last, Budget: class.Deadline, Class: class.Name, Cost: time.Duration(h.pick%90) * ms,
+	r := Request{ID: x.last, Timeout: class.Deadline, Class: class.Name, CostHint: time.Duration(h.pick%90) * ms,
 		Tenant: x.settings.Tenants[h.pick%len(x.settings.Tenants)].Name, Key: uint64(h.pick % 20), HasKey: h.flag}
 	if h.share < 0.2 {
-		r.Budget, r.Retry = h.span, true
+		r.Timeout, r.Retry = h.span, true
 	}
 	r.Upload = h.share > 0.9
-	x.balancer.Request(x.now, r)
+	x.balancer.OnRequest(x.now, r)
 }
 
 // attempt is one that is out.
@@ -181,12 +181,12 @@
 		return
 	}
 	x.out = slices.DeleteFunc(x.out, func(y streamAttempt) bool { return y == a })
-	statuses := []Status{OK, OK, OK, OK, OK, OK, OK, OK, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot}
-	o := Outcome{ID: a.id, Upstream: a.up, Attempt: a.n, Latency: x.now - a.at, Status: statuses[h.pick%len(statuses)], Spent: h.flag && h.share > 0.8}
+	statuses := []Status{OK, OK, OK, OK, OK, OK, OK, OK, Error, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent}
+	o := AttemptResult{ID: a.id, Endpoint: a.up, Attempt: a.n, Latency: x.now - a.at, Status: statuses[h.pick%len(statuses)], BodyConsumed: h.flag && h.share > 0.8}
 	if h.flag {
-		o.Load = Load{Fields: HasUtil | HasInflight | HasQueue, Util: h.share, Inflight: float64(h.pick % 20), Queue: math.Floor(h.share * 3)}
+		o.Load = LoadReport{Fields: HasUtilization | HasInflight | HasQueue, Utilization: h.share, Inflight: float64(h.pick % 20), Queue: math.Floor(h.share * 3)}
 	}
-	x.balancer.Outcome(x.now, o)
+	x.balancer.OnAttemptResult(x.now, o)
 }
 
 func (x *stream) members(h happening) {
@@ -195,16 +195,16 @@
 	case h.share < 0.3:
 		x.list[at].State = Draining
 	case h.share < 0.5:
-		x.list[at].State = Gone
+		x.list[at].State = Removed
 	case h.share < 0.8:
 		x.list[at].State, x.list[at].StartedAt = Active, x.now-h.span
 	default:
 		x.list[at].State, x.list[at].Weight = Active, 0.5+h.share
 	}
 	if h.flag {
-		x.balancer.Members(x.now, ListDelta, x.list[at:at+1])
+		x.balancer.OnEndpointUpdate(x.now, UpdateDelta, x.list[at:at+1])
 	} else {
-		x.balancer.Members(x.now, ListFull, x.list)
+		x.balancer.OnEndpointUpdate(x.now, UpdateComplete, x.list)
 	}
 }
 
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -22,7 +22,7 @@
 		"no answer":          {Timeout, 0}, // until the request's time is over
 		"connection refused": {ConnectFailed, 0},
 		"connect time-out":   {ConnectFailed, 250 * ms},
-		"queue full":         {Full, 2 * ms},
+		"queue full":         {Rejected, 2 * ms},
 		"error":              {Error, 2 * ms},
 		"reset":              {Reset, 2 * ms},
 	} {
@@ -58,7 +58,7 @@
 
 type pendingOutcome struct {
 	at time.Duration
-	Outcome
+	AttemptResult
 }
 
 func newFailingWorld(t *testing.T, upstreams, balancers int) *failingWorld {
@@ -76,16 +76,16 @@
 	for end, last := w.now+lasts, w.now; w.now < end; w.now += 5 * ms {
 		if w.now%every == 0 {
 			w.lastID++
-			b.Request(w.now, Request{ID: w.lastID, Class: class, Budget: time.Second})
+			b.OnRequest(w.now, Request{ID: w.lastID, Class: class, Timeout: time.Second})
 		}
-		b.Timer(w.now, tickToken)
+		b.OnTimer(w.now, tickToken)
 		for _, u := range b.ups {
 			for _, a := range u.outs {
 				if !attempts[a] {
 					attempts[a] = true
 					last = w.now
-					w.pending = append(w.pending, pendingOutcome{w.now + latency, Outcome{ID: a.r.ID, Upstream: u.ID,
-						Attempt: slices.Index(a.r.attempts, a), Latency: latency, Status: status, Closed: status == OK}})
+					w.pending = append(w.pending, pendingOutcome{w.now + latency, AttemptResult{ID: a.r.ID, Endpoint: u.ID,
+						Attempt: slices.Index(a.r.attempts, a), Latency: latency, Status: status, RequestClosed: status == OK}})
 				}
 			}
 		}
@@ -93,7 +93,7 @@
 		for len(w.pending) > 0 && w.pending[0].at <= w.now {
 			o := w.pending[0]
 			w.pending = w.pending[1:]
-			b.Outcome(w.now, o.Outcome)
+			b.OnAttemptResult(w.now, o.AttemptResult)
 		}
 	}
 	return longest
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -48,38 +48,38 @@
 )
 
 // New returns a Balancer, or an error that names the setting that is wrong.
-func New(s Settings, seed uint64, now time.Duration, host Host) (*Balancer, error) {
+func New(s Settings, seed uint64, now time.Duration, host Effects) (*Balancer, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
 	} else if host == nil {
-		return nil, bad("Host is nil")
+		return nil, bad("Effects is nil")
 	}
 	b := &Balancer{s: s, host: host, rng: rand.New(rand.NewPCG(seed, 0)), classes: map[string]*class{},
-		tenants: map[string]*tenant{}, safest: Unsafe, requests: map[RequestID]*request{},
-		byID: map[UpstreamID]*upstream{}, logged: map[string]time.Duration{}, stepAt: now, tightAt: now, sentAt: now}
-	shortest := s.Classes[0].Aim
+		tenants: map[string]*tenant{}, safest: NonIdempotent, requests: map[RequestID]*request{},
+		byID: map[EndpointID]*upstream{}, logged: map[string]time.Duration{}, stepAt: now, tightAt: now, sentAt: now}
+	shortest := s.Classes[0].LatencyObjective
 	for _, c := range s.Classes {
 		b.classes[c.Name] = &class{Class: c}
-		b.safest, shortest = min(b.safest, c.Repeat), min(shortest, c.Aim)
+		b.safest, shortest = min(b.safest, c.Idempotency), min(shortest, c.LatencyObjective)
 	}
 	for _, t := range s.Tenants {
 		b.tenants[t.Name] = &tenant{at: now.Seconds()}
 	}
-	b.Fleet(now, Fleet{s.Balancers, s.Rank, s.Balancers})
+	b.OnFleetSizeChanged(now, FleetSize{s.Balancers, s.Rank, s.Balancers})
 	b.lat = float64(shortest) / 4 // until answers tell
-	b.tick = max(s.Granularity, shortest/ticksPerAim, time.Millisecond)
+	b.tick = max(s.EventSpacing, shortest/ticksPerAim, time.Millisecond)
 	host.SetTimer(b.tick, tickToken)
-	if s.OnRequest {
-		host.Watch(true)
+	if s.PollDiscovery {
+		host.WatchEndpoints(true)
 	}
 	return b, nil
 }
 
 // Fleet takes how many balancers there are from now on. What was counted and measured so far stays.
-func (b *Balancer) Fleet(now time.Duration, f Fleet) {
-	b.fleet = Fleet{max(f.Balancers, 1), max(f.Rank, 0), max(f.Most, f.Balancers, 1)}
+func (b *Balancer) OnFleetSizeChanged(now time.Duration, f FleetSize) {
+	b.fleet = FleetSize{max(f.Balancers, 1), max(f.Rank, 0), max(f.MaxBalancers, f.Balancers, 1)}
 	for _, t := range b.s.Tenants {
-		b.tenants[t.Name].rate = t.Quota / float64(b.fleet.Most)
+		b.tenants[t.Name].rate = t.Quota / float64(b.fleet.MaxBalancers)
 	}
 	b.gather(now)
 }
@@ -89,16 +89,16 @@
 // maySend alone decides whether r may be sent (again), and whether u may take it.
 func (b *Balancer) maySend(r *request, u *upstream, now time.Duration) bool {
 	if r.done || now >= r.deadline || u.State != Active ||
-		len(r.attempts) >= b.s.Limits.MaxAttempts || (r.out > 0 && !b.s.Limits.SecondCopies) {
+		len(r.attempts) >= b.s.Limits.MaxAttempts || (r.out > 0 && !b.s.Limits.AllowHedging) {
 		return false
 	}
 	if r.Upload && (r.spent || r.out > 0) {
 		return false
 	}
 	for _, a := range r.attempts {
-		if !a.neverRan && (r.class.Repeat == Unsafe || (r.class.Repeat == Keyed &&
-			(now-a.sentAt >= r.class.Memory-b.tick || (r.class.Group == GroupZone && a.up.Zone != u.Zone) ||
-				(r.class.Group == GroupCell && a.up.Cell != u.Cell)))) {
+		if !a.neverRan && (r.class.Idempotency == NonIdempotent || (r.class.Idempotency == IdempotentByKey &&
+			(now-a.sentAt >= r.class.IdempotencyWindow-b.tick || (r.class.Scope == ScopeZone && a.up.Zone != u.Zone) ||
+				(r.class.Scope == ScopeCell && a.up.Cell != u.Cell)))) {
 			return false
 		}
 	}
@@ -107,36 +107,36 @@
 
 // mayRefuse alone decides whether the client may be told that a retry is harmless.
 func (b *Balancer) mayRefuse(r *request) bool {
-	return r.class.Repeat == Safe || (r.class.Repeat == Keyed && r.class.Group == GroupAll) ||
+	return r.class.Idempotency == Idempotent || (r.class.Idempotency == IdempotentByKey && r.class.Scope == ScopeAll) ||
 		!slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.neverRan })
 }
 
 // Request takes a client's request.
-func (b *Balancer) Request(now time.Duration, q Request) {
+func (b *Balancer) OnRequest(now time.Duration, q Request) {
 	c := b.classes[q.Class]
 	if c == nil { // a class that the settings lack; never sent, so a retry is harmless
-		b.host.Refuse(q.ID, 0)
+		b.host.Reject(q.ID, 0)
 		return
 	}
-	r := &request{Request: q, class: c, units: cmp.Or(c.lat/b.lat, 1), deadline: now + q.Budget, worth: c.Worth}
-	if q.Cost > 0 {
-		follow(&b.cost, float64(q.Cost), smoothing*smoothing)
-		r.units = max(float64(q.Cost)/b.cost, smoothing)
+	r := &request{Request: q, class: c, units: cmp.Or(c.lat/b.lat, 1), deadline: now + q.Timeout, worth: c.PriorityWeight}
+	if q.CostHint > 0 {
+		follow(&b.cost, float64(q.CostHint), smoothing*smoothing)
+		r.units = max(float64(q.CostHint)/b.cost, smoothing)
 	}
-	if !b.s.WorthByWork {
+	if !b.s.PriorityByWork {
 		r.worth /= r.units
 	}
 	if t := b.tenants[q.Tenant]; t != nil && t.over(now) {
-		r.worth *= b.s.OverShareWorth
+		r.worth *= b.s.OverQuotaFactor
 	}
 	// A later try shows its age by a short budget. Past the aim such once took the turns of those in time.
-	spare := time.Duration((sendSpare - c.LateWorth) * cmp.Or(c.lat, b.lat))
-	c.budget = max(c.budget, q.Budget)
-	if q.Budget < c.budget-c.budget/budgetNoise && c.Aim-(c.Deadline-q.Budget) < spare {
-		r.worth *= c.LateWorth
+	spare := time.Duration((sendSpare - c.LatePriorityFactor) * cmp.Or(c.lat, b.lat))
+	c.budget = max(c.budget, q.Timeout)
+	if q.Timeout < c.budget-c.budget/budgetNoise && c.LatencyObjective-(c.Deadline-q.Timeout) < spare {
+		r.worth *= c.LatePriorityFactor
 	}
 	// Held requests are looked at once a tick: without one in hand a short budget ran out unseen.
-	r.sendBy = now + min(c.Aim, q.Budget) - max(spare, b.tick) - b.tick
+	r.sendBy = now + min(c.LatencyObjective, q.Timeout) - max(spare, b.tick) - b.tick
 	if q.Upload { // its time begins when it has been written
 		r.deadline = math.MaxInt64
 	}
@@ -170,13 +170,13 @@
 	timeout := time.Duration(0) // until the client quits: work half done is worth more than work begun anew
 	a := &attempt{r: r, up: u, sentAt: now, writing: r.Upload}
 	if u.zone.failed {
-		if u.zone.try(a, bandPeriod); r.class.Repeat != Unsafe && !r.Upload {
+		if u.zone.try(a, bandPeriod); r.class.Idempotency != NonIdempotent && !r.Upload {
 			timeout = b.patience(u, r.units)
 		}
 	} else if u.silent {
 		u.trialAt = now + u.wait
 		u.wait *= waitGrowth
-		if r.class.Repeat != Unsafe && !r.Upload { // a trial leaves time for another attempt
+		if r.class.Idempotency != NonIdempotent && !r.Upload { // a trial leaves time for another attempt
 			timeout = b.patience(u, r.units)
 		}
 	}
@@ -192,7 +192,7 @@
 // giveUp gives the final answer to a request that is not served.
 func (b *Balancer) giveUp(r *request) {
 	if b.finish(r, -1); b.mayRefuse(r) {
-		b.host.Refuse(r.ID, b.comeBack())
+		b.host.Reject(r.ID, b.comeBack())
 	} else {
 		b.host.Fail(r.ID)
 	}
@@ -201,16 +201,16 @@
 // comeBack is the wait that a refused client is advised: turns are looked at again after a tick. A longer
 // one would take the aim of most who follow it.
 func (b *Balancer) comeBack() time.Duration {
-	if !b.s.Limits.RetryAfter {
+	if !b.s.Limits.AllowRetryAfter {
 		return 0
 	}
-	return min(b.tick, b.s.Limits.MaxRetry)
+	return min(b.tick, b.s.Limits.MaxRetryAfter)
 }
 
 // finish notes that r has its answer, or its stream from attempt n, and stops what else is out.
 func (b *Balancer) finish(r *request, n int) {
 	for i, a := range r.attempts {
-		if i != n && !a.ended && !r.done && b.s.Limits.Cancel {
+		if i != n && !a.ended && !r.done && b.s.Limits.AllowCancel {
 			b.host.Cancel(r.ID, i)
 		}
 	}
@@ -220,22 +220,22 @@
 }
 
 // Gone drops a request whose client has left.
-func (b *Balancer) Gone(now time.Duration, id RequestID) {
+func (b *Balancer) OnClientDisconnected(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && !r.done {
 		b.finish(r, -1)
 	}
 }
 
 // Written notes that an upload has been passed on whole: its upstream starts on it now.
-func (b *Balancer) Written(now time.Duration, id RequestID, n int) {
+func (b *Balancer) OnBodySent(now time.Duration, id RequestID, n int) {
 	if r := b.requests[id]; r != nil && n >= 0 && n < len(r.attempts) && r.attempts[n].writing {
 		r.attempts[n].writing, r.attempts[n].sentAt = false, now
-		r.spent, r.deadline = true, now+r.Budget
+		r.spent, r.deadline = true, now+r.Timeout
 	}
 }
 
 // Started marks a request as served by a stream that has begun.
-func (b *Balancer) Started(now time.Duration, id RequestID, n int) {
+func (b *Balancer) OnStreamStarted(now time.Duration, id RequestID, n int) {
 	if r := b.requests[id]; r != nil && !r.done && n >= 0 && n < len(r.attempts) {
 		b.answered(r.attempts[n].up, now)
 		b.finish(r, n)
@@ -243,19 +243,19 @@
 }
 
 // Outcome takes the end of an attempt.
-func (b *Balancer) Outcome(now time.Duration, o Outcome) {
+func (b *Balancer) OnAttemptResult(now time.Duration, o AttemptResult) {
 	r := b.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].ended {
 		return
 	}
 	a := r.attempts[o.Attempt]
-	a.ended, a.neverRan = true, o.Status == Full || o.Status == ConnectFailed || o.Status == Moot
+	a.ended, a.neverRan = true, o.Status == Rejected || o.Status == ConnectFailed || o.Status == NotSent
 	r.out--
-	r.spent = r.spent || o.Spent
+	r.spent = r.spent || o.BodyConsumed
 	a.up.outs = slices.DeleteFunc(a.up.outs, func(x *attempt) bool { return x == a })
 	b.learn(a, o.clean(), now)
 	switch {
-	case r.done || o.Closed || o.Status == OK:
+	case r.done || o.RequestClosed || o.Status == OK:
 		b.finish(r, o.Attempt)
 	case r.out == 0 && !r.held: // else another copy may still answer, or a turn may come free
 		b.place(r, now)
@@ -266,7 +266,7 @@
 // --- Bands and shares ---
 
 // learn draws from an outcome what it tells about its upstream.
-func (b *Balancer) learn(a *attempt, o Outcome, now time.Duration) {
+func (b *Balancer) learn(a *attempt, o AttemptResult, now time.Duration) {
 	u, r := a.up, a.r
 	u.zone.tried(o.Status)
 	switch o.Status {
@@ -277,7 +277,7 @@
 		u.errors += 2 * smoothing * (1 - u.errors)
 		u.badAt = now
 	}
-	if o.Status == OK || o.Status == Error || o.Status == Full {
+	if o.Status == OK || o.Status == Error || o.Status == Rejected {
 		b.answered(u, now)
 	}
 	switch o.Status {
@@ -288,7 +288,7 @@
 		follow(&u.units, max(r.units, 0.5), w) // small ones have a fixed part too
 		follow(&b.lat, float64(o.Latency), smoothing)
 		follow(&r.class.lat, float64(o.Latency), smoothing)
-		per, aim := u.lat/u.units, float64(r.class.Aim)
+		per, aim := u.lat/u.units, float64(r.class.LatencyObjective)
 		follow(&u.slow, per, smoothing)
 		follow(&u.calm, u.slow, calmDrift)
 		u.calm = min(u.calm, u.slow)
@@ -303,7 +303,7 @@
 			(short || (now-u.missedAt < time.Duration(b.lat) && u.mean < levelFloor && u.bound < u.needs())) {
 			u.bound = max(u.bound, min(u.bound+boundGrowth, u.most))
 		}
-	case Full:
+	case Rejected:
 		b.shrink(u, now, boundCut*boundCut)
 	case Timeout: // beside use to spare it was lost, not crowded out
 		if u.busy() {
@@ -312,13 +312,13 @@
 	case ConnectFailed, Reset: // down, or its connection table is full: ask less often
 		if now >= u.backAt { // once for what was out together
 			u.backAt = now + u.wait
-			u.wait = min(u.wait*waitGrowth, b.s.Rules.RampTime)
+			u.wait = min(u.wait*waitGrowth, b.s.Obligations.SlowStartWindow)
 		}
 	}
 	p := b.pause(u) // one left idle has an attempt in hand: requests come by chance
 	u.freeAt = max(u.freeAt, min(now, max(u.freeAt, a.sentAt-p)+now-a.sentAt)+p)
-	if b.s.Reports != ReportProbes {
-		b.read(u, o.Load, o.Status == OK, float64(o.Latency)/float64(r.class.Aim), now)
+	if b.s.Reports != ReportInHealthChecks {
+		b.read(u, o.Load, o.Status == OK, float64(o.Latency)/float64(r.class.LatencyObjective), now)
 	}
 }
 
@@ -339,10 +339,10 @@
 
 // read takes a load report as a reading of utilisation. Stand-ins: what is held or waits, and at sites
 // without reports the latency as a part of the aim.
-func (b *Balancer) read(u *upstream, l Load, ok bool, late float64, now time.Duration) {
-	x := l.Util
+func (b *Balancer) read(u *upstream, l LoadReport, ok bool, late float64, now time.Duration) {
+	x := l.Utilization
 	switch {
-	case l.Fields&HasUtil != 0:
+	case l.Fields&HasUtilization != 0:
 	case l.Fields&(HasInflight|HasQueue) != 0:
 		x = 1 - 1/(1+l.Inflight+l.Queue)
 	case b.s.Reports == ReportNone && ok:
@@ -405,7 +405,7 @@
 	b.stepAt, b.ceiling = now, b.rank(2, func(u *upstream) float64 { return u.mean })
 	b.calm = b.rank(4, func(u *upstream) float64 { return u.calm })
 	b.ups = slices.DeleteFunc(b.ups, func(u *upstream) bool { // forget what is gone and owes nothing
-		gone := u.State == Gone && len(u.outs) == 0
+		gone := u.State == Removed && len(u.outs) == 0
 		if gone {
 			delete(b.byID, u.ID)
 		}
@@ -441,9 +441,9 @@
 
 // ramp is the share of its capacity that u is sure to have.
 func (b *Balancer) ramp(u *upstream, now time.Duration) float64 {
-	if u.cold && now-u.coldAt < b.s.Rules.RampTime {
-		from := b.s.Rules.ColdFrom
-		return from + (1-from)*max(0, float64(now-u.coldAt)/float64(b.s.Rules.RampTime))
+	if u.cold && now-u.coldAt < b.s.Obligations.SlowStartWindow {
+		from := b.s.Obligations.SlowStartFrom
+		return from + (1-from)*max(0, float64(now-u.coldAt)/float64(b.s.Obligations.SlowStartWindow))
 	}
 	u.cold = false
 	return 1
@@ -464,7 +464,7 @@
 	// What zones count for can change at once and work can't: none is taken to do more than the best does.
 	rate := b.coldRate(u, now)
 	u.spent, u.spentAt = max(0, u.spent-rate*(now-u.spentAt).Seconds()), now
-	return u.spent <= max(0, rate*b.s.Rules.TipAfter.Seconds()-max(1, r.units))
+	return u.spent <= max(0, rate*b.s.Obligations.OverloadWindow.Seconds()-max(1, r.units))
 }
 
 // coldRate is how fast the count of what a cold u was sent leaks: half of this balancer's part of what it may get.
@@ -473,7 +473,7 @@
 	if b.stay > 0 {
 		does *= leanCold
 	}
-	return tipMargin / 2 * b.s.Rules.TipMultiple * b.ramp(u, now) * does
+	return tipMargin / 2 * b.s.Obligations.OverloadMultiple * b.ramp(u, now) * does
 }
 
 // patience is how long u may owe every answer before it counts as silent.
@@ -508,11 +508,11 @@
 	b.log(now, "silent", "upstream %d owes every answer for %v: turns skipped, trials only", u.ID, since)
 	for _, a := range slices.Clone(u.outs) {
 		r := a.r
-		if r.class.Repeat == Unsafe || r.Upload || r.done || r.out > 1 {
+		if r.class.Idempotency == NonIdempotent || r.Upload || r.done || r.out > 1 {
 			continue
 		} else if v, _ := b.pick(r, now); v != nil {
 			b.send(r, v, now) // a second copy
-		} else if !b.s.Limits.SecondCopies && b.s.Limits.Cancel {
+		} else if !b.s.Limits.AllowHedging && b.s.Limits.AllowCancel {
 			b.host.Cancel(r.ID, slices.Index(r.attempts, a))
 		}
 	}
@@ -532,7 +532,7 @@
 		return ok && b.mayTry(u.zone, r, now) && (b.ramp(u, now) == 1 || b.coldRoom(u, r, now))
 	}
 	if u.silent { // the safest class goes first as a trial
-		ok = now >= u.trialAt && (r.class.Repeat == b.safest || now >= u.trialAt+u.wait)
+		ok = now >= u.trialAt && (r.class.Idempotency == b.safest || now >= u.trialAt+u.wait)
 	}
 	return ok && b.inTime(u, r, now) && (b.ramp(u, now) == 1 || b.coldRoom(u, r, now))
 }
@@ -550,30 +550,32 @@
 // recall takes up what was known of u at a time: figures fade to those of a stranger. What was sent to a cold one since
 // then is not known, and counts as all that it may have been sent. A silent one has to pass a trial first, each balancer
 // at a moment of its own.
-func (b *Balancer) recall(u *upstream, x Learnt, trust float64, now, at time.Duration) {
-	if x.Cold && x.ColdAt <= now && x.ColdAt > u.coldAt && now-x.ColdAt < b.s.Rules.RampTime {
-		b.chill(u, x.ColdAt)
+func (b *Balancer) recall(u *upstream, x EndpointStats, trust float64, now, at time.Duration) {
+	warming := x.WarmingUp && x.WarmingSince <= now && now-x.WarmingSince < b.s.Obligations.SlowStartWindow
+	if warming && x.WarmingSince > u.coldAt {
+		b.chill(u, x.WarmingSince)
 	}
 	if trust == 0 {
 		return
 	}
-	if x.Silent {
-		u.silent, u.wait = true, max(b.tick, min(x.Wait, b.s.Rules.RampTime))
+	if x.Unresponsive {
+		u.silent, u.wait = true, max(b.tick, min(x.Backoff, b.s.Obligations.SlowStartWindow))
 		u.trialAt = now + time.Duration(b.rng.Int64N(int64(u.wait)+1))
 	}
 	if u.cold {
-		if u.spent, u.spentAt = 1, now; now-at < b.s.Rules.TipAfter {
-			u.spent = max(1, b.coldRate(u, now)*b.s.Rules.TipAfter.Seconds())
+		if u.spent, u.spentAt = 1, now; now-at < b.s.Obligations.OverloadWindow {
+			u.spent = max(1, b.coldRate(u, now)*b.s.Obligations.OverloadWindow.Seconds())
 		}
 		return
 	}
-	u.factor = 1 - trust*(1-max(shareFloor, min(1, finite(x.Factor))))
-	u.errors, u.work = trust*min(1, finite(x.Errors)), trust*finite(x.Work)
-	if x.Bound > 0 && amount(x.Bound) {
-		u.bound = b.start + trust*(max(b.start*boundLeast/boundStart, x.Bound)-b.start)
+	u.factor = 1 - trust*(1-max(shareFloor, min(1, finite(x.ShareFactor))))
+	u.errors, u.work = trust*min(1, finite(x.ErrorRate)), trust*finite(x.WorkRate)
+	if x.ConcurrencyLimit > 0 && amount(x.ConcurrencyLimit) {
+		u.bound = b.start + trust*(max(b.start*boundLeast/boundStart, x.ConcurrencyLimit)-b.start)
 	}
-	if x.Latency > 0 && x.Units > 0 && amount(x.Latency) && amount(x.Units) {
-		u.lat, u.units, u.latDev, u.slow, u.calm = x.Latency, x.Units, finite(x.Deviation), finite(x.Slow), finite(x.Calm)
+	if x.Latency > 0 && x.WorkUnits > 0 && amount(x.Latency) && amount(x.WorkUnits) {
+		u.lat, u.units, u.latDev = x.Latency, x.WorkUnits, finite(x.LatencyDeviation)
+		u.slow, u.calm = finite(x.LatencyEWMA), finite(x.BaselineLatency)
 	}
 }
 
@@ -612,7 +614,7 @@
 		b.blockedAt = now
 	}
 	wait := blockedMost
-	if r.class.Repeat != b.safest {
+	if r.class.Idempotency != b.safest {
 		wait += blockedMost / 2
 	}
 	if now-b.blockedAt < wait {
@@ -657,12 +659,12 @@
 // --- Discovery ---
 
 // Members takes what discovery says of the upstreams.
-func (b *Balancer) Members(now time.Duration, mode ListMode, list []Upstream) {
-	if mode == ListFailed { // ask again, later each time and never all instances at once
+func (b *Balancer) OnEndpointUpdate(now time.Duration, mode UpdateMode, list []Endpoint) {
+	if mode == UpdateFailed { // ask again, later each time and never all instances at once
 		// What discovery tells counts as told some seconds later, heard or not, so calls stay close; where it pushes, at once.
-		longest := min(b.s.Rules.AskWithin/8, toldLate/4)
-		if !b.s.OnRequest {
-			longest = b.s.Rules.DrainGrace / 4
+		longest := min(b.s.Obligations.PollInterval/8, toldLate/4)
+		if !b.s.PollDiscovery {
+			longest = b.s.Obligations.DrainGrace / 4
 		}
 		b.watchWait = min(max(b.watchWait*waitGrowth, longest/4), longest)
 		wait := b.watchWait/2 + time.Duration(b.rng.Int64N(int64(b.watchWait)+1))
@@ -671,14 +673,14 @@
 		return
 	}
 	b.watchWait = 0
-	named := make(map[UpstreamID]bool, len(list))
+	named := make(map[EndpointID]bool, len(list))
 	for _, e := range list {
 		named[e.ID] = true
 		b.member(e.clean(), now)
 	}
 	for _, u := range b.ups {
-		if mode != ListDelta && !named[u.ID] {
-			u.State = Gone
+		if mode != UpdateDelta && !named[u.ID] {
+			u.State = Removed
 		}
 	}
 	b.gather(now)
@@ -689,9 +691,9 @@
 }
 
 // member applies one list entry.
-func (b *Balancer) member(e Upstream, now time.Duration) {
+func (b *Balancer) member(e Endpoint, now time.Duration) {
 	u := b.byID[e.ID]
-	if u == nil && e.State == Gone {
+	if u == nil && e.State == Removed {
 		return
 	} else if u == nil {
 		u = &upstream{weight: e.Weight, factor: 1, most: boundStart, wait: b.tick, spentAt: now, answeredAt: now,
@@ -700,11 +702,11 @@
 	}
 	if e.StartedAt > u.StartedAt { // new, or restarted under the same id
 		u.silent, u.freeAt, u.backAt = false, now, now
-		if now-e.StartedAt < b.s.Rules.RampTime {
+		if now-e.StartedAt < b.s.Obligations.SlowStartWindow {
 			b.chill(u, e.StartedAt)
 		}
 	}
-	u.Upstream, u.zone = e, b.zoneOf(e.Zone)
+	u.Endpoint, u.zone = e, b.zoneOf(e.Zone)
 	if b.s.Weights == WeightLive { // late and the same for all: only its slow mean is safe to follow
 		e.Weight = u.weight + smoothing*(e.Weight-u.weight)
 	}
@@ -721,7 +723,7 @@
 	n, all := float64(len(ring)), float64(b.fleet.Balancers)
 	want := max(1, min(n, max(subsetLeast, math.Ceil(n*sharers/max(sharers, all-sharers)))))
 	b.few = want < min(n, homeFew)
-	b.start = boundStart * max(n, 1) / want / float64(b.fleet.Most)
+	b.start = boundStart * max(n, 1) / want / float64(b.fleet.MaxBalancers)
 	_, at := math.Modf(float64(b.fleet.Rank) * math.Phi)
 	good, chosen := 0.0, map[*upstream]bool{}
 	for i, u := range b.homeFirst(ring, at, want) {
@@ -748,8 +750,8 @@
 }
 
 // Probed takes a probe's result: a reading only, since a shallow probe proves no more than a process.
-func (b *Balancer) Probed(now time.Duration, p ProbeResult) {
-	if u := b.byID[p.Upstream]; u != nil && p.Status == OK {
+func (b *Balancer) OnHealthCheckResult(now time.Duration, p HealthCheckResult) {
+	if u := b.byID[p.Endpoint]; u != nil && p.Status == OK {
 		b.read(u, p.Load.clean(), false, 0, now)
 	}
 }
@@ -757,21 +759,21 @@
 // --- Timers ---
 
 // Timer takes a timer that the Balancer has set.
-func (b *Balancer) Timer(now time.Duration, token uint64) {
+func (b *Balancer) OnTimer(now time.Duration, token uint64) {
 	if token != tickToken { // watchToken; a stray one must not start a second row of ticks
-		b.host.Watch(true)
+		b.host.WatchEndpoints(true)
 		return
 	}
 	b.host.SetTimer(b.tick, tickToken)
 	if now-b.stepAt >= bandPeriod {
 		b.step(now)
 	}
-	ask := b.s.Reports == ReportProbes && b.s.Limits.Probes
+	ask := b.s.Reports == ReportInHealthChecks && b.s.Limits.AllowHealthChecks
 	for _, u := range b.near {
 		b.quiet(u, now)
 		if ask && u.member && now-u.probedAt >= bandPeriod {
 			u.probedAt = now
-			b.host.Probe(u.ID)
+			b.host.HealthCheck(u.ID)
 		}
 	}
 	b.health(now)
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -15,27 +15,27 @@
 )
 
 // start returns a Balancer with a list, and its recorder.
-func start(t *testing.T, s Settings, list []Upstream) (*Balancer, *recorder) {
+func start(t *testing.T, s Settings, list []Endpoint) (*Balancer, *recorder) {
 	t.Helper()
 	h := &recorder{}
 	b, err := New(s, 1, time.Hour, h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Members(time.Hour, ListCached, list)
+	b.OnEndpointUpdate(time.Hour, UpdateCached, list)
 	return b, h
 }
 
 // serve sends a request and answers it at once; it returns the upstream that got it.
 func serve(t *testing.T, b *Balancer, now time.Duration, id RequestID) *upstream {
 	t.Helper()
-	b.Request(now, Request{ID: id, Class: "write", Budget: time.Second})
+	b.OnRequest(now, Request{ID: id, Class: "write", Timeout: time.Second})
 	r := b.requests[id]
 	if r == nil || r.out != 1 {
 		t.Fatalf("request %d was not sent", id)
 	}
 	u := r.attempts[0].up
-	b.Outcome(now, Outcome{ID: id, Upstream: u.ID, Latency: 50 * ms, Status: OK, Closed: true})
+	b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: u.ID, Latency: 50 * ms, Status: OK, RequestClosed: true})
 	return u
 }
 
@@ -102,7 +102,7 @@
 	b, _ := start(t, settings(), fleet(1))
 	u := b.ups[0]
 	for i, util := range []float64{0.5, 0.5, 0.6, 0.6, 0.5} {
-		b.read(u, Load{Fields: HasUtil, Util: util}, true, 0, time.Hour+time.Duration(i)*ms)
+		b.read(u, LoadReport{Fields: HasUtilization, Utilization: util}, true, 0, time.Hour+time.Duration(i)*ms)
 	}
 	if u.readings != 3 {
 		t.Errorf("%d readings, want 3", u.readings)
@@ -112,15 +112,15 @@
 func TestStandInReadings(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		via  ReportVia
-		load Load
+		via  ReportSource
+		load LoadReport
 		late float64
 		want float64
 	}{
-		{"utilisation", ReportAnswers, Load{Fields: HasUtil | HasQueue, Util: 0.7, Queue: 9}, 0.2, 0.7},
-		{"held", ReportAnswers, Load{Fields: HasInflight, Inflight: 3}, 0.2, 0.75},
-		{"waiting", ReportAnswers, Load{Fields: HasQueue, Queue: 1}, 0.2, 0.5},
-		{"no reports: latency against the aim", ReportNone, Load{}, 0.2, 0.2},
+		{"utilisation", ReportInResponses, LoadReport{Fields: HasUtilization | HasQueue, Utilization: 0.7, Queue: 9}, 0.2, 0.7},
+		{"held", ReportInResponses, LoadReport{Fields: HasInflight, Inflight: 3}, 0.2, 0.75},
+		{"waiting", ReportInResponses, LoadReport{Fields: HasQueue, Queue: 1}, 0.2, 0.5},
+		{"no reports: latency against the aim", ReportNone, LoadReport{}, 0.2, 0.2},
 	} {
 		s := settings()
 		s.Reports = c.via
@@ -177,7 +177,7 @@
 func TestShortBudgetIsAnsweredInTime(t *testing.T) {
 	b, h := start(t, settings(), fleet(1))
 	b.ups[0].freeAt = 2 * time.Hour
-	b.Request(time.Hour, Request{ID: 1, Class: "write", Budget: 10 * ms})
+	b.OnRequest(time.Hour, Request{ID: 1, Class: "write", Timeout: 10 * ms})
 	if h.count("refuse id=1") != 1 {
 		t.Errorf("not refused at once: %v", h.lines)
 	}
@@ -191,18 +191,18 @@
 		now += 5 * ms
 		serve(t, b, now, RequestID(i+1))
 		if i%4 == 0 {
-			b.Timer(now, tickToken)
+			b.OnTimer(now, tickToken)
 		}
 	}
-	cold := Upstream{ID: 9, Zone: "near", Weight: 1, StartedAt: now}
-	b.Members(now, ListDelta, []Upstream{cold})
+	cold := Endpoint{ID: 9, Zone: "near", Weight: 1, StartedAt: now}
+	b.OnEndpointUpdate(now, UpdateDelta, []Endpoint{cold})
 	before := h.count("send")
 	for i := range 300 { // one window
 		now += 5 * ms
 		id := RequestID(10000 + i)
-		b.Request(now, Request{ID: id, Class: "write", Budget: time.Second, Cost: ms})
+		b.OnRequest(now, Request{ID: id, Class: "write", Timeout: time.Second, CostHint: ms})
 		if r := b.requests[id]; r != nil && r.out == 1 {
-			b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 20 * ms, Status: OK, Closed: true})
+			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: r.attempts[0].up.ID, Latency: 20 * ms, Status: OK, RequestClosed: true})
 		}
 	}
 	toCold := 0
@@ -223,14 +223,14 @@
 	for i := range 40 {
 		serve(t, b, time.Hour, RequestID(i+1))
 	}
-	b.Request(time.Hour, Request{ID: 100, Class: "read", Budget: time.Second})
+	b.OnRequest(time.Hour, Request{ID: 100, Class: "read", Timeout: time.Second})
 	u := b.requests[100].attempts[0].up
 	now := time.Hour + b.patience(u, 1) + 20*ms
-	b.Timer(now, tickToken)
+	b.OnTimer(now, tickToken)
 	if !u.silent || h.count("cancel id=100") != 1 {
 		t.Fatalf("silent %v; %v", u.silent, h.lines[len(h.lines)-4:])
 	}
-	b.Outcome(now, Outcome{ID: 100, Upstream: u.ID, Latency: 400 * ms, Status: Cancelled})
+	b.OnAttemptResult(now, AttemptResult{ID: 100, Endpoint: u.ID, Latency: 400 * ms, Status: Cancelled})
 	if r := b.requests[100]; r == nil || r.out != 1 || r.attempts[1].up == u {
 		t.Error("the request did not start again elsewhere")
 	}
@@ -241,10 +241,10 @@
 	u, now := b.ups[0], time.Hour
 	answer := func(id RequestID, lat time.Duration) {
 		now += time.Second
-		b.Request(now, Request{ID: id, Class: "write", Budget: time.Second})
+		b.OnRequest(now, Request{ID: id, Class: "write", Timeout: time.Second})
 		if r := b.requests[id]; r != nil && r.out == 1 {
 			now += lat
-			b.Outcome(now, Outcome{ID: id, Upstream: u.ID, Latency: lat, Status: OK, Closed: true})
+			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: u.ID, Latency: lat, Status: OK, RequestClosed: true})
 		}
 	}
 	for i := range 30 {
@@ -267,9 +267,9 @@
 func TestHeldRequestsWaitForTheListAndMostWorthGoesFirst(t *testing.T) {
 	b, h := start(t, settings(), nil)
 	for i, class := range []string{"read", "write", "keyed"} {
-		b.Request(time.Hour, Request{ID: RequestID(i + 1), Class: class, Budget: time.Second})
+		b.OnRequest(time.Hour, Request{ID: RequestID(i + 1), Class: class, Timeout: time.Second})
 	}
-	b.Members(time.Hour+50*ms, ListFull, fleet(8))
+	b.OnEndpointUpdate(time.Hour+50*ms, UpdateComplete, fleet(8))
 	var order []string
 	for _, l := range h.lines {
 		if strings.HasPrefix(l, "send") {
@@ -283,32 +283,32 @@
 
 func TestFailedDiscoveryIsAskedAgainLaterEachTime(t *testing.T) {
 	s := settings()
-	s.OnRequest = true
+	s.PollDiscovery = true
 	b, h := start(t, s, fleet(1))
 	if h.count("watch") != 1 {
 		t.Fatal("did not subscribe at the start")
 	}
 	var last time.Duration
 	for range 3 {
-		b.Members(time.Hour, ListFailed, nil)
+		b.OnEndpointUpdate(time.Hour, UpdateFailed, nil)
 		if b.watchWait <= last {
 			t.Errorf("wait %v after %v", b.watchWait, last)
 		}
 		last = b.watchWait
 	}
 	var longest time.Duration
-	h.hook = func(kind string, _ RequestID, _ UpstreamID, d time.Duration, n uint64) {
+	h.hook = func(kind string, _ RequestID, _ EndpointID, d time.Duration, n uint64) {
 		if kind == "timer" && n == watchToken {
 			longest = max(longest, d)
 		}
 	}
 	for range 50 { // waits once grew to 7.5 s, when what was to tell had counted as told for a second and a half
-		b.Members(time.Hour, ListFailed, nil)
+		b.OnEndpointUpdate(time.Hour, UpdateFailed, nil)
 	}
-	if most := s.Rules.AskWithin / 5; longest == 0 || longest > most {
+	if most := s.Obligations.PollInterval / 5; longest == 0 || longest > most {
 		t.Errorf("waits of up to %v, want %v at the most", longest, most)
 	}
-	b.Timer(time.Hour, watchToken)
+	b.OnTimer(time.Hour, watchToken)
 	if h.count("watch") != 2 || len(b.ups) != 1 {
 		t.Error("did not ask again, or lost the list")
 	}
@@ -330,16 +330,16 @@
 		{true, 2 * time.Second, 500 * ms, 400 * ms},
 	} {
 		s := settings()
-		s.OnRequest, s.Rules.AskWithin, s.Rules.DrainGrace = x.asked, x.within, x.grace
+		s.PollDiscovery, s.Obligations.PollInterval, s.Obligations.DrainGrace = x.asked, x.within, x.grace
 		b, h := start(t, s, fleet(1))
 		var longest time.Duration
-		h.hook = func(kind string, _ RequestID, _ UpstreamID, d time.Duration, n uint64) {
+		h.hook = func(kind string, _ RequestID, _ EndpointID, d time.Duration, n uint64) {
 			if kind == "timer" && n == watchToken {
 				longest = max(longest, d)
 			}
 		}
 		for range 100 {
-			b.Members(time.Hour, ListFailed, nil)
+			b.OnEndpointUpdate(time.Hour, UpdateFailed, nil)
 		}
 		if longest < x.longest/4 || longest > x.longest {
 			t.Errorf("%+v: waits of up to %v", x, longest)
@@ -349,28 +349,28 @@
 
 func TestBadSettings(t *testing.T) {
 	for field, spoil := range map[string]func(*Settings){
-		"Classes":               func(s *Settings) { s.Classes = nil },
-		"Balancers":             func(s *Settings) { s.Balancers = 0 },
-		"Limits.MaxAttempts":    func(s *Settings) { s.Limits.MaxAttempts = 0 },
-		"Rules.TipAfter":        func(s *Settings) { s.Rules.TipAfter = 0 },
-		"Rules.RampTime":        func(s *Settings) { s.Rules.RampTime = 0 },
-		"Rules.TipMultiple":     func(s *Settings) { s.Rules.TipMultiple = 0 },
-		"Rules.ColdFrom":        func(s *Settings) { s.Rules.ColdFrom = 0 },
-		"Rules.AskWithin":       func(s *Settings) { s.OnRequest, s.Rules.AskWithin = true, 0 },
-		"Aim":                   func(s *Settings) { s.Classes[0].Aim = 0 },
-		"Deadline":              func(s *Settings) { s.Classes[0].Deadline = ms },
-		"Memory":                func(s *Settings) { s.Classes[1].Memory = 0 },
-		"\"read\" is set twice": func(s *Settings) { s.Classes = append(s.Classes, s.Classes[0]) },
-		"Worth":                 func(s *Settings) { s.Classes[2].Worth = -1 },
-		"Quota":                 func(s *Settings) { s.Tenants[1].Quota = -1 },
-		"Rank":                  func(s *Settings) { s.Rank = s.Balancers },
-		"OverShareWorth":        func(s *Settings) { s.OverShareWorth = math.NaN() },
-		"Granularity":           func(s *Settings) { s.Granularity = -1 },
-		"Weights":               func(s *Settings) { s.Weights = 9 },
-		"Reports":               func(s *Settings) { s.Reports = 9 },
-		"Repeat":                func(s *Settings) { s.Classes[0].Repeat = 9 },
-		"Group":                 func(s *Settings) { s.Classes[1].Group = 9 },
-		"LateWorth":             func(s *Settings) { s.Classes[0].LateWorth = math.Inf(1) },
+		"Classes":                      func(s *Settings) { s.Classes = nil },
+		"Balancers":                    func(s *Settings) { s.Balancers = 0 },
+		"Limits.MaxAttempts":           func(s *Settings) { s.Limits.MaxAttempts = 0 },
+		"Obligations.OverloadWindow":   func(s *Settings) { s.Obligations.OverloadWindow = 0 },
+		"Obligations.SlowStartWindow":  func(s *Settings) { s.Obligations.SlowStartWindow = 0 },
+		"Obligations.OverloadMultiple": func(s *Settings) { s.Obligations.OverloadMultiple = 0 },
+		"Obligations.SlowStartFrom":    func(s *Settings) { s.Obligations.SlowStartFrom = 0 },
+		"Obligations.PollInterval":     func(s *Settings) { s.PollDiscovery, s.Obligations.PollInterval = true, 0 },
+		"LatencyObjective":             func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
+		"Deadline":                     func(s *Settings) { s.Classes[0].Deadline = ms },
+		"IdempotencyWindow":            func(s *Settings) { s.Classes[1].IdempotencyWindow = 0 },
+		"\"read\" is set twice":        func(s *Settings) { s.Classes = append(s.Classes, s.Classes[0]) },
+		"PriorityWeight":               func(s *Settings) { s.Classes[2].PriorityWeight = -1 },
+		"Quota":                        func(s *Settings) { s.Tenants[1].Quota = -1 },
+		"Rank":                         func(s *Settings) { s.Rank = s.Balancers },
+		"OverQuotaFactor":              func(s *Settings) { s.OverQuotaFactor = math.NaN() },
+		"EventSpacing":                 func(s *Settings) { s.EventSpacing = -1 },
+		"Weights":                      func(s *Settings) { s.Weights = 9 },
+		"Reports":                      func(s *Settings) { s.Reports = 9 },
+		"Idempotency":                  func(s *Settings) { s.Classes[0].Idempotency = 9 },
+		"Scope":                        func(s *Settings) { s.Classes[1].Scope = 9 },
+		"LatePriorityFactor":           func(s *Settings) { s.Classes[0].LatePriorityFactor = math.Inf(1) },
 		"\"small\" is set twice or has a quota_rps (Quota)": func(s *Settings) { s.Tenants[1].Quota = math.NaN() },
 		"\"big\" is set twice":                              func(s *Settings) { s.Tenants = append(s.Tenants, s.Tenants[0]) },
 	} {
@@ -383,16 +383,16 @@
 	}
 	for _, f := range []float64{math.NaN(), math.Inf(1), -1, 0} {
 		s := settings()
-		if s.Rules.TipMultiple = f; s.Validate() == nil {
-			t.Errorf("TipMultiple %v is taken", f)
+		if s.Obligations.OverloadMultiple = f; s.Validate() == nil {
+			t.Errorf("OverloadMultiple %v is taken", f)
 		}
 		s = settings()
-		if s.Rules.ColdFrom = f; s.Validate() == nil {
-			t.Errorf("ColdFrom %v is taken", f)
+		if s.Obligations.SlowStartFrom = f; s.Validate() == nil {
+			t.Errorf("SlowStartFrom %v is taken", f)
 		}
 	}
-	if _, err := New(settings(), 1, 0, nil); !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), "Host") {
-		t.Errorf("no host: error %v", err)
+	if _, err := New(settings(), 1, 0, nil); !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), "Effects") {
+		t.Errorf("no effects: error %v", err)
 	}
 }
 
@@ -403,22 +403,22 @@
 	for i := range list {
 		list[i].Weight = odd[i]
 	}
-	b, h := start(t, settings(), append(list, list[0], Upstream{ID: 99, State: Gone, Weight: 1}))
+	b, h := start(t, settings(), append(list, list[0], Endpoint{ID: 99, State: Removed, Weight: 1}))
 	now := time.Hour
 	for i := range 400 {
 		now += 20 * ms
 		id := RequestID(i + 1)
-		b.Request(now, Request{ID: id, Class: "read", Budget: time.Second, Cost: time.Duration(odd[i%3+2])})
+		b.OnRequest(now, Request{ID: id, Class: "read", Timeout: time.Second, CostHint: time.Duration(odd[i%3+2])})
 		if r := b.requests[id]; r != nil && r.out > 0 {
-			l := Load{Fields: HasUtil | HasInflight | HasQueue, Util: odd[i%6], Inflight: odd[(i+1)%6], Queue: odd[(i+2)%6]}
-			o := Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: time.Duration(i%3-1) * 30 * ms, Status: OK, Closed: true, Load: l}
-			b.Outcome(now, o)
-			b.Outcome(now, o)
+			l := LoadReport{Fields: HasUtilization | HasInflight | HasQueue, Utilization: odd[i%6], Inflight: odd[(i+1)%6], Queue: odd[(i+2)%6]}
+			o := AttemptResult{ID: id, Endpoint: r.attempts[0].up.ID, Latency: time.Duration(i%3-1) * 30 * ms, Status: OK, RequestClosed: true, Load: l}
+			b.OnAttemptResult(now, o)
+			b.OnAttemptResult(now, o)
 		}
-		b.Probed(now, ProbeResult{Upstream: 99, Load: Load{Fields: HasUtil, Util: 1}})
-		b.Probed(now, ProbeResult{Upstream: 2, Load: Load{Fields: HasUtil, Util: odd[i%6]}})
-		b.Timer(now, tickToken)
-		b.Timer(now, 12345)
+		b.OnHealthCheckResult(now, HealthCheckResult{Endpoint: 99, Load: LoadReport{Fields: HasUtilization, Utilization: 1}})
+		b.OnHealthCheckResult(now, HealthCheckResult{Endpoint: 2, Load: LoadReport{Fields: HasUtilization, Utilization: odd[i%6]}})
+		b.OnTimer(now, tickToken)
+		b.OnTimer(now, 12345)
 	}
 	for _, u := range b.ups {
 		for name, x := range map[string]float64{"mean": u.mean, "dev": u.dev, "weight": u.weight, "latency": u.lat,
@@ -437,21 +437,21 @@
 // within the budget.
 func TestNobodyToSendTo(t *testing.T) {
 	b, h := start(t, settings(), nil)
-	b.Request(time.Hour, Request{ID: 1, Class: "write", Budget: 0})
-	b.Request(time.Hour, Request{ID: 2, Class: "write", Budget: -time.Second})
-	b.Request(time.Hour, Request{ID: 3, Class: "no such class", Budget: time.Second})
+	b.OnRequest(time.Hour, Request{ID: 1, Class: "write", Timeout: 0})
+	b.OnRequest(time.Hour, Request{ID: 2, Class: "write", Timeout: -time.Second})
+	b.OnRequest(time.Hour, Request{ID: 3, Class: "no such class", Timeout: time.Second})
 	if h.count("refuse") != 3 {
 		t.Errorf("not refused at once: %v", h.lines)
 	}
-	b.Members(time.Hour, ListFull, fleet(4))
-	b.Members(time.Hour, ListFull, nil)
-	b.Request(time.Hour, Request{ID: 4, Class: "write", Budget: time.Second})
+	b.OnEndpointUpdate(time.Hour, UpdateComplete, fleet(4))
+	b.OnEndpointUpdate(time.Hour, UpdateComplete, nil)
+	b.OnRequest(time.Hour, Request{ID: 4, Class: "write", Timeout: time.Second})
 	for now := time.Hour; now < time.Hour+time.Second; now += 10 * ms {
-		b.Timer(now, tickToken)
+		b.OnTimer(now, tickToken)
 	}
-	b.Gone(time.Hour+time.Second, 77)
-	b.Started(time.Hour+time.Second, 77, 0)
-	b.Outcome(time.Hour+time.Second, Outcome{ID: 4, Attempt: -1})
+	b.OnClientDisconnected(time.Hour+time.Second, 77)
+	b.OnStreamStarted(time.Hour+time.Second, 77, 0)
+	b.OnAttemptResult(time.Hour+time.Second, AttemptResult{ID: 4, Attempt: -1})
 	if h.count("refuse id=4") != 1 || h.count("send") != 0 {
 		t.Errorf("with an emptied list: %v", h.lines)
 	}
@@ -494,23 +494,23 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	bal.Members(0, ListCached, fleet(20))
+	bal.OnEndpointUpdate(0, UpdateCached, fleet(20))
 	now := time.Duration(0)
 	for i := range b.N {
 		now += ms
 		id := RequestID(i + 1)
-		bal.Request(now, Request{ID: id, Class: "write", Budget: time.Second})
+		bal.OnRequest(now, Request{ID: id, Class: "write", Timeout: time.Second})
 		if r := bal.requests[id]; r != nil && r.out > 0 {
-			bal.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, Closed: true})
+			bal.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, RequestClosed: true})
 		}
 	}
 }
 
 // silentHost carries out nothing, for the benchmark.
-type silentHost struct{ Host }
+type silentHost struct{ Effects }
 
-func (silentHost) Send(RequestID, UpstreamID, time.Duration) {}
-func (silentHost) Refuse(RequestID, time.Duration)           {}
+func (silentHost) Send(RequestID, EndpointID, time.Duration) {}
+func (silentHost) Reject(RequestID, time.Duration)           {}
 func (silentHost) SetTimer(time.Duration, uint64)            {}
 
 // With many balancers the trickle of all together once kept a choked server from the rest it needs.
@@ -538,7 +538,7 @@
 	u.calm = 0
 	b.step(time.Hour + bandPeriod)
 	a := &attempt{r: &request{class: b.classes["write"], units: 1}, up: u}
-	b.learn(a, Outcome{Latency: 200 * ms, Status: OK}, time.Hour+2*bandPeriod)
+	b.learn(a, AttemptResult{Latency: 200 * ms, Status: OK}, time.Hour+2*bandPeriod)
 	if u.bound >= b.start {
 		t.Errorf("bound %v after an answer three times as slow as the fleet's calm", u.bound)
 	}
@@ -547,7 +547,7 @@
 // Many balancers that started together once sent to every server at once and choked the fleet.
 func TestFirstSendsAreSpread(t *testing.T) {
 	for _, n := range []int{2, 8, 24} { // of 24 each uses some of the upstreams, or else all
-		got := map[UpstreamID]int{}
+		got := map[EndpointID]int{}
 		for rank := range n {
 			s := settings()
 			s.Balancers, s.Rank = n, rank
@@ -555,9 +555,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Members(time.Hour, ListCached, fleet(20))
+			b.OnEndpointUpdate(time.Hour, UpdateCached, fleet(20))
 			for i := range 200 { // more than it may have out at once
-				b.Request(time.Hour, Request{ID: RequestID(i + 1), Class: "write", Budget: time.Second})
+				b.OnRequest(time.Hour, Request{ID: RequestID(i + 1), Class: "write", Timeout: time.Second})
 			}
 			for _, u := range b.ups {
 				got[u.ID] += len(u.outs)
@@ -584,7 +584,7 @@
 		u := b.ups[0]
 		u.mean, u.readings, b.tightAt = c.use, bandWindow, time.Hour
 		before := u.bound
-		b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, Outcome{Latency: 50 * ms, Status: OK}, time.Hour)
+		b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: 50 * ms, Status: OK}, time.Hour)
 		if (u.bound > before) != c.grows {
 			t.Errorf("use %v: bound %v, then %v", c.use, before, u.bound)
 		}
@@ -601,7 +601,7 @@
 	b.step(time.Hour)
 	u := b.ups[0]
 	u.weight, u.bound, b.tightAt = 3, 2, time.Hour
-	b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, Outcome{Latency: 55 * ms, Status: OK}, time.Hour)
+	b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: 55 * ms, Status: OK}, time.Hour)
 	if u.bound <= 2 {
 		t.Errorf("bound %v, want more than 2", u.bound)
 	}
@@ -616,7 +616,7 @@
 	for i := range 30 {
 		lat := []time.Duration{190, 60, 60, 60}[i%4] * ms
 		now := 2*time.Hour + time.Duration(i)*time.Second
-		b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, Outcome{Latency: lat, Status: OK}, now)
+		b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: lat, Status: OK}, now)
 		if i > 8 && u.bound < b.start {
 			t.Fatalf("answer %d after %v: bound %v, want %v", i, lat, u.bound, b.start)
 		}
@@ -631,7 +631,7 @@
 	answers := func(now time.Duration) {
 		for range 50 {
 			b.tightAt = now
-			b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, Outcome{Latency: 10 * ms, Status: OK}, now)
+			b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: 10 * ms, Status: OK}, now)
 		}
 	}
 	answers(time.Hour)
@@ -660,7 +660,7 @@
 		b, _ := start(t, settings(), fleet(1))
 		u := b.ups[0]
 		u.lat, u.units, u.slow, u.calm = float64(c.lat), 1, float64(c.calm), float64(c.calm)
-		b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, Outcome{Latency: c.lat, Status: OK}, 2*time.Hour)
+		b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: c.lat, Status: OK}, 2*time.Hour)
 		if (u.bound < b.start) != c.short {
 			t.Errorf("%s: bound %v, at first %v", c.name, u.bound, b.start)
 		}
@@ -680,7 +680,7 @@
 	} {
 		s := settings()
 		s.Balancers = c.balancers
-		used := map[UpstreamID]int{}
+		used := map[EndpointID]int{}
 		for s.Rank = range c.balancers {
 			s.Zone = []string{"near", "far"}[s.Rank%2]
 			b, _ := start(t, s, fleet(c.upstreams))
@@ -693,7 +693,7 @@
 		}
 		mean := float64(c.balancers*c.least) / float64(c.upstreams)
 		for id := range c.upstreams {
-			if n := float64(used[UpstreamID(id+1)]); n < 0.6*mean || n > 1.4*mean {
+			if n := float64(used[EndpointID(id+1)]); n < 0.6*mean || n > 1.4*mean {
 				t.Errorf("%+v: upstream %d serves %v balancers, the mean is %v", c, id+1, n, mean)
 			}
 		}
@@ -703,11 +703,11 @@
 // Told of another number of balancers, this one is as one that began with it: half of them dead once left quotas at half,
 // and twice as many let each tenant have twice its own.
 func TestFleetDividesAnew(t *testing.T) {
-	for _, now := range []Fleet{{8, 3, 8}, {80, 61, 80}, {8, 3, 80}, {0, -1, 0}} {
+	for _, now := range []FleetSize{{8, 3, 8}, {80, 61, 80}, {8, 3, 80}, {0, -1, 0}} {
 		s := settings()
 		s.Balancers = 40
 		b, _ := start(t, s, fleet(40))
-		b.Fleet(time.Hour, now)
+		b.OnFleetSizeChanged(time.Hour, now)
 		s.Balancers, s.Rank = max(now.Balancers, 1), max(now.Rank, 0)
 		want, _ := start(t, s, fleet(40))
 		for i, u := range b.ups {
@@ -716,11 +716,11 @@
 			}
 		}
 		for _, tenant := range s.Tenants {
-			if got, part := b.tenants[tenant.Name].rate, tenant.Quota/float64(max(now.Most, 1)); got != part {
+			if got, part := b.tenants[tenant.Name].rate, tenant.Quota/float64(max(now.MaxBalancers, 1)); got != part {
 				t.Errorf("%+v: %s has %v a second, want %v", now, tenant.Name, got, part)
 			}
 		}
-		if part := want.start * float64(s.Balancers) / float64(max(now.Most, 1)); math.Abs(b.start-part) > 1e-9 {
+		if part := want.start * float64(s.Balancers) / float64(max(now.MaxBalancers, 1)); math.Abs(b.start-part) > 1e-9 {
 			t.Errorf("%+v: bounds begin at %v, want %v", now, b.start, part)
 		}
 	}
@@ -738,9 +738,9 @@
 	if len(b.near) != len(before)+2 {
 		t.Errorf("%d upstreams in use, then %d with one silent and one cold", len(before), len(b.near))
 	}
-	gone := before[2].Upstream
+	gone := before[2].Endpoint
 	gone.State = Draining
-	b.Members(time.Hour, ListDelta, []Upstream{gone})
+	b.OnEndpointUpdate(time.Hour, UpdateDelta, []Endpoint{gone})
 	if before[2].member || len(b.near) != len(before)+2 {
 		t.Errorf("a draining upstream was not replaced: %d in use", len(b.near))
 	}
@@ -755,7 +755,7 @@
 // there never seemed to be time to hold it.
 func TestShortClassIsHeldByItsOwnLatency(t *testing.T) {
 	s := settings()
-	s.Classes[2].Aim = 200 * ms
+	s.Classes[2].LatencyObjective = 200 * ms
 	b, h := start(t, s, fleet(1))
 	for i := range 60 {
 		for j, c := range []struct {
@@ -764,13 +764,13 @@
 		}{{"read", 240 * ms}, {"write", 40 * ms}} {
 			now := time.Hour + time.Duration(2*i+j+1)*time.Second
 			id := RequestID(2*i + j + 1)
-			b.Request(now, Request{ID: id, Class: c.class, Budget: time.Second})
-			b.Outcome(now+c.lat, Outcome{ID: id, Upstream: 1, Latency: c.lat, Status: OK, Closed: true})
+			b.OnRequest(now, Request{ID: id, Class: c.class, Timeout: time.Second})
+			b.OnAttemptResult(now+c.lat, AttemptResult{ID: id, Endpoint: 1, Latency: c.lat, Status: OK, RequestClosed: true})
 		}
 	}
 	now := 2 * time.Hour
 	b.ups[0].freeAt = now + time.Minute
-	b.Request(now, Request{ID: 1000, Class: "write", Budget: time.Second})
+	b.OnRequest(now, Request{ID: 1000, Class: "write", Timeout: time.Second})
 	if r := b.requests[1000]; r == nil || !r.held || r.units > 0.5 {
 		t.Errorf("a request with five times its usual latency left to its aim was not held: %v", h.lines[len(h.lines)-1])
 	}
@@ -790,12 +790,12 @@
 		{"later try past the aim, turns free", 500 * ms, false, true},
 	} {
 		b, h := start(t, settings(), fleet(4))
-		b.Request(time.Hour, Request{ID: 1, Class: "write", Budget: time.Second})
+		b.OnRequest(time.Hour, Request{ID: 1, Class: "write", Timeout: time.Second})
 		now := time.Hour + time.Second
 		if c.tight {
 			b.tightAt = now
 		}
-		b.Request(now, Request{ID: 2, Class: "write", Budget: c.budget})
+		b.OnRequest(now, Request{ID: 2, Class: "write", Timeout: c.budget})
 		if (h.count("send id=2") == 1) != c.sent || h.count("send id=2")+h.count("refuse id=2") != 1 {
 			t.Errorf("%s: %v", c.name, h.lines[len(h.lines)-1])
 		}
@@ -807,7 +807,7 @@
 func TestColdUpstreamIsUsedAtFullSizeWithinItsBudget(t *testing.T) {
 	const balancers, window = 200, 1500 * ms
 	s, sent := settings(), 0
-	s.Balancers, s.Rules.TipAfter = balancers, window
+	s.Balancers, s.Obligations.OverloadWindow = balancers, window
 	for s.Rank = range balancers {
 		h := &recorder{}
 		b, err := New(s, uint64(s.Rank), time.Hour, h)
@@ -816,16 +816,16 @@
 		}
 		list := fleet(3)
 		list[2].StartedAt = time.Hour
-		b.Members(time.Hour, ListCached, list)
+		b.OnEndpointUpdate(time.Hour, UpdateCached, list)
 		b.carry, b.most = 0.2, 0.2 // requests a second that a warm upstream takes from this balancer
 		for i := range 150 {
 			for _, u := range b.ups[:2] {
 				u.freeAt = 2 * time.Hour // all the traffic asks for the cold one
 			}
 			now := time.Hour + time.Duration(i)*10*ms
-			b.Request(now, Request{ID: RequestID(i + 1), Class: "read", Budget: time.Second})
+			b.OnRequest(now, Request{ID: RequestID(i + 1), Class: "read", Timeout: time.Second})
 			if r := b.requests[RequestID(i+1)]; r != nil && r.out > 0 {
-				b.Outcome(now, Outcome{ID: r.ID, Upstream: 3, Latency: 5 * ms, Status: OK, Closed: true})
+				b.OnAttemptResult(now, AttemptResult{ID: r.ID, Endpoint: 3, Latency: 5 * ms, Status: OK, RequestClosed: true})
 			}
 		}
 		sent += h.count("send")
@@ -853,7 +853,7 @@
 			b.tightAt = now
 			u.readings, u.mean, u.last.Queue = 1, c.use, c.queue
 			lat := []time.Duration{90, 250}[i%2] * ms
-			b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, Outcome{Latency: lat, Status: OK}, now)
+			b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: lat, Status: OK}, now)
 		}
 		if grew := u.bound >= min(2*b.start, u.most); grew != c.grows {
 			t.Errorf("%+v: bound %v, at first %v", c, u.bound, b.start)
@@ -869,7 +869,7 @@
 	answer := func(sent time.Duration) {
 		u.bound = 0.2
 		a := &attempt{r: &request{class: b.classes["write"], units: 1}, up: u, sentAt: sent}
-		b.learn(a, Outcome{Latency: 100 * ms, Status: Error}, sent+100*ms)
+		b.learn(a, AttemptResult{Latency: 100 * ms, Status: Error}, sent+100*ms)
 	}
 	now := 2 * time.Hour // idle for long
 	if answer(now); u.freeAt > now+100*ms {
@@ -889,7 +889,7 @@
 	u := b.ups[0]
 	for i, lat := range []time.Duration{100, 110, 100, 90, 10, 10} {
 		a := &attempt{r: &request{class: b.classes["write"], units: 1}, up: u}
-		b.learn(a, Outcome{Latency: lat * ms, Status: OK}, time.Hour+time.Duration(i)*time.Second)
+		b.learn(a, AttemptResult{Latency: lat * ms, Status: OK}, time.Hour+time.Duration(i)*time.Second)
 	}
 	if p := b.patience(u, 1); p < 200*ms {
 		t.Errorf("patience %v where answers take 100ms as a rule", p)
@@ -902,7 +902,7 @@
 	b, _ := start(t, settings(), fleet(1))
 	u, now := b.ups[0], 2*time.Hour
 	lost := func() {
-		b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, Outcome{Latency: ms, Status: Reset}, now)
+		b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: ms, Status: Reset}, now)
 	}
 	for range 10 {
 		lost()
@@ -914,7 +914,7 @@
 	if lost(); u.backAt-now != waitGrowth*b.tick {
 		t.Errorf("left alone for %v after a later one, want %v", u.backAt-now, waitGrowth*b.tick)
 	}
-	b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, Outcome{Latency: 50 * ms, Status: OK}, now)
+	b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: 50 * ms, Status: OK}, now)
 	if !b.eligible(u, &request{class: b.classes["write"]}, now) {
 		t.Error("still left alone after an answer")
 	}
@@ -931,7 +931,7 @@
 		b, _ := start(t, settings(), fleet(1))
 		u := b.ups[0]
 		u.readings, u.mean, u.bound = c.readings, c.use, 8
-		b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, Outcome{Latency: time.Second, Status: Timeout}, 2*time.Hour)
+		b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: time.Second, Status: Timeout}, 2*time.Hour)
 		if (u.bound < 8) != c.cut {
 			t.Errorf("%+v: bound %v, 8 before", c, u.bound)
 		}
@@ -948,13 +948,13 @@
 	b.classes["read"].lat = float64(200 * ms)
 	u.freeAt = 0
 	for id := range RequestID(2) {
-		b.Request(now, Request{ID: id + 1, Class: "read", Budget: time.Second})
+		b.OnRequest(now, Request{ID: id + 1, Class: "read", Timeout: time.Second})
 	}
 	if h.count("send") != 1 || h.count("refuse") != 1 {
 		t.Fatalf("want one sent and one refused: %v", h.lines)
 	}
 	u.readings, u.mean = 1, 0.3
-	b.Outcome(now+50*ms, Outcome{ID: 1, Upstream: u.ID, Latency: 50 * ms, Status: OK, Closed: true})
+	b.OnAttemptResult(now+50*ms, AttemptResult{ID: 1, Endpoint: u.ID, Latency: 50 * ms, Status: OK, RequestClosed: true})
 	if u.bound != b.start+boundGrowth {
 		t.Errorf("bound %v after an answer beside a refusal, want %v", u.bound, b.start+boundGrowth)
 	}
@@ -964,15 +964,15 @@
 func TestRefusedClientIsToldWhenToComeBack(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		s := settings()
-		s.Limits.RetryAfter, s.Limits.MaxRetry = allowed, time.Second
+		s.Limits.AllowRetryAfter, s.Limits.MaxRetryAfter = allowed, time.Second
 		b, h := start(t, s, nil)
 		var advice time.Duration
-		h.hook = func(kind string, _ RequestID, _ UpstreamID, d time.Duration, _ uint64) {
+		h.hook = func(kind string, _ RequestID, _ EndpointID, d time.Duration, _ uint64) {
 			if kind == "refuse" {
 				advice = d
 			}
 		}
-		b.Request(time.Hour, Request{ID: 1, Class: "read", Budget: ms}) // too short to wait for anybody
+		b.OnRequest(time.Hour, Request{ID: 1, Class: "read", Timeout: ms}) // too short to wait for anybody
 		if h.count("refuse") != 1 || (advice > 0) != allowed {
 			t.Errorf("allowed %v: advised %v by %v", allowed, advice, h.lines)
 		}
@@ -987,23 +987,23 @@
 	b, _ := start(t, settings(), list)
 	is := func(what string, now time.Duration, known, skipped int) {
 		t.Helper()
-		if k, s := b.Listed(now); k != known || s != skipped {
+		if k, s := b.EndpointCounts(now); k != known || s != skipped {
 			t.Errorf("%s: %d listed, %d avoided, want %d and %d", what, k, s, known, skipped)
 		}
 	}
 	now := time.Hour
 	is("a drain", now, 4, 1)
 	serve(t, b, now, 1)
-	b.Request(now, Request{ID: 2, Class: "read", Budget: time.Second})
+	b.OnRequest(now, Request{ID: 2, Class: "read", Timeout: time.Second})
 	u := b.requests[2].attempts[0].up
-	b.Outcome(now, Outcome{ID: 2, Upstream: u.ID, Latency: ms, Status: ConnectFailed})
+	b.OnAttemptResult(now, AttemptResult{ID: 2, Endpoint: u.ID, Latency: ms, Status: ConnectFailed})
 	is("a failed connect", now, 4, 2)
 	is("its wait over", u.backAt, 4, 1)
 	u.silent = true
 	is("silence", u.backAt, 4, 2)
 	b.answered(u, now)
 	is("an answer", now, 4, 1)
-	b.Members(now, ListDelta, []Upstream{{ID: list[3].ID, State: Gone}})
+	b.OnEndpointUpdate(now, UpdateDelta, []Endpoint{{ID: list[3].ID, State: Removed}})
 	is("it has left", now, 3, 0)
 }
 
@@ -1011,31 +1011,31 @@
 // and its deadline is open. Once a part of it is gone it is not sent again.
 func TestUpload(t *testing.T) {
 	s := settings()
-	s.Limits.SecondCopies = true
+	s.Limits.AllowHedging = true
 	b, h := start(t, s, fleet(4))
 	now := time.Hour
-	b.Request(now, Request{ID: 1, Class: "read", Budget: time.Second, Upload: true})
+	b.OnRequest(now, Request{ID: 1, Class: "read", Timeout: time.Second, Upload: true})
 	r := b.requests[1]
 	u := r.attempts[0].up
 	now += 10 * time.Second
-	b.Timer(now, tickToken)
+	b.OnTimer(now, tickToken)
 	if u.silent || r.done || h.count("send id=1") != 1 {
 		t.Fatalf("while it is written: silent %v, done %v, %v", u.silent, r.done, h.lines)
 	}
-	b.Outcome(now, Outcome{ID: 1, Upstream: u.ID, Latency: 10 * time.Second, Status: ConnectFailed})
+	b.OnAttemptResult(now, AttemptResult{ID: 1, Endpoint: u.ID, Latency: 10 * time.Second, Status: ConnectFailed})
 	if h.count("send id=1") != 2 {
 		t.Error("not sent again, though nothing of it is gone")
 	}
-	b.Written(now, 1, 1)
+	b.OnBodySent(now, 1, 1)
 	if r.deadline != now+time.Second || r.attempts[1].sentAt != now {
 		t.Errorf("deadline %v, sent at %v, want its time to begin at %v", r.deadline, r.attempts[1].sentAt, now)
 	}
 	now += time.Second / 2
-	b.Timer(now, tickToken)
+	b.OnTimer(now, tickToken)
 	if !r.attempts[1].up.silent || h.count("send id=1") != 2 {
 		t.Errorf("silent %v, sends %d: an upload has no second copy", r.attempts[1].up.silent, h.count("send id=1"))
 	}
-	b.Outcome(now, Outcome{ID: 1, Upstream: r.attempts[1].up.ID, Attempt: 1, Latency: time.Second / 2, Status: Full, Spent: true})
+	b.OnAttemptResult(now, AttemptResult{ID: 1, Endpoint: r.attempts[1].up.ID, Attempt: 1, Latency: time.Second / 2, Status: Rejected, BodyConsumed: true})
 	if h.count("send id=1") != 2 || h.count("refuse id=1") != 1 {
 		t.Errorf("a spent one: %v", h.lines)
 	}
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -8,9 +8,9 @@
 )
 
 // proxy carries out what the balancer decides; the embedded Host stands for the actions not shown.
-type proxy struct{ balancer.Host }
+type proxy struct{ balancer.Effects }
 
-func (proxy) Send(id balancer.RequestID, up balancer.UpstreamID, timeout time.Duration) {
+func (proxy) Send(id balancer.RequestID, up balancer.EndpointID, timeout time.Duration) {
 	fmt.Printf("request %d goes to upstream %d\n", id, up)
 }
 
@@ -19,19 +19,19 @@
 func Example() {
 	settings := balancer.Settings{
 		Balancers: 1,
-		Classes: []balancer.Class{{Name: "lookup", Aim: 300 * time.Millisecond,
-			Deadline: time.Second, Repeat: balancer.Safe, Worth: 1}},
-		Limits: balancer.Limits{MaxAttempts: 3, Cancel: true},
-		Rules: balancer.Rules{ColdFrom: 0.3, RampTime: 9 * time.Second,
-			TipMultiple: 3, TipAfter: 2 * time.Second},
+		Classes: []balancer.Class{{Name: "lookup", LatencyObjective: 300 * time.Millisecond,
+			Deadline: time.Second, Idempotency: balancer.Idempotent, PriorityWeight: 1}},
+		Limits: balancer.Limits{MaxAttempts: 3, AllowCancel: true},
+		Obligations: balancer.Obligations{SlowStartFrom: 0.3, SlowStartWindow: 9 * time.Second,
+			OverloadMultiple: 3, OverloadWindow: 2 * time.Second},
 	}
 	b, err := balancer.New(settings, 1, 0, proxy{})
 	if err != nil {
 		panic(err)
 	}
-	b.Members(0, balancer.ListFull, []balancer.Upstream{{ID: 7, Weight: 1}})
-	b.Request(time.Millisecond, balancer.Request{ID: 1, Class: "lookup", Budget: time.Second})
-	b.Outcome(21*time.Millisecond, balancer.Outcome{ID: 1, Upstream: 7, Latency: 20 * time.Millisecond,
-		Status: balancer.OK, Closed: true})
+	b.OnEndpointUpdate(0, balancer.UpdateComplete, []balancer.Endpoint{{ID: 7, Weight: 1}})
+	b.OnRequest(time.Millisecond, balancer.Request{ID: 1, Class: "lookup", Timeout: time.Second})
+	b.OnAttemptResult(21*time.Millisecond, balancer.AttemptResult{ID: 1, Endpoint: 7, Latency: 20 * time.Millisecond,
+		Status: balancer.OK, RequestClosed: true})
 	// Output: request 1 goes to upstream 7
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -18,11 +18,11 @@
 	requests map[RequestID]*seen
 	open     []*try // attempts out, in order of sending
 	timers   []alarm
-	list     map[UpstreamID]Upstream
-	goneAt   map[UpstreamID]time.Duration
+	list     map[EndpointID]Endpoint
+	goneAt   map[EndpointID]time.Duration
 	broken   []string
 	most     int                            // sends that a warm upstream has had in a cold-start window
-	sent     map[UpstreamID][]time.Duration // sends of the last cold-start window
+	sent     map[EndpointID][]time.Duration // sends of the last cold-start window
 }
 
 type seen struct {
@@ -37,7 +37,7 @@
 type try struct {
 	r       *seen
 	n       int
-	up      Upstream
+	up      Endpoint
 	at, end time.Duration
 	status  Status
 	over    bool
@@ -54,10 +54,10 @@
 
 // ran tells whether an attempt may have run or may still run.
 func (x *try) ran() bool {
-	return !x.over || !slices.Contains([]Status{Full, ConnectFailed, Moot}, x.status)
+	return !x.over || !slices.Contains([]Status{Rejected, ConnectFailed, NotSent}, x.status)
 }
 
-func (c *checker) action(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64) {
+func (c *checker) action(kind string, id RequestID, up EndpointID, d time.Duration, n uint64) {
 	switch kind {
 	case "timer":
 		c.timers = append(c.timers, alarm{c.now + max(d, ms), n})
@@ -74,7 +74,7 @@
 	}
 }
 
-func (c *checker) send(r *seen, up UpstreamID, d time.Duration) {
+func (c *checker) send(r *seen, up EndpointID, d time.Duration) {
 	if r.finals > 0 || (r.ended > 0 && r.ended < c.now) {
 		c.bad("rule 1: request %d sent after its end", r.id)
 	}
@@ -85,7 +85,7 @@
 	if !ok {
 		c.bad("upstream %d was never listed", up)
 	}
-	if at, gone := c.goneAt[up]; gone && c.now > at+c.s.Rules.DrainGrace {
+	if at, gone := c.goneAt[up]; gone && c.now > at+c.s.Obligations.DrainGrace {
 		c.bad("rule 3: request %d sent to %d, leaving since %v", r.id, up, at)
 	}
 	c.cold(u)
@@ -98,15 +98,15 @@
 			continue
 		}
 		switch {
-		case r.class.Repeat == Unsafe:
+		case r.class.Idempotency == NonIdempotent:
 			c.bad("rule 2: unsafe request %d sent again", r.id)
-		case r.class.Repeat == Keyed && c.now > x.at+r.class.Memory:
+		case r.class.Idempotency == IdempotentByKey && c.now > x.at+r.class.IdempotencyWindow:
 			c.bad("rule 2: keyed request %d sent again after its memory", r.id)
-		case r.class.Repeat == Keyed && ((r.class.Group == GroupZone && x.up.Zone != u.Zone) || (r.class.Group == GroupCell && x.up.Cell != u.Cell)):
+		case r.class.Idempotency == IdempotentByKey && ((r.class.Scope == ScopeZone && x.up.Zone != u.Zone) || (r.class.Scope == ScopeCell && x.up.Cell != u.Cell)):
 			c.bad("rule 2: keyed request %d sent outside its group", r.id)
 		}
 	}
-	if out > 0 && !c.s.Limits.SecondCopies {
+	if out > 0 && !c.s.Limits.AllowHedging {
 		c.bad("rule 2: request %d has two attempts out", r.id)
 	}
 	if len(r.tries) >= c.s.Limits.MaxAttempts {
@@ -123,18 +123,18 @@
 // cold holds a send against rule 4: within any window a fresh upstream gets no more than the multiple of what it
 // can do. What a warm one can do is the most that any has been sent in such a window, and at least this balancer's
 // even share of drive's traffic: 133 requests a second, over two balancers and five upstreams.
-func (c *checker) cold(u Upstream) {
-	age, after := c.now-u.StartedAt, c.s.Rules.TipAfter
+func (c *checker) cold(u Endpoint) {
+	age, after := c.now-u.StartedAt, c.s.Obligations.OverloadWindow
 	c.sent[u.ID] = append(slices.DeleteFunc(c.sent[u.ID], func(at time.Duration) bool {
 		return at <= c.now-after || at < u.StartedAt
 	}), c.now)
 	n := len(c.sent[u.ID])
-	if u.StartedAt == 0 || age >= c.s.Rules.RampTime {
+	if u.StartedAt == 0 || age >= c.s.Obligations.SlowStartWindow {
 		c.most = max(c.most, n)
 		return
 	}
-	can := c.s.Rules.ColdFrom + (1-c.s.Rules.ColdFrom)*float64(age)/float64(c.s.Rules.RampTime)
-	if most := c.s.Rules.TipMultiple * can * max(float64(c.most), 133.0/5/2*after.Seconds()); float64(n) > most+3 {
+	can := c.s.Obligations.SlowStartFrom + (1-c.s.Obligations.SlowStartFrom)*float64(age)/float64(c.s.Obligations.SlowStartWindow)
+	if most := c.s.Obligations.OverloadMultiple * can * max(float64(c.most), 133.0/5/2*after.Seconds()); float64(n) > most+3 {
 		c.bad("rule 4: upstream %d, started %v ago, was sent %d, %.1f fit", u.ID, age, n, most)
 	}
 }
@@ -144,11 +144,11 @@
 	if r.finals > 1 || (r.ended > 0 && r.ended < c.now) {
 		c.bad("rule 1: request %d answered twice", r.id)
 	}
-	if c.now > r.deadline+c.s.Rules.AnswerWithin {
+	if c.now > r.deadline+c.s.Obligations.AnswerSlack {
 		c.bad("rule 1: request %d answered %v late", r.id, c.now-r.deadline)
 	}
 	for _, x := range r.tries {
-		harmless := r.class.Repeat == Safe || (r.class.Repeat == Keyed && r.class.Group == GroupAll)
+		harmless := r.class.Idempotency == Idempotent || (r.class.Idempotency == IdempotentByKey && r.class.Scope == ScopeAll)
 		if refused && x.ran() && !harmless {
 			c.bad("rule 2: request %d refused though it may have run", r.id)
 		}
@@ -159,13 +159,13 @@
 func drive(t *testing.T, s Settings, seed uint64, origin time.Duration) (*checker, *recorder) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
-	c := &checker{t: t, s: s, now: origin, requests: map[RequestID]*seen{}, list: map[UpstreamID]Upstream{}, goneAt: map[UpstreamID]time.Duration{}, sent: map[UpstreamID][]time.Duration{}}
+	c := &checker{t: t, s: s, now: origin, requests: map[RequestID]*seen{}, list: map[EndpointID]Endpoint{}, goneAt: map[EndpointID]time.Duration{}, sent: map[EndpointID][]time.Duration{}}
 	h := &recorder{hook: c.action}
 	b, err := New(s, seed, c.now, h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.members(b, ListCached, fleet(5))
+	c.members(b, UpdateCached, fleet(5))
 	next := RequestID(1)
 	for step := range 4000 {
 		c.now += 5 * ms
@@ -194,15 +194,15 @@
 	}
 	r := &seen{id: id, class: cl, deadline: c.now + budget}
 	c.requests[id] = r
-	q := Request{ID: id, Class: cl.Name, Budget: budget, Cost: time.Duration(rng.IntN(90)) * ms,
+	q := Request{ID: id, Class: cl.Name, Timeout: budget, CostHint: time.Duration(rng.IntN(90)) * ms,
 		Tenant: c.s.Tenants[rng.IntN(len(c.s.Tenants))].Name}
 	if rng.IntN(2) == 0 {
 		q.Key, q.HasKey = uint64(rng.IntN(20)), true
 	}
-	b.Request(c.now, q)
+	b.OnRequest(c.now, q)
 	if r.finals == 0 && rng.IntN(50) == 0 { // an impatient client
 		r.ended = c.now
-		b.Gone(c.now, id)
+		b.OnClientDisconnected(c.now, id)
 	}
 }
 
@@ -213,63 +213,63 @@
 			continue
 		}
 		if x.end > c.now {
-			x.status = []Status{OK, OK, OK, OK, Error, Full, ConnectFailed, Reset}[rng.IntN(8)]
+			x.status = []Status{OK, OK, OK, OK, Error, Rejected, ConnectFailed, Reset}[rng.IntN(8)]
 		}
 		x.over = true
 		c.open = slices.DeleteFunc(c.open, func(y *try) bool { return y == x })
-		r, load := x.r, Load{}
+		r, load := x.r, LoadReport{}
 		if rng.IntN(2) == 0 {
-			load = Load{Fields: HasUtil, Util: rng.Float64()}
+			load = LoadReport{Fields: HasUtilization, Utilization: rng.Float64()}
 		} else if rng.IntN(20) == 0 {
-			load = Load{Fields: HasUtil | HasInflight, Util: math.NaN(), Inflight: math.Inf(-1)}
+			load = LoadReport{Fields: HasUtilization | HasInflight, Utilization: math.NaN(), Inflight: math.Inf(-1)}
 		}
 		closed := r.ended > 0 || r.finals > 0
 		if x.status == OK && !closed {
 			r.ended, r.finals, closed = c.now, r.finals+1, true
 		}
-		o := Outcome{ID: r.id, Upstream: x.up.ID, Attempt: x.n, Latency: c.now - x.at, Status: x.status, Closed: closed, Load: load}
-		b.Outcome(c.now, o)
+		o := AttemptResult{ID: r.id, Endpoint: x.up.ID, Attempt: x.n, Latency: c.now - x.at, Status: x.status, RequestClosed: closed, Load: load}
+		b.OnAttemptResult(c.now, o)
 		if rng.IntN(20) == 0 { // told twice, which must be passed over
-			b.Outcome(c.now, o)
+			b.OnAttemptResult(c.now, o)
 		}
 	}
 }
 
-func (c *checker) members(b *Balancer, mode ListMode, list []Upstream) {
+func (c *checker) members(b *Balancer, mode UpdateMode, list []Endpoint) {
 	for _, u := range list {
 		c.list[u.ID] = u
 		if delete(c.goneAt, u.ID); u.State != Active {
 			c.goneAt[u.ID] = c.now
 		}
 	}
-	if mode == ListFull || mode == ListCached {
+	if mode == UpdateComplete || mode == UpdateCached {
 		for id := range c.list {
 			_, told := c.goneAt[id]
-			if !told && !slices.ContainsFunc(list, func(u Upstream) bool { return u.ID == id }) {
+			if !told && !slices.ContainsFunc(list, func(u Endpoint) bool { return u.ID == id }) {
 				c.goneAt[id] = c.now
 			}
 		}
 	}
-	b.Members(c.now, mode, list)
+	b.OnEndpointUpdate(c.now, mode, list)
 }
 
 func (c *checker) change(b *Balancer, rng *rand.Rand) {
 	list := fleet(8)
 	switch rng.IntN(6) {
 	case 0:
-		c.members(b, ListFull, list[rng.IntN(9):])
+		c.members(b, UpdateComplete, list[rng.IntN(9):])
 	case 1:
-		b.Members(c.now, ListFailed, nil)
+		b.OnEndpointUpdate(c.now, UpdateFailed, nil)
 	default:
 		u := list[rng.IntN(8)]
-		u.State = State(rng.IntN(3))
+		u.State = EndpointState(rng.IntN(3))
 		if rng.IntN(2) == 0 {
 			u.State, u.StartedAt = Active, c.now-time.Duration(rng.IntN(3))*time.Second
 		}
 		if u.Weight = 1; rng.IntN(10) == 0 {
 			u.Weight = []float64{0, -1, math.NaN(), math.Inf(1)}[rng.IntN(4)]
 		}
-		c.members(b, ListDelta, []Upstream{u, u})
+		c.members(b, UpdateDelta, []Endpoint{u, u})
 	}
 }
 
@@ -278,7 +278,7 @@
 	c.timers = nil
 	for _, a := range due {
 		if a.at <= c.now {
-			b.Timer(c.now, a.token)
+			b.OnTimer(c.now, a.token)
 		} else {
 			c.timers = append(c.timers, a)
 		}
@@ -288,7 +288,7 @@
 // overdue finds requests that have had no final answer in time.
 func (c *checker) overdue() {
 	for id, r := range c.requests {
-		if r.finals == 0 && r.ended == 0 && c.now > r.deadline+c.s.Rules.AnswerWithin {
+		if r.finals == 0 && r.ended == 0 && c.now > r.deadline+c.s.Obligations.AnswerSlack {
 			c.bad("rule 1: request %d got no final answer", id)
 			r.finals = 1
 		}
@@ -298,12 +298,12 @@
 // variants are settings that ask the rules differently.
 func variants() map[string]Settings {
 	all, cell, copies, asked := settings(), settings(), settings(), settings()
-	all.Classes[1].Group = GroupAll
-	cell.Classes[1].Group, cell.Limits.SecondCopies = GroupCell, true
-	copies.Limits.SecondCopies, copies.Limits.Cancel, copies.WarmKeys = true, false, false
-	asked.OnRequest, asked.Reports, asked.WorthByWork = true, ReportProbes, false
+	all.Classes[1].Scope = ScopeAll
+	cell.Classes[1].Scope, cell.Limits.AllowHedging = ScopeCell, true
+	copies.Limits.AllowHedging, copies.Limits.AllowCancel, copies.KeyAffinity = true, false, false
+	asked.PollDiscovery, asked.Reports, asked.PriorityByWork = true, ReportInHealthChecks, false
 	many := settings()
-	many.Balancers, many.Rank, many.Limits.SecondCopies, many.Weights = 5, 4, true, WeightLive
+	many.Balancers, many.Rank, many.Limits.AllowHedging, many.Weights = 5, 4, true, WeightLive
 	return map[string]Settings{"zone": settings(), "all": all, "cell": cell, "copies": copies, "asked": asked, "many": many}
 }
 
@@ -350,8 +350,8 @@
 func TestInstancesApartOrTogether(t *testing.T) {
 	feed := func(b *Balancer, i int) {
 		now := time.Hour + time.Duration(i)*20*ms
-		b.Request(now, Request{ID: RequestID(i + 1), Class: "write", Budget: time.Second})
-		b.Timer(now, tickToken)
+		b.OnRequest(now, Request{ID: RequestID(i + 1), Class: "write", Timeout: time.Second})
+		b.OnTimer(now, tickToken)
 	}
 	alone, wantLines := start(t, settings(), fleet(5))
 	for i := range 200 {
@@ -380,20 +380,20 @@
 		if i%10 == 0 {
 			list := fleet(4)
 			for j := range list {
-				list[j].ID += UpstreamID(i)
+				list[j].ID += EndpointID(i)
 			}
-			b.Members(now, ListFull, list)
+			b.OnEndpointUpdate(now, UpdateComplete, list)
 		}
 		id := RequestID(i + 1)
-		b.Request(now, Request{ID: id, Class: "read", Budget: 100 * ms, Key: uint64(i), HasKey: true})
+		b.OnRequest(now, Request{ID: id, Class: "read", Timeout: 100 * ms, Key: uint64(i), HasKey: true})
 		if r := b.requests[id]; r != nil && r.out > 0 {
-			b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 10 * ms, Status: OK, Closed: true})
+			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: r.attempts[0].up.ID, Latency: 10 * ms, Status: OK, RequestClosed: true})
 		}
 		if i%20 == 0 {
-			b.Timer(now, tickToken)
+			b.OnTimer(now, tickToken)
 		}
 	}
-	b.Timer(now+2*time.Second, tickToken)
+	b.OnTimer(now+2*time.Second, tickToken)
 	if len(b.requests)+len(b.held) > 0 || len(b.ups) != 4 || len(b.byID) != 4 {
 		t.Errorf("kept %d requests, %d held, %d upstreams", len(b.requests), len(b.held), len(b.ups))
 	}
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -19,13 +19,13 @@
 }
 
 // reborn is a balancer started anew on a list, with what is known of before.
-func reborn(t *testing.T, now time.Duration, list []Upstream, k Knowledge) *Balancer {
+func reborn(t *testing.T, now time.Duration, list []Endpoint, k Snapshot) *Balancer {
 	t.Helper()
 	b, err := New(settings(), 99, now, &recorder{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Members(now, ListCached, list)
+	b.OnEndpointUpdate(now, UpdateCached, list)
 	b.Restore(now, k)
 	return b
 }
@@ -33,7 +33,7 @@
 // Knowledge survives as it was when fresh, fades evenly with its age, and is nothing beyond it or where a clock was set back.
 func TestKnowledgeFadesWithAge(t *testing.T) {
 	b, now := learned(t)
-	k := b.Snapshot(now)
+	k := b.TakeSnapshot(now)
 	for _, c := range []struct {
 		age   time.Duration
 		trust float64
@@ -54,14 +54,14 @@
 
 // A zone left by hand is left whatever the age and whether it is listed now or later.
 func TestOrdersDoNotFade(t *testing.T) {
-	x := reborn(t, time.Hour, sited(map[string]int{"near": 2}, "near"), Knowledge{At: -1e9, Left: []string{"b"}})
-	x.Members(time.Hour, ListFull, four(2))
+	x := reborn(t, time.Hour, sited(map[string]int{"near": 2}, "near"), Snapshot{TakenAt: -1e9, DrainedZones: []string{"b"}})
+	x.OnEndpointUpdate(time.Hour, UpdateComplete, four(2))
 	for i := range 200 {
 		if u := serve(t, x, time.Hour+time.Duration(i)*ms, RequestID(i+1)); u.Zone == "b" {
 			t.Fatal("a zone that was left gets requests")
 		}
 	}
-	if !x.ReturnZone(time.Hour, "b") {
+	if !x.ReinstateZone(time.Hour, "b") {
 		t.Error("it can't be returned")
 	}
 }
@@ -69,14 +69,14 @@
 // A silent upstream has to pass a trial before it gets traffic, and balancers that start together try at moments of their own.
 func TestSilentOnesAreTriedFirst(t *testing.T) {
 	b, now := learned(t)
-	k := b.Snapshot(now)
+	k := b.TakeSnapshot(now)
 	moments := map[time.Duration]bool{}
 	for seed := range uint64(20) {
 		x, err := New(settings(), seed, now, &recorder{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		x.Members(now, ListCached, four(3))
+		x.OnEndpointUpdate(now, UpdateCached, four(3))
 		x.Restore(now, k)
 		u := x.ups[2]
 		if r := (&request{class: x.classes["read"], units: 1, deadline: now + time.Second}); u.trialAt > now && x.eligible(u, r, now) {
@@ -101,7 +101,7 @@
 		serveOne := func() {
 			now += 10 * ms
 			id++
-			b.Request(now, Request{ID: id, Class: "read", Budget: time.Second})
+			b.OnRequest(now, Request{ID: id, Class: "read", Timeout: time.Second})
 			r := b.requests[id]
 			if r == nil || r.out == 0 {
 				return
@@ -110,24 +110,24 @@
 			if u.ID == list[0].ID && u.cold {
 				sent = append(sent, now)
 			}
-			b.Outcome(now, Outcome{ID: id, Upstream: u.ID, Latency: 40 * ms, Status: OK, Closed: true, Load: Load{Fields: HasUtil, Util: 0.5}})
-			b.Timer(now, tickToken)
+			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: u.ID, Latency: 40 * ms, Status: OK, RequestClosed: true, Load: LoadReport{Fields: HasUtilization, Utilization: 0.5}})
+			b.OnTimer(now, tickToken)
 		}
 		for range 800 {
 			serveOne()
 		}
 		warm := 800.0 / 4 / 8 // requests a second that a warm one carries at half of its use: 25
 		list[0].StartedAt = now
-		b.Members(now, ListDelta, list[:1])
+		b.OnEndpointUpdate(now, UpdateDelta, list[:1])
 		began := now
 		for i := range 300 {
 			if i%10 == 9 { // started anew every 100 ms
-				k := b.Snapshot(now)
+				k := b.TakeSnapshot(now)
 				x, err := New(s, uint64(i), now, &recorder{})
 				if err != nil {
 					t.Fatal(err)
 				}
-				x.Members(now, ListCached, list)
+				x.OnEndpointUpdate(now, UpdateCached, list)
 				x.Restore(now, k)
 				b, id = x, id+1000
 			}
@@ -136,12 +136,12 @@
 		for _, from := range sent {
 			n := 0.0
 			for _, at := range sent {
-				if at >= from && at < from+s.Rules.TipAfter {
+				if at >= from && at < from+s.Obligations.OverloadWindow {
 					n++
 				}
 			}
-			can := s.Rules.ColdFrom + (1-s.Rules.ColdFrom)*float64(from-began)/float64(s.Rules.RampTime)
-			worst = max(worst, n/(s.Rules.TipMultiple*can*2*warm*s.Rules.TipAfter.Seconds()))
+			can := s.Obligations.SlowStartFrom + (1-s.Obligations.SlowStartFrom)*float64(from-began)/float64(s.Obligations.SlowStartWindow)
+			worst = max(worst, n/(s.Obligations.OverloadMultiple*can*2*warm*s.Obligations.OverloadWindow.Seconds()))
 		}
 		return worst
 	}
@@ -156,12 +156,12 @@
 	b, now := learned(t)
 	list := four(3)
 	list[0].StartedAt = now
-	b.Members(now, ListDelta, list[:1])
-	k := b.Snapshot(now)
+	b.OnEndpointUpdate(now, UpdateDelta, list[:1])
+	k := b.TakeSnapshot(now)
 	for _, c := range []struct {
 		age  time.Duration
 		want bool
-	}{{100 * ms, false}, {settings().Rules.TipAfter + ms, true}} {
+	}{{100 * ms, false}, {settings().Obligations.OverloadWindow + ms, true}} {
 		x := reborn(t, now+c.age, list, k)
 		u := x.byID[list[0].ID]
 		r := &request{class: x.classes["read"], units: 1}
@@ -171,7 +171,7 @@
 		if got := x.coldRoom(u, r, now+c.age); got != c.want {
 			t.Errorf("restarted %v after the snapshot: room %v, want %v", c.age, got, c.want)
 		}
-		if later := now + c.age + settings().Rules.TipAfter; !x.coldRoom(u, r, later) {
+		if later := now + c.age + settings().Obligations.OverloadWindow; !x.coldRoom(u, r, later) {
 			t.Errorf("restarted %v after the snapshot: no room a window later", c.age)
 		}
 	}
@@ -180,21 +180,21 @@
 // What is read back is what was written, and senseless figures poison nothing.
 func TestKnowledgeAsText(t *testing.T) {
 	b, now := learned(t)
-	k := b.Snapshot(now)
+	k := b.TakeSnapshot(now)
 	text, err := json.Marshal(k)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var back Knowledge
+	var back Snapshot
 	if err := json.Unmarshal(text, &back); err != nil || !reflect.DeepEqual(k, back) {
 		t.Errorf("%v: %+v reads back as %+v", err, k, back)
 	}
 	for _, bad := range []float64{-1, math.NaN(), math.Inf(1), 1e300} {
-		k := b.Snapshot(now)
-		k.Latency, k.Cost, k.Carry, k.Most, k.Stay, k.Keep = bad, bad, bad, bad, bad, bad
-		for i := range k.Upstreams {
-			u := &k.Upstreams[i]
-			u.Factor, u.Bound, u.Latency, u.Deviation, u.Units, u.Errors, u.Slow, u.Calm, u.Work = bad, bad, bad, bad, bad, bad, bad, bad, bad
+		k := b.TakeSnapshot(now)
+		k.Latency, k.MeanCost, k.WorkPerWeight, k.MaxWorkPerWeight, k.LocalShare, k.RegionShare = bad, bad, bad, bad, bad, bad
+		for i := range k.Endpoints {
+			u := &k.Endpoints[i]
+			u.ShareFactor, u.ConcurrencyLimit, u.Latency, u.LatencyDeviation, u.WorkUnits, u.ErrorRate, u.LatencyEWMA, u.BaselineLatency, u.WorkRate = bad, bad, bad, bad, bad, bad, bad, bad, bad
 		}
 		x := reborn(t, now, four(3), k)
 		for i := range 100 {
@@ -214,7 +214,7 @@
 		b.Run(name(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				x.Snapshot(now)
+				x.TakeSnapshot(now)
 			}
 		})
 	}
@@ -223,7 +223,7 @@
 func BenchmarkRestore(b *testing.B) {
 	for _, n := range []int{12, 2000} {
 		x, now := wide(b, n)
-		k := x.Snapshot(now)
+		k := x.TakeSnapshot(now)
 		b.Run(name(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -241,6 +241,6 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	x.Members(time.Hour, ListFull, four(n/4))
+	x.OnEndpointUpdate(time.Hour, UpdateComplete, four(n/4))
 	return x, time.Hour
 }
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -47,7 +47,7 @@
 
 // upstream is what this balancer knows of one server.
 type upstream struct {
-	Upstream
+	Endpoint
 	zone                        *zone
 	cold, silent                bool
 	member                      bool   // in the subset
@@ -63,7 +63,7 @@
 	readings                    int
 	mean, dev, area             float64 // of the window; band gap integrated since the last step
 	readAt, spentAt             time.Duration
-	last                        Load
+	last                        LoadReport
 	outs                        []*attempt    // in order of sending
 	lat, latDev, units          float64       // usual latency, its mean deviation, ns; usual work of its answers
 	errors                      float64       // running mean of errors and breaks
@@ -76,14 +76,14 @@
 // Balancer decides for one proxy instance. See the package comment for the contract.
 type Balancer struct {
 	s                       Settings
-	fleet                   Fleet
-	host                    Host
+	fleet                   FleetSize
+	host                    Effects
 	rng                     *rand.Rand
 	classes                 map[string]*class
 	tenants                 map[string]*tenant
-	safest                  Repeat
+	safest                  Idempotency
 	requests                map[RequestID]*request
-	byID                    map[UpstreamID]*upstream
+	byID                    map[EndpointID]*upstream
 	ups                     []*upstream // in order of arrival
 	zones                   []*zone     // in order of arrival
 	home                    *zone       // its own, once the first list has come
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -9,11 +9,11 @@
 
 // The states.
 const (
-	ZoneWell      ZoneState = iota
-	ZoneDoubtful            // half of its upstreams are sick: half of its share
-	ZoneFailed              // most are: trials only
-	ZoneLeft                // by the operators: nothing new goes there
-	ZoneReturning           // its share grows in steps
+	ZoneHealthy    ZoneState = iota
+	ZoneDegraded             // half of its upstreams are sick: half of its share
+	ZoneFailed               // most are: trials only
+	ZoneDrained              // by the operators: nothing new goes there
+	ZoneRecovering           // its share grows in steps
 )
 
 // String is the state's name, as operators read it.
@@ -23,18 +23,18 @@
 
 // ZoneStatus is what a balancer knows of a zone.
 type ZoneStatus struct {
-	Name    string
-	State   ZoneState
-	Listed  int     // upstreams in the list
-	Bad     int     // sick ones among those that this balancer uses
-	Share   float64 // of this balancer's turns
-	Use     float64 // mean of their readings; -1: none
-	Sent    int     // attempts so far
-	Spilled int     // those of them that the bounds of home alone sent out
+	Name        string
+	State       ZoneState
+	Listed      int     // upstreams in the list
+	Unhealthy   int     // sick ones among those that this balancer uses
+	Share       float64 // of this balancer's turns
+	Utilization float64 // mean of their readings; -1: none
+	Attempts    int     // attempts so far
+	Spilled     int     // those of them that the bounds of home alone sent out
 }
 
 // Zones tells of every zone that has upstreams or was left, in the order in which they were heard of.
-func (b *Balancer) Zones(now time.Duration) []ZoneStatus {
+func (b *Balancer) ZoneStatuses(now time.Duration) []ZoneStatus {
 	var all []ZoneStatus
 	shares, total := map[*zone]float64{}, 0.0
 	for _, u := range b.near {
@@ -45,22 +45,22 @@
 	}
 	b.survey(now)
 	for _, z := range b.zones {
-		x := ZoneStatus{Name: z.name, Listed: z.listed, Bad: z.bad, Use: -1, Sent: z.sent, Spilled: z.spilled}
+		x := ZoneStatus{Name: z.name, Listed: z.listed, Unhealthy: z.bad, Utilization: -1, Attempts: z.sent, Spilled: z.spilled}
 		switch {
 		case z.left:
-			x.State = ZoneLeft
+			x.State = ZoneDrained
 		case z.failed:
 			x.State = ZoneFailed
 		case z.back < 1 && z.doubted():
-			x.State = ZoneDoubtful
+			x.State = ZoneDegraded
 		case z.back < 1:
-			x.State = ZoneReturning
+			x.State = ZoneRecovering
 		}
 		if total > 0 {
 			x.Share = shares[z] / total
 		}
 		if z.read > 0 {
-			x.Use = z.use / z.read
+			x.Utilization = z.use / z.read
 		}
 		if z.listed > 0 || z.left {
 			all = append(all, x)
@@ -71,9 +71,9 @@
 
 // Listed tells how many upstreams the list holds, and how many of them get nothing now but trials: those that
 // drain, have fallen silent or could not be reached.
-func (b *Balancer) Listed(now time.Duration) (known, skipped int) {
+func (b *Balancer) EndpointCounts(now time.Duration) (known, skipped int) {
 	for _, u := range b.ups {
-		if u.State == Gone {
+		if u.State == Removed {
 			continue
 		}
 		if known++; u.State == Draining || u.silent || now < u.backAt {
--- a/balancer/zones.go
+++ b/balancer/zones.go
@@ -400,12 +400,12 @@
 }
 
 // recallZone takes up what was known of a zone before a restart. What had failed has to pass its trials.
-func (b *Balancer) recallZone(z *zone, x LearntZone, now time.Duration) {
-	if z.hold = max(1, min(x.Hold, holdMost)); x.Failed && z.back == 1 {
+func (b *Balancer) recallZone(z *zone, x ZoneStats, now time.Duration) {
+	if z.hold = max(1, min(x.HoldPeriods, holdMost)); x.Failed && z.back == 1 {
 		z.failed, z.returns, z.back, z.wait = true, false, returnStep, 2*b.tick
 		z.trialAt = now + time.Duration(b.rng.Int64N(int64(z.wait)+1))
-	} else if x.Back > 0 && x.Back < 1 {
-		z.back, z.returns = max(returnStep, x.Back), true
+	} else if x.RecoveredShare > 0 && x.RecoveredShare < 1 {
+		z.back, z.returns = max(returnStep, x.RecoveredShare), true
 	}
 }
 
@@ -414,14 +414,14 @@
 	switch {
 	case s == OK:
 		z.good++
-	case s != Full && s != Cancelled && s != Moot:
+	case s != Rejected && s != Cancelled && s != NotSent:
 		z.good = 0
 	}
 }
 
 // mayTry tells whether a failed zone gets a trial, one at a time, of the safest class, so that it may go elsewhere.
 func (b *Balancer) mayTry(z *zone, r *request, now time.Duration) bool {
-	return now >= z.trialAt && r.class.Repeat == b.safest && (z.trial == nil || z.trial.ended)
+	return now >= z.trialAt && r.class.Idempotency == b.safest && (z.trial == nil || z.trial.ended)
 }
 
 // try notes a trial of a failed zone. While answers come well the next follows soon.
@@ -437,7 +437,7 @@
 
 // LeaveZone sends nothing new to a zone until ReturnZone, whatever discovery says meanwhile. It is refused (false) for a
 // zone that is not known, and for the last one that is left with upstreams: then nobody could be served.
-func (b *Balancer) LeaveZone(now time.Duration, name string) bool {
+func (b *Balancer) DrainZone(now time.Duration, name string) bool {
 	i := slices.IndexFunc(b.zones, func(z *zone) bool { return z.name == name })
 	if i < 0 || !slices.ContainsFunc(b.ups, func(u *upstream) bool {
 		return u.State == Active && !u.zone.left && u.zone != b.zones[i]
@@ -453,7 +453,7 @@
 }
 
 // ReturnZone takes a zone back, by steps. False: it was not left.
-func (b *Balancer) ReturnZone(now time.Duration, name string) bool {
+func (b *Balancer) ReinstateZone(now time.Duration, name string) bool {
 	i := slices.IndexFunc(b.zones, func(z *zone) bool { return z.name == name && z.left })
 	if i < 0 {
 		return false
--- a/balancer/zones_test.go
+++ b/balancer/zones_test.go
@@ -10,11 +10,11 @@
 )
 
 // sited returns upstreams, so many in each named zone.
-func sited(zones map[string]int, order ...string) []Upstream {
-	var list []Upstream
+func sited(zones map[string]int, order ...string) []Endpoint {
+	var list []Endpoint
 	for _, z := range order {
 		for range zones[z] {
-			list = append(list, Upstream{ID: UpstreamID(len(list) + 1), Zone: z, Weight: 1})
+			list = append(list, Endpoint{ID: EndpointID(len(list) + 1), Zone: z, Weight: 1})
 		}
 	}
 	return list
@@ -26,7 +26,7 @@
 		now += bandPeriod
 		for _, u := range b.ups {
 			for i := range bandWindow { // a window of like readings, each a little other than the last
-				b.read(u, Load{Fields: HasUtil | HasRate, Util: use[u.Zone], Rate: now.Seconds() + float64(i)}, true, 0, now)
+				b.read(u, LoadReport{Fields: HasUtilization | HasRate, Utilization: use[u.Zone], Rate: now.Seconds() + float64(i)}, true, 0, now)
 			}
 		}
 		b.step(now)
@@ -157,7 +157,7 @@
 			for i := range list { // zones are renamed and upstreams move between them
 				list[i].Weight = rapid.Float64Range(0.1, 10).Draw(rt, "weight")
 			}
-			b.Members(now, ListFull, list)
+			b.OnEndpointUpdate(now, UpdateComplete, list)
 			now = periods(b, now, rapid.IntRange(1, 4).Draw(rt, "periods"), use)
 			listed := map[string]bool{s.Zone: true}
 			for _, u := range b.ups {
@@ -191,7 +191,7 @@
 			name := rapid.SampledFrom(names).Draw(rt, "zone")
 			switch rapid.IntRange(0, 4).Draw(rt, "event") {
 			case 0:
-				done := b.LeaveZone(now, name)
+				done := b.DrainZone(now, name)
 				others := 0
 				for _, z := range names {
 					if z != name && !left[z] {
@@ -203,13 +203,13 @@
 				}
 				left[name] = left[name] || done
 			case 1:
-				if done := b.ReturnZone(now, name); done != left[name] {
+				if done := b.ReinstateZone(now, name); done != left[name] {
 					rt.Fatalf("returning %s, left %v: %v", name, left[name], done)
 				} else if done {
 					left[name], back[name], held[name] = false, 0, 0
 				}
 			case 2:
-				b.Members(now, ListFull, sited(map[string]int{"near": 2, "b": 2, "c": 2}, names...))
+				b.OnEndpointUpdate(now, UpdateComplete, sited(map[string]int{"near": 2, "b": 2, "c": 2}, names...))
 			case 3:
 				use := map[string]float64{}
 				for _, z := range names {
@@ -246,19 +246,19 @@
 	for i := range n {
 		id := first + RequestID(i)
 		now += 20 * ms
-		b.Request(now, Request{ID: id, Class: "read", Budget: time.Second})
+		b.OnRequest(now, Request{ID: id, Class: "read", Timeout: time.Second})
 		for r := b.requests[id]; r != nil && !r.done && r.out > 0; r = b.requests[id] {
 			k := len(r.attempts) - 1
 			u := r.attempts[k].up
 			got[u.Zone]++
-			b.Outcome(now, Outcome{ID: id, Upstream: u.ID, Attempt: k, Latency: 50 * ms, Status: of[u.Zone], Closed: of[u.Zone] == OK})
+			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: u.ID, Attempt: k, Latency: 50 * ms, Status: of[u.Zone], RequestClosed: of[u.Zone] == OK})
 		}
-		b.Timer(now, tickToken)
+		b.OnTimer(now, tickToken)
 	}
 	return now, got
 }
 
-func four(n int) []Upstream {
+func four(n int) []Endpoint {
 	return sited(map[string]int{"near": n, "b": n, "c": n, "d": n}, "near", "b", "c", "d")
 }
 
@@ -277,10 +277,10 @@
 		t.Errorf("a zone of errors got %d of %v attempts, failed %v", got["b"], got, z.failed)
 	}
 	states := map[string]ZoneState{}
-	for _, z := range b.Zones(now) {
+	for _, z := range b.ZoneStatuses(now) {
 		states[z.Name] = z.State
 	}
-	if states["b"] != ZoneFailed || states["c"] != ZoneWell {
+	if states["b"] != ZoneFailed || states["c"] != ZoneHealthy {
 		t.Errorf("zones are told as %v", states)
 	}
 	for _, name := range []string{"near", "c", "d"} {
@@ -302,7 +302,7 @@
 func TestZonesAreNotLeftLightly(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		list []Upstream
+		list []Endpoint
 		sick func(u *upstream) bool
 	}{
 		{"all alike", four(4), func(u *upstream) bool { return u.ID%4 != 0 }},
@@ -352,7 +352,7 @@
 			}
 			if c.owes(u) {
 				id := RequestID(i + 1)
-				r := &request{Request: Request{ID: id, Budget: time.Second}, class: b.classes["read"], units: 1, deadline: now + time.Second}
+				r := &request{Request: Request{ID: id, Timeout: time.Second}, class: b.classes["read"], units: 1, deadline: now + time.Second}
 				b.requests[id] = r
 				b.send(r, u, now)
 			}
@@ -382,10 +382,10 @@
 	now, id := time.Hour, RequestID(1)
 	for i := range 12 {
 		u := b.ups[6+i%6]
-		r := &request{Request: Request{ID: id, Budget: time.Second}, class: b.classes["read"], units: 1, deadline: now + time.Second}
+		r := &request{Request: Request{ID: id, Timeout: time.Second}, class: b.classes["read"], units: 1, deadline: now + time.Second}
 		b.requests[id] = r
 		b.send(r, u, now)
-		b.Outcome(now, Outcome{ID: id, Upstream: u.ID, Latency: ms, Status: Error, Closed: true})
+		b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: u.ID, Latency: ms, Status: Error, RequestClosed: true})
 		id++
 		now += 10 * ms
 		b.health(now)
@@ -406,14 +406,14 @@
 			u = b.ups[6+i%2]
 		}
 		id := RequestID(i + 1)
-		r := &request{Request: Request{ID: id, Budget: time.Second}, class: b.classes["read"], units: 1, deadline: now + time.Second}
+		r := &request{Request: Request{ID: id, Timeout: time.Second}, class: b.classes["read"], units: 1, deadline: now + time.Second}
 		b.requests[id] = r
 		b.send(r, u, now)
 		status := OK
 		if u.ID <= 6 || i%300 == 299 { // the good ones fail now and then, too
 			status = Error
 		}
-		b.Outcome(now, Outcome{ID: id, Upstream: u.ID, Latency: ms, Status: status, Closed: true})
+		b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: u.ID, Latency: ms, Status: status, RequestClosed: true})
 		now += 10 * ms
 		if b.health(now); b.zoneOf("b").failed {
 			t.Fatalf("the zone was left after %d answers", i+1)
@@ -435,7 +435,7 @@
 		for range rapid.IntRange(1, 30).Draw(rt, "events") {
 			of := map[string]Status{}
 			for _, z := range names {
-				of[z] = rapid.SampledFrom([]Status{OK, OK, Error, Reset, ConnectFailed, Full}).Draw(rt, z)
+				of[z] = rapid.SampledFrom([]Status{OK, OK, Error, Reset, ConnectFailed, Rejected}).Draw(rt, z)
 			}
 			if rapid.Bool().Draw(rt, "a period") {
 				now = periods(b, now, 1, map[string]float64{"near": 0.3, "b": 0.3, "c": 0.3, "d": 0.3})
--- a/cmd/balancer/members.go
+++ b/cmd/balancer/members.go
@@ -84,7 +84,7 @@
 		Does: func() membership.State { return does(server) },
 		Divided: func(incarnation uint64, d membership.Division) error {
 			keeper.number(keptMembers{incarnation, d.Most})
-			return server.Fleet(balancer.Fleet{Balancers: d.Balancers, Rank: d.Rank, Most: d.Most})
+			return server.Fleet(balancer.FleetSize{Balancers: d.Balancers, Rank: d.Rank, MaxBalancers: d.Most})
 		},
 	})
 	return others{node}, err
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -68,18 +68,18 @@
 	case wire.Exit:
 		delete(instances, e.Instance)
 	case wire.Endpoints:
-		b.Members(now, e.Mode, e.List)
+		b.OnEndpointUpdate(now, e.Mode, e.List)
 	case wire.Inbound:
-		b.Request(now, e.Request)
+		b.OnRequest(now, e.Request)
 	case wire.Established:
-		b.Started(now, e.Outcome.ID, e.Outcome.Attempt)
+		b.OnStreamStarted(now, e.Outcome.ID, e.Outcome.Attempt)
 	case wire.Verdict:
-		b.Outcome(now, e.Outcome)
+		b.OnAttemptResult(now, e.Outcome)
 	case wire.Lapsed:
-		b.Gone(now, e.Request.ID)
+		b.OnClientDisconnected(now, e.Request.ID)
 	case wire.Elapsed:
-		b.Timer(now, e.Token)
+		b.OnTimer(now, e.Token)
 	case wire.Health:
-		b.Probed(now, e.Probe)
+		b.OnHealthCheckResult(now, e.Probe)
 	}
 }
--- a/internal/lab/model/actions_test.go
+++ b/internal/lab/model/actions_test.go
@@ -50,7 +50,7 @@
 // actionRecorder hashes what one balancer's module asks for, with the moment at which it asks, and passes it on. Log lines
 // are not recorded: their words decide nothing.
 type actionRecorder struct {
-	balancer.Host
+	balancer.Effects
 	now     time.Duration
 	sum     hash.Hash64
 	actions int
@@ -65,53 +65,53 @@
 	r.actions++
 }
 
-func (r *actionRecorder) Send(id balancer.RequestID, up balancer.UpstreamID, timeout time.Duration) {
+func (r *actionRecorder) Send(id balancer.RequestID, up balancer.EndpointID, timeout time.Duration) {
 	r.record(recordSend, uint64(id), uint64(up), uint64(timeout))
-	r.Host.Send(id, up, timeout)
+	r.Effects.Send(id, up, timeout)
 }
 
-func (r *actionRecorder) Refuse(id balancer.RequestID, retryAfter time.Duration) {
+func (r *actionRecorder) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	r.record(recordRefuse, uint64(id), uint64(retryAfter))
-	r.Host.Refuse(id, retryAfter)
+	r.Effects.Reject(id, retryAfter)
 }
 
 func (r *actionRecorder) Fail(id balancer.RequestID) {
 	r.record(recordFail, uint64(id))
-	r.Host.Fail(id)
+	r.Effects.Fail(id)
 }
 
 func (r *actionRecorder) Cancel(id balancer.RequestID, attempt int) {
 	r.record(recordCancel, uint64(id), uint64(attempt))
-	r.Host.Cancel(id, attempt)
+	r.Effects.Cancel(id, attempt)
 }
 
-func (r *actionRecorder) Probe(up balancer.UpstreamID) {
+func (r *actionRecorder) HealthCheck(up balancer.EndpointID) {
 	r.record(recordProbe, uint64(up))
-	r.Host.Probe(up)
+	r.Effects.HealthCheck(up)
 }
 
-func (r *actionRecorder) Disconnect(up balancer.UpstreamID) {
+func (r *actionRecorder) CloseIdle(up balancer.EndpointID) {
 	r.record(recordDisconnect, uint64(up))
-	r.Host.Disconnect(up)
+	r.Effects.CloseIdle(up)
 }
 
-func (r *actionRecorder) Watch(on bool) {
+func (r *actionRecorder) WatchEndpoints(on bool) {
 	value := uint64(0)
 	if on {
 		value = 1
 	}
 	r.record(recordWatch, value)
-	r.Host.Watch(on)
+	r.Effects.WatchEndpoints(on)
 }
 
-func (r *actionRecorder) Fetch() {
+func (r *actionRecorder) FetchEndpoints() {
 	r.record(recordFetch)
-	r.Host.Fetch()
+	r.Effects.FetchEndpoints()
 }
 
 func (r *actionRecorder) SetTimer(after time.Duration, token uint64) {
 	r.record(recordTimer, uint64(after), token)
-	r.Host.SetTimer(after, token)
+	r.Effects.SetTimer(after, token)
 }
 
 // recordedModule tells the recorder the time of each event before the module gets it.
@@ -120,31 +120,31 @@
 	recorder *actionRecorder
 }
 
-func (m recordedModule) Members(now time.Duration, mode balancer.ListMode, list []balancer.Upstream) {
+func (m recordedModule) OnEndpointUpdate(now time.Duration, mode balancer.UpdateMode, list []balancer.Endpoint) {
 	m.recorder.now = now
-	m.Balancer.Members(now, mode, list)
+	m.Balancer.OnEndpointUpdate(now, mode, list)
 }
 
-func (m recordedModule) Request(now time.Duration, r balancer.Request) {
+func (m recordedModule) OnRequest(now time.Duration, r balancer.Request) {
 	m.recorder.now = now
-	m.Balancer.Request(now, r)
+	m.Balancer.OnRequest(now, r)
 }
 
-func (m recordedModule) Outcome(now time.Duration, o balancer.Outcome) {
+func (m recordedModule) OnAttemptResult(now time.Duration, o balancer.AttemptResult) {
 	m.recorder.now = now
-	m.Balancer.Outcome(now, o)
+	m.Balancer.OnAttemptResult(now, o)
 }
 
-func (m recordedModule) Timer(now time.Duration, token uint64) {
+func (m recordedModule) OnTimer(now time.Duration, token uint64) {
 	m.recorder.now = now
-	m.Balancer.Timer(now, token)
+	m.Balancer.OnTimer(now, token)
 }
 
 // Snapshot records what the module knows, since a restart decides by it.
-func (m recordedModule) Snapshot(now time.Duration) balancer.Knowledge {
-	k := m.Balancer.Snapshot(now)
-	for _, u := range k.Upstreams {
-		m.recorder.record(0, uint64(u.ID), math.Float64bits(u.Factor), math.Float64bits(u.Bound), math.Float64bits(u.Latency))
+func (m recordedModule) TakeSnapshot(now time.Duration) balancer.Snapshot {
+	k := m.Balancer.TakeSnapshot(now)
+	for _, u := range k.Endpoints {
+		m.recorder.record(0, uint64(u.ID), math.Float64bits(u.ShareFactor), math.Float64bits(u.ConcurrencyLimit), math.Float64bits(u.Latency))
 	}
 	return k
 }
@@ -154,8 +154,8 @@
 func playRecorded(ctx context.Context, d *day.Day) (actions int, sum uint64, err error) {
 	var mu sync.Mutex
 	recorders := map[uint64]*actionRecorder{}
-	policy := func(s balancer.Settings, seed uint64, now time.Duration, host balancer.Host) (balancer.Events, error) {
-		r := &actionRecorder{Host: host, now: now, sum: fnv.New64a()}
+	policy := func(s balancer.Settings, seed uint64, now time.Duration, host balancer.Effects) (balancer.Events, error) {
+		r := &actionRecorder{Effects: host, now: now, sum: fnv.New64a()}
 		b, err := balancer.New(s, seed, now, r)
 		if err != nil {
 			return nil, err
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -45,7 +45,7 @@
 	since     time.Duration // 0: long past
 }
 
-var states = map[string]balancer.State{"up": balancer.Active, "draining": balancer.Draining, "removed": balancer.Gone}
+var states = map[string]balancer.EndpointState{"up": balancer.Active, "draining": balancer.Draining, "removed": balancer.Removed}
 
 // node is a balancer's process with the decision module in it. It does what internal/proxy does, without sockets.
 type node struct {
@@ -70,13 +70,13 @@
 	serial   uint64
 	due      []owing
 	sweepAt  time.Duration
-	kept     balancer.Knowledge // on its disk, where it keeps anything
+	kept     balancer.Snapshot // on its disk, where it keeps anything
 	keptAt   time.Duration
-	keptList []balancer.Upstream
-	first    []balancer.Upstream  // of the day's begin, as its configuration has them
+	keptList []balancer.Endpoint
+	first    []balancer.Endpoint  // of the day's begin, as its configuration has them
 	zones    []balancer.ZoneState // as the module last told
 
-	listed  []balancer.Upstream // what its agent holds
+	listed  []balancer.Endpoint // what its agent holds
 	silent  int
 	fails   float64 // share of calls to its agent that fail
 	unheard []*news
@@ -86,7 +86,7 @@
 
 // peer is what a node knows of an upstream's connections.
 type peer struct {
-	state balancer.State
+	state balancer.EndpointState
 	idle  []time.Duration // since when
 }
 
@@ -127,7 +127,7 @@
 	n := &node{actor: a, index: index, newCore: policy, settings: settings, maxConns: d.Balancer.Sockets * 3 / 8,
 		idleFor: max(links.KeepAlive-spareIdle, links.KeepAlive/2), connect: links.ConnectTimeout}
 	for i, u := range a.sim.fleet.Upstreams {
-		n.listed = append(n.listed, balancer.Upstream{ID: balancer.UpstreamID(i), Zone: a.sim.fleet.Locality(u.Zone),
+		n.listed = append(n.listed, balancer.Endpoint{ID: balancer.EndpointID(i), Zone: a.sim.fleet.Locality(u.Zone),
 			Cell: u.Zone*1000 + u.Cell, Weight: u.Size})
 	}
 	return n, n.start()
@@ -149,13 +149,13 @@
 	}
 	n.core = core
 	n.process(history.Started)
-	var known []balancer.Upstream
+	var known []balancer.Endpoint
 	for i, u := range n.knownList() {
-		if n.peers[i].state = u.State; u.State != balancer.Gone {
+		if n.peers[i].state = u.State; u.State != balancer.Removed {
 			known = append(known, n.dated(u))
 		}
 	}
-	n.core.Members(n.clock(), balancer.ListCached, known)
+	n.core.OnEndpointUpdate(n.clock(), balancer.UpdateCached, known)
 	if core, ok := n.core.(rememberer); ok && n.keptAt > 0 {
 		core.Restore(n.clock(), n.kept)
 	}
@@ -186,12 +186,12 @@
 
 // rememberer is a core that can be started from what another knew.
 type rememberer interface {
-	Snapshot(now time.Duration) balancer.Knowledge
-	Restore(now time.Duration, k balancer.Knowledge)
+	TakeSnapshot(now time.Duration) balancer.Snapshot
+	Restore(now time.Duration, k balancer.Snapshot)
 }
 
 // knownList is what a process begins with: what it has kept, or what its configuration has.
-func (n *node) knownList() []balancer.Upstream {
+func (n *node) knownList() []balancer.Endpoint {
 	switch {
 	case n.keptList != nil:
 		return n.keptList
@@ -210,11 +210,11 @@
 	if !ok || !n.sim.day.Balancer.State || n.now-n.keptAt < keepEvery {
 		return
 	}
-	n.kept, n.keptAt, n.keptList = core.Snapshot(n.clock()), n.now, slices.Clone(n.listed)
+	n.kept, n.keptAt, n.keptList = core.TakeSnapshot(n.clock()), n.now, slices.Clone(n.listed)
 }
 
 // dated is an entry as this node's clock has it.
-func (n *node) dated(u balancer.Upstream) balancer.Upstream {
+func (n *node) dated(u balancer.Endpoint) balancer.Endpoint {
 	if u.StartedAt > 0 {
 		u.StartedAt -= n.offset
 	}
@@ -261,11 +261,11 @@
 	case gone:
 		if r := n.byTry[m.id]; r != nil && !r.closed {
 			n.close(r)
-			n.core.Gone(n.clock(), r.id)
+			n.core.OnClientDisconnected(n.clock(), r.id)
 		}
 	case timer:
 		if m.wave == n.wave {
-			n.core.Timer(n.clock(), m.id)
+			n.core.OnTimer(n.clock(), m.id)
 			n.sweep()
 			n.tellZones()
 			n.keep()
@@ -293,12 +293,12 @@
 // tellZones notes which zones have changed in the module's eyes.
 func (n *node) tellZones() {
 	core, ok := n.core.(interface {
-		Zones(now time.Duration) []balancer.ZoneStatus
+		ZoneStatuses(now time.Duration) []balancer.ZoneStatus
 	})
 	if !ok { // a baseline
 		return
 	}
-	for _, z := range core.Zones(n.clock()) {
+	for _, z := range core.ZoneStatuses(n.clock()) {
 		i := n.sim.fleet.ZoneNamed(z.Name)
 		if i >= 0 && n.zones[i] != z.State {
 			n.zones[i] = z.State
@@ -331,11 +331,11 @@
 	r.deadline = n.now + budget
 	n.requests[r.id], n.byTry[m.id] = r, r
 	n.after(budget, message{kind: overdue, id: m.id, wave: n.wave})
-	q := balancer.Request{ID: r.id, Budget: budget, Class: n.sim.day.Classes[a.Class].Name, Key: a.Key, HasKey: a.HasKey}
+	q := balancer.Request{ID: r.id, Timeout: budget, Class: n.sim.day.Classes[a.Class].Name, Key: a.Key, HasKey: a.HasKey}
 	if a.Tenant >= 0 {
 		q.Tenant = n.sim.day.Tenants[a.Tenant].Name
 	}
-	n.core.Request(n.clock(), q)
+	n.core.OnRequest(n.clock(), q)
 }
 
 // attempted takes what happens to an attempt.
@@ -382,7 +382,7 @@
 			return
 		}
 		n.idle(s.up)
-		n.tell(s, map[int16]balancer.Status{statusOK: balancer.OK, statusError: balancer.Error, statusRefused: balancer.Full}[m.status], m)
+		n.tell(s, map[int16]balancer.Status{statusOK: balancer.OK, statusError: balancer.Error, statusRefused: balancer.Rejected}[m.status], m)
 	}
 }
 
@@ -411,7 +411,7 @@
 		return
 	}
 	if !s.linked {
-		status = balancer.Moot
+		status = balancer.NotSent
 	} else {
 		n.conns--
 		n.send(n.sim.servers[s.up], message{kind: abandon, id: s.of.try.id, n: s.n})
@@ -430,14 +430,14 @@
 		n.answer(r, message{status: statusOK, n: int32(s.up), wave: s.n})
 	}
 	r.out--
-	o := balancer.Outcome{ID: r.id, Upstream: balancer.UpstreamID(s.up), Attempt: int(s.n), Latency: n.now - s.sentAt,
-		Status: status, Closed: r.closed}
+	o := balancer.AttemptResult{ID: r.id, Endpoint: balancer.EndpointID(s.up), Attempt: int(s.n), Latency: n.now - s.sentAt,
+		Status: status, RequestClosed: r.closed}
 	if m.loaded {
-		o.Load = balancer.Load{Fields: balancer.HasUtil | balancer.HasErrors | balancer.HasQueue, Util: m.load.Util,
+		o.Load = balancer.LoadReport{Fields: balancer.HasUtilization | balancer.HasErrors | balancer.HasQueue, Utilization: m.load.Util,
 			Errors: m.load.Errors, Queue: m.load.Queue}
 	}
 	n.release(r)
-	n.core.Outcome(n.clock(), o)
+	n.core.OnAttemptResult(n.clock(), o)
 }
 
 // settle tells the outcomes that came up while the module was calling.
@@ -503,7 +503,7 @@
 // --- Host: what the module asks for ---
 
 // Send makes an attempt.
-func (n *node) Send(id balancer.RequestID, up balancer.UpstreamID, timeout time.Duration) {
+func (n *node) Send(id balancer.RequestID, up balancer.EndpointID, timeout time.Duration) {
 	r := n.requests[id]
 	if r == nil || int(up) >= len(n.peers) {
 		return
@@ -517,12 +517,12 @@
 	p := &n.peers[up]
 	switch last := len(p.idle) - 1; {
 	case r.closed || wait <= 0 || p.state != balancer.Active:
-		n.due = append(n.due, owing{s, balancer.Moot})
+		n.due = append(n.due, owing{s, balancer.NotSent})
 	case last >= 0:
 		p.idle = p.idle[:last]
 		n.write(s)
 	case !n.room():
-		n.due = append(n.due, owing{s, balancer.Moot})
+		n.due = append(n.due, owing{s, balancer.NotSent})
 	default:
 		n.conns++
 		n.send(n.sim.servers[up], message{kind: syn, id: r.try.id, n: s.n})
@@ -550,9 +550,9 @@
 }
 
 // Refuse answers a client that another try is harmless.
-func (n *node) Refuse(id balancer.RequestID, retryAfter time.Duration) {
+func (n *node) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	if r := n.requests[id]; r != nil {
-		n.answer(r, message{status: statusRefused, span: min(retryAfter, n.settings.Limits.MaxRetry)})
+		n.answer(r, message{status: statusRefused, span: min(retryAfter, n.settings.Limits.MaxRetryAfter)})
 	}
 }
 
@@ -576,10 +576,10 @@
 }
 
 // Probe does nothing: reports come with answers, and days of the lab allow no probes in the model.
-func (n *node) Probe(balancer.UpstreamID) {}
+func (n *node) HealthCheck(balancer.EndpointID) {}
 
 // Disconnect closes idle connections to an upstream.
-func (n *node) Disconnect(up balancer.UpstreamID) {
+func (n *node) CloseIdle(up balancer.EndpointID) {
 	for range n.peers[up].idle {
 		n.drop(int(up))
 	}
@@ -587,8 +587,8 @@
 }
 
 // Watch and Fetch do nothing: an agent's lists come as soon as it has them.
-func (n *node) Watch(bool) {}
-func (n *node) Fetch()     {}
+func (n *node) WatchEndpoints(bool) {}
+func (n *node) FetchEndpoints()     {}
 
 // Log drops the module's lines.
 func (n *node) Log(string) {}
@@ -622,7 +622,7 @@
 		n.after(askAgain, message{kind: list, news: x})
 		return
 	}
-	var changed []balancer.Upstream
+	var changed []balancer.Endpoint
 	for _, up := range x.upstreams {
 		u := &n.listed[up]
 		u.State = states[x.phase]
@@ -639,16 +639,16 @@
 		if n.peers[up].state = changed[i].State; changed[i].State == balancer.Active {
 			continue
 		}
-		n.Disconnect(balancer.UpstreamID(up))
+		n.CloseIdle(balancer.EndpointID(up))
 		for _, id := range slices.Sorted(maps.Keys(n.requests)) { // what waits for a connection there is not sent
 			for _, s := range n.requests[id].attempts {
 				if s.up == up && !s.linked && !s.told {
-					n.due = append(n.due, owing{s, balancer.Moot})
+					n.due = append(n.due, owing{s, balancer.NotSent})
 				}
 			}
 		}
 	}
-	n.core.Members(n.clock(), balancer.ListDelta, changed)
+	n.core.OnEndpointUpdate(n.clock(), balancer.UpdateDelta, changed)
 	n.settle()
 }
 
@@ -716,17 +716,17 @@
 	if n.core == nil {
 		return
 	}
-	var all []balancer.Upstream
+	var all []balancer.Endpoint
 	for up, u := range n.listed {
 		if n.peers[up].state != u.State {
 			n.note(history.Event{Kind: history.Told, Balancer: int32(n.index), Upstream: int32(up), Arrival: history.None,
 				Text: []string{"up", "draining", "removed"}[u.State]})
 		}
-		if n.peers[up].state = u.State; u.State != balancer.Gone {
+		if n.peers[up].state = u.State; u.State != balancer.Removed {
 			all = append(all, n.dated(u))
 		}
 	}
-	n.core.Members(n.clock(), balancer.ListFull, all)
+	n.core.OnEndpointUpdate(n.clock(), balancer.UpdateComplete, all)
 	n.settle()
 }
 
@@ -779,7 +779,7 @@
 		if !r.closed && n.hit(i, front.party) {
 			n.send(front, message{kind: rst, id: r.try.id, on: true})
 			n.close(r)
-			n.core.Gone(n.clock(), r.id)
+			n.core.OnClientDisconnected(n.clock(), r.id)
 		}
 		for _, s := range r.attempts {
 			if up := n.sim.servers[s.up]; s.linked && !s.told && n.hit(i, up.party) {
@@ -791,7 +791,7 @@
 	}
 	for up := range n.peers {
 		if n.hit(i, n.sim.servers[up].party) {
-			n.Disconnect(balancer.UpstreamID(up))
+			n.CloseIdle(balancer.EndpointID(up))
 		}
 	}
 	if front := n.sim.zones[n.sim.fleet.Balancers[n.index].Zone]; n.hit(i, front.party) {
--- a/internal/lab/model/truth.go
+++ b/internal/lab/model/truth.go
@@ -20,10 +20,10 @@
 }
 
 // newSeer is a newPolicy. Its host is a node.
-func newSeer(s balancer.Settings, seed uint64, now time.Duration, host balancer.Host) (balancer.Events, error) {
+func newSeer(s balancer.Settings, seed uint64, now time.Duration, host balancer.Effects) (balancer.Events, error) {
 	n := host.(*node)
 	x := &seer{node: n}
-	core, err := plain(func(b *baseline, up []balancer.Upstream) balancer.UpstreamID { return x.choose(up) })(s, seed, now, host)
+	core, err := plain(func(b *baseline, up []balancer.Endpoint) balancer.EndpointID { return x.choose(up) })(s, seed, now, host)
 	if err != nil {
 		return nil, err
 	}
@@ -33,7 +33,7 @@
 }
 
 // choose takes the upstream with the least out for what it can do now, at home first where two are alike.
-func (x *seer) choose(up []balancer.Upstream) balancer.UpstreamID {
+func (x *seer) choose(up []balancer.Endpoint) balancer.EndpointID {
 	home := x.node.sim.fleet.Balancers[x.node.index].Zone
 	best, least := up[x.rng.IntN(len(up))].ID, -1.0
 	for _, at := range x.rng.Perm(len(up)) {
@@ -90,10 +90,10 @@
 
 // Timer looks after what is out: an attempt whose answer can't come is stopped, and the request tried elsewhere as its
 // class permits.
-func (x *seer) Timer(time.Duration, uint64) {
+func (x *seer) OnTimer(time.Duration, uint64) {
 	x.host.SetTimer(lookEvery, 0)
 	for _, id := range slices.Sorted(maps.Keys(x.requests)) {
-		if r := x.requests[id]; r.class.Repeat == balancer.Safe && x.power(int(r.last)) == 0 {
+		if r := x.requests[id]; r.class.Idempotency == balancer.Idempotent && x.power(int(r.last)) == 0 {
 			x.host.Cancel(id, r.attempts-1)
 		}
 	}
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -97,11 +97,11 @@
 
 func TestNames(t *testing.T) {
 	n := newNames()
-	want(t, "hex", n.id("s-5be2a07c"), balancer.UpstreamID(0x5be2a07c))
-	want(t, "the same again", n.id("s-5be2a07c"), balancer.UpstreamID(0x5be2a07c))
+	want(t, "hex", n.id("s-5be2a07c"), balancer.EndpointID(0x5be2a07c))
+	want(t, "the same again", n.id("s-5be2a07c"), balancer.EndpointID(0x5be2a07c))
 	other := n.id("5be2a07c.example")
 	want(t, "another form", other, hashed("5be2a07c.example"))
-	seen := map[balancer.UpstreamID]string{}
+	seen := map[balancer.EndpointID]string{}
 	for _, text := range []string{"s-7", "s-07", "s-007", "s-zz", "s-123456789", "", "s-"} { // three that come to one number
 		id := n.id(text)
 		if seen[id] != "" {
@@ -128,9 +128,9 @@
 
 func TestLoadReports(t *testing.T) {
 	l := loadOf("eps=0.5, util=0.61,latency_ms=14.5,other=3,inflight=x")
-	want(t, "load", l, balancer.Load{Fields: balancer.HasErrors | balancer.HasUtil | balancer.HasService,
-		Errors: 0.5, Util: 0.61, Service: 14.5})
-	want(t, "none", loadOf(""), balancer.Load{})
+	want(t, "load", l, balancer.LoadReport{Fields: balancer.HasErrors | balancer.HasUtilization | balancer.HasServiceTime,
+		Errors: 0.5, Utilization: 0.61, ServiceTime: 14.5})
+	want(t, "none", loadOf(""), balancer.LoadReport{})
 }
 
 // With no connection left to open, an attempt could not connect: the module is told so, once, and nothing is owed.
@@ -145,7 +145,7 @@
 		t.Fatal(err)
 	}
 	r := &request{at: l.now(), reply: make(chan answer, 1)}
-	r.Class, r.Budget = "checkin", time.Second
+	r.Class, r.Timeout = "checkin", time.Second
 	arrived{r}.apply(l)
 	l.settle()
 	if len(r.attempts) == 0 {
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -266,7 +266,7 @@
 						r.attempts[0].drop()
 						close(g.next(t).up)
 						(<-l.events).apply(l)
-						l.Disconnect(1)
+						l.CloseIdle(1)
 					}
 					began := l.now()
 					l.Send(1, 1, ownTimeout)
@@ -319,7 +319,7 @@
 			time.Sleep(2 * short) // no alarm goes off: the loop does not run
 			close(g.next(t).up)
 			e := (<-l.events).(finished)
-			want(t, "outcome", e.status, balancer.Moot)
+			want(t, "outcome", e.status, balancer.NotSent)
 			want(t, "its connection serves again", e.result.conn != nil, true)
 			e.apply(l)
 			want(t, "requests at the upstream", len(s.arrivals), 0)
@@ -330,7 +330,7 @@
 // requestFor adds a request to a loop whose client waits for budget from now on.
 func (l *loop) requestFor(id balancer.RequestID, budget time.Duration) *request {
 	r := l.request(id)
-	r.Budget, r.deadline = budget, l.now()+budget
+	r.Timeout, r.deadline = budget, l.now()+budget
 	clientLedger.add(r.message.header.Get("X-Request-Id"), budget)
 	return r
 }
@@ -340,7 +340,7 @@
 	r.Upload, r.deadline = true, noDeadline
 	r.message.rest, r.message.length = rest, length
 	r.within = func(_, most time.Duration) time.Duration { return most }
-	clientLedger.put(r.message.header.Get("X-Request-Id"), &clientRequest{budget: r.Budget})
+	clientLedger.put(r.message.header.Get("X-Request-Id"), &clientRequest{budget: r.Timeout})
 }
 
 // A request that came behind another waits for its turn, and its time counts from its own last byte all the same. It counted
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -47,7 +47,7 @@
 	UpSinceMS int64   `json:"up_since_ms"`
 }
 
-var phases = map[string]balancer.State{"up": balancer.Active, "draining": balancer.Draining, "removed": balancer.Gone}
+var phases = map[string]balancer.EndpointState{"up": balancer.Active, "draining": balancer.Draining, "removed": balancer.Removed}
 
 // check tells what makes the entry unusable.
 func (m *member) check() error {
@@ -57,7 +57,7 @@
 		return fmt.Errorf("an entry has no id")
 	case !ok:
 		return fmt.Errorf("%s: phase %q is unknown", m.ID, m.Phase)
-	case state == balancer.Gone:
+	case state == balancer.Removed:
 		return nil
 	}
 	if _, err := netip.ParseAddrPort(m.HostPort); err != nil {
@@ -67,8 +67,8 @@
 }
 
 // upstream is the entry as the module takes it.
-func (m *member) upstream(id balancer.UpstreamID) balancer.Upstream {
-	return balancer.Upstream{ID: id, Zone: m.Locality, Cell: m.Cell, Weight: m.Size, State: phases[m.Phase],
+func (m *member) upstream(id balancer.EndpointID) balancer.Endpoint {
+	return balancer.Endpoint{ID: id, Zone: m.Locality, Cell: m.Cell, Weight: m.Size, State: phases[m.Phase],
 		StartedAt: time.Duration(m.UpSinceMS) * time.Millisecond} // the loop's clock is Unix time at its start, so 0 stays 0
 }
 
@@ -80,15 +80,15 @@
 // differ at most in which of two such ids came first: their rings differ then, but
 // no two upstreams are ever mixed up. An id keeps its number while the process lives.
 type names struct {
-	ids   map[string]balancer.UpstreamID
-	taken map[balancer.UpstreamID]bool
+	ids   map[string]balancer.EndpointID
+	taken map[balancer.EndpointID]bool
 }
 
 func newNames() *names {
-	return &names{ids: map[string]balancer.UpstreamID{}, taken: map[balancer.UpstreamID]bool{}}
+	return &names{ids: map[string]balancer.EndpointID{}, taken: map[balancer.EndpointID]bool{}}
 }
 
-func (n *names) id(text string) balancer.UpstreamID {
+func (n *names) id(text string) balancer.EndpointID {
 	if id, ok := n.ids[text]; ok {
 		return id
 	}
@@ -100,19 +100,19 @@
 	return id
 }
 
-func plainID(text string) balancer.UpstreamID {
+func plainID(text string) balancer.EndpointID {
 	if digits, ok := strings.CutPrefix(text, "s-"); ok {
 		if x, err := strconv.ParseUint(digits, 16, 32); err == nil {
-			return balancer.UpstreamID(x)
+			return balancer.EndpointID(x)
 		}
 	}
 	return hashed(text)
 }
 
-func hashed(text string) balancer.UpstreamID {
+func hashed(text string) balancer.EndpointID {
 	h := fnv.New32a()
 	io.WriteString(h, text) // never fails
-	return balancer.UpstreamID(h.Sum32())
+	return balancer.EndpointID(h.Sum32())
 }
 
 // discovery asks for the list of upstreams and posts what it hears. It never asks
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -493,10 +493,10 @@
 		return bad("the path does not begin with the class")
 	case len(h["X-Request-Id"]) != 1 || h.Get("X-Request-Id") == "":
 		return bad("one X-Request-Id is wanted")
-	case (class.Repeat == balancer.Safe) != (r.Method == http.MethodGet),
-		class.Repeat != balancer.Safe && r.Method != http.MethodPost:
+	case (class.Idempotency == balancer.Idempotent) != (r.Method == http.MethodGet),
+		class.Idempotency != balancer.Idempotent && r.Method != http.MethodPost:
 		return bad("the method does not fit the class")
-	case (class.Repeat == balancer.Keyed) != (h.Get("Idempotency-Key") != ""):
+	case (class.Idempotency == balancer.IdempotentByKey) != (h.Get("Idempotency-Key") != ""):
 		return bad("Idempotency-Key does not fit the class")
 	}
 	u := &upload{body: r.Body, control: http.NewResponseController(w), credit: slowClient,
@@ -515,7 +515,7 @@
 		more = !whole
 		at = conn.arrivedAt() // it counts from its last byte
 	}
-	if class.Repeat == balancer.Safe && len(body) > 0 {
+	if class.Idempotency == balancer.Idempotent && len(body) > 0 {
 		f.held.give(cap(body))
 		return bad("a GET has no body")
 	}
@@ -526,8 +526,8 @@
 	}
 	q := &request{at: at, reply: make(chan answer, 1),
 		message: message{line: r.Method + " " + originForm(r.RequestURI), header: h, host: r.Host, body: body}}
-	if class.Repeat == balancer.Keyed {
-		q.window.span = class.Memory
+	if class.Idempotency == balancer.IdempotentByKey {
+		q.window.span = class.IdempotencyWindow
 	}
 	if more {
 		if err := u.control.EnableFullDuplex(); err != nil {
@@ -538,14 +538,14 @@
 		u.onTaken = func() { f.figures.inProgress.Add(1) }
 	}
 	q.Class, q.Tenant, q.Retry = class.Name, h.Get("X-Tenant"), h.Get("X-Retry") == "1"
-	q.Budget = class.Deadline
+	q.Timeout = class.Deadline
 	// 0 is a time too: it is over, and an answer is owed at once.
 	if ms, err := strconv.ParseInt(h.Get("X-Deadline-Ms"), 10, 32); err == nil && ms >= 0 {
-		q.Budget = min(q.Budget, time.Duration(ms)*time.Millisecond)
+		q.Timeout = min(q.Timeout, time.Duration(ms)*time.Millisecond)
 	}
-	q.Budget = max(0, min(q.Budget-answerMargin, f.beforeKill(at, q.Budget)))
+	q.Timeout = max(0, min(q.Timeout-answerMargin, f.beforeKill(at, q.Timeout)))
 	if cost, err := strconv.ParseInt(h.Get("X-Cost-Hint"), 10, 32); err == nil && cost > 0 {
-		q.Cost = time.Duration(cost) * time.Microsecond
+		q.CostHint = time.Duration(cost) * time.Microsecond
 	}
 	if c, err := r.Cookie("obj"); err == nil {
 		q.HasKey = true
--- a/internal/proxy/leave_test.go
+++ b/internal/proxy/leave_test.go
@@ -199,7 +199,7 @@
 				g.next(t)
 				c.Close()
 				b.leaveTaken(t)
-				var bounds map[balancer.UpstreamID]balancer.Learnt
+				var bounds map[balancer.EndpointID]balancer.EndpointStats
 				b.inLoop(t, func(l *loop) { bounds = learntOf(l) })
 				g.lift()
 				b.settled(t)
@@ -217,9 +217,9 @@
 }
 
 // learntOf is what the module has learnt of each upstream.
-func learntOf(l *loop) map[balancer.UpstreamID]balancer.Learnt {
-	all := map[balancer.UpstreamID]balancer.Learnt{}
-	for _, x := range l.balancer.Snapshot(l.now()).Upstreams {
+func learntOf(l *loop) map[balancer.EndpointID]balancer.EndpointStats {
+	all := map[balancer.EndpointID]balancer.EndpointStats{}
+	for _, x := range l.balancer.TakeSnapshot(l.now()).Endpoints {
 		all[x.ID] = x
 	}
 	return all
@@ -256,7 +256,7 @@
 					forbidden[id] = true
 					dialed += g.liftUntil(t, func() bool { return b.attemptsOut(t) == 0 })
 					b.settled(t)
-					b.inLoop(t, func(l *loop) { l.Disconnect(1) })
+					b.inLoop(t, func(l *loop) { l.CloseIdle(1) })
 					continue
 				}
 				d := g.next(t)
@@ -277,7 +277,7 @@
 					close(d.up)
 				}
 				b.settled(t)
-				b.inLoop(t, func(l *loop) { l.Disconnect(1) }) // the next needs one of its own
+				b.inLoop(t, func(l *loop) { l.CloseIdle(1) }) // the next needs one of its own
 			}
 			s.quiet(t, dialed)
 			sent := 0
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -41,9 +41,9 @@
 
 // peer is what the loop knows of an upstream's address and connections.
 type peer struct {
-	id      balancer.UpstreamID
+	id      balancer.EndpointID
 	address string
-	state   balancer.State
+	state   balancer.EndpointState
 	idle    []*conn // the most recently used last
 	out     map[*attempt]struct{}
 }
@@ -102,7 +102,7 @@
 	serial   uint64
 	alarms   alarms
 	requests map[balancer.RequestID]*request
-	peers    map[balancer.UpstreamID]*peer
+	peers    map[balancer.EndpointID]*peer
 	conns    int     // connections to upstreams, open or opening
 	due      []owing // outcomes that are known but not told: the module is not called while it calls
 	sweepAt  time.Duration
@@ -118,13 +118,13 @@
 	status balancer.Status
 }
 
-var _ balancer.Host = (*loop)(nil)
+var _ balancer.Effects = (*loop)(nil)
 
 func newLoop(ctx context.Context, c *Config) *loop {
 	l := &loop{ctx: ctx, events: make(chan event, 1024), lists: make(chan listed, 4), logs: make(chan line, logQueue),
 		origin: time.Now(), settings: c.Settings, figures: newFigures(c.Settings.Classes),
 		idleFor: max(c.Links.KeepAlive-spareIdle, c.Links.KeepAlive/2), maxConns: c.upstreamConns(),
-		names: newNames(), places: c.Localities, requests: map[balancer.RequestID]*request{}, peers: map[balancer.UpstreamID]*peer{},
+		names: newNames(), places: c.Localities, requests: map[balancer.RequestID]*request{}, peers: map[balancer.EndpointID]*peer{},
 		stopWatch: func() {}, stopFormer: func() {}}
 	l.dial = dialer{open: c.open, timeout: c.Links.ConnectTimeout, tries: l.figures.tries, held: newBudget(c.heldBytes()), now: l.now}
 	if l.dial.open == nil {
@@ -171,10 +171,10 @@
 	if l.balancer, err = balancer.New(c.Settings, c.Seed, l.now(), l); err != nil {
 		return err
 	}
-	l.members(balancer.ListCached, l.state.known)
+	l.members(balancer.UpdateCached, l.state.known)
 	l.state.restore(l)
-	if !c.Settings.OnRequest { // lists that are pushed come without the module's asking
-		l.Watch(true)
+	if !c.Settings.PollDiscovery { // lists that are pushed come without the module's asking
+		l.WatchEndpoints(true)
 	}
 	return nil
 }
@@ -221,7 +221,7 @@
 				l.expire(at)
 			}
 		default:
-			l.balancer.Timer(l.now(), a.token)
+			l.balancer.OnTimer(l.now(), a.token)
 		}
 		l.settle()
 	}
@@ -238,11 +238,11 @@
 // publish tells the gauges that only the loop knows. The module's ticks see to it that they are never old.
 func (l *loop) publish(now time.Duration) {
 	l.publishAt = now + publishEvery
-	known, skipped := l.balancer.Listed(now)
+	known, skipped := l.balancer.EndpointCounts(now)
 	l.figures.known.Set(known)
 	l.figures.skipped.Set(skipped)
 	l.state.learnt(l, now)
-	l.zones.take(now, l.balancer.Zones(now), l.settings.Zone, l.log)
+	l.zones.take(now, l.balancer.ZoneStatuses(now), l.settings.Zone, l.log)
 }
 
 func (l *loop) alarm(a alarm) {
@@ -265,11 +265,11 @@
 	if r.Upload {
 		r.deadline = noDeadline // until it has been written
 	} else {
-		r.deadline = r.at + r.Budget
-		r.Budget = max(0, r.deadline-now)
+		r.deadline = r.at + r.Timeout
+		r.Timeout = max(0, r.deadline-now)
 		l.alarm(alarm{at: r.deadline, request: r})
 	}
-	l.balancer.Request(now, r.Request)
+	l.balancer.OnRequest(now, r.Request)
 }
 
 // written tells that the last byte of an upload is on its way: the time of its request begins.
@@ -280,9 +280,9 @@
 	if e.told || r.closed {
 		return
 	}
-	e.sentAt, r.deadline = now, now+r.within(now, r.Budget)
+	e.sentAt, r.deadline = now, now+r.within(now, r.Timeout)
 	l.alarm(alarm{at: r.deadline, request: r})
-	l.balancer.Written(now, r.ID, e.n)
+	l.balancer.OnBodySent(now, r.ID, e.n)
 }
 
 // passed is the end of an answer that was passed on as it came, with its connection if that can serve again.
@@ -300,7 +300,7 @@
 	r := e.request
 	if !r.closed {
 		l.close(r)
-		l.balancer.Gone(l.now(), r.ID)
+		l.balancer.OnClientDisconnected(l.now(), r.ID)
 	}
 	select {
 	case a := <-r.reply: // it came too late to be passed on
@@ -340,7 +340,7 @@
 	}
 	a.told = true
 	q, now := a.req, l.now()
-	if r.status == balancer.Full || r.status == balancer.ConnectFailed || r.status == balancer.Moot {
+	if r.status == balancer.Rejected || r.status == balancer.ConnectFailed || r.status == balancer.NotSent {
 		q.window.never(a)
 	}
 	if served = r.status == balancer.OK && !q.closed; served {
@@ -349,8 +349,8 @@
 	q.out--
 	closed := q.closed
 	l.release(q)
-	l.balancer.Outcome(now, balancer.Outcome{ID: q.ID, Upstream: a.peer.id, Attempt: a.n, Latency: now - a.sentAt,
-		Status: r.status, Closed: closed, Spent: r.spent, Load: r.load})
+	l.balancer.OnAttemptResult(now, balancer.AttemptResult{ID: q.ID, Endpoint: a.peer.id, Attempt: a.n, Latency: now - a.sentAt,
+		Status: r.status, RequestClosed: closed, BodyConsumed: r.spent, Load: r.load})
 	return served
 }
 
@@ -371,7 +371,7 @@
 	}
 	a.drop()
 	if a.stage.Load() == dropped {
-		status = balancer.Moot
+		status = balancer.NotSent
 	} else {
 		a.given.Store(true)
 		a.conn.giveUp() // that tells the upstream to stop, and frees its room
@@ -400,7 +400,7 @@
 	r.closed = true
 	for _, a := range r.attempts {
 		if a.drop() {
-			l.due = append(l.due, owing{a, balancer.Moot})
+			l.due = append(l.due, owing{a, balancer.NotSent})
 		}
 	}
 	l.release(r)
@@ -417,7 +417,7 @@
 // --- Host: what the module asks for ---
 
 // Send makes an attempt.
-func (l *loop) Send(id balancer.RequestID, up balancer.UpstreamID, timeout time.Duration) {
+func (l *loop) Send(id balancer.RequestID, up balancer.EndpointID, timeout time.Duration) {
 	r, p := l.requests[id], l.peers[up]
 	if r == nil || p == nil { // the module sends what it was told of, where it was told
 		l.Log(fmt.Sprintf("send of unknown request %d or upstream %d", id, up))
@@ -439,7 +439,7 @@
 	}
 	if !ok { // nothing of its upstream's
 		a.drop()
-		l.due = append(l.due, owing{a, balancer.Moot})
+		l.due = append(l.due, owing{a, balancer.NotSent})
 		return
 	}
 	p.out[a], a.message = struct{}{}, r.message
@@ -447,12 +447,12 @@
 }
 
 // Refuse answers a client that another try is harmless.
-func (l *loop) Refuse(id balancer.RequestID, retryAfter time.Duration) {
+func (l *loop) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	if r := l.requests[id]; r != nil {
-		if !l.settings.Limits.RetryAfter {
+		if !l.settings.Limits.AllowRetryAfter {
 			retryAfter = 0
 		}
-		l.answer(r, answer{status: http.StatusServiceUnavailable, retryAfter: min(retryAfter, l.settings.Limits.MaxRetry)})
+		l.answer(r, answer{status: http.StatusServiceUnavailable, retryAfter: min(retryAfter, l.settings.Limits.MaxRetryAfter)})
 	}
 }
 
@@ -507,7 +507,7 @@
 }
 
 // Watch begins to follow discovery, or ends it.
-func (l *loop) Watch(on bool) {
+func (l *loop) WatchEndpoints(on bool) {
 	l.stopWatch()
 	l.stopWatch = func() {}
 	if on {
@@ -540,15 +540,15 @@
 	l.stopFormer, l.stopWatch = l.stopWatch, func() {}
 	l.state.discovery = string(e)
 	l.follow(string(e), 0)
-	l.Watch(true)
+	l.WatchEndpoints(true)
 	old.client.CloseIdleConnections()
 }
 
 // Fetch asks discovery for the whole list.
-func (l *loop) Fetch() { go l.discovery.fetch(l.ctx) }
+func (l *loop) FetchEndpoints() { go l.discovery.fetch(l.ctx) }
 
 // Probe asks an upstream for its load.
-func (l *loop) Probe(up balancer.UpstreamID) {
+func (l *loop) HealthCheck(up balancer.EndpointID) {
 	p := l.peers[up]
 	if p == nil || p.state != balancer.Active {
 		return
@@ -573,7 +573,7 @@
 func (e probed) apply(l *loop) {
 	l.keep(e.peer, e.result.conn)
 	now := l.now()
-	l.balancer.Probed(now, balancer.ProbeResult{Upstream: e.peer.id, Latency: now - e.sentAt, Status: e.status, Load: e.result.load})
+	l.balancer.OnHealthCheckResult(now, balancer.HealthCheckResult{Endpoint: e.peer.id, Latency: now - e.sentAt, Status: e.status, Load: e.result.load})
 }
 
 // --- Connections ---
@@ -605,7 +605,7 @@
 			p.idle = p.idle[:n-1]
 			return c, true
 		}
-		l.Disconnect(p.id) // the youngest
+		l.CloseIdle(p.id) // the youngest
 	}
 	if !l.room() {
 		return nil, false
@@ -661,7 +661,7 @@
 }
 
 // Disconnect closes the idle connections to an upstream.
-func (l *loop) Disconnect(up balancer.UpstreamID) {
+func (l *loop) CloseIdle(up balancer.EndpointID) {
 	if p := l.peers[up]; p != nil {
 		l.shut(p.idle...)
 		p.idle = nil
@@ -674,13 +674,13 @@
 func (leave) apply(l *loop) {
 	l.leaving = true
 	for id := range l.peers {
-		l.Disconnect(id)
+		l.CloseIdle(id)
 	}
 }
 
 // forget drops an upstream that is gone and has nothing out.
 func (l *loop) forget(p *peer) {
-	if p.state == balancer.Gone && len(p.out) == 0 && l.peers[p.id] == p {
+	if p.state == balancer.Removed && len(p.out) == 0 && l.peers[p.id] == p {
 		delete(l.peers, p.id)
 	}
 }
@@ -690,9 +690,9 @@
 // hear takes an answer of discovery.
 func (l *loop) hear(x listed) {
 	defer close(x.taken)
-	mode := balancer.ListDelta
+	mode := balancer.UpdateDelta
 	if x.Complete {
-		mode = balancer.ListFull
+		mode = balancer.UpdateComplete
 	}
 	switch {
 	case x.from != l.discovery:
@@ -704,7 +704,7 @@
 		}
 	case x.err != nil:
 		l.Log(x.err.Error())
-		l.balancer.Members(l.now(), balancer.ListFailed, nil)
+		l.balancer.OnEndpointUpdate(l.now(), balancer.UpdateFailed, nil)
 	case x.Revision < l.revision && (x.began < l.heardAt || !l.older):
 		// Overtaken by a newer one, or out of date: it must not undo that. An agent that began anew says so again.
 		l.Log(fmt.Sprintf("discovery: revision %d after %d passed over", x.Revision, l.revision))
@@ -727,10 +727,10 @@
 
 // members applies a list: first to the peers, so that nothing goes to one that drains, then to the module, which
 // may send at once.
-func (l *loop) members(mode balancer.ListMode, x listing) {
+func (l *loop) members(mode balancer.UpdateMode, x listing) {
 	l.revision = x.Revision
-	list := make([]balancer.Upstream, 0, len(x.Members))
-	named := make(map[balancer.UpstreamID]bool, len(x.Members))
+	list := make([]balancer.Endpoint, 0, len(x.Members))
+	named := make(map[balancer.EndpointID]bool, len(x.Members))
 	for i := range x.Members {
 		m := &x.Members[i]
 		u := m.upstream(l.names.id(m.ID))
@@ -740,18 +740,18 @@
 		l.peer(u, m.HostPort)
 	}
 	for id, p := range l.peers {
-		if mode != balancer.ListDelta && !named[id] {
-			p.state = balancer.Gone
-			l.Disconnect(id)
+		if mode != balancer.UpdateDelta && !named[id] {
+			p.state = balancer.Removed
+			l.CloseIdle(id)
 		}
 		for a := range p.out {
 			// Its upstream left or moved while it waited for a connection: another may have the address now.
 			if (p.state != balancer.Active || a.address != p.address) && a.drop() {
-				l.due = append(l.due, owing{a, balancer.Moot})
+				l.due = append(l.due, owing{a, balancer.NotSent})
 			}
 		}
 	}
-	l.balancer.Members(l.now(), mode, list)
+	l.balancer.OnEndpointUpdate(l.now(), mode, list)
 	l.settle()
 	l.state.told(l, mode, x)
 	l.publish(l.now())
@@ -761,19 +761,19 @@
 }
 
 // peer applies a list's entry.
-func (l *loop) peer(u balancer.Upstream, address string) {
+func (l *loop) peer(u balancer.Endpoint, address string) {
 	p := l.peers[u.ID]
 	if p == nil {
-		if u.State == balancer.Gone {
+		if u.State == balancer.Removed {
 			return
 		}
 		p = &peer{id: u.ID, out: map[*attempt]struct{}{}}
 		l.peers[u.ID] = p
 	}
 	if p.state = u.State; u.State != balancer.Active || (address != p.address && p.address != "") {
-		l.Disconnect(u.ID)
+		l.CloseIdle(u.ID)
 	}
-	if u.State != balancer.Gone {
+	if u.State != balancer.Removed {
 		p.address = address
 	}
 }
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -44,7 +44,7 @@
 }
 
 // join adds an upstream to a loop.
-func join(l *loop, id balancer.UpstreamID, s *server) *peer {
+func join(l *loop, id balancer.EndpointID, s *server) *peer {
 	l.peers[id] = &peer{id: id, address: s.addr, out: map[*attempt]struct{}{}}
 	return l.peers[id]
 }
@@ -89,7 +89,7 @@
 		}
 	}
 	want(t, "attempts unsent", len(l.due), 1) // the third found no room, and nothing idle
-	want(t, "its outcome", l.due[0].status, balancer.Moot)
+	want(t, "its outcome", l.due[0].status, balancer.NotSent)
 	want(t, "idle", len(older.idle)+len(newer.idle), 0)
 	want(t, "connections", l.conns, 2)
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -177,7 +177,7 @@
 				idle(t, l, p, l.now()-x.age(l))
 				l.sweepAt = l.now() + time.Hour // not yet
 				if probes {
-					l.Probe(1)
+					l.HealthCheck(1)
 				} else {
 					l.request(1)
 					l.Send(1, 1, 0)
@@ -339,7 +339,7 @@
 					a := &attempt{req: r, n: i, peer: p, conn: c}
 					r.attempts, r.out, l.conns = append(r.attempts, a), r.out+1, l.conns+1
 					p.out[a] = struct{}{}
-					res := result{status: balancer.Moot, conn: c}
+					res := result{status: balancer.NotSent, conn: c}
 					if how != "unsent" {
 						a.stage.Store(claimed)
 						res = result{status: balancer.Reset}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -111,9 +111,9 @@
 
 // Zone sends nothing new to a zone, or takes it back by steps.
 func (p *Proxy) Zone(name string, leave bool) (done bool, state string) {
-	change, state, why := (*balancer.Balancer).ReturnZone, "returning", "it was not left"
+	change, state, why := (*balancer.Balancer).ReinstateZone, "returning", "it was not left"
 	if leave {
-		change, state, why = (*balancer.Balancer).LeaveZone, "left", "it is not known, or the last that is not left"
+		change, state, why = (*balancer.Balancer).DrainZone, "left", "it is not known, or the last that is not left"
 	}
 	ok := false // the loop's own until it has answered
 	if err := p.ask(func(l *loop) { ok = change(l.balancer, l.now(), name) }); err != nil {
@@ -136,11 +136,11 @@
 // WriteZones writes what each zone is to the balancer, one to a line.
 func (p *Proxy) WriteZones(w io.Writer) error {
 	var all []balancer.ZoneStatus
-	if err := p.ask(func(l *loop) { all = l.balancer.Zones(l.now()) }); err != nil {
+	if err := p.ask(func(l *loop) { all = l.balancer.ZoneStatuses(l.now()) }); err != nil {
 		return err
 	}
 	for _, z := range all {
-		if _, err := fmt.Fprintf(w, "zone %q %s listed %d share %.3f use %.3f\n", z.Name, z.State, z.Listed, z.Share, z.Use); err != nil {
+		if _, err := fmt.Fprintf(w, "zone %q %s listed %d share %.3f use %.3f\n", z.Name, z.State, z.Listed, z.Share, z.Utilization); err != nil {
 			return err
 		}
 	}
@@ -148,8 +148,8 @@
 }
 
 // Fleet takes how many balancers there are from now on.
-func (p *Proxy) Fleet(f balancer.Fleet) error {
-	return p.ask(func(l *loop) { l.balancer.Fleet(l.now(), f) })
+func (p *Proxy) Fleet(f balancer.FleetSize) error {
+	return p.ask(func(l *loop) { l.balancer.OnFleetSizeChanged(l.now(), f) })
 }
 
 // WriteFigures writes what the balancer reports, one figure to a line.
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -411,8 +411,8 @@
 		{"served after a 1xx", raw("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", true), balancer.OK, true},
 		{"error", raw("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", true), balancer.Error, true},
 		{"503 that may have run", raw("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", true), balancer.Error, true},
-		{"503 not run", raw("HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), balancer.Full, true},
-		{"504 not run", raw("HTTP/1.1 504 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), balancer.Full, true},
+		{"503 not run", raw("HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), balancer.Rejected, true},
+		{"504 not run", raw("HTTP/1.1 504 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), balancer.Rejected, true},
 		{"502 not run is not in the table", raw("HTTP/1.1 502 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), balancer.Error, true},
 		{"closed without an answer", raw("", false), balancer.Reset, false},
 		{"cut short", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", false), balancer.Reset, false},
@@ -421,7 +421,7 @@
 		{"1xx on and on", raw(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 80000)+"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", false), balancer.Reset, false},
 		{"no HTTP", raw("what?\r\n\r\n", false), balancer.Reset, false},
 		{"a large error", raw("HTTP/1.1 500 X\r\nContent-Length: 65537\r\n\r\n"+strings.Repeat("x", maxBody+1), true), balancer.Error, false},
-		{"503 not run, large", raw("HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nConnection: close\r\n\r\n"+strings.Repeat("x", maxBody+1), false), balancer.Full, false},
+		{"503 not run, large", raw("HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nConnection: close\r\n\r\n"+strings.Repeat("x", maxBody+1), false), balancer.Rejected, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newServer(t, c.answer)
@@ -449,7 +449,7 @@
 	a := directAttempt(message{line: "POST /x", host: "x"}, s.addr, nil)
 	want(t, "dropped", a.drop(), true)
 	r := d.run(a)
-	want(t, "status", r.status, balancer.Moot)
+	want(t, "status", r.status, balancer.NotSent)
 	want(t, "still of use", r.conn != nil && r.conn.fresh() == nil, true)
 	want(t, "requests written", len(s.arrivals), 0)
 }
@@ -664,7 +664,7 @@
 	b.moves <- next.addr
 	want(t, "first call", <-next.calls, watchQuery(0)) // it waits
 	b.registry.answers <- listing{Revision: 12, Members: []member{draining(m1)}}
-	state := func(is balancer.State) func(l *loop) bool {
+	state := func(is balancer.EndpointState) func(l *loop) bool {
 		return func(l *loop) bool { return l.peers[1].state == is }
 	}
 	b.await(t, "the old one's drain is taken", state(balancer.Draining))
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -39,10 +39,10 @@
 // longestSpread bounds the wait before the first call to discovery. Where lists are pushed, what the agent has counts as told
 // from the first moment, so the call has to be answered within the grace for draining upstreams.
 func longestSpread(s balancer.Settings) time.Duration {
-	if s.OnRequest {
+	if s.PollDiscovery {
 		return spreadCalls
 	}
-	return min(spreadCalls, s.Rules.DrainGrace/2)
+	return min(spreadCalls, s.Obligations.DrainGrace/2)
 }
 
 // Keeper keeps states. Only Keep waits for the disk.
@@ -62,8 +62,8 @@
 // keptLearnt is what the module had learnt. Names are discovery's ids of Knowledge.Upstreams, in their order: the
 // numbers that the module uses hold for one process only.
 type keptLearnt struct {
-	Names     []string           `json:"names"`
-	Knowledge balancer.Knowledge `json:"knowledge"`
+	Names     []string          `json:"names"`
+	Knowledge balancer.Snapshot `json:"knowledge"`
 }
 
 // keptOrders is what operators have ordered.
@@ -81,7 +81,7 @@
 	known     listing           // to begin with
 	restored  bool              // that list is of before this process
 	members   map[string]member // as they are now
-	names     map[balancer.UpstreamID]string
+	names     map[balancer.EndpointID]string
 	learntAt  time.Duration
 
 	mu     sync.Mutex // of the orders: operators' calls come from goroutines of their own
@@ -105,7 +105,7 @@
 // moved meanwhile, unless that has none.
 func newState(c *Config, log func(text string, keys ...any)) *state {
 	s := &state{keeper: c.Keeper, log: log, discovery: c.Discovery, known: c.Known, members: map[string]member{},
-		names: map[balancer.UpstreamID]string{}}
+		names: map[balancer.EndpointID]string{}}
 	if s.keeper == nil {
 		return s
 	}
@@ -142,22 +142,22 @@
 	var kept keptLearnt
 	r, ok := s.load(kindLearnt, &kept)
 	k := kept.Knowledge
-	if ok && len(kept.Names) != len(k.Upstreams) {
+	if ok && len(kept.Names) != len(k.Endpoints) {
 		s.log("state passed over", "kind", kindLearnt, "generation", r.Generation, "err", "names and figures differ in number")
 		ok = false
 	}
 	if !ok {
-		k = balancer.Knowledge{}
+		k = balancer.Snapshot{}
 	}
-	for i := range k.Upstreams {
-		k.Upstreams[i].ID = l.names.id(kept.Names[i])
+	for i := range k.Endpoints {
+		k.Endpoints[i].ID = l.names.id(kept.Names[i])
 	}
-	k.Left = s.orders.Left
-	if ok || len(k.Left) > 0 {
+	k.DrainedZones = s.orders.Left
+	if ok || len(k.DrainedZones) > 0 {
 		l.balancer.Restore(l.now(), k)
 	}
 	if ok {
-		s.log("knowledge from before", "upstreams", len(k.Upstreams), "age", (l.now() - k.At).Round(time.Millisecond).String())
+		s.log("knowledge from before", "upstreams", len(k.Endpoints), "age", (l.now() - k.TakenAt).Round(time.Millisecond).String())
 	}
 	if s.orders.Drain || len(s.orders.Left) > 0 {
 		s.log("orders from before", "serial", s.orders.Serial, "drain", s.orders.Drain, "left", strings.Join(s.orders.Left, " "))
@@ -165,17 +165,17 @@
 }
 
 // told notes a list, and offers what came of it.
-func (s *state) told(l *loop, mode balancer.ListMode, x listing) {
+func (s *state) told(l *loop, mode balancer.UpdateMode, x listing) {
 	if s.keeper == nil {
 		return
 	}
-	if mode != balancer.ListDelta {
+	if mode != balancer.UpdateDelta {
 		clear(s.members)
 		clear(s.names)
 	}
 	for _, m := range x.Members {
 		id := l.names.id(m.ID)
-		if phases[m.Phase] == balancer.Gone {
+		if phases[m.Phase] == balancer.Removed {
 			delete(s.members, m.ID)
 			delete(s.names, id)
 			continue
@@ -193,8 +193,8 @@
 		return
 	}
 	s.learntAt = now + learntEvery
-	kept := keptLearnt{Knowledge: l.balancer.Snapshot(now)}
-	for _, u := range kept.Knowledge.Upstreams {
+	kept := keptLearnt{Knowledge: l.balancer.TakeSnapshot(now)}
+	for _, u := range kept.Knowledge.Endpoints {
 		kept.Names = append(kept.Names, s.names[u.ID])
 	}
 	s.keeper.Offer(kindLearnt, versionLearnt, time.Now(), func() ([]byte, error) { return json.Marshal(kept) })
--- a/internal/proxy/state_test.go
+++ b/internal/proxy/state_test.go
@@ -92,7 +92,7 @@
 		t.Errorf("started anew: %s, want draining", state)
 	}
 	var lat float64
-	if err := again.proxy.ask(func(l *loop) { lat = l.balancer.Snapshot(l.now()).Latency }); err != nil || lat == 0 {
+	if err := again.proxy.ask(func(l *loop) { lat = l.balancer.TakeSnapshot(l.now()).Latency }); err != nil || lat == 0 {
 		t.Errorf("started anew: %v, usual latency %v", err, lat)
 	}
 	if done, _ := again.proxy.Drain(false); !done {
@@ -157,7 +157,7 @@
 			}
 			c := benchConfig(t)
 			c.Keeper, c.Seed = shelf, seed
-			c.Settings.OnRequest, c.Settings.Rules.DrainGrace = x.onRequest, grace
+			c.Settings.PollDiscovery, c.Settings.Obligations.DrainGrace = x.onRequest, grace
 			l := newLoop(t.Context(), &c)
 			want(t, "knows its upstreams from before", l.state.restored, true)
 			if wait := time.Duration(l.discovery.rest.Load()); wait > x.longest {
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -111,7 +111,7 @@
 func (a *attempt) remaining(now time.Duration) time.Duration {
 	left := a.deadline - now
 	if a.req.Upload {
-		left = min(left, a.req.within(now, a.req.Budget))
+		left = min(left, a.req.within(now, a.req.Timeout))
 	}
 	return left
 }
@@ -161,7 +161,7 @@
 // result is how an attempt ended, with its connection if that can serve again.
 type result struct {
 	status balancer.Status
-	load   balancer.Load
+	load   balancer.LoadReport
 	body   []byte
 	kind   string // the body's Content-Type
 	conn   *conn
@@ -303,7 +303,7 @@
 	a.conn = c
 	now := d.now() // after the wait for the connection
 	if !a.claim(now) {
-		return result{status: balancer.Moot, conn: c}
+		return result{status: balancer.NotSent, conn: c}
 	}
 	a.head = a.message.head(a.remaining(now))
 	sent, spent, err := d.write(a, c)
@@ -319,10 +319,10 @@
 		}
 	case err == errClient:
 		c.Close()
-		return result{status: balancer.Moot, spent: true}
+		return result{status: balancer.NotSent, spent: true}
 	case a.message.rest != nil: // it may have said why it takes no more
 		c.SetReadDeadline(time.Now().Add(d.timeout))
-		if r := d.answer(c); r.status == balancer.Full {
+		if r := d.answer(c); r.status == balancer.Rejected {
 			if r.conn != nil {
 				r.conn.Close()
 			}
@@ -356,7 +356,7 @@
 		r.status, r.kind = balancer.OK, resp.Header.Get("Content-Type")
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Not-Run") == "1": // without that mark it may have run
-		r.status = balancer.Full
+		r.status = balancer.Rejected
 	}
 	began := time.Now()
 	body, whole, err := d.held.hold(resp.Body, resp.ContentLength, func() bool {
@@ -393,8 +393,8 @@
 const passOn = 200 * time.Millisecond
 
 // loadOf reads a load report: name=value pairs. What can't be read is passed over.
-func loadOf(text string) balancer.Load {
-	var l balancer.Load
+func loadOf(text string) balancer.LoadReport {
+	var l balancer.LoadReport
 	for part := range strings.SplitSeq(text, ",") {
 		name, v, _ := strings.Cut(part, "=")
 		if x, err := strconv.ParseFloat(strings.TrimSpace(v), 64); err == nil {
--- a/internal/proxy/zones.go
+++ b/internal/proxy/zones.go
@@ -40,7 +40,7 @@
 	}
 	for _, x := range zones {
 		if before := was[x.Name]; before != x.State && z.mayLog(now) { // a zone that is new has been well
-			log("zone", "zone", x.Name, "state", x.State.String(), "was", before.String(), "bad", x.Bad, "listed", x.Listed)
+			log("zone", "zone", x.Name, "state", x.State.String(), "was", before.String(), "bad", x.Unhealthy, "listed", x.Listed)
 		}
 	}
 	z.last.Store(&zoneReport{home, zones[:min(len(zones), mostZones)]})
@@ -64,12 +64,12 @@
 var perZone = []zoneFigure{
 	{"svc_zone_state", func(_ *zoneReport, z balancer.ZoneStatus) int { return int(z.State) }},
 	{"svc_zone_share", func(_ *zoneReport, z balancer.ZoneStatus) int { return int(1000*z.Share + 0.5) }},
-	{"svc_zone_tries", func(_ *zoneReport, z balancer.ZoneStatus) int { return z.Sent }},
+	{"svc_zone_tries", func(_ *zoneReport, z balancer.ZoneStatus) int { return z.Attempts }},
 	{"svc_zone_crossing", func(r *zoneReport, z balancer.ZoneStatus) int {
 		if z.Name == r.home {
 			return 0
 		}
-		return z.Sent
+		return z.Attempts
 	}},
 	{"svc_zone_spilled", func(_ *zoneReport, z balancer.ZoneStatus) int { return z.Spilled }},
 }
--- a/internal/proxy/zones_test.go
+++ b/internal/proxy/zones_test.go
@@ -96,9 +96,9 @@
 	var lines []string
 	log := func(text string, keys ...any) { lines = append(lines, text+" "+fmt.Sprint(keys...)) }
 	take := func(at time.Duration, s balancer.ZoneState) {
-		z.take(at, []balancer.ZoneStatus{{Name: "r/a", State: s, Bad: 3, Listed: 4}, {Name: "r/b"}}, "r/b", log)
+		z.take(at, []balancer.ZoneStatus{{Name: "r/a", State: s, Unhealthy: 3, Listed: 4}, {Name: "r/b"}}, "r/b", log)
 	}
-	take(0, balancer.ZoneWell)
+	take(0, balancer.ZoneHealthy)
 	take(time.Second, balancer.ZoneFailed)
 	take(2*time.Second, balancer.ZoneFailed)
 	if len(lines) != 1 || !strings.Contains(lines[0], "r/a") || !strings.Contains(lines[0], "failed") {
--- a/internal/wire/read.go
+++ b/internal/wire/read.go
@@ -38,11 +38,11 @@
 	Instance int
 	Seed     uint64
 	Settings balancer.Settings
-	Mode     balancer.ListMode
-	List     []balancer.Upstream
+	Mode     balancer.UpdateMode
+	List     []balancer.Endpoint
 	Request  balancer.Request
-	Outcome  balancer.Outcome // also Established: ID, Upstream, Attempt, Latency
-	Probe    balancer.ProbeResult
+	Outcome  balancer.AttemptResult // also Established: ID, Upstream, Attempt, Latency
+	Probe    balancer.HealthCheckResult
 	Token    uint64
 }
 
@@ -62,7 +62,7 @@
 	line  int
 	long  []byte
 	names map[string]string
-	lists [banks][]balancer.Upstream
+	lists [banks][]balancer.Endpoint
 	known [banks]bool
 	parts fields
 }
@@ -156,21 +156,21 @@
 	case "endpoints":
 		e.Kind = Endpoints
 		e.Mode = f.mode("mode")
-		if e.Mode != balancer.ListFailed {
+		if e.Mode != balancer.UpdateFailed {
 			e.List = r.list()
 		}
 	case "inbound":
 		e.Kind = Inbound
-		e.Request = balancer.Request{ID: balancer.RequestID(f.hex("id", true)), Budget: f.span("budget_us", true),
+		e.Request = balancer.Request{ID: balancer.RequestID(f.hex("id", true)), Timeout: f.span("budget_us", true),
 			Class: r.name(f.text("class", true)), Tenant: r.name(f.text("org", false)), Key: f.hex("key", false),
-			HasKey: f.has("key"), Retry: f.flag("retry"), Cost: f.span("cost_guess_us", false)}
+			HasKey: f.has("key"), Retry: f.flag("retry"), CostHint: f.span("cost_guess_us", false)}
 	case "established":
 		e.Kind = Established
 		e.Outcome = f.outcome()
 	case "verdict":
 		e.Kind = Verdict
 		e.Outcome = f.outcome()
-		e.Outcome.Status, e.Outcome.Closed, e.Outcome.Load = f.status("disposition"), f.flag("over"), f.load("metrics")
+		e.Outcome.Status, e.Outcome.RequestClosed, e.Outcome.Load = f.status("disposition"), f.flag("over"), f.load("metrics")
 	case "lapsed":
 		e.Kind = Lapsed
 		e.Request.ID = balancer.RequestID(f.hex("id", true))
@@ -178,7 +178,7 @@
 		e.Kind, e.Token = Elapsed, f.uint("ctx", 63, true)
 	case "health":
 		e.Kind = Health
-		e.Probe = balancer.ProbeResult{Upstream: balancer.UpstreamID(f.uint("upstream", 32, true)),
+		e.Probe = balancer.HealthCheckResult{Endpoint: balancer.EndpointID(f.uint("upstream", 32, true)),
 			Latency: f.span("cost_time_us", true), Status: f.status("disposition"), Load: f.load("metrics")}
 	case "inbox":
 		e.Kind = Inbox
@@ -204,7 +204,7 @@
 	if f.err != nil {
 		return fmt.Errorf("sheet: %w", f.err)
 	}
-	list := make([]balancer.Upstream, 0, min(n, 1<<12))
+	list := make([]balancer.Endpoint, 0, min(n, 1<<12))
 	for range n {
 		line, err := r.next()
 		if err != nil {
@@ -217,7 +217,7 @@
 		if string(name) != "m" {
 			return fmt.Errorf("sheet: items=%d, but %d follow", n, len(list))
 		}
-		u := balancer.Upstream{ID: balancer.UpstreamID(f.uint("upstream", 32, true)), Cell: int(f.uint("block", 62, false)),
+		u := balancer.Endpoint{ID: balancer.EndpointID(f.uint("upstream", 32, true)), Cell: int(f.uint("block", 62, false)),
 			Zone: r.name(f.text("region_part", false)), Weight: f.real("nominal", 1),
 			StartedAt: f.span("came_up_us", false), State: f.state("availability")}
 		if f.err != nil {
@@ -229,7 +229,7 @@
 	return nil
 }
 
-func (r *Reader) list() []balancer.Upstream {
+func (r *Reader) list() []balancer.Endpoint {
 	bank := r.parts.uint("bank", 31, true)
 	if bank >= banks || !r.known[bank] {
 		r.parts.fail("bank", "no such list")
@@ -400,34 +400,34 @@
 	return x
 }
 
-func (f *fields) outcome() balancer.Outcome {
-	return balancer.Outcome{ID: balancer.RequestID(f.hex("id", true)), Upstream: balancer.UpstreamID(f.uint("upstream", 32, true)),
+func (f *fields) outcome() balancer.AttemptResult {
+	return balancer.AttemptResult{ID: balancer.RequestID(f.hex("id", true)), Endpoint: balancer.EndpointID(f.uint("upstream", 32, true)),
 		Attempt: int(f.uint("go", 31, true)), Latency: f.span("cost_time_us", true)}
 }
 
-func (f *fields) mode(name string) balancer.ListMode {
+func (f *fields) mode(name string) balancer.UpdateMode {
 	switch string(f.text(name, true)) {
 	case "D":
-		return balancer.ListDelta
+		return balancer.UpdateDelta
 	case "F":
-		return balancer.ListFull
+		return balancer.UpdateComplete
 	case "C":
-		return balancer.ListCached
+		return balancer.UpdateCached
 	case "X":
-		return balancer.ListFailed
+		return balancer.UpdateFailed
 	}
 	f.fail(name, "unknown list mode")
 	return 0
 }
 
-func (f *fields) state(name string) balancer.State {
+func (f *fields) state(name string) balancer.EndpointState {
 	switch string(f.text(name, true)) {
 	case "active":
 		return balancer.Active
 	case "leaving":
 		return balancer.Draining
 	case "left":
-		return balancer.Gone
+		return balancer.Removed
 	}
 	f.fail(name, "unknown state")
 	return 0
@@ -440,7 +440,7 @@
 	case 255:
 		return balancer.Error
 	case 254:
-		return balancer.Full
+		return balancer.Rejected
 	case 253:
 		return balancer.Timeout
 	case 252:
@@ -450,7 +450,7 @@
 	case 250:
 		return balancer.Cancelled
 	case 249:
-		return balancer.Moot
+		return balancer.NotSent
 	default:
 		f.fail(name, fmt.Sprintf("unknown status %d", x))
 		return 0
@@ -458,8 +458,8 @@
 }
 
 // load reads a report: name:value pairs. Values of other names are passed over.
-func (f *fields) load(name string) balancer.Load {
-	var l balancer.Load
+func (f *fields) load(name string) balancer.LoadReport {
+	var l balancer.LoadReport
 	rest := f.text(name, false)
 	for len(rest) > 0 {
 		var part []byte
@@ -477,16 +477,16 @@
 
 // SetLoad puts one value of a load report into l, by its name in the settings or the short one that upstreams use.
 // Values of other names are passed over.
-func SetLoad(l *balancer.Load, name string, x float64) {
+func SetLoad(l *balancer.LoadReport, name string, x float64) {
 	switch name {
 	case "load_share", "util":
-		l.Util, l.Fields = x, l.Fields|balancer.HasUtil
+		l.Utilization, l.Fields = x, l.Fields|balancer.HasUtilization
 	case "concurrent", "inflight":
 		l.Inflight, l.Fields = x, l.Fields|balancer.HasInflight
 	case "depth", "queue":
 		l.Queue, l.Fields = x, l.Fields|balancer.HasQueue
 	case "mean_ms", "latency_ms":
-		l.Service, l.Fields = x, l.Fields|balancer.HasService
+		l.ServiceTime, l.Fields = x, l.Fields|balancer.HasServiceTime
 	case "tps", "qps":
 		l.Rate, l.Fields = x, l.Fields|balancer.HasRate
 	case "err_ps", "eps":
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -61,13 +61,13 @@
 }
 
 var (
-	repeats = map[string]balancer.Repeat{"read_like": balancer.Safe, "idempotency_key": balancer.Keyed,
-		"non_idempotent": balancer.Unsafe}
-	groups = map[string]balancer.Group{"all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell}
+	repeats = map[string]balancer.Idempotency{"read_like": balancer.Idempotent, "idempotency_key": balancer.IdempotentByKey,
+		"non_idempotent": balancer.NonIdempotent}
+	groups = map[string]balancer.IdempotencyScope{"all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
 	weigh  = map[string]balancer.WeightKind{"silent": balancer.WeightNone, "nominal": balancer.WeightNominal,
-		"rough": balancer.WeightRough, "live": balancer.WeightLive}
-	vias = map[string]balancer.ReportVia{"silent": balancer.ReportNone, "piggyback": balancer.ReportAnswers,
-		"pull": balancer.ReportProbes}
+		"rough": balancer.WeightApproximate, "live": balancer.WeightLive}
+	vias = map[string]balancer.ReportSource{"silent": balancer.ReportNone, "piggyback": balancer.ReportInResponses,
+		"pull": balancer.ReportInHealthChecks}
 	asks   = map[string]bool{"pushed": false, "on_request": true}
 	worths = map[string]bool{"": false, "request": false, "work": true} // by work
 )
@@ -98,19 +98,19 @@
 	if err := json.Unmarshal(text, &p); err != nil {
 		return s, links, fmt.Errorf("settings: %w", err)
 	}
-	s = balancer.Settings{Zone: p.Zone, Balancers: p.Balancers, Rank: p.Rank, OverShareWorth: p.OverShare,
-		WarmKeys: p.Family.WarmKeys, Granularity: us(p.Granularity),
-		Limits: balancer.Limits{Cancel: p.Limits.Cancel, Probes: p.Limits.Probes, SecondCopies: p.Limits.SecondCopies,
-			RetryAfter: p.Limits.RetryAfter, MaxRetry: us(p.Limits.MaxRetry), MaxAttempts: p.Limits.MaxAttempts},
-		Rules: balancer.Rules{AskWithin: us(p.Rules.AskWithin), ColdFrom: p.Rules.ColdFrom, RampTime: us(p.Rules.RampTime),
-			TipMultiple: p.Rules.TipMultiple, TipAfter: us(p.Rules.TipAfter), DrainGrace: us(p.Rules.DrainGrace),
-			AnswerWithin: us(p.Rules.Slack)}}
+	s = balancer.Settings{Zone: p.Zone, Balancers: p.Balancers, Rank: p.Rank, OverQuotaFactor: p.OverShare,
+		KeyAffinity: p.Family.WarmKeys, EventSpacing: us(p.Granularity),
+		Limits: balancer.Limits{AllowCancel: p.Limits.Cancel, AllowHealthChecks: p.Limits.Probes, AllowHedging: p.Limits.SecondCopies,
+			AllowRetryAfter: p.Limits.RetryAfter, MaxRetryAfter: us(p.Limits.MaxRetry), MaxAttempts: p.Limits.MaxAttempts},
+		Obligations: balancer.Obligations{PollInterval: us(p.Rules.AskWithin), SlowStartFrom: p.Rules.ColdFrom, SlowStartWindow: us(p.Rules.RampTime),
+			OverloadMultiple: p.Rules.TipMultiple, OverloadWindow: us(p.Rules.TipAfter), DrainGrace: us(p.Rules.DrainGrace),
+			AnswerSlack: us(p.Rules.Slack)}}
 	links = Links{KeepAlive: us(p.Limits.KeepAlive), ConnectTimeout: us(p.Limits.ConnectTimeout)}
 	var ok bool
-	if s.WorthByWork, ok = worths[p.WorthBy]; !ok {
+	if s.PriorityByWork, ok = worths[p.WorthBy]; !ok {
 		return s, links, fmt.Errorf("settings: worth_by %q is unknown", p.WorthBy)
 	}
-	if s.OnRequest, ok = asks[p.Mode]; !ok {
+	if s.PollDiscovery, ok = asks[p.Mode]; !ok {
 		return s, links, fmt.Errorf("settings: membership_mode %q is unknown", p.Mode)
 	}
 	if s.Weights, ok = weigh[p.Weights]; !ok {
@@ -120,12 +120,12 @@
 		return s, links, fmt.Errorf("settings: reporting.via %q is unknown", p.Reporting.Via)
 	}
 	for _, c := range p.Classes {
-		class := balancer.Class{Name: c.Name, Aim: us(c.Target), Deadline: us(c.GiveUp), Memory: us(c.Memory),
-			Stream: c.Stream, Worth: c.Worth, LateWorth: c.LateWorth}
-		if class.Repeat, ok = repeats[c.Repeat]; !ok {
+		class := balancer.Class{Name: c.Name, LatencyObjective: us(c.Target), Deadline: us(c.GiveUp), IdempotencyWindow: us(c.Memory),
+			Stream: c.Stream, PriorityWeight: c.Worth, LatePriorityFactor: c.LateWorth}
+		if class.Idempotency, ok = repeats[c.Repeat]; !ok {
 			return s, links, fmt.Errorf("settings: profiles: repeat %q is unknown", c.Repeat)
 		}
-		if class.Group, ok = groups[c.Group]; !ok && class.Repeat == balancer.Keyed {
+		if class.Scope, ok = groups[c.Group]; !ok && class.Idempotency == balancer.IdempotentByKey {
 			return s, links, fmt.Errorf("settings: profiles: group %q is unknown", c.Group)
 		}
 		s.Classes = append(s.Classes, class)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -76,15 +76,15 @@
 	if got := fmt.Sprintf("%+v", b.Events[1].List); got != want {
 		t.Errorf("list %s, want %s (as it was when referred to)", got, want)
 	}
-	q := balancer.Request{ID: 0x912855b15d3a91c4, Budget: 240 * time.Millisecond, Class: "c", Tenant: "t", Key: 0x91f03b7c55d20a64, HasKey: true, Cost: 12 * time.Millisecond}
+	q := balancer.Request{ID: 0x912855b15d3a91c4, Timeout: 240 * time.Millisecond, Class: "c", Tenant: "t", Key: 0x91f03b7c55d20a64, HasKey: true, CostHint: 12 * time.Millisecond}
 	if b.Events[2].Request != q {
 		t.Errorf("request %+v", b.Events[2].Request)
 	}
 	o := b.Events[3].Outcome
-	if o.Attempt != 1 || o.Status != balancer.Full || o.Closed || o.Load.Util != 0.62 || o.Load.Fields != balancer.HasUtil|balancer.HasErrors {
+	if o.Attempt != 1 || o.Status != balancer.Rejected || o.RequestClosed || o.Load.Utilization != 0.62 || o.Load.Fields != balancer.HasUtilization|balancer.HasErrors {
 		t.Errorf("outcome %+v", o)
 	}
-	if s := b.Events[0].Settings; s.Zone != "z1" || s.Classes[0].Repeat != balancer.Unsafe || s.Rules.TipMultiple != 3 {
+	if s := b.Events[0].Settings; s.Zone != "z1" || s.Classes[0].Idempotency != balancer.NonIdempotent || s.Obligations.OverloadMultiple != 3 {
 		t.Errorf("settings %+v", s)
 	}
 }
@@ -95,14 +95,14 @@
 	p := NewPort(w, 3)
 	p.Send(0x912855b15d3a91c4, 51530247, 80*time.Millisecond)
 	p.Send(1, 2, 0)
-	p.Refuse(0xff, 250*time.Millisecond)
+	p.Reject(0xff, 250*time.Millisecond)
 	p.Fail(0xff)
 	p.Cancel(0xff, 2)
-	p.Probe(7)
-	p.Disconnect(7)
-	p.Watch(true)
-	p.Watch(false)
-	p.Fetch()
+	p.HealthCheck(7)
+	p.CloseIdle(7)
+	p.WatchEndpoints(true)
+	p.WatchEndpoints(false)
+	p.FetchEndpoints()
 	p.SetTimer(500*time.Millisecond, 77)
 	p.Log("two\nlines")
 	p.Crash("index out of range")
--- a/internal/wire/write.go
+++ b/internal/wire/write.go
@@ -40,7 +40,7 @@
 	return &Port{w: w, inst: " balancer_id=" + strconv.Itoa(instance)}
 }
 
-var _ balancer.Host = (*Port)(nil)
+var _ balancer.Effects = (*Port)(nil)
 
 func (p *Port) open(name string) {
 	p.w.buf = append(p.w.buf, name...)
@@ -77,7 +77,7 @@
 }
 
 // Send writes an attempt.
-func (p *Port) Send(id balancer.RequestID, up balancer.UpstreamID, timeout time.Duration) {
+func (p *Port) Send(id balancer.RequestID, up balancer.EndpointID, timeout time.Duration) {
 	p.open("submit_to")
 	p.id(id)
 	p.num(" upstream=", uint64(up))
@@ -86,7 +86,7 @@
 }
 
 // Refuse writes a refusal.
-func (p *Port) Refuse(id balancer.RequestID, retryAfter time.Duration) {
+func (p *Port) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	p.open("bounce")
 	p.id(id)
 	p.span(" hold_off_us=", retryAfter)
@@ -109,21 +109,21 @@
 }
 
 // Probe writes a probe.
-func (p *Port) Probe(up balancer.UpstreamID) {
+func (p *Port) HealthCheck(up balancer.EndpointID) {
 	p.open("ping")
 	p.num(" upstream=", uint64(up))
 	p.end()
 }
 
 // Disconnect writes the closing of idle connections.
-func (p *Port) Disconnect(up balancer.UpstreamID) {
+func (p *Port) CloseIdle(up balancer.EndpointID) {
 	p.open("disconnect")
 	p.num(" upstream=", uint64(up))
 	p.end()
 }
 
 // Watch writes a subscription to discovery, or its end.
-func (p *Port) Watch(on bool) {
+func (p *Port) WatchEndpoints(on bool) {
 	p.open("keep_informed")
 	if on {
 		p.num(" active=", 1)
@@ -134,7 +134,7 @@
 }
 
 // Fetch writes a call for the whole list.
-func (p *Port) Fetch() {
+func (p *Port) FetchEndpoints() {
 	p.open("query_all")
 	p.end()
 }
