--- a/architecture_test.go
+++ b/architecture_test.go
@@ -14,7 +14,10 @@
 
 // imports is which packages of this module each may import, as docs/ARCHITECTURE.md has it. Tests may import more.
 var imports = map[string][]string{
-	"balancer":             {},
+	"balancer":             {"internal/stats", "internal/leakybucket", "internal/ring"},
+	"internal/leakybucket": {},
+	"internal/ring":        {},
+	"internal/stats":       {},
 	"internal/metrics":     {},
 	"internal/management":  {},
 	"internal/wire":        {"balancer"},
--- /dev/null
+++ b/balancer/admission.go
@@ -0,0 +1,143 @@
+package balancer
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+
+	"sprucehill/internal/stats"
+)
+
+const (
+	ticksPerObjective     = 16   // the queue is looked at this often within the shortest latency objective
+	initialLatencyDivisor = 4    // of the shortest latency objective: the latency taken before any response
+	attemptReserve        = 2.33 // mean latencies left to the objective when a queued request is sent, less its late priority
+	timeoutTolerance      = 16   // a timeout shorter than usual by one in this many marks a client's retry
+	costWeight            = ewmaWeight * ewmaWeight
+)
+
+// setTiming sets the tick, and the latency that is taken until responses tell, by the shortest latency objective.
+func (b *Balancer) setTiming(shortest time.Duration) {
+	b.latency = float64(shortest) / initialLatencyDivisor
+	b.tick = max(b.settings.EventSpacing, shortest/ticksPerObjective, time.Millisecond)
+}
+
+// OnRequest takes a client's request.
+func (b *Balancer) OnRequest(now time.Duration, q Request) {
+	c := b.classes[q.Class]
+	if c == nil { // a class that the settings lack; never sent, so a retry is harmless
+		b.effects.Reject(q.ID, 0)
+		return
+	}
+	r := &request{Request: q, class: c, deadline: now + q.Timeout}
+	if q.Upload {
+		r.deadline = math.MaxInt64 // until its body has been sent
+	}
+	r.workUnits = b.expectedWork(q, c)
+	reserve := time.Duration((attemptReserve - c.LatePriorityFactor) * cmp.Or(c.latency, b.latency))
+	r.priority = b.priority(r, now)
+	if c.isLateRetry(q, reserve) {
+		r.priority *= c.LatePriorityFactor
+	}
+	// Queued requests are looked at once a tick: without one in reserve a short timeout would pass unseen.
+	r.attemptBy = now + min(c.LatencyObjective, q.Timeout) - max(reserve, b.tick) - b.tick
+	b.requests[r.ID] = r
+	if r.priority == 0 && b.isSaturated(now) {
+		b.rejectOrFail(r)
+		return
+	}
+	b.admit(r, now)
+}
+
+// expectedWork is the work of a request, in mean requests.
+func (b *Balancer) expectedWork(q Request, c *class) float64 {
+	if q.CostHint <= 0 {
+		return cmp.Or(c.latency/b.latency, 1)
+	}
+	stats.UpdateEWMA(&b.meanCost, float64(q.CostHint), costWeight)
+	return max(float64(q.CostHint)/b.meanCost, ewmaWeight)
+}
+
+// priority is the value of a response to r for each unit of its work.
+func (b *Balancer) priority(r *request, now time.Duration) float64 {
+	priority := r.class.PriorityWeight
+	if !b.settings.PriorityByWork {
+		priority /= r.workUnits
+	}
+	t := b.tenants[r.Tenant]
+	if t != nil && t.countRequest(now) {
+		priority *= b.settings.OverQuotaFactor
+	}
+	return priority
+}
+
+// isLateRetry tells whether a client's retry, which shows by its short timeout, can't meet the objective any more.
+func (c *class) isLateRetry(q Request, reserve time.Duration) bool {
+	c.longestTimeout = max(c.longestTimeout, q.Timeout)
+	isRetry := q.Timeout < c.longestTimeout-c.longestTimeout/timeoutTolerance
+	return isRetry && c.LatencyObjective-(c.Deadline-q.Timeout) < reserve
+}
+
+// isSaturated tells whether no endpoint could take some request within the last mean latency.
+func (b *Balancer) isSaturated(now time.Duration) bool {
+	return now-b.saturatedAt < time.Duration(b.latency)
+}
+
+// admit sends r if an endpoint can take it, queues it if one may be free in time, and otherwise answers it.
+func (b *Balancer) admit(r *request, now time.Duration) {
+	e, permitted := b.pickEndpoint(r, now)
+	if e != nil {
+		b.startAttempt(r, e, now)
+		return
+	}
+	if permitted { // also where it can't be queued: limits would stay low beside rejections
+		b.saturatedAt = now
+	}
+	if (permitted || len(r.attempts) == 0) && now < r.attemptBy {
+		b.enqueue(r)
+		return
+	}
+	b.rejectOrFail(r)
+}
+
+// enqueue puts r into the queue: highest priority first, of equals the newest.
+func (b *Balancer) enqueue(r *request) {
+	r.queued = true
+	b.queue = slices.Insert(b.queue, 0, r)
+	slices.SortStableFunc(b.queue, func(x, y *request) int { return cmp.Compare(y.priority, x.priority) })
+}
+
+// dispatchQueue sends queued requests while endpoints can take them, and answers those that would be late. A request
+// without attempts that fits nowhere shows that none behind it fits.
+func (b *Balancer) dispatchQueue(now time.Duration) {
+	remaining := b.queue[:0]
+	blocked := false
+	for _, r := range b.queue {
+		if !r.finished && now >= r.attemptBy {
+			b.log(now, "shed", "%d queued, no endpoint free within the latency objective: rejecting", len(b.queue))
+			b.rejectOrFail(r)
+		} else if !r.finished && !blocked {
+			e, _ := b.pickEndpoint(r, now)
+			if e != nil {
+				b.startAttempt(r, e, now)
+				continue
+			}
+			blocked = len(r.attempts) == 0
+		}
+		if !r.finished {
+			remaining = append(remaining, r)
+		}
+	}
+	clear(b.queue[len(remaining):])
+	b.queue = remaining
+}
+
+// retryAfter is the wait that a rejected client is advised: a tick, after which endpoints are looked at again. A longer
+// one would take the latency objective of most who follow it.
+func (b *Balancer) retryAfter() time.Duration {
+	if !b.settings.Limits.AllowRetryAfter {
+		return 0
+	}
+	return min(b.tick, b.settings.Limits.MaxRetryAfter)
+}
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -79,13 +79,13 @@
 			b.OnRequest(w.now, Request{ID: w.lastID, Class: class, Timeout: time.Second})
 		}
 		b.OnTimer(w.now, tickToken)
-		for _, u := range b.ups {
-			for _, a := range u.outs {
+		for _, u := range b.endpoints {
+			for _, a := range u.attempts {
 				if !attempts[a] {
 					attempts[a] = true
 					last = w.now
-					w.pending = append(w.pending, pendingOutcome{w.now + latency, AttemptResult{ID: a.r.ID, Endpoint: u.ID,
-						Attempt: slices.Index(a.r.attempts, a), Latency: latency, Status: status, RequestClosed: status == OK}})
+					w.pending = append(w.pending, pendingOutcome{w.now + latency, AttemptResult{ID: a.request.ID, Endpoint: u.ID,
+						Attempt: slices.Index(a.request.attempts, a), Latency: latency, Status: status, RequestClosed: status == OK}})
 				}
 			}
 		}
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -12,6 +12,8 @@
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
+
+	"sprucehill/internal/stats"
 )
 
 // start returns a Balancer with a list, and its recorder.
@@ -27,20 +29,20 @@
 }
 
 // serve sends a request and answers it at once; it returns the upstream that got it.
-func serve(t *testing.T, b *Balancer, now time.Duration, id RequestID) *upstream {
+func serve(t *testing.T, b *Balancer, now time.Duration, id RequestID) *endpoint {
 	t.Helper()
 	b.OnRequest(now, Request{ID: id, Class: "write", Timeout: time.Second})
 	r := b.requests[id]
-	if r == nil || r.out != 1 {
+	if r == nil || r.inFlight != 1 {
 		t.Fatalf("request %d was not sent", id)
 	}
-	u := r.attempts[0].up
+	u := r.attempts[0].endpoint
 	b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: u.ID, Latency: 50 * ms, Status: OK, RequestClosed: true})
 	return u
 }
 
 func TestBands(t *testing.T) {
-	mean, dev := bands([]float64{0.2, 0.4, 0.4, 0.4, 0.5, 0.5, 0.7, 0.9})
+	mean, dev := stats.MeanDeviation([]float64{0.2, 0.4, 0.4, 0.4, 0.5, 0.5, 0.7, 0.9})
 	if math.Abs(mean-0.5) > 1e-9 || math.Abs(dev-0.2) > 1e-9 { // worked by hand: squares sum to 0.32
 		t.Errorf("mean %v, deviation %v; want 0.5, 0.2", mean, dev)
 	}
@@ -48,12 +50,12 @@
 
 func TestAreaIsIntegratedOverTimeNotSamples(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
-	u := b.ups[0]
-	u.dev, u.mean, u.readAt = 0.1, 0.3, time.Hour
-	b.integrate(u, time.Hour+250*ms)
-	b.integrate(u, time.Hour+500*ms)
-	if want := 2 * bandAlpha * 0.1 * 0.5; math.Abs(u.area-want) > 1e-9 {
-		t.Errorf("area %v, want %v", u.area, want)
+	u := b.endpoints[0]
+	u.utilization.deviation, u.utilization.mean, u.utilization.integratedAt = 0.1, 0.3, time.Hour
+	b.integrateBand(u, time.Hour+250*ms)
+	b.integrateBand(u, time.Hour+500*ms)
+	if want := 2 * bandWidth * 0.1 * 0.5; math.Abs(u.utilization.area-want) > 1e-9 {
+		t.Errorf("area %v, want %v", u.utilization.area, want)
 	}
 }
 
@@ -61,51 +63,51 @@
 	b, _ := start(t, settings(), fleet(3))
 	step := func(n int) {
 		for range n {
-			for _, u := range b.ups {
-				u.readings, u.mean = bandWindow, 0.3
+			for _, u := range b.endpoints {
+				u.utilization.readings, u.utilization.mean = bandReadings, 0.3
 			}
-			b.ups[0].mean = 1 // flat readings at full load: no deviation at all
-			b.step(b.stepAt + bandPeriod)
+			b.endpoints[0].utilization.mean = 1 // flat readings at full load: no deviation at all
+			b.closePeriod(b.periodStartedAt + bandPeriod)
 		}
 	}
 	step(2)
-	first := b.ups[0].factor
+	first := b.endpoints[0].shareFactor
 	step(40)
-	if first >= 1 || first < cutMost*cutMost || b.ups[0].factor != shareFloor || b.ups[1].factor != 1 {
-		t.Errorf("shares left: %v at first, then %v and %v", first, b.ups[0].factor, b.ups[1].factor)
+	if first >= 1 || first < minCutFactor*minCutFactor || b.endpoints[0].shareFactor != minShareFactor || b.endpoints[1].shareFactor != 1 {
+		t.Errorf("shares left: %v at first, then %v and %v", first, b.endpoints[0].shareFactor, b.endpoints[1].shareFactor)
 	}
 	for range 80 {
-		b.ups[0].mean = 0.3
-		b.step(b.stepAt + bandPeriod)
+		b.endpoints[0].utilization.mean = 0.3
+		b.closePeriod(b.periodStartedAt + bandPeriod)
 	}
-	if b.ups[0].factor != 1 {
-		t.Errorf("share left after rest: %v, want 1", b.ups[0].factor)
+	if b.endpoints[0].shareFactor != 1 {
+		t.Errorf("share left after rest: %v, want 1", b.endpoints[0].shareFactor)
 	}
 }
 
 func TestFleetWideRiseCutsNobody(t *testing.T) {
 	b, _ := start(t, settings(), fleet(4))
 	for range 10 {
-		for _, u := range b.ups {
-			u.readings, u.mean, u.dev = bandWindow, 0.95, 0.2
+		for _, u := range b.endpoints {
+			u.utilization.readings, u.utilization.mean, u.utilization.deviation = bandReadings, 0.95, 0.2
 		}
-		b.step(b.stepAt + bandPeriod)
+		b.closePeriod(b.periodStartedAt + bandPeriod)
 	}
-	for _, u := range b.ups {
-		if u.factor != 1 {
-			t.Errorf("upstream %d is left %v of its share", u.ID, u.factor)
+	for _, u := range b.endpoints {
+		if u.shareFactor != 1 {
+			t.Errorf("upstream %d is left %v of its share", u.ID, u.shareFactor)
 		}
 	}
 }
 
 func TestRepeatedReportIsNoReading(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
-	u := b.ups[0]
+	u := b.endpoints[0]
 	for i, util := range []float64{0.5, 0.5, 0.6, 0.6, 0.5} {
-		b.read(u, LoadReport{Fields: HasUtilization, Utilization: util}, true, 0, time.Hour+time.Duration(i)*ms)
+		b.recordUtilization(u, LoadReport{Fields: HasUtilization, Utilization: util}, 0, time.Hour+time.Duration(i)*ms)
 	}
-	if u.readings != 3 {
-		t.Errorf("%d readings, want 3", u.readings)
+	if u.utilization.readings != 3 {
+		t.Errorf("%d readings, want 3", u.utilization.readings)
 	}
 }
 
@@ -125,8 +127,8 @@
 		s := settings()
 		s.Reports = c.via
 		b, _ := start(t, s, fleet(1))
-		if b.read(b.ups[0], c.load, true, c.late, time.Hour); math.Abs(b.ups[0].mean-c.want) > 1e-9 {
-			t.Errorf("%s: reading %v, want %v", c.name, b.ups[0].mean, c.want)
+		if b.recordUtilization(b.endpoints[0], c.load, c.late, time.Hour); math.Abs(b.endpoints[0].utilization.mean-c.want) > 1e-9 {
+			t.Errorf("%s: reading %v, want %v", c.name, b.endpoints[0].utilization.mean, c.want)
 		}
 	}
 }
@@ -135,7 +137,7 @@
 // much as the other.
 func TestHalvedQuotaTakesEveryFourthTurn(t *testing.T) {
 	b, _ := start(t, settings(), oneZone(fleet(2)))
-	one := b.ups[0]
+	one := b.endpoints[0]
 	turns := func(from, n int) (taken []int) {
 		for i := from; i < from+n; i++ {
 			if serve(t, b, time.Hour, RequestID(i)) == one {
@@ -168,7 +170,7 @@
 	b, _ := start(t, settings(), fleet(2))
 	serve(t, b, time.Hour, 1)
 	serve(t, b, time.Hour, 2)
-	if p := b.patience(b.ups[0], 1); p < 150*ms {
+	if p := b.responseTimeout(b.endpoints[0], 1); p < 150*ms {
 		t.Errorf("patience %v after an answer in 50ms", p)
 	}
 }
@@ -176,7 +178,7 @@
 // A request with a short budget was once held past its deadline, since holds are looked at once a tick.
 func TestShortBudgetIsAnsweredInTime(t *testing.T) {
 	b, h := start(t, settings(), fleet(1))
-	b.ups[0].freeAt = 2 * time.Hour
+	b.endpoints[0].limit.pausedUntil = 2 * time.Hour
 	b.OnRequest(time.Hour, Request{ID: 1, Class: "write", Timeout: 10 * ms})
 	if h.count("refuse id=1") != 1 {
 		t.Errorf("not refused at once: %v", h.lines)
@@ -201,8 +203,8 @@
 		now += 5 * ms
 		id := RequestID(10000 + i)
 		b.OnRequest(now, Request{ID: id, Class: "write", Timeout: time.Second, CostHint: ms})
-		if r := b.requests[id]; r != nil && r.out == 1 {
-			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: r.attempts[0].up.ID, Latency: 20 * ms, Status: OK, RequestClosed: true})
+		if r := b.requests[id]; r != nil && r.inFlight == 1 {
+			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: r.attempts[0].endpoint.ID, Latency: 20 * ms, Status: OK, RequestClosed: true})
 		}
 	}
 	toCold := 0
@@ -224,25 +226,25 @@
 		serve(t, b, time.Hour, RequestID(i+1))
 	}
 	b.OnRequest(time.Hour, Request{ID: 100, Class: "read", Timeout: time.Second})
-	u := b.requests[100].attempts[0].up
-	now := time.Hour + b.patience(u, 1) + 20*ms
+	u := b.requests[100].attempts[0].endpoint
+	now := time.Hour + b.responseTimeout(u, 1) + 20*ms
 	b.OnTimer(now, tickToken)
-	if !u.silent || h.count("cancel id=100") != 1 {
-		t.Fatalf("silent %v; %v", u.silent, h.lines[len(h.lines)-4:])
+	if !u.outlier.unresponsive || h.count("cancel id=100") != 1 {
+		t.Fatalf("silent %v; %v", u.outlier.unresponsive, h.lines[len(h.lines)-4:])
 	}
 	b.OnAttemptResult(now, AttemptResult{ID: 100, Endpoint: u.ID, Latency: 400 * ms, Status: Cancelled})
-	if r := b.requests[100]; r == nil || r.out != 1 || r.attempts[1].up == u {
+	if r := b.requests[100]; r == nil || r.inFlight != 1 || r.attempts[1].endpoint == u {
 		t.Error("the request did not start again elsewhere")
 	}
 }
 
 func TestCrowdedUpstreamRests(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
-	u, now := b.ups[0], time.Hour
+	u, now := b.endpoints[0], time.Hour
 	answer := func(id RequestID, lat time.Duration) {
 		now += time.Second
 		b.OnRequest(now, Request{ID: id, Class: "write", Timeout: time.Second})
-		if r := b.requests[id]; r != nil && r.out == 1 {
+		if r := b.requests[id]; r != nil && r.inFlight == 1 {
 			now += lat
 			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: u.ID, Latency: lat, Status: OK, RequestClosed: true})
 		}
@@ -250,16 +252,16 @@
 	for i := range 30 {
 		answer(RequestID(i+1), 80*ms)
 	}
-	healthy := u.bound
+	healthy := u.limit.current
 	for i := range 20 {
 		answer(RequestID(i+100), 290*ms)
 	}
-	if u.bound > healthy/4 {
-		t.Errorf("bound %v after late answers, %v before", u.bound, healthy)
+	if u.limit.current > healthy/4 {
+		t.Errorf("bound %v after late answers, %v before", u.limit.current, healthy)
 	}
-	u.freeAt = now
+	u.limit.pausedUntil = now
 	answer(500, 80*ms)
-	if u.bound < b.start {
+	if u.limit.current < b.initialLimit {
 		t.Error("the bound does not come back with a good answer")
 	}
 }
@@ -291,14 +293,14 @@
 	var last time.Duration
 	for range 3 {
 		b.OnEndpointUpdate(time.Hour, UpdateFailed, nil)
-		if b.watchWait <= last {
-			t.Errorf("wait %v after %v", b.watchWait, last)
+		if b.discoveryBackoff <= last {
+			t.Errorf("wait %v after %v", b.discoveryBackoff, last)
 		}
-		last = b.watchWait
+		last = b.discoveryBackoff
 	}
 	var longest time.Duration
 	h.hook = func(kind string, _ RequestID, _ EndpointID, d time.Duration, n uint64) {
-		if kind == "timer" && n == watchToken {
+		if kind == "timer" && n == discoveryToken {
 			longest = max(longest, d)
 		}
 	}
@@ -308,8 +310,8 @@
 	if most := s.Obligations.PollInterval / 5; longest == 0 || longest > most {
 		t.Errorf("waits of up to %v, want %v at the most", longest, most)
 	}
-	b.OnTimer(time.Hour, watchToken)
-	if h.count("watch") != 2 || len(b.ups) != 1 {
+	b.OnTimer(time.Hour, discoveryToken)
+	if h.count("watch") != 2 || len(b.endpoints) != 1 {
 		t.Error("did not ask again, or lost the list")
 	}
 }
@@ -334,7 +336,7 @@
 		b, h := start(t, s, fleet(1))
 		var longest time.Duration
 		h.hook = func(kind string, _ RequestID, _ EndpointID, d time.Duration, n uint64) {
-			if kind == "timer" && n == watchToken {
+			if kind == "timer" && n == discoveryToken {
 				longest = max(longest, d)
 			}
 		}
@@ -409,9 +411,9 @@
 		now += 20 * ms
 		id := RequestID(i + 1)
 		b.OnRequest(now, Request{ID: id, Class: "read", Timeout: time.Second, CostHint: time.Duration(odd[i%3+2])})
-		if r := b.requests[id]; r != nil && r.out > 0 {
+		if r := b.requests[id]; r != nil && r.inFlight > 0 {
 			l := LoadReport{Fields: HasUtilization | HasInflight | HasQueue, Utilization: odd[i%6], Inflight: odd[(i+1)%6], Queue: odd[(i+2)%6]}
-			o := AttemptResult{ID: id, Endpoint: r.attempts[0].up.ID, Latency: time.Duration(i%3-1) * 30 * ms, Status: OK, RequestClosed: true, Load: l}
+			o := AttemptResult{ID: id, Endpoint: r.attempts[0].endpoint.ID, Latency: time.Duration(i%3-1) * 30 * ms, Status: OK, RequestClosed: true, Load: l}
 			b.OnAttemptResult(now, o)
 			b.OnAttemptResult(now, o)
 		}
@@ -420,9 +422,9 @@
 		b.OnTimer(now, tickToken)
 		b.OnTimer(now, 12345)
 	}
-	for _, u := range b.ups {
-		for name, x := range map[string]float64{"mean": u.mean, "dev": u.dev, "weight": u.weight, "latency": u.lat,
-			"bound": u.bound, "due": u.due, "area": u.area, "factor": u.factor} {
+	for _, u := range b.endpoints {
+		for name, x := range map[string]float64{"mean": u.utilization.mean, "dev": u.utilization.deviation, "weight": u.weight, "latency": u.latency.mean,
+			"bound": u.limit.current, "due": u.nextTurn, "area": u.utilization.area, "factor": u.shareFactor} {
 			if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
 				t.Errorf("upstream %d: %s is %v", u.ID, name, x)
 			}
@@ -500,8 +502,8 @@
 		now += ms
 		id := RequestID(i + 1)
 		bal.OnRequest(now, Request{ID: id, Class: "write", Timeout: time.Second})
-		if r := bal.requests[id]; r != nil && r.out > 0 {
-			bal.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, RequestClosed: true})
+		if r := bal.requests[id]; r != nil && r.inFlight > 0 {
+			bal.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: r.attempts[0].endpoint.ID, Latency: 50 * ms, Status: OK, RequestClosed: true})
 		}
 	}
 }
@@ -520,10 +522,10 @@
 		s.Balancers = n
 		b, _ := start(t, s, fleet(1))
 		for i := range 60 {
-			b.shrink(b.ups[0], time.Hour+time.Duration(i)*time.Second, boundCut)
+			b.reduceLimit(b.endpoints[0], time.Hour+time.Duration(i)*time.Second, limitReduction)
 		}
-		if total := b.ups[0].bound * float64(n); math.Abs(total-boundLeast) > 1e-9 {
-			t.Errorf("%d balancers: %v attempts over all, want %v", n, total, boundLeast)
+		if total := b.endpoints[0].limit.current * float64(n); math.Abs(total-minFleetLimit) > 1e-9 {
+			t.Errorf("%d balancers: %v attempts over all, want %v", n, total, minFleetLimit)
 		}
 	}
 }
@@ -531,16 +533,16 @@
 // A balancer that started while a server was choked once took its slow answers for usual.
 func TestUpstreamMetCrowdedIsJudgedByTheFleet(t *testing.T) {
 	b, _ := start(t, settings(), fleet(8))
-	for _, u := range b.ups {
-		u.readings, u.mean, u.calm = 1, 0.9, float64(60*ms)
+	for _, u := range b.endpoints {
+		u.utilization.readings, u.utilization.mean, u.latency.baseline = 1, 0.9, float64(60*ms)
 	}
-	u := b.ups[3]
-	u.calm = 0
-	b.step(time.Hour + bandPeriod)
-	a := &attempt{r: &request{class: b.classes["write"], units: 1}, up: u}
-	b.learn(a, AttemptResult{Latency: 200 * ms, Status: OK}, time.Hour+2*bandPeriod)
-	if u.bound >= b.start {
-		t.Errorf("bound %v after an answer three times as slow as the fleet's calm", u.bound)
+	u := b.endpoints[3]
+	u.latency.baseline = 0
+	b.closePeriod(time.Hour + bandPeriod)
+	a := &attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: u}
+	b.observeResult(a, AttemptResult{Latency: 200 * ms, Status: OK}, time.Hour+2*bandPeriod)
+	if u.limit.current >= b.initialLimit {
+		t.Errorf("bound %v after an answer three times as slow as the fleet's calm", u.limit.current)
 	}
 }
 
@@ -559,17 +561,17 @@
 			for i := range 200 { // more than it may have out at once
 				b.OnRequest(time.Hour, Request{ID: RequestID(i + 1), Class: "write", Timeout: time.Second})
 			}
-			for _, u := range b.ups {
-				got[u.ID] += len(u.outs)
+			for _, u := range b.endpoints {
+				got[u.ID] += len(u.attempts)
 			}
 		}
 		for id, sent := range got {
-			if sent > boundStart {
+			if sent > initialFleetLimit {
 				t.Errorf("upstream %d was sent %d at once by %d balancers", id, sent, n)
 			}
 		}
-		if n == 2 && got[1] != boundStart { // at three, a fifth of the requests was refused until bounds had grown
-			t.Errorf("an upstream was sent %d at first by 2 balancers, want %v", got[1], boundStart)
+		if n == 2 && got[1] != initialFleetLimit { // at three, a fifth of the requests was refused until bounds had grown
+			t.Errorf("an upstream was sent %d at first by 2 balancers, want %v", got[1], initialFleetLimit)
 		}
 	}
 }
@@ -581,12 +583,12 @@
 		grows bool
 	}{{0.5, true}, {0.97, false}} {
 		b, _ := start(t, settings(), fleet(1))
-		u := b.ups[0]
-		u.mean, u.readings, b.tightAt = c.use, bandWindow, time.Hour
-		before := u.bound
-		b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: 50 * ms, Status: OK}, time.Hour)
-		if (u.bound > before) != c.grows {
-			t.Errorf("use %v: bound %v, then %v", c.use, before, u.bound)
+		u := b.endpoints[0]
+		u.utilization.mean, u.utilization.readings, b.saturatedAt = c.use, bandReadings, time.Hour
+		before := u.limit.current
+		b.observeResult(&attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: u}, AttemptResult{Latency: 50 * ms, Status: OK}, time.Hour)
+		if (u.limit.current > before) != c.grows {
+			t.Errorf("use %v: bound %v, then %v", c.use, before, u.limit.current)
 		}
 	}
 }
@@ -595,15 +597,15 @@
 // weights rise with idleness, and a server of weight 3 was judged against a third of the fleet's latency.
 func TestIdleUpstreamOfHighWeightIsNotTakenForCrowded(t *testing.T) {
 	b, _ := start(t, settings(), fleet(4))
-	for _, u := range b.ups {
-		u.mean, u.readings, u.units, u.lat = 0.2, bandWindow, 1, float64(50*ms)
+	for _, u := range b.endpoints {
+		u.utilization.mean, u.utilization.readings, u.latency.workUnits, u.latency.mean = 0.2, bandReadings, 1, float64(50*ms)
 	}
-	b.step(time.Hour)
-	u := b.ups[0]
-	u.weight, u.bound, b.tightAt = 3, 2, time.Hour
-	b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: 55 * ms, Status: OK}, time.Hour)
-	if u.bound <= 2 {
-		t.Errorf("bound %v, want more than 2", u.bound)
+	b.closePeriod(time.Hour)
+	u := b.endpoints[0]
+	u.weight, u.limit.current, b.saturatedAt = 3, 2, time.Hour
+	b.observeResult(&attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: u}, AttemptResult{Latency: 55 * ms, Status: OK}, time.Hour)
+	if u.limit.current <= 2 {
+		t.Errorf("bound %v, want more than 2", u.limit.current)
 	}
 }
 
@@ -612,13 +614,13 @@
 	set := settings()
 	set.Balancers = 8
 	b, _ := start(t, set, fleet(4))
-	u := b.ups[0]
+	u := b.endpoints[0]
 	for i := range 30 {
 		lat := []time.Duration{190, 60, 60, 60}[i%4] * ms
 		now := 2*time.Hour + time.Duration(i)*time.Second
-		b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: lat, Status: OK}, now)
-		if i > 8 && u.bound < b.start {
-			t.Fatalf("answer %d after %v: bound %v, want %v", i, lat, u.bound, b.start)
+		b.observeResult(&attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: u}, AttemptResult{Latency: lat, Status: OK}, now)
+		if i > 8 && u.limit.current < b.initialLimit {
+			t.Fatalf("answer %d after %v: bound %v, want %v", i, lat, u.limit.current, b.initialLimit)
 		}
 	}
 }
@@ -626,22 +628,22 @@
 // Bounds once doubled each round trip: many balancers choked a fleet before the first reading told of full use.
 func TestBoundAtMostDoublesBetweenPeriods(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
-	u := b.ups[0]
-	u.readings, u.mean = 1, 0.5
+	u := b.endpoints[0]
+	u.utilization.readings, u.utilization.mean = 1, 0.5
 	answers := func(now time.Duration) {
 		for range 50 {
-			b.tightAt = now
-			b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: 10 * ms, Status: OK}, now)
+			b.saturatedAt = now
+			b.observeResult(&attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: u}, AttemptResult{Latency: 10 * ms, Status: OK}, now)
 		}
 	}
 	answers(time.Hour)
-	if u.bound != boundStart {
-		t.Errorf("bound %v before the first period has passed, want %v", u.bound, boundStart)
+	if u.limit.current != initialFleetLimit {
+		t.Errorf("bound %v before the first period has passed, want %v", u.limit.current, initialFleetLimit)
 	}
-	b.step(time.Hour + bandPeriod)
+	b.closePeriod(time.Hour + bandPeriod)
 	answers(time.Hour + bandPeriod)
-	if u.bound != 2*boundStart {
-		t.Errorf("bound %v in the next period, want %v", u.bound, 2*boundStart)
+	if u.limit.current != 2*initialFleetLimit {
+		t.Errorf("bound %v in the next period, want %v", u.limit.current, 2*initialFleetLimit)
 	}
 }
 
@@ -658,11 +660,11 @@
 		{"twice the calm latency, most of the aim", 240 * ms, 120 * ms, true},
 	} {
 		b, _ := start(t, settings(), fleet(1))
-		u := b.ups[0]
-		u.lat, u.units, u.slow, u.calm = float64(c.lat), 1, float64(c.calm), float64(c.calm)
-		b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: c.lat, Status: OK}, 2*time.Hour)
-		if (u.bound < b.start) != c.short {
-			t.Errorf("%s: bound %v, at first %v", c.name, u.bound, b.start)
+		u := b.endpoints[0]
+		u.latency.mean, u.latency.workUnits, u.latency.smoothed, u.latency.baseline = float64(c.lat), 1, float64(c.calm), float64(c.calm)
+		b.observeResult(&attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: u}, AttemptResult{Latency: c.lat, Status: OK}, 2*time.Hour)
+		if (u.limit.current < b.initialLimit) != c.short {
+			t.Errorf("%s: bound %v, at first %v", c.name, u.limit.current, b.initialLimit)
 		}
 	}
 }
@@ -684,10 +686,10 @@
 		for s.Rank = range c.balancers {
 			s.Zone = []string{"near", "far"}[s.Rank%2]
 			b, _ := start(t, s, fleet(c.upstreams))
-			if n := len(b.near); n < c.least || n > c.most {
+			if n := len(b.subset); n < c.least || n > c.most {
 				t.Fatalf("%+v: a balancer uses %d upstreams", c, n)
 			}
-			for _, u := range b.near {
+			for _, u := range b.subset {
 				used[u.ID]++
 			}
 		}
@@ -710,9 +712,9 @@
 		b.OnFleetSizeChanged(time.Hour, now)
 		s.Balancers, s.Rank = max(now.Balancers, 1), max(now.Rank, 0)
 		want, _ := start(t, s, fleet(40))
-		for i, u := range b.ups {
-			if u.member != want.ups[i].member {
-				t.Errorf("%+v: upstream %d is used: %v", now, u.ID, u.member)
+		for i, u := range b.endpoints {
+			if u.inSubset != want.endpoints[i].inSubset {
+				t.Errorf("%+v: upstream %d is used: %v", now, u.ID, u.inSubset)
 			}
 		}
 		for _, tenant := range s.Tenants {
@@ -720,8 +722,8 @@
 				t.Errorf("%+v: %s has %v a second, want %v", now, tenant.Name, got, part)
 			}
 		}
-		if part := want.start * float64(s.Balancers) / float64(max(now.MaxBalancers, 1)); math.Abs(b.start-part) > 1e-9 {
-			t.Errorf("%+v: bounds begin at %v, want %v", now, b.start, part)
+		if part := want.initialLimit * float64(s.Balancers) / float64(max(now.MaxBalancers, 1)); math.Abs(b.initialLimit-part) > 1e-9 {
+			t.Errorf("%+v: bounds begin at %v, want %v", now, b.initialLimit, part)
 		}
 	}
 }
@@ -731,23 +733,23 @@
 	s := settings()
 	s.Balancers = 40
 	b, _ := start(t, s, fleet(40))
-	before := slices.Clone(b.near)
-	before[0].silent = true
-	before[1].cold, before[1].coldAt = true, time.Hour
-	b.gather(time.Hour)
-	if len(b.near) != len(before)+2 {
-		t.Errorf("%d upstreams in use, then %d with one silent and one cold", len(before), len(b.near))
+	before := slices.Clone(b.subset)
+	before[0].outlier.unresponsive = true
+	before[1].slowStart.active, before[1].slowStart.since = true, time.Hour
+	b.rebuildSubset(time.Hour)
+	if len(b.subset) != len(before)+2 {
+		t.Errorf("%d upstreams in use, then %d with one silent and one cold", len(before), len(b.subset))
 	}
 	gone := before[2].Endpoint
 	gone.State = Draining
 	b.OnEndpointUpdate(time.Hour, UpdateDelta, []Endpoint{gone})
-	if before[2].member || len(b.near) != len(before)+2 {
-		t.Errorf("a draining upstream was not replaced: %d in use", len(b.near))
+	if before[2].inSubset || len(b.subset) != len(before)+2 {
+		t.Errorf("a draining upstream was not replaced: %d in use", len(b.subset))
 	}
-	before[0].silent, before[1].cold = false, false
-	b.gather(time.Hour)
-	if len(b.near) != len(before) {
-		t.Errorf("%d in use after all came back, %d at first", len(b.near), len(before))
+	before[0].outlier.unresponsive, before[1].slowStart.active = false, false
+	b.rebuildSubset(time.Hour)
+	if len(b.subset) != len(before) {
+		t.Errorf("%d in use after all came back, %d at first", len(b.subset), len(before))
 	}
 }
 
@@ -769,9 +771,9 @@
 		}
 	}
 	now := 2 * time.Hour
-	b.ups[0].freeAt = now + time.Minute
+	b.endpoints[0].limit.pausedUntil = now + time.Minute
 	b.OnRequest(now, Request{ID: 1000, Class: "write", Timeout: time.Second})
-	if r := b.requests[1000]; r == nil || !r.held || r.units > 0.5 {
+	if r := b.requests[1000]; r == nil || !r.queued || r.workUnits > 0.5 {
 		t.Errorf("a request with five times its usual latency left to its aim was not held: %v", h.lines[len(h.lines)-1])
 	}
 }
@@ -793,7 +795,7 @@
 		b.OnRequest(time.Hour, Request{ID: 1, Class: "write", Timeout: time.Second})
 		now := time.Hour + time.Second
 		if c.tight {
-			b.tightAt = now
+			b.saturatedAt = now
 		}
 		b.OnRequest(now, Request{ID: 2, Class: "write", Timeout: c.budget})
 		if (h.count("send id=2") == 1) != c.sent || h.count("send id=2")+h.count("refuse id=2") != 1 {
@@ -817,14 +819,14 @@
 		list := fleet(3)
 		list[2].StartedAt = time.Hour
 		b.OnEndpointUpdate(time.Hour, UpdateCached, list)
-		b.carry, b.most = 0.2, 0.2 // requests a second that a warm upstream takes from this balancer
+		b.fleet.workPerWeight, b.fleet.maxWorkPerWeight = 0.2, 0.2 // requests a second that a warm upstream takes from this balancer
 		for i := range 150 {
-			for _, u := range b.ups[:2] {
-				u.freeAt = 2 * time.Hour // all the traffic asks for the cold one
+			for _, u := range b.endpoints[:2] {
+				u.limit.pausedUntil = 2 * time.Hour // all the traffic asks for the cold one
 			}
 			now := time.Hour + time.Duration(i)*10*ms
 			b.OnRequest(now, Request{ID: RequestID(i + 1), Class: "read", Timeout: time.Second})
-			if r := b.requests[RequestID(i+1)]; r != nil && r.out > 0 {
+			if r := b.requests[RequestID(i+1)]; r != nil && r.inFlight > 0 {
 				b.OnAttemptResult(now, AttemptResult{ID: r.ID, Endpoint: 3, Latency: 5 * ms, Status: OK, RequestClosed: true})
 			}
 		}
@@ -847,16 +849,16 @@
 		s := settings()
 		s.Balancers = c.balancers
 		b, _ := start(t, s, fleet(1))
-		u, now := b.ups[0], 2*time.Hour
+		u, now := b.endpoints[0], 2*time.Hour
 		for i := range 20 {
 			now += time.Second
-			b.tightAt = now
-			u.readings, u.mean, u.last.Queue = 1, c.use, c.queue
+			b.saturatedAt = now
+			u.utilization.readings, u.utilization.mean, u.utilization.lastReport.Queue = 1, c.use, c.queue
 			lat := []time.Duration{90, 250}[i%2] * ms
-			b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: lat, Status: OK}, now)
+			b.observeResult(&attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: u}, AttemptResult{Latency: lat, Status: OK}, now)
 		}
-		if grew := u.bound >= min(2*b.start, u.most); grew != c.grows {
-			t.Errorf("%+v: bound %v, at first %v", c, u.bound, b.start)
+		if grew := u.limit.current >= min(2*b.initialLimit, u.limit.ceiling); grew != c.grows {
+			t.Errorf("%+v: bound %v, at first %v", c, u.limit.current, b.initialLimit)
 		}
 	}
 }
@@ -864,19 +866,19 @@
 // Requests come by chance. Spaced evenly by its pause, a thin flow left turns unused and refused at others.
 func TestIdleUpstreamHasOneAttemptInHand(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
-	u := b.ups[0]
-	u.bound, u.lat = 0.2, float64(100*ms)
+	u := b.endpoints[0]
+	u.limit.current, u.latency.mean = 0.2, float64(100*ms)
 	answer := func(sent time.Duration) {
-		u.bound = 0.2
-		a := &attempt{r: &request{class: b.classes["write"], units: 1}, up: u, sentAt: sent}
-		b.learn(a, AttemptResult{Latency: 100 * ms, Status: Error}, sent+100*ms)
+		u.limit.current = 0.2
+		a := &attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: u, sentAt: sent}
+		b.observeResult(a, AttemptResult{Latency: 100 * ms, Status: Error}, sent+100*ms)
 	}
 	now := 2 * time.Hour // idle for long
-	if answer(now); u.freeAt > now+100*ms {
-		t.Errorf("after one attempt: free after %v", u.freeAt-now)
+	if answer(now); u.limit.pausedUntil > now+100*ms {
+		t.Errorf("after one attempt: free after %v", u.limit.pausedUntil-now)
 	}
-	if answer(now + 100*ms); u.freeAt < now+500*ms {
-		t.Errorf("after two in a row: free after %v", u.freeAt-now)
+	if answer(now + 100*ms); u.limit.pausedUntil < now+500*ms {
+		t.Errorf("after two in a row: free after %v", u.limit.pausedUntil-now)
 	}
 }
 
@@ -886,12 +888,12 @@
 	s := settings()
 	s.Balancers = 8
 	b, _ := start(t, s, fleet(1))
-	u := b.ups[0]
+	u := b.endpoints[0]
 	for i, lat := range []time.Duration{100, 110, 100, 90, 10, 10} {
-		a := &attempt{r: &request{class: b.classes["write"], units: 1}, up: u}
-		b.learn(a, AttemptResult{Latency: lat * ms, Status: OK}, time.Hour+time.Duration(i)*time.Second)
+		a := &attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: u}
+		b.observeResult(a, AttemptResult{Latency: lat * ms, Status: OK}, time.Hour+time.Duration(i)*time.Second)
 	}
-	if p := b.patience(u, 1); p < 200*ms {
+	if p := b.responseTimeout(u, 1); p < 200*ms {
 		t.Errorf("patience %v where answers take 100ms as a rule", p)
 	}
 }
@@ -900,22 +902,22 @@
 // although its other answers kept coming.
 func TestConnectionsLostTogetherAreOneFailure(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
-	u, now := b.ups[0], 2*time.Hour
+	u, now := b.endpoints[0], 2*time.Hour
 	lost := func() {
-		b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: ms, Status: Reset}, now)
+		b.observeResult(&attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: u}, AttemptResult{Latency: ms, Status: Reset}, now)
 	}
 	for range 10 {
 		lost()
 	}
-	if wait := u.backAt - now; wait != b.tick {
+	if wait := u.outlier.unreachableUntil - now; wait != b.tick {
 		t.Errorf("left alone for %v after ten lost together, want %v", wait, b.tick)
 	}
-	now = u.backAt
-	if lost(); u.backAt-now != waitGrowth*b.tick {
-		t.Errorf("left alone for %v after a later one, want %v", u.backAt-now, waitGrowth*b.tick)
+	now = u.outlier.unreachableUntil
+	if lost(); u.outlier.unreachableUntil-now != backoffGrowth*b.tick {
+		t.Errorf("left alone for %v after a later one, want %v", u.outlier.unreachableUntil-now, backoffGrowth*b.tick)
 	}
-	b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: 50 * ms, Status: OK}, now)
-	if !b.eligible(u, &request{class: b.classes["write"]}, now) {
+	b.observeResult(&attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: u}, AttemptResult{Latency: 50 * ms, Status: OK}, now)
+	if !b.isEligible(u, &request{class: b.classes["write"]}, now) {
 		t.Error("still left alone after an answer")
 	}
 }
@@ -927,13 +929,13 @@
 		readings int
 		use      float64
 		cut      bool
-	}{{bandWindow, 0.2, false}, {bandWindow, 0.95, true}, {0, 0, true}} {
+	}{{bandReadings, 0.2, false}, {bandReadings, 0.95, true}, {0, 0, true}} {
 		b, _ := start(t, settings(), fleet(1))
-		u := b.ups[0]
-		u.readings, u.mean, u.bound = c.readings, c.use, 8
-		b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: time.Second, Status: Timeout}, 2*time.Hour)
-		if (u.bound < 8) != c.cut {
-			t.Errorf("%+v: bound %v, 8 before", c, u.bound)
+		u := b.endpoints[0]
+		u.utilization.readings, u.utilization.mean, u.limit.current = c.readings, c.use, 8
+		b.observeResult(&attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: u}, AttemptResult{Latency: time.Second, Status: Timeout}, 2*time.Hour)
+		if (u.limit.current < 8) != c.cut {
+			t.Errorf("%+v: bound %v, 8 before", c, u.limit.current)
 		}
 	}
 }
@@ -944,19 +946,19 @@
 	s := settings()
 	s.Balancers = 8 // one attempt at once for each
 	b, h := start(t, s, fleet(1))
-	u, now := b.ups[0], 2*time.Hour
-	b.classes["read"].lat = float64(200 * ms)
-	u.freeAt = 0
+	u, now := b.endpoints[0], 2*time.Hour
+	b.classes["read"].latency = float64(200 * ms)
+	u.limit.pausedUntil = 0
 	for id := range RequestID(2) {
 		b.OnRequest(now, Request{ID: id + 1, Class: "read", Timeout: time.Second})
 	}
 	if h.count("send") != 1 || h.count("refuse") != 1 {
 		t.Fatalf("want one sent and one refused: %v", h.lines)
 	}
-	u.readings, u.mean = 1, 0.3
+	u.utilization.readings, u.utilization.mean = 1, 0.3
 	b.OnAttemptResult(now+50*ms, AttemptResult{ID: 1, Endpoint: u.ID, Latency: 50 * ms, Status: OK, RequestClosed: true})
-	if u.bound != b.start+boundGrowth {
-		t.Errorf("bound %v after an answer beside a refusal, want %v", u.bound, b.start+boundGrowth)
+	if u.limit.current != b.initialLimit+limitGrowth {
+		t.Errorf("bound %v after an answer beside a refusal, want %v", u.limit.current, b.initialLimit+limitGrowth)
 	}
 }
 
@@ -995,13 +997,13 @@
 	is("a drain", now, 4, 1)
 	serve(t, b, now, 1)
 	b.OnRequest(now, Request{ID: 2, Class: "read", Timeout: time.Second})
-	u := b.requests[2].attempts[0].up
+	u := b.requests[2].attempts[0].endpoint
 	b.OnAttemptResult(now, AttemptResult{ID: 2, Endpoint: u.ID, Latency: ms, Status: ConnectFailed})
 	is("a failed connect", now, 4, 2)
-	is("its wait over", u.backAt, 4, 1)
-	u.silent = true
-	is("silence", u.backAt, 4, 2)
-	b.answered(u, now)
+	is("its wait over", u.outlier.unreachableUntil, 4, 1)
+	u.outlier.unresponsive = true
+	is("silence", u.outlier.unreachableUntil, 4, 2)
+	b.markResponsive(u, now)
 	is("an answer", now, 4, 1)
 	b.OnEndpointUpdate(now, UpdateDelta, []Endpoint{{ID: list[3].ID, State: Removed}})
 	is("it has left", now, 3, 0)
@@ -1016,11 +1018,11 @@
 	now := time.Hour
 	b.OnRequest(now, Request{ID: 1, Class: "read", Timeout: time.Second, Upload: true})
 	r := b.requests[1]
-	u := r.attempts[0].up
+	u := r.attempts[0].endpoint
 	now += 10 * time.Second
 	b.OnTimer(now, tickToken)
-	if u.silent || r.done || h.count("send id=1") != 1 {
-		t.Fatalf("while it is written: silent %v, done %v, %v", u.silent, r.done, h.lines)
+	if u.outlier.unresponsive || r.finished || h.count("send id=1") != 1 {
+		t.Fatalf("while it is written: silent %v, done %v, %v", u.outlier.unresponsive, r.finished, h.lines)
 	}
 	b.OnAttemptResult(now, AttemptResult{ID: 1, Endpoint: u.ID, Latency: 10 * time.Second, Status: ConnectFailed})
 	if h.count("send id=1") != 2 {
@@ -1032,10 +1034,10 @@
 	}
 	now += time.Second / 2
 	b.OnTimer(now, tickToken)
-	if !r.attempts[1].up.silent || h.count("send id=1") != 2 {
-		t.Errorf("silent %v, sends %d: an upload has no second copy", r.attempts[1].up.silent, h.count("send id=1"))
+	if !r.attempts[1].endpoint.outlier.unresponsive || h.count("send id=1") != 2 {
+		t.Errorf("silent %v, sends %d: an upload has no second copy", r.attempts[1].endpoint.outlier.unresponsive, h.count("send id=1"))
 	}
-	b.OnAttemptResult(now, AttemptResult{ID: 1, Endpoint: r.attempts[1].up.ID, Attempt: 1, Latency: time.Second / 2, Status: Rejected, BodyConsumed: true})
+	b.OnAttemptResult(now, AttemptResult{ID: 1, Endpoint: r.attempts[1].endpoint.ID, Attempt: 1, Latency: time.Second / 2, Status: Rejected, BodyConsumed: true})
 	if h.count("send id=1") != 2 || h.count("refuse id=1") != 1 {
 		t.Errorf("a spent one: %v", h.lines)
 	}
--- /dev/null
+++ b/balancer/discovery.go
@@ -0,0 +1,50 @@
+package balancer
+
+import (
+	"math"
+	"time"
+)
+
+// notificationDelay is the time after which a change counts as notified at the latest, whether or not a call has brought
+// it.
+const notificationDelay = 6 * time.Second
+
+// retryDiscovery sets the time of the next call to discovery: later after each failure, and never all balancers at once.
+// What discovery has counts as notified after notificationDelay, heard or not, so calls stay close; where it pushes, at
+// once.
+func (b *Balancer) retryDiscovery(now time.Duration) {
+	longest := min(b.settings.Obligations.PollInterval/8, notificationDelay/4)
+	if !b.settings.PollDiscovery {
+		longest = b.settings.Obligations.DrainGrace / 4
+	}
+	b.discoveryBackoff = min(max(b.discoveryBackoff*backoffGrowth, longest/4), longest)
+	wait := b.discoveryBackoff/2 + time.Duration(b.rng.Int64N(int64(b.discoveryBackoff)+1))
+	b.effects.SetTimer(wait, discoveryToken)
+	b.log(now, "discovery", "discovery call failed: asking again in %v", wait)
+}
+
+// applyEndpoint takes one entry of a list.
+func (b *Balancer) applyEndpoint(entry Endpoint, now time.Duration) {
+	e := b.byID[entry.ID]
+	if e == nil {
+		if entry.State == Removed {
+			return
+		}
+		e = b.addEndpoint(entry, now)
+	}
+	if entry.StartedAt > e.StartedAt { // new, or restarted under the same id
+		e.outlier.unresponsive = false
+		e.outlier.unreachableUntil = now
+		e.limit.pausedUntil = now
+		if now-entry.StartedAt < b.settings.Obligations.SlowStartWindow {
+			b.beginSlowStart(e, entry.StartedAt)
+		}
+	}
+	e.Endpoint = entry
+	e.zone = b.zoneNamed(entry.Zone)
+	weight := entry.Weight
+	if b.settings.Weights == WeightLive { // late and the same for all balancers: only its slow mean is safe to follow
+		weight = e.weight + ewmaWeight*(entry.Weight-e.weight)
+	}
+	e.weight = max(weight, math.SmallestNonzeroFloat32)
+}
--- /dev/null
+++ b/balancer/events.go
@@ -0,0 +1,137 @@
+package balancer
+
+import "time"
+
+// Events is the set of methods by which an owner drives a Balancer.
+type Events interface {
+	OnEndpointUpdate(now time.Duration, mode UpdateMode, list []Endpoint)
+	OnRequest(now time.Duration, r Request)
+	OnBodySent(now time.Duration, id RequestID, attempt int)      // an Upload's last byte is written: its timeout begins
+	OnStreamStarted(now time.Duration, id RequestID, attempt int) // a streamed response has begun
+	OnAttemptResult(now time.Duration, o AttemptResult)
+	OnClientDisconnected(now time.Duration, id RequestID) // no answer is needed any more
+	OnHealthCheckResult(now time.Duration, p HealthCheckResult)
+	OnTimer(now time.Duration, token uint64)
+}
+
+var _ Events = (*Balancer)(nil)
+
+// RequestID names one request of a client; a client's retry has an id of its own. Ids are never reused.
+type RequestID uint64
+
+// EndpointID names an endpoint. It carries no meaning and survives restarts of the endpoint.
+type EndpointID uint32
+
+// EndpointState is what discovery says of an endpoint.
+type EndpointState uint8
+
+// The states of an endpoint.
+const (
+	Active EndpointState = iota
+	Draining
+	Removed
+)
+
+// Endpoint is one entry of an endpoint list.
+type Endpoint struct {
+	ID        EndpointID
+	Zone      string
+	Cell      int           // group of endpoints that share an idempotency store, where the scope is ScopeCell
+	Weight    float64       // see WeightKind
+	StartedAt time.Duration // latest start on the owner's clock; 0: long ago
+	State     EndpointState
+}
+
+// UpdateMode says how a list of endpoints relates to the one before it.
+type UpdateMode uint8
+
+// The update modes.
+const (
+	UpdateDelta    UpdateMode = iota // changed entries only
+	UpdateComplete                   // the complete list: what it lacks is removed
+	UpdateCached                     // the complete list as last held, possibly stale
+	UpdateFailed                     // the call failed or the watch broke; no entries
+)
+
+// Request is a client's request.
+type Request struct {
+	ID      RequestID
+	Timeout time.Duration // the client gives up after it
+	Class   string        // a name from Settings.Classes
+	Tenant  string        // a name from Settings.Tenants, or empty
+	Key     uint64        // subject of the request, if HasKey
+	HasKey  bool
+	Retry   bool // the client has tried before
+	// CostHint is the expected work on a standard core; 0: unknown.
+	CostHint time.Duration
+	// Upload marks a request whose body is still coming and is passed on as it comes. Its Timeout runs from OnBodySent. It has
+	// one attempt at a time, and none after a result with BodyConsumed.
+	Upload bool
+}
+
+// Status is how an attempt or a health check ended.
+type Status uint8
+
+// The statuses. Those marked * prove that the request was not executed.
+const (
+	OK            Status = iota
+	Error                // the endpoint answered with an error
+	Rejected             // * the endpoint's queue is full
+	Timeout              // no response in time
+	ConnectFailed        // * no connection in time
+	Reset                // connection lost
+	Cancelled            // stopped by Cancel
+	NotSent              // * never written
+)
+
+// LoadField is a bit for each value that a LoadReport holds.
+type LoadField uint8
+
+// The load fields, in the order of LoadReport's values.
+const (
+	HasUtilization LoadField = 1 << iota
+	HasInflight
+	HasQueue
+	HasServiceTime
+	HasRate
+	HasErrors
+)
+
+// LoadReport is what an endpoint reports of its load; Fields tells which values it holds.
+type LoadReport struct {
+	Fields      LoadField
+	Utilization float64 // fraction of its CPU that is busy
+	Inflight    float64 // requests in progress
+	Queue       float64 // requests waiting
+	ServiceTime float64 // recent service time, ms
+	Rate        float64 // requests served a second
+	Errors      float64 // errors a second
+}
+
+// AttemptResult is the end of one attempt.
+type AttemptResult struct {
+	ID            RequestID
+	Endpoint      EndpointID
+	Attempt       int // index of the request's Sends, from 0
+	Latency       time.Duration
+	Status        Status
+	RequestClosed bool // the request has its final answer, now or earlier
+	BodyConsumed  bool // part of an Upload's body is gone: it can't be sent again
+	Load          LoadReport
+}
+
+// HealthCheckResult is the end of one health check.
+type HealthCheckResult struct {
+	Endpoint EndpointID
+	Latency  time.Duration
+	Status   Status
+	Load     LoadReport
+}
+
+// FleetSize is how many balancers there are, where they exchange that. Until then Settings.Balancers and Settings.Rank
+// hold.
+type FleetSize struct {
+	Balancers    int // for routing: how many endpoints each balancer uses
+	Rank         int // of this balancer among them, from 0
+	MaxBalancers int // for budgets that all balancers share, tenants' quotas among them; at least Balancers
+}
--- /dev/null
+++ b/balancer/ledger.go
@@ -0,0 +1,125 @@
+package balancer
+
+import (
+	"slices"
+	"time"
+)
+
+// tenant counts one customer's requests against this balancer's part of its quota, as a leaky bucket.
+type tenant struct {
+	rate      float64 // requests a second
+	level     float64 // requests not yet leaked
+	updatedAt float64 // s
+}
+
+// class is one kind of request.
+type class struct {
+	Class
+	latency        float64       // running mean of its responses' latency, ns
+	longestTimeout time.Duration // the longest that a request of the class came with
+}
+
+// attempt is one attempt of a request at an endpoint.
+type attempt struct {
+	request     *request
+	endpoint    *endpoint
+	sentAt      time.Duration
+	ended       bool
+	notExecuted bool // its end proves that the request was not executed
+	uploading   bool // the last byte of its body is still to come
+}
+
+// request is an entry of the ledger; it stays until its last attempt has ended.
+type request struct {
+	Request
+	class        *class
+	priority     float64       // for a unit of work
+	workUnits    float64       // expected work, in mean requests
+	attemptBy    time.Duration // an attempt that starts later would miss the latency objective
+	deadline     time.Duration
+	attempts     []*attempt
+	inFlight     int
+	finished     bool // it has its final answer
+	queued       bool
+	bodyConsumed bool // part of an upload's body is gone
+}
+
+// attempt returns an attempt by its index, or nil.
+func (r *request) attempt(index int) *attempt {
+	if index < 0 || index >= len(r.attempts) {
+		return nil
+	}
+	return r.attempts[index]
+}
+
+// findAttempt returns a request of the ledger and its attempt by its index, or nil for both.
+func (b *Balancer) findAttempt(id RequestID, index int) (*request, *attempt) {
+	r := b.requests[id]
+	if r == nil {
+		return nil, nil
+	}
+	a := r.attempt(index)
+	if a == nil {
+		return nil, nil
+	}
+	return r, a
+}
+
+// end records how an attempt ended, in the ledger and at its endpoint.
+func (a *attempt) end(result AttemptResult) {
+	a.ended = true
+	a.notExecuted = result.Status == Rejected || result.Status == ConnectFailed || result.Status == NotSent
+	a.request.inFlight--
+	a.request.bodyConsumed = a.request.bodyConsumed || result.BodyConsumed
+	a.endpoint.attempts = slices.DeleteFunc(a.endpoint.attempts, func(other *attempt) bool { return other == a })
+}
+
+// OnClientDisconnected drops a request whose client has left.
+func (b *Balancer) OnClientDisconnected(now time.Duration, id RequestID) {
+	r := b.requests[id]
+	if r != nil && !r.finished {
+		b.finishRequest(r, noAttempt)
+	}
+}
+
+// OnBodySent notes that an upload has been passed on completely: its endpoint starts on it now.
+func (b *Balancer) OnBodySent(now time.Duration, id RequestID, index int) {
+	r, a := b.findAttempt(id, index)
+	if a == nil || !a.uploading {
+		return
+	}
+	a.uploading = false
+	a.sentAt = now
+	r.bodyConsumed = true
+	r.deadline = now + r.Timeout
+}
+
+// OnStreamStarted marks a request as served by a streamed response that has begun.
+func (b *Balancer) OnStreamStarted(now time.Duration, id RequestID, index int) {
+	r, a := b.findAttempt(id, index)
+	if a == nil || r.finished {
+		return
+	}
+	b.markResponsive(a.endpoint, now)
+	b.finishRequest(r, index)
+}
+
+// recordAttempt enters an attempt that begins, with its request and at its endpoint.
+func (b *Balancer) recordAttempt(a *attempt) {
+	r, e := a.request, a.endpoint
+	r.attempts = append(r.attempts, a)
+	r.inFlight++
+	r.queued = false
+	e.attempts = append(e.attempts, a)
+	e.work.period += r.workUnits
+	e.zone.attempts++
+	b.lastAttemptAt = a.sentAt
+}
+
+// countRequest counts a request and reports whether its tenant is over its quota.
+func (t *tenant) countRequest(now time.Duration) (overQuota bool) {
+	leaked := t.rate * (now.Seconds() - t.updatedAt)
+	t.level = max(0, t.level-leaked) + 1
+	t.updatedAt = now.Seconds()
+	return t.level > max(t.rate, 1)
+}
--- /dev/null
+++ b/balancer/locality.go
@@ -0,0 +1,128 @@
+package balancer
+
+import (
+	"time"
+)
+
+// Locality; the package comment tells how it works. Those without a unit are ratios.
+const (
+	minLocalitySubset   = 8    // endpoints used of more, under which one or two are local: one that drains is half of them
+	maxLocalShare       = 0.92 // of the traffic: with less for the rest, readings from elsewhere grow old
+	utilizationMargin   = 1.05 // utilisation over the fleet's by this factor is still no reason to spill over,
+	utilizationNoise    = 0.02 // and by this much more
+	localUtilizationMax = 0.7  // utilisation over which staying local is no aim any more
+	localShareGain      = 0.5  // a period's move for an excess of full utilisation: reports lag by a period or two
+	maxLocalShareStep   = 0.05 // in a period
+	minLocalityWeight   = 1e-3 // no zone may be forgotten
+	maxSpareFactor      = 2    // by which zones alike in distance differ for their utilisation
+)
+
+// updateLocality moves how much of the traffic stays local and in the region, by the utilisation there and elsewhere. All
+// that a zone's balancers learn, alike and late, moves them alike, so a move is small.
+func (b *Balancer) updateLocality(now time.Duration) {
+	home := b.zoneNamed(b.settings.Zone)
+	locality := &b.locality
+	locality.home = home
+	b.summarizeZones(now)
+	all := b.summarize(func(*zone) bool { return true })
+	region := b.summarize(func(z *zone) bool { return z.region == home.region })
+	if home.capacity == 0 || home.capacity == all.capacity || locality.disabled { // shares alone decide
+		for _, z := range b.zones {
+			z.localityWeight = 1
+		}
+		locality.localShare = 0
+		return
+	}
+	if locality.localShare == 0 { // each zone's balancers bring as much, until readings tell
+		locality.localShare = min(maxLocalShare, b.usableZones()*home.capacity/all.capacity)
+		locality.regionShare = maxLocalShare
+	}
+	local := b.summarize(func(z *zone) bool { return z == home })
+	if all.measured && local.measured {
+		locality.localShare = adjustShare(locality.localShare, local, all)
+	}
+	if all.measured && region.measured {
+		locality.regionShare = adjustShare(locality.regionShare, region, all)
+	}
+	if region.capacity == all.capacity {
+		locality.regionShare = 1
+	}
+	locality.regionShare = max(locality.regionShare, locality.localShare)
+	b.setLocalityWeights(region.capacity-home.capacity, all.capacity-region.capacity)
+}
+
+// adjustShare moves the share of the traffic that stays in a part of the fleet by the utilisation to spare there: up to
+// maxLocalShare; down to an even share where there is little to spare, since a full fleet has no turns to lose; and to
+// half of that where its utilisation is over the fleet's.
+func adjustShare(share float64, part, fleet zoneGroup) float64 {
+	least := part.capacity / fleet.capacity
+	acceptable := utilizationMargin*fleet.utilization + utilizationNoise
+	if part.utilization > acceptable {
+		least /= 2
+	}
+	move := localShareGain * (min(acceptable, localUtilizationMax) - part.utilization)
+	move = max(-maxLocalShareStep, min(maxLocalShareStep, move))
+	return max(least, min(maxLocalShare, share+move))
+}
+
+// setLocalityWeights sets the weight of shares in each zone: 1 at home, elsewhere so that the parts of the traffic which
+// leave come out, given the capacity near (in the region, but for home) and far. Of zones alike in distance the less
+// utilised gets more.
+func (b *Balancer) setLocalityWeights(near, far float64) {
+	home := b.locality.home
+	toFar := 1 - b.locality.regionShare
+	toNear := 1 - b.locality.localShare - toFar
+	if near == 0 { // whatever leaves goes far
+		toFar = 1 - b.locality.localShare
+		toNear = 0
+	}
+	others := b.summarize(func(z *zone) bool { return z != home })
+	for _, z := range b.zones {
+		part, capacity := toNear, near
+		if z.region != home.region {
+			part, capacity = toFar, far
+		}
+		if z == home {
+			z.localityWeight = 1
+		} else if capacity > 0 {
+			weight := part / b.locality.localShare * home.capacity / capacity * z.spareFactor(others.utilization)
+			z.localityWeight = max(minLocalityWeight, weight)
+		}
+	}
+}
+
+// spareFactor is over 1 for a zone with less utilisation than the others' mean, and under 1 for one with more.
+func (z *zone) spareFactor(others float64) float64 {
+	if z.measuredCapacity == 0 || others == 0 {
+		return 1
+	}
+	factor := (others + utilizationNoise) / (z.meanUtilization() + utilizationNoise)
+	return max(1.0/maxSpareFactor, min(maxSpareFactor, factor))
+}
+
+// canAnswerInTime tells whether a response from e can come before the client gives up. Only another region is judged so:
+// the way there and back is part of every response, and one nearby may be quicker this time.
+func (b *Balancer) canAnswerInTime(e *endpoint, r *request, now time.Duration) bool {
+	if b.locality.home == nil || e.zone.region == b.locality.home.region || e.latency.workUnits == 0 {
+		return true
+	}
+	return r.deadline-now >= time.Duration(e.latency.perUnit()*r.workUnits)
+}
+
+// noteMissedTurns notes which local endpoints were due before a remote one that gets the turn: only their limits sent it
+// away, and these may grow as where no endpoint is free.
+func (b *Balancer) noteMissedTurns(best *endpoint, now time.Duration) {
+	if b.locality.localShare == 0 || best.Zone == b.settings.Zone {
+		return
+	}
+	missed := false
+	for _, e := range b.subset {
+		if e.inSubset && e.Zone == b.settings.Zone && e.nextTurn < best.nextTurn {
+			e.limit.missedTurnAt = now
+			missed = true
+		}
+	}
+	if missed {
+		best.zone.spilled++
+	}
+}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -386,15 +386,15 @@
 		}
 		id := RequestID(i + 1)
 		b.OnRequest(now, Request{ID: id, Class: "read", Timeout: 100 * ms, Key: uint64(i), HasKey: true})
-		if r := b.requests[id]; r != nil && r.out > 0 {
-			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: r.attempts[0].up.ID, Latency: 10 * ms, Status: OK, RequestClosed: true})
+		if r := b.requests[id]; r != nil && r.inFlight > 0 {
+			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: r.attempts[0].endpoint.ID, Latency: 10 * ms, Status: OK, RequestClosed: true})
 		}
 		if i%20 == 0 {
 			b.OnTimer(now, tickToken)
 		}
 	}
 	b.OnTimer(now+2*time.Second, tickToken)
-	if len(b.requests)+len(b.held) > 0 || len(b.ups) != 4 || len(b.byID) != 4 {
-		t.Errorf("kept %d requests, %d held, %d upstreams", len(b.requests), len(b.held), len(b.ups))
+	if len(b.requests)+len(b.queue) > 0 || len(b.endpoints) != 4 || len(b.byID) != 4 {
+		t.Errorf("kept %d requests, %d held, %d upstreams", len(b.requests), len(b.queue), len(b.endpoints))
 	}
 }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -1,103 +1,102 @@
 package balancer
 
-import (
-	"errors"
-	"fmt"
-	"math"
-)
+import "time"
 
-// ErrSettings is wrapped by every error that New returns for its settings.
-var ErrSettings = errors.New("bad settings")
+// Idempotency says whether requests of a class may be executed more than once, safest first.
+type Idempotency uint8
 
-// bad reports a setting that is missing or out of range.
-func bad(format string, args ...any) error {
-	return fmt.Errorf("sprucehill: %w: %s", ErrSettings, fmt.Sprintf(format, args...))
-}
+// The kinds of idempotency.
+const (
+	Idempotent      Idempotency = iota // may be executed any number of times
+	IdempotentByKey                    // endpoints drop repeats by an idempotency key, within Class.IdempotencyWindow
+	NonIdempotent                      // must never be executed twice
+)
 
-// amount tells whether x is a finite figure that is not negative.
-func amount(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
+// IdempotencyScope says which endpoints together recognise an idempotency key.
+type IdempotencyScope uint8
 
-// Validate returns an error, which wraps ErrSettings, for the first setting that is missing or out of range. It names the
-// setting by its key in the platform's configuration, and by its field here.
-func (s Settings) Validate() error {
-	r := s.Obligations
-	for _, x := range []struct {
-		name string
-		ok   bool
-	}{
-		{"profiles (Classes)", len(s.Classes) > 0},
-		{"balancers (Balancers)", s.Balancers >= 1},
-		{"rank (Rank)", s.Rank >= 0 && s.Rank < max(s.Balancers, 1)},
-		{"over_share_worth (OverQuotaFactor)", amount(s.OverQuotaFactor)},
-		{"granularity_us (EventSpacing)", s.EventSpacing >= 0},
-		{"weights (Weights)", s.Weights <= WeightLive},
-		{"reporting.via (Reports)", s.Reports <= ReportInHealthChecks},
-		{"limits.max_attempts (Limits.MaxAttempts)", s.Limits.MaxAttempts >= 1},
-		{"limits.max_retry_after_us (Limits.MaxRetryAfter)", s.Limits.MaxRetryAfter >= 0},
-		{"obligations.tip_after_us (Obligations.OverloadWindow)", r.OverloadWindow > 0},
-		{"obligations.ramp_time_us (Obligations.SlowStartWindow)", r.SlowStartWindow > 0},
-		{"obligations.tip_multiple (Obligations.OverloadMultiple)", amount(r.OverloadMultiple) && r.OverloadMultiple > 0},
-		{"obligations.cold_from (Obligations.SlowStartFrom)", r.SlowStartFrom > 0 && r.SlowStartFrom <= 1},
-		{"obligations.ask_within_us (Obligations.PollInterval)", r.PollInterval > 0 || (r.PollInterval == 0 && !s.PollDiscovery)},
-		{"obligations.drain_grace_us (Obligations.DrainGrace)", r.DrainGrace >= 0},
-		{"obligations.answer_slack_us (Obligations.AnswerSlack)", r.AnswerSlack >= 0},
-	} {
-		if !x.ok {
-			return bad("%s is missing or out of range", x.name)
-		}
-	}
-	names := map[string]bool{}
-	for _, c := range s.Classes {
-		switch {
-		case names[c.Name]:
-			return bad("profiles: class %q is set twice", c.Name)
-		case !amount(c.PriorityWeight) || !amount(c.LatePriorityFactor):
-			return bad("profiles: class %q: worth (PriorityWeight) and late_worth (LatePriorityFactor) must be finite and not negative", c.Name)
-		case c.LatencyObjective <= 0:
-			return bad("profiles: class %q: target_us (LatencyObjective) must be over zero", c.Name)
-		case c.Deadline < c.LatencyObjective:
-			return bad("profiles: class %q: give_up_us (Deadline) is before target_us (LatencyObjective)", c.Name)
-		case c.Idempotency > NonIdempotent:
-			return bad("profiles: class %q: repeat (Idempotency) is of no known kind", c.Name)
-		case c.Idempotency == IdempotentByKey && c.Scope > ScopeCell:
-			return bad("profiles: class %q: group (Scope) is of no known kind", c.Name)
-		case c.Idempotency == IdempotentByKey && c.IdempotencyWindow <= 0:
-			return bad("profiles: class %q: memory_span_us (IdempotencyWindow) must be over zero", c.Name)
-		}
-		names[c.Name] = true
-	}
-	names = map[string]bool{}
-	for _, t := range s.Tenants {
-		if names[t.Name] || !amount(t.Quota) {
-			return bad("tenants: %q is set twice or has a quota_rps (Quota) that is negative or not finite", t.Name)
-		}
-		names[t.Name] = true
-	}
-	return nil
+// The idempotency scopes.
+const (
+	ScopeAll IdempotencyScope = iota
+	ScopeZone
+	ScopeCell
+)
+
+// Class is one kind of request.
+type Class struct {
+	Name               string
+	LatencyObjective   time.Duration // a response within it has the full PriorityWeight
+	Deadline           time.Duration // how long a client waits in all
+	Idempotency        Idempotency
+	Scope              IdempotencyScope // for IdempotentByKey
+	IdempotencyWindow  time.Duration    // for IdempotentByKey: how long repeats are dropped
+	Stream             bool
+	PriorityWeight     float64
+	LatePriorityFactor float64 // fraction of PriorityWeight between LatencyObjective and Deadline
 }
 
-// What owners tell while running is not refused but cleaned, so that no figure poisons a mean.
+// Tenant is a customer with a quota.
+type Tenant struct {
+	Name  string
+	Quota float64 // requests a second over all balancers
+}
 
-// clean returns l without the values that are negative or not finite.
-func (l LoadReport) clean() LoadReport {
-	for i, x := range []*float64{&l.Utilization, &l.Inflight, &l.Queue, &l.ServiceTime, &l.Rate, &l.Errors} {
-		if !amount(*x) || *x > math.MaxInt32 {
-			*x, l.Fields = 0, l.Fields&^(1<<i)
-		}
-	}
-	return l
+// Limits is what the site permits.
+type Limits struct {
+	AllowCancel       bool
+	AllowHealthChecks bool
+	AllowHedging      bool // a second attempt while the first is in flight
+	AllowRetryAfter   bool
+	MaxRetryAfter     time.Duration // the longest wait that a client honours
+	MaxAttempts       int           // of one request
 }
 
-// clean returns o with a latency over zero and a clean load.
-func (o AttemptResult) clean() AttemptResult {
-	o.Latency, o.Load = max(o.Latency, 1), o.Load.clean()
-	return o
+// Obligations holds the figures of the rules for draining and slow start that the site sets.
+type Obligations struct {
+	PollInterval     time.Duration // discovery by polling: ask at least this often
+	SlowStartFrom    float64       // an endpoint starts with at least this fraction of its capacity
+	SlowStartWindow  time.Duration // after which it has all of it
+	OverloadMultiple float64       // a warming endpoint that gets more than this multiple of its present capacity
+	OverloadWindow   time.Duration // for this long fails
+	DrainGrace       time.Duration // no attempt at a draining endpoint after this
+	AnswerSlack      time.Duration // by which a final answer may be late
 }
 
-// clean returns u with a weight that can be set against others: 1 if it is not finite or not over zero.
-func (u Endpoint) clean() Endpoint {
-	if !amount(u.Weight) || u.Weight == 0 || u.Weight > math.MaxInt32 {
-		u.Weight = 1
-	}
-	return u
+// WeightKind says what Endpoint.Weight means.
+type WeightKind uint8
+
+// The weight kinds.
+const (
+	WeightNone        WeightKind = iota // always one
+	WeightNominal                       // capacity
+	WeightApproximate                   // capacity, approximately
+	WeightLive                          // capacity less the load of some time ago
+)
+
+// ReportSource says how load reports arrive.
+type ReportSource uint8
+
+// The sources of load reports.
+const (
+	ReportNone           ReportSource = iota
+	ReportInResponses                 // with responses and health checks
+	ReportInHealthChecks              // with health checks only
+)
+
+// Settings is what a Balancer is told at its start.
+type Settings struct {
+	Zone            string
+	Balancers       int // instances in this tier
+	Rank            int // of this instance among them, from 0
+	Classes         []Class
+	Tenants         []Tenant
+	OverQuotaFactor float64 // by which the priority of requests over a tenant's quota is lowered
+	PriorityByWork  bool    // PriorityWeight counts per unit of work, not per request
+	KeyAffinity     bool    // an endpoint serves keys that it has met lately with less work
+	Limits          Limits
+	Obligations     Obligations
+	PollDiscovery   bool // discovery answers only when polled
+	Weights         WeightKind
+	Reports         ReportSource
+	EventSpacing    time.Duration // least time between batches of events
 }
--- /dev/null
+++ b/balancer/slowstart.go
@@ -0,0 +1,54 @@
+package balancer
+
+import "time"
+
+const (
+	slowStartMargin         = 0.6 // part of the slow-start budget that is used
+	localitySlowStartMargin = 0.8 // of that, where locality sends all balancers of a zone there at once
+)
+
+// slowStartCapacity is the fraction of its capacity that an endpoint is sure to have.
+func (b *Balancer) slowStartCapacity(e *endpoint, now time.Duration) float64 {
+	rules := &b.settings.Obligations
+	if e.slowStart.active && now-e.slowStart.since < rules.SlowStartWindow {
+		elapsed := float64(now-e.slowStart.since) / float64(rules.SlowStartWindow)
+		return rules.SlowStartFrom + (1-rules.SlowStartFrom)*max(0, elapsed)
+	}
+	e.slowStart.active = false
+	return 1
+}
+
+// beginSlowStart treats an endpoint as started at a time: nothing learnt before holds.
+func (b *Balancer) beginSlowStart(e *endpoint, at time.Duration) {
+	e.slowStart.active = true
+	e.slowStart.since = at
+	e.forgetMeasurements()
+	e.limit.current = b.initialLimit
+}
+
+// fitsSlowStart tells whether an endpoint is warm, or r fits this balancer's part of what it may get while it warms up,
+// judged by what warm ones do. No request counts less than the mean: many small ones overload an endpoint too.
+func (b *Balancer) fitsSlowStart(e *endpoint, r *request, now time.Duration) bool {
+	if b.slowStartCapacity(e, now) == 1 {
+		return true
+	}
+	budget := &e.slowStart.budget
+	if b.fleet.workPerWeight == 0 { // no warm endpoint to judge by: one at a time, and not the next on a quick failure
+		return len(e.attempts) == 0 && (budget.Level < 1 || now-budget.At >= time.Duration(b.latency))
+	}
+	rate := b.slowStartRate(e, now)
+	budget.Leak(now, rate)
+	return budget.Level <= max(0, rate*b.settings.Obligations.OverloadWindow.Seconds()-max(1, r.workUnits))
+}
+
+// slowStartRate is the rate, in mean requests a second, at which the budget of a warming endpoint frees: half of this
+// balancer's part of what it may get. What zones count for can change at once and work can't, so no endpoint is taken to
+// do more than the best one does.
+func (b *Balancer) slowStartRate(e *endpoint, now time.Duration) float64 {
+	work := min(b.fleet.maxWorkPerWeight, e.zone.shareFactor()*b.fleet.workPerWeight)
+	capacity := e.weight * work / bandPeriod.Seconds()
+	if b.locality.localShare > 0 {
+		capacity *= localitySlowStartMargin
+	}
+	return slowStartMargin / 2 * b.settings.Obligations.OverloadMultiple * b.slowStartCapacity(e, now) * capacity
+}
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -46,67 +46,126 @@
 	HoldPeriods    int     `json:"Hold"`   // how long a recovery step is held, in units of the shortest hold
 }
 
-// Snapshot tells what is known now. It shares nothing with the Balancer.
+// TakeSnapshot returns what is known now. It shares nothing with the Balancer.
 func (b *Balancer) TakeSnapshot(now time.Duration) Snapshot {
-	k := Snapshot{TakenAt: now, Latency: b.lat, MeanCost: b.cost, ClassLatency: map[string]float64{}, LocalShare: b.stay, RegionShare: b.keep,
-		WorkPerWeight: b.carry, MaxWorkPerWeight: b.most, Endpoints: make([]EndpointStats, 0, len(b.near))}
+	snapshot := Snapshot{
+		TakenAt:          now,
+		Latency:          b.latency,
+		MeanCost:         b.meanCost,
+		ClassLatency:     map[string]float64{},
+		LocalShare:       b.locality.localShare,
+		RegionShare:      b.locality.regionShare,
+		WorkPerWeight:    b.fleet.workPerWeight,
+		MaxWorkPerWeight: b.fleet.maxWorkPerWeight,
+		Endpoints:        make([]EndpointStats, 0, len(b.subset)),
+	}
 	for name, c := range b.classes {
-		k.ClassLatency[name] = c.lat
+		snapshot.ClassLatency[name] = c.latency
 	}
-	for _, u := range b.near {
-		if u.State == Removed || !u.member {
-			continue
+	for _, e := range b.subset {
+		if e.State != Removed && e.inSubset {
+			snapshot.Endpoints = append(snapshot.Endpoints, e.stats())
 		}
-		k.Endpoints = append(k.Endpoints, EndpointStats{ID: u.ID, ShareFactor: u.factor, ConcurrencyLimit: u.bound, Latency: u.lat, LatencyDeviation: u.latDev,
-			WorkUnits: u.units, ErrorRate: u.errors, LatencyEWMA: u.slow, BaselineLatency: u.calm, WorkRate: u.work, SlowStartUsed: u.spent, WarmingUp: u.cold, Unresponsive: u.silent,
-			WarmingSince: u.coldAt, Backoff: u.wait})
 	}
 	for _, z := range b.zones {
-		if z.left {
-			k.DrainedZones = append(k.DrainedZones, z.name)
+		if z.drained {
+			snapshot.DrainedZones = append(snapshot.DrainedZones, z.name)
 		}
-		k.Zones = append(k.Zones, ZoneStats{Name: z.name, Failed: z.failed, RecoveredShare: z.back, HoldPeriods: z.hold})
+		snapshot.Zones = append(snapshot.Zones, z.stats())
 	}
-	return k
+	return snapshot
 }
 
-// Restore takes up what another Balancer knew, as evidence of its age. It belongs after the first Members and before the
-// first Request. What is not listed any more is passed over. An age under zero, of a clock that was set back, tells
-// nothing of how old figures are: they are not used.
-func (b *Balancer) Restore(now time.Duration, k Snapshot) {
-	trust := trustOf(now - k.TakenAt)
-	if trust > 0 && amount(k.Latency) && k.Latency > 0 {
-		b.lat = k.Latency
-		b.cost, b.carry, b.most = finite(k.MeanCost), finite(k.WorkPerWeight), finite(k.MaxWorkPerWeight)
-		for name, c := range b.classes {
-			c.lat = finite(k.ClassLatency[name])
-		}
-		if k.LocalShare > 0 && k.LocalShare <= 1 && k.RegionShare >= k.LocalShare && k.RegionShare <= 1 && b.stay > 0 {
-			b.stay, b.keep = k.LocalShare, k.RegionShare
-		}
+// stats is what is known of an endpoint.
+func (e *endpoint) stats() EndpointStats {
+	return EndpointStats{
+		ID:               e.ID,
+		ShareFactor:      e.shareFactor,
+		ConcurrencyLimit: e.limit.current,
+		Latency:          e.latency.mean,
+		LatencyDeviation: e.latency.deviation,
+		WorkUnits:        e.latency.workUnits,
+		ErrorRate:        e.outlier.errorRate,
+		LatencyEWMA:      e.latency.smoothed,
+		BaselineLatency:  e.latency.baseline,
+		WorkRate:         e.work.mean,
+		SlowStartUsed:    e.slowStart.budget.Level,
+		WarmingUp:        e.slowStart.active,
+		Unresponsive:     e.outlier.unresponsive,
+		WarmingSince:     e.slowStart.since,
+		Backoff:          e.outlier.backoff,
+	}
+}
+
+// stats is what is known of a zone.
+func (z *zone) stats() ZoneStats {
+	return ZoneStats{
+		Name:           z.name,
+		Failed:         z.health.ejected,
+		RecoveredShare: z.health.recoveredShare,
+		HoldPeriods:    z.health.holdMultiple,
+	}
+}
+
+// Restore takes up what another Balancer knew, as evidence of its age. It belongs after the first OnEndpointUpdate and
+// before the first OnRequest. Endpoints that are not listed any more are ignored. An age below zero, of a clock that was
+// set back, tells nothing of how old figures are: they are not used.
+func (b *Balancer) Restore(now time.Duration, snapshot Snapshot) {
+	trusted := confidence(now-snapshot.TakenAt) > 0
+	if trusted && isAmount(snapshot.Latency) && snapshot.Latency > 0 {
+		b.restoreFleet(snapshot)
 	}
-	for _, x := range k.Endpoints {
-		if u := b.byID[x.ID]; u != nil && u.State == Active {
-			b.recall(u, x, trust, now, k.TakenAt)
+	for _, known := range snapshot.Endpoints {
+		e := b.byID[known.ID]
+		if e != nil && e.State == Active {
+			b.restoreEndpoint(e, known, now, snapshot.TakenAt)
 		}
 	}
-	for _, x := range k.Zones {
-		if z := b.zoneOf(x.Name); trust > 0 {
-			b.recallZone(z, x, now)
+	for _, known := range snapshot.Zones {
+		z := b.zoneNamed(known.Name)
+		if trusted {
+			b.restoreZone(z, known, now)
 		}
 	}
-	for _, name := range k.DrainedZones {
-		b.zoneOf(name).left = true
+	for _, name := range snapshot.DrainedZones {
+		b.zoneNamed(name).drained = true
 	}
-	b.gather(now)
-	b.lean(now)
-	b.weigh()
+	b.rebuildSubset(now)
+	b.updateLocality(now)
+	b.estimateWorkPerWeight()
 }
 
-// finite is x, or 0 where it is no amount.
+// restoreFleet takes up what endpoints have in common.
+func (b *Balancer) restoreFleet(snapshot Snapshot) {
+	b.latency = snapshot.Latency
+	b.meanCost = finite(snapshot.MeanCost)
+	b.fleet.workPerWeight = finite(snapshot.WorkPerWeight)
+	b.fleet.maxWorkPerWeight = finite(snapshot.MaxWorkPerWeight)
+	for name, c := range b.classes {
+		c.latency = finite(snapshot.ClassLatency[name])
+	}
+	local, region := snapshot.LocalShare, snapshot.RegionShare
+	if local > 0 && local <= 1 && region >= local && region <= 1 && b.locality.localShare > 0 {
+		b.locality.localShare = local
+		b.locality.regionShare = region
+	}
+}
+
+// finite is x, or 0 where it is negative or not finite.
 func finite(x float64) float64 {
-	if !amount(x) {
+	if !isAmount(x) {
 		return 0
 	}
 	return x
 }
+
+// latencyStats is the latency part of what was known.
+func (s EndpointStats) latencyStats() latencyStats {
+	return latencyStats{
+		mean:      s.Latency,
+		deviation: finite(s.LatencyDeviation),
+		workUnits: s.WorkUnits,
+		smoothed:  finite(s.LatencyEWMA),
+		baseline:  finite(s.BaselineLatency),
+	}
+}
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -13,8 +13,8 @@
 	t.Helper()
 	b, _ := start(t, settings(), four(3))
 	now, _ := answered(b, time.Hour, 1, 400, map[string]Status{"near": OK, "b": OK, "c": OK, "d": OK})
-	b.ups[1].factor, b.ups[2].silent, b.ups[2].wait = 0.4, true, 300*ms
-	b.zoneOf("c").failed, b.zoneOf("c").back = true, 1
+	b.endpoints[1].shareFactor, b.endpoints[2].outlier.unresponsive, b.endpoints[2].outlier.backoff = 0.4, true, 300*ms
+	b.zoneNamed("c").health.ejected, b.zoneNamed("c").health.recoveredShare = true, 1
 	return b, now
 }
 
@@ -37,17 +37,17 @@
 	for _, c := range []struct {
 		age   time.Duration
 		trust float64
-	}{{0, 1}, {trustSpan / 2, 0.5}, {trustSpan, 0}, {7 * 24 * time.Hour, 0}, {-time.Hour, 0}} {
+	}{{0, 1}, {snapshotLifetime / 2, 0.5}, {snapshotLifetime, 0}, {7 * 24 * time.Hour, 0}, {-time.Hour, 0}} {
 		x := reborn(t, now+c.age, four(3), k)
-		if want := 1 - c.trust*0.6; math.Abs(x.ups[1].factor-want) > 1e-9 {
-			t.Errorf("age %v: share factor %v, want %v", c.age, x.ups[1].factor, want)
+		if want := 1 - c.trust*0.6; math.Abs(x.endpoints[1].shareFactor-want) > 1e-9 {
+			t.Errorf("age %v: share factor %v, want %v", c.age, x.endpoints[1].shareFactor, want)
 		}
-		want := x.start + c.trust*(b.ups[0].bound-x.start)
-		if math.Abs(x.ups[0].bound-want) > 1e-9 {
-			t.Errorf("age %v: bound %v, want %v", c.age, x.ups[0].bound, want)
+		want := x.initialLimit + c.trust*(b.endpoints[0].limit.current-x.initialLimit)
+		if math.Abs(x.endpoints[0].limit.current-want) > 1e-9 {
+			t.Errorf("age %v: bound %v, want %v", c.age, x.endpoints[0].limit.current, want)
 		}
-		if known := c.trust > 0; x.ups[2].silent != known || x.zoneOf("c").failed != known || (x.ups[0].lat > 0) != known || (x.lat == b.lat) != known {
-			t.Errorf("age %v: silent %v, zone failed %v, latency %v of %v", c.age, x.ups[2].silent, x.zoneOf("c").failed, x.lat, b.lat)
+		if known := c.trust > 0; x.endpoints[2].outlier.unresponsive != known || x.zoneNamed("c").health.ejected != known || (x.endpoints[0].latency.mean > 0) != known || (x.latency == b.latency) != known {
+			t.Errorf("age %v: silent %v, zone failed %v, latency %v of %v", c.age, x.endpoints[2].outlier.unresponsive, x.zoneNamed("c").health.ejected, x.latency, b.latency)
 		}
 	}
 }
@@ -78,11 +78,11 @@
 		}
 		x.OnEndpointUpdate(now, UpdateCached, four(3))
 		x.Restore(now, k)
-		u := x.ups[2]
-		if r := (&request{class: x.classes["read"], units: 1, deadline: now + time.Second}); u.trialAt > now && x.eligible(u, r, now) {
+		u := x.endpoints[2]
+		if r := (&request{class: x.classes["read"], workUnits: 1, deadline: now + time.Second}); u.outlier.nextTrialAt > now && x.isEligible(u, r, now) {
 			t.Error("a silent upstream gets traffic before its trial is due")
 		}
-		moments[u.trialAt] = true
+		moments[u.outlier.nextTrialAt] = true
 	}
 	if len(moments) < 15 {
 		t.Errorf("20 balancers try at %d moments", len(moments))
@@ -103,11 +103,11 @@
 			id++
 			b.OnRequest(now, Request{ID: id, Class: "read", Timeout: time.Second})
 			r := b.requests[id]
-			if r == nil || r.out == 0 {
+			if r == nil || r.inFlight == 0 {
 				return
 			}
-			u := r.attempts[0].up
-			if u.ID == list[0].ID && u.cold {
+			u := r.attempts[0].endpoint
+			if u.ID == list[0].ID && u.slowStart.active {
 				sent = append(sent, now)
 			}
 			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: u.ID, Latency: 40 * ms, Status: OK, RequestClosed: true, Load: LoadReport{Fields: HasUtilization, Utilization: 0.5}})
@@ -164,14 +164,14 @@
 	}{{100 * ms, false}, {settings().Obligations.OverloadWindow + ms, true}} {
 		x := reborn(t, now+c.age, list, k)
 		u := x.byID[list[0].ID]
-		r := &request{class: x.classes["read"], units: 1}
-		if !u.cold {
+		r := &request{class: x.classes["read"], workUnits: 1}
+		if !u.slowStart.active {
 			t.Fatal("it is not cold")
 		}
-		if got := x.coldRoom(u, r, now+c.age); got != c.want {
+		if got := x.fitsSlowStart(u, r, now+c.age); got != c.want {
 			t.Errorf("restarted %v after the snapshot: room %v, want %v", c.age, got, c.want)
 		}
-		if later := now + c.age + settings().Obligations.OverloadWindow; !x.coldRoom(u, r, later) {
+		if later := now + c.age + settings().Obligations.OverloadWindow; !x.fitsSlowStart(u, r, later) {
 			t.Errorf("restarted %v after the snapshot: no room a window later", c.age)
 		}
 	}
@@ -200,9 +200,9 @@
 		for i := range 100 {
 			serve(t, x, now+time.Duration(i)*ms, RequestID(i+1))
 		}
-		for _, u := range x.ups {
-			if s := x.share(u, now); math.IsNaN(s) || math.IsInf(s, 0) || s < 0 || math.IsNaN(u.bound) {
-				t.Errorf("%v: upstream %d has share %v and bound %v", bad, u.ID, s, u.bound)
+		for _, u := range x.endpoints {
+			if s := x.trafficShare(u, now); math.IsNaN(s) || math.IsInf(s, 0) || s < 0 || math.IsNaN(u.limit.current) {
+				t.Errorf("%v: upstream %d has share %v and bound %v", bad, u.ID, s, u.limit.current)
 			}
 		}
 	}
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -2,17 +2,15 @@
 
 import "time"
 
-// What a Balancer tells of itself. Nothing here decides anything.
-
-// ZoneState is what a zone is to a balancer.
+// ZoneState is the state of a zone as a balancer sees it.
 type ZoneState uint8
 
-// The states.
+// The states of a zone.
 const (
 	ZoneHealthy    ZoneState = iota
-	ZoneDegraded             // half of its upstreams are sick: half of its share
+	ZoneDegraded             // half of its endpoints are unhealthy: half of its share
 	ZoneFailed               // most are: trials only
-	ZoneDrained              // by the operators: nothing new goes there
+	ZoneDrained              // by operators: nothing new goes there
 	ZoneRecovering           // its share grows in steps
 )
 
@@ -25,58 +23,81 @@
 type ZoneStatus struct {
 	Name        string
 	State       ZoneState
-	Listed      int     // upstreams in the list
-	Unhealthy   int     // sick ones among those that this balancer uses
-	Share       float64 // of this balancer's turns
+	Listed      int     // endpoints in the list
+	Unhealthy   int     // of those that this balancer uses
+	Share       float64 // of this balancer's traffic
 	Utilization float64 // mean of their readings; -1: none
-	Attempts    int     // attempts so far
-	Spilled     int     // those of them that the bounds of home alone sent out
+	Attempts    int     // so far
+	Spilled     int     // those of them that only the limits of local endpoints sent here
 }
 
-// Zones tells of every zone that has upstreams or was left, in the order in which they were heard of.
+// ZoneStatuses returns the status of every zone that has endpoints or was drained, in the order in which they became
+// known.
 func (b *Balancer) ZoneStatuses(now time.Duration) []ZoneStatus {
-	var all []ZoneStatus
 	shares, total := map[*zone]float64{}, 0.0
-	for _, u := range b.near {
-		if u.member && !u.zone.left && !u.zone.failed {
-			s := b.share(u, now)
-			shares[u.zone], total = shares[u.zone]+s, total+s
+	for _, e := range b.subset {
+		if e.inSubset && e.zone.inUse() {
+			share := b.trafficShare(e, now)
+			shares[e.zone] += share
+			total += share
 		}
 	}
-	b.survey(now)
+	b.summarizeZones(now)
+	var statuses []ZoneStatus
 	for _, z := range b.zones {
-		x := ZoneStatus{Name: z.name, Listed: z.listed, Unhealthy: z.bad, Utilization: -1, Attempts: z.sent, Spilled: z.spilled}
-		switch {
-		case z.left:
-			x.State = ZoneDrained
-		case z.failed:
-			x.State = ZoneFailed
-		case z.back < 1 && z.doubted():
-			x.State = ZoneDegraded
-		case z.back < 1:
-			x.State = ZoneRecovering
+		if z.listed == 0 && !z.drained {
+			continue
 		}
+		status := z.status()
 		if total > 0 {
-			x.Share = shares[z] / total
-		}
-		if z.read > 0 {
-			x.Utilization = z.use / z.read
-		}
-		if z.listed > 0 || z.left {
-			all = append(all, x)
+			status.Share = shares[z] / total
 		}
+		statuses = append(statuses, status)
+	}
+	return statuses
+}
+
+// status is a zone's status without its share.
+func (z *zone) status() ZoneStatus {
+	status := ZoneStatus{
+		Name:        z.name,
+		State:       z.state(),
+		Listed:      z.listed,
+		Unhealthy:   z.health.unhealthy,
+		Utilization: -1,
+		Attempts:    z.attempts,
+		Spilled:     z.spilled,
+	}
+	if z.measuredCapacity > 0 {
+		status.Utilization = z.meanUtilization()
+	}
+	return status
+}
+
+// state is a zone's state.
+func (z *zone) state() ZoneState {
+	switch {
+	case z.drained:
+		return ZoneDrained
+	case z.health.ejected:
+		return ZoneFailed
+	case z.health.recoveredShare == 1:
+		return ZoneHealthy
+	case z.health.isDegraded():
+		return ZoneDegraded
 	}
-	return all
+	return ZoneRecovering
 }
 
-// Listed tells how many upstreams the list holds, and how many of them get nothing now but trials: those that
-// drain, have fallen silent or could not be reached.
+// EndpointCounts tells how many endpoints the list holds, and how many of them get nothing now but trials: those that
+// drain, are unresponsive or could not be reached.
 func (b *Balancer) EndpointCounts(now time.Duration) (known, skipped int) {
-	for _, u := range b.ups {
-		if u.State == Removed {
+	for _, e := range b.endpoints {
+		if e.State == Removed {
 			continue
 		}
-		if known++; u.State == Draining || u.silent || now < u.backAt {
+		known++
+		if e.State == Draining || e.outlier.unresponsive || now < e.outlier.unreachableUntil {
 			skipped++
 		}
 	}
--- /dev/null
+++ b/balancer/subset.go
@@ -0,0 +1,80 @@
+package balancer
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+
+	"sprucehill/internal/ring"
+)
+
+const (
+	balancersPerEndpoint = 4.0 // balancers that share an endpoint, where there are enough
+	minSubset            = 2   // endpoints that a balancer uses at least
+)
+
+// rebuildSubset chooses the endpoints that this balancer uses. All balancers see the same ring and take a stretch from a
+// place of their own; the golden ratio spreads these evenly for any run of ranks.
+func (b *Balancer) rebuildSubset(now time.Duration) {
+	active := slices.DeleteFunc(slices.Clone(b.endpoints), func(e *endpoint) bool { return e.State != Active })
+	slices.SortFunc(active, func(x, y *endpoint) int { return cmp.Compare(x.ringPosition, y.ringPosition) })
+	count, balancers := float64(len(active)), float64(b.fleetSize.Balancers)
+	fair := math.Ceil(count * balancersPerEndpoint / max(balancersPerEndpoint, balancers-balancersPerEndpoint))
+	wanted := max(1, min(count, max(minSubset, fair)))
+	b.locality.disabled = wanted < min(count, minLocalitySubset)
+	b.initialLimit = initialFleetLimit * max(count, 1) / wanted / float64(b.fleetSize.MaxBalancers)
+	_, place := math.Modf(float64(b.fleetSize.Rank) * math.Phi)
+	chosen := chooseStretch(b.localFirst(active, place, wanted), wanted)
+	b.subset = b.subset[:0]
+	for _, e := range b.endpoints {
+		if chosen[e] && !e.inSubset {
+			b.joinSubset(e, wanted, now)
+		}
+		e.inSubset = chosen[e]
+		if e.inSubset || len(e.attempts) > 0 {
+			b.subset = append(b.subset, e)
+		}
+	}
+}
+
+// chooseStretch takes endpoints in order until enough of them are warm and responsive, at most twice as many.
+func chooseStretch(ordered []*endpoint, wanted float64) map[*endpoint]bool {
+	chosen := map[*endpoint]bool{}
+	usable := 0.0
+	for i, e := range ordered {
+		if i >= int(2*wanted) || usable >= wanted {
+			break
+		}
+		chosen[e] = true
+		if !e.slowStart.active && !e.outlier.unresponsive && e.zone.inUse() {
+			usable++
+		}
+	}
+	return chosen
+}
+
+// localFirst orders the ring for a balancer at a place from 0 to 1 that uses so many endpoints: as many of its own zone
+// as make its part if every zone's balancers bring as much, then the others. It goes round the rings of its zone and of
+// the others each by its place, so that every endpoint of a zone has about as many balancers. Without zones, or where it
+// uses all, there is one ring.
+func (b *Balancer) localFirst(active []*endpoint, place, wanted float64) []*endpoint {
+	var local, remote []*endpoint
+	zones := map[*zone]bool{}
+	for _, e := range active {
+		zones[e.zone] = true
+		if e.Zone == b.settings.Zone {
+			local = append(local, e)
+		} else {
+			remote = append(remote, e)
+		}
+	}
+	if len(local) == 0 || len(remote) == 0 || int(wanted) >= len(active) || b.locality.disabled {
+		return ring.From(active, place)
+	}
+	part := wanted * float64(len(local)*len(zones)) / float64(len(active))
+	part = math.Round(max(1, min(wanted-1, part))) // it has to hear of the others
+	n := min(len(local), int(part))
+	local, remote = ring.From(local, place), ring.From(remote, place)
+	return slices.Concat(local[:n], remote, local[n:])
+}
--- /dev/null
+++ b/balancer/zonehealth.go
@@ -0,0 +1,241 @@
+package balancer
+
+import (
+	"slices"
+	"time"
+)
+
+// Zone health; the package comment tells the states. Those without a unit are ratios.
+const (
+	degradedFraction     = 0.5            // of a zone's endpoints unhealthy: it gets this part of its share
+	ejectFraction        = 0.75           // of them: it is ejected
+	minUnhealthy         = 2              // endpoints: one bad endpoint is no zone
+	outlierRatio         = 3              // times unhealthier than the rest, or the fault is not the zone's
+	minRemainingCapacity = 0.4            // of all capacity that the other zones must have: else everybody is needed
+	unhealthyErrorRate   = 0.5            // over which an endpoint is unhealthy
+	erringErrorRate      = 0.3            // the same where several of a zone fail at once: two in a row
+	overdueDeviations    = 2.0            // over its mean latency that count as overdue where several are so together
+	minCorrelated        = 3              // that many
+	responsiveRatio      = 8              // times as many of the others have responded lately as are overdue
+	responsiveSpan       = 2 * bandPeriod // since its last response an endpoint speaks for its zone
+	trialsToRecover      = 3              // successful trials in a row that bring a zone back
+	firstTrialTicks      = 2              // between the first trials
+	recoveryStep         = 0.25           // of its share that a zone gains at once
+	minHoldPeriods       = 3              // that a step is held: reports of the one before have come by then
+	maxHoldMultiple      = 8              // times as long are steps held at most, after setbacks
+)
+
+// isUnhealthy tells whether e gives no good responses now.
+func (e *endpoint) isUnhealthy(now time.Duration) bool {
+	return e.outlier.unresponsive || now < e.outlier.unreachableUntil || e.outlier.errorRate >= unhealthyErrorRate
+}
+
+// isErring tells whether e has failed since its zone last gave a good response, and not for the first time. Where several
+// do, all are unhealthy: a balancer that sends a zone little would see five errors of each only after it has lost much.
+func (e *endpoint) isErring() bool {
+	return e.outlier.failedAt > e.zone.health.succeededAt && e.outlier.errorRate >= erringErrorRate
+}
+
+// isOverdue tells whether e has owed every response for well over its usual time. One endpoint alone may do so by chance;
+// several of a zone at once, while the rest responds, do not. One that has been slow for a while has another fault.
+func (b *Balancer) isOverdue(e *endpoint, now time.Duration) bool {
+	oldest := e.oldestAttempt()
+	if oldest == nil || e.latency.mean == 0 || e.latency.isSlow() {
+		return false
+	}
+	expected := max(e.latency.mean+overdueDeviations*e.latency.deviation, b.latency)
+	return float64(e.silence(oldest, now)) > max(1, oldest.request.workUnits)*expected
+}
+
+// countEndpoint counts what one endpoint tells of its zone.
+func (b *Balancer) countEndpoint(e *endpoint, now time.Duration) {
+	health := &e.zone.health
+	health.members++
+	if e.isErring() {
+		health.erring++
+	}
+	switch {
+	case e.isUnhealthy(now):
+		health.unhealthy++
+	case b.isOverdue(e, now):
+		health.overdue++
+	case len(e.attempts) > 0 || now-e.outlier.respondedAt < responsiveSpan:
+		health.responsive++
+		if e.latency.isSlow() {
+			health.slow++
+		}
+	}
+}
+
+// detectCorrelatedFailure takes as unresponsive what is overdue at once in one zone, long before each alone would be. The
+// others have to respond as quickly as they can, but for zones that do not respond at all: a link of the balancer's own
+// that loses some messages makes responses late everywhere, and where that is usual by now, overdue only where little is
+// known.
+func (b *Balancer) detectCorrelatedFailure(now time.Duration) {
+	late, responsive := b.countLate()
+	for _, z := range b.zones {
+		suspects, lateElsewhere := z.health.unhealthy+z.health.overdue, late
+		if z.health.responsive > 0 {
+			lateElsewhere -= suspects + z.health.slow
+		}
+		responsiveElsewhere := responsive - z.health.responsive
+		othersRespond := responsiveElsewhere >= minCorrelated && lateElsewhere*responsiveRatio <= responsiveElsewhere
+		if z.health.overdue > 0 && z.health.mostlySuspect(suspects) && othersRespond {
+			b.ejectOverdue(z, now)
+		}
+	}
+}
+
+// mostlySuspect tells whether so many suspects are most of a zone.
+func (h *zoneHealth) mostlySuspect(suspects int) bool {
+	ofHeard := ejectFraction * float64(suspects+h.responsive)
+	return suspects >= minCorrelated && 2*suspects >= h.members && float64(suspects) >= ofHeard
+}
+
+// ejectOverdue takes the overdue endpoints of a zone as unresponsive.
+func (b *Balancer) ejectOverdue(z *zone, now time.Duration) {
+	for _, e := range slices.Clone(b.subset) {
+		if e.zone == z && !e.outlier.unresponsive && b.isOverdue(e, now) {
+			z.health.unhealthy++
+			z.health.overdue--
+			b.markUnresponsive(e, 1, now)
+		}
+	}
+}
+
+// countErring counts erring endpoints as unhealthy where they are several.
+func (h *zoneHealth) countErring() {
+	if h.erring >= minCorrelated {
+		h.unhealthy = max(h.unhealthy, h.erring)
+		h.responsive = min(h.responsive, h.members-h.unhealthy)
+	}
+}
+
+// updateZoneState moves a zone to another state, if the evidence asks for it; elsewhere is the unhealthy fraction of the
+// other zones, weight that of all endpoints.
+func (b *Balancer) updateZoneState(z *zone, elsewhere, weight float64, now time.Duration) (changed bool) {
+	health := &z.health
+	switch {
+	case health.members == 0:
+		health.ejected = false
+	case health.ejected && health.trialSuccesses >= trialsToRecover:
+		health.beginRecovery()
+		periods := minHoldPeriods * health.holdMultiple
+		b.log(now, "zone", "zone %q responds again: its share grows by steps of %d periods", z.name, periods)
+		return true
+	case !z.inUse() || elsewhere*outlierRatio > health.unhealthyFraction():
+	case b.mayEject(z, weight):
+		health.eject(now)
+		health.backoff = firstTrialTicks * b.tick
+		b.log(now, "zone", "zone %q: %d of %d endpoints unhealthy: trials only", z.name, health.unhealthy, health.members)
+		return true
+	case health.isDegraded() && health.recoveredShare > degradedFraction:
+		health.recoveredShare = degradedFraction
+		health.heldPeriods = 0
+		return true
+	}
+	return false
+}
+
+// mayEject tells whether most of a zone is unhealthy, and the others have the capacity to go on without it.
+func (b *Balancer) mayEject(z *zone, weight float64) bool {
+	mostlyUnhealthy := z.health.unhealthy >= minUnhealthy && z.health.unhealthyFraction() >= ejectFraction
+	return mostlyUnhealthy && b.weightOutside(z) >= minRemainingCapacity*weight
+}
+
+// shareFactor is what traffic shares count for in a zone that is in use.
+func (z *zone) shareFactor() float64 { return z.localityWeight * z.health.recoveredShare }
+
+// unhealthyFraction is the fraction of a zone that is unhealthy. Once that is half of all, endpoints that nothing is
+// known of do not speak for the zone: no evidence is not good evidence.
+func (h *zoneHealth) unhealthyFraction() float64 {
+	of := h.members
+	if 2*h.unhealthy >= h.members {
+		of = h.unhealthy + h.responsive + h.overdue
+	}
+	return float64(h.unhealthy) / float64(max(1, of))
+}
+
+// isDegraded tells whether a good part of a zone is unhealthy, and not one bad rack.
+func (h *zoneHealth) isDegraded() bool {
+	return h.unhealthy >= minUnhealthy && h.unhealthyFraction() >= degradedFraction
+}
+
+// eject leaves a zone but for trials. One that was recovering has its next steps held longer.
+func (h *zoneHealth) eject(now time.Duration) {
+	if h.recovering {
+		h.holdMultiple = min(2*h.holdMultiple, maxHoldMultiple)
+	}
+	h.ejected = true
+	h.recovering = false
+	h.trialSuccesses = 0
+	h.trial = nil
+	h.nextTrialAt = now
+}
+
+// beginRecovery gives an ejected zone the first step of its share.
+func (h *zoneHealth) beginRecovery() {
+	h.ejected = false
+	h.recovering = true
+	h.recoveredShare = recoveryStep
+	h.heldPeriods = 0
+}
+
+// endRecovery ends the recovery of a zone that has all of its share, and after a long healthy time the memory of
+// setbacks.
+func (h *zoneHealth) endRecovery() {
+	if h.recoveredShare < 1 {
+		return
+	}
+	h.recovering = false
+	if h.heldPeriods >= minHoldPeriods*maxHoldMultiple {
+		h.holdMultiple = 1
+	}
+}
+
+// advanceRecovery gives recovering zones their next step, once the last has been held and their utilisation is not over
+// the fleet's: what that step brought has been borne.
+func (b *Balancer) advanceRecovery() {
+	fleet := b.summarize(func(*zone) bool { return true })
+	for _, z := range b.zones {
+		health := &z.health
+		health.heldPeriods++
+		waits := health.heldPeriods < minHoldPeriods*health.holdMultiple || health.isDegraded()
+		if !z.inUse() || health.recoveredShare == 1 || waits {
+			continue
+		}
+		most := max(utilizationMargin*fleet.utilization+utilizationNoise, minExcessLevel)
+		if !fleet.measured || z.measuredCapacity == 0 || z.meanUtilization() <= most {
+			health.recoveredShare = min(1, health.recoveredShare+recoveryStep)
+			health.heldPeriods = 0
+		}
+	}
+}
+
+// observeResult counts successful trials in a row.
+func (z *zone) observeResult(status Status) {
+	switch status {
+	case OK:
+		z.health.trialSuccesses++
+	case Rejected, Cancelled, NotSent:
+	default:
+		z.health.trialSuccesses = 0
+	}
+}
+
+// allowsTrial tells whether an ejected zone gets a trial: one at a time, of the safest class, so that it may go
+// elsewhere.
+func (b *Balancer) allowsTrial(z *zone, r *request, now time.Duration) bool {
+	ended := z.health.trial == nil || z.health.trial.ended
+	return ended && now >= z.health.nextTrialAt && r.class.Idempotency == b.safestClass
+}
+
+// beginTrial notes a trial of an ejected zone. While trials succeed the next follows at once.
+func (z *zone) beginTrial(a *attempt) {
+	z.health.trial = a
+	z.health.nextTrialAt = a.sentAt + z.health.backoff
+	z.health.backoff = min(z.health.backoff*backoffGrowth, bandPeriod)
+	if z.health.trialSuccesses > 0 {
+		z.health.nextTrialAt = a.sentAt
+	}
+}
--- a/balancer/zones_test.go
+++ b/balancer/zones_test.go
@@ -24,12 +24,12 @@
 func periods(b *Balancer, now time.Duration, n int, use map[string]float64) time.Duration {
 	for range n {
 		now += bandPeriod
-		for _, u := range b.ups {
-			for i := range bandWindow { // a window of like readings, each a little other than the last
-				b.read(u, LoadReport{Fields: HasUtilization | HasRate, Utilization: use[u.Zone], Rate: now.Seconds() + float64(i)}, true, 0, now)
+		for _, u := range b.endpoints {
+			for i := range bandReadings { // a window of like readings, each a little other than the last
+				b.recordUtilization(u, LoadReport{Fields: HasUtilization | HasRate, Utilization: use[u.Zone], Rate: now.Seconds() + float64(i)}, 0, now)
 			}
 		}
-		b.step(now)
+		b.closePeriod(now)
 	}
 	return now
 }
@@ -61,13 +61,13 @@
 	b, _ := start(t, settings(), sited(map[string]int{"near": 4, "b": 4}, "near", "b"))
 	hot, cool := map[string]float64{"near": 0.9, "b": 0.3}, map[string]float64{"near": 0.3, "b": 0.3}
 	now := periods(b, time.Hour, 20, cool)
-	before := b.stay
+	before := b.locality.localShare
 	for range 30 {
 		now = periods(b, now, 1, hot)
-		if before-b.stay > homeStep+1e-9 {
-			t.Fatalf("from %.2f to %.2f in a period", before, b.stay)
+		if before-b.locality.localShare > maxLocalShareStep+1e-9 {
+			t.Fatalf("from %.2f to %.2f in a period", before, b.locality.localShare)
 		}
-		before = b.stay
+		before = b.locality.localShare
 	}
 	if p := homePart(t, b, now, 1000)["near"]; math.Abs(p-0.25) > 0.05 {
 		t.Errorf("%.2f of the traffic stays at a full home, an even part is 0.5", p)
@@ -104,18 +104,18 @@
 	s := settings()
 	s.Zone = "west/1"
 	b, _ := start(t, s, sited(map[string]int{"west/1": 1, "west/2": 1, "east/1": 1}, "west/1", "west/2", "east/1"))
-	for _, u := range b.ups {
-		u.lat, u.units = float64(200*ms), 1
+	for _, u := range b.endpoints {
+		u.latency.mean, u.latency.workUnits = float64(200*ms), 1
 	}
-	r := &request{class: b.classes["read"], units: 1, deadline: time.Hour + 150*ms}
-	for _, u := range b.ups {
-		if got, want := b.eligible(u, r, time.Hour), u.Zone != "east/1"; got != want {
+	r := &request{class: b.classes["read"], workUnits: 1, deadline: time.Hour + 150*ms}
+	for _, u := range b.endpoints {
+		if got, want := b.isEligible(u, r, time.Hour), u.Zone != "east/1"; got != want {
 			t.Errorf("%s, 150 ms left of the usual 200: eligible %v, want %v", u.Zone, got, want)
 		}
-		if r.units = 0.5; !b.eligible(u, r, time.Hour) {
+		if r.workUnits = 0.5; !b.isEligible(u, r, time.Hour) {
 			t.Errorf("%s: half of the work has the time", u.Zone)
 		}
-		r.units = 1
+		r.workUnits = 1
 	}
 }
 
@@ -131,8 +131,8 @@
 		b, _ := start(t, s, list)
 		periods(b, time.Hour, 10, map[string]float64{c.of: 0.4})
 		for _, z := range b.zones {
-			if z.tilt != 1 {
-				t.Errorf("%+v: zone %q has a tilt of %v", c, z.name, z.tilt)
+			if z.localityWeight != 1 {
+				t.Errorf("%+v: zone %q has a tilt of %v", c, z.name, z.localityWeight)
 			}
 		}
 	}
@@ -160,19 +160,19 @@
 			b.OnEndpointUpdate(now, UpdateComplete, list)
 			now = periods(b, now, rapid.IntRange(1, 4).Draw(rt, "periods"), use)
 			listed := map[string]bool{s.Zone: true}
-			for _, u := range b.ups {
+			for _, u := range b.endpoints {
 				listed[u.Zone] = true
 			}
 			for _, z := range b.zones {
-				if !(z.tilt > 0) || math.IsInf(z.tilt, 1) {
-					rt.Fatalf("zone %s has a tilt of %v", z.name, z.tilt)
+				if !(z.localityWeight > 0) || math.IsInf(z.localityWeight, 1) {
+					rt.Fatalf("zone %s has a tilt of %v", z.name, z.localityWeight)
 				}
 				if !listed[z.name] {
 					rt.Fatalf("zone %s is kept though nobody is in it", z.name)
 				}
 			}
-			if b.stay < 0 || b.stay > 1 || (b.stay > 0 && b.keep < b.stay) {
-				rt.Fatalf("stay %v, keep %v", b.stay, b.keep)
+			if b.locality.localShare < 0 || b.locality.localShare > 1 || (b.locality.localShare > 0 && b.locality.regionShare < b.locality.localShare) {
+				rt.Fatalf("stay %v, keep %v", b.locality.localShare, b.locality.regionShare)
 			}
 		}
 	})
@@ -226,14 +226,14 @@
 			}
 			now += 50 * ms
 			for _, z := range b.zones {
-				switch step := z.back - back[z.name]; {
+				switch step := z.health.recoveredShare - back[z.name]; {
 				case left[z.name]:
-				case step > returnStep+1e-9:
-					rt.Fatalf("%s went from %v to %v of its share at once", z.name, back[z.name], z.back)
-				case step > 0 && back[z.name] > 0 && held[z.name] < returnHold:
+				case step > recoveryStep+1e-9:
+					rt.Fatalf("%s went from %v to %v of its share at once", z.name, back[z.name], z.health.recoveredShare)
+				case step > 0 && back[z.name] > 0 && held[z.name] < minHoldPeriods:
 					rt.Fatalf("%s went on after %d periods", z.name, held[z.name])
 				case step > 0:
-					back[z.name], held[z.name] = z.back, 0
+					back[z.name], held[z.name] = z.health.recoveredShare, 0
 				}
 			}
 		}
@@ -247,9 +247,9 @@
 		id := first + RequestID(i)
 		now += 20 * ms
 		b.OnRequest(now, Request{ID: id, Class: "read", Timeout: time.Second})
-		for r := b.requests[id]; r != nil && !r.done && r.out > 0; r = b.requests[id] {
+		for r := b.requests[id]; r != nil && !r.finished && r.inFlight > 0; r = b.requests[id] {
 			k := len(r.attempts) - 1
-			u := r.attempts[k].up
+			u := r.attempts[k].endpoint
 			got[u.Zone]++
 			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: u.ID, Attempt: k, Latency: 50 * ms, Status: of[u.Zone], RequestClosed: of[u.Zone] == OK})
 		}
@@ -273,8 +273,8 @@
 	hole := map[string]Status{"near": OK, "b": Error, "c": OK, "d": OK}
 	now, _ = answered(b, now, 1000, 400, hole)
 	now, got := answered(b, now, 2000, 400, hole)
-	if z := b.zoneOf("b"); !z.failed || got["b"] > 20 {
-		t.Errorf("a zone of errors got %d of %v attempts, failed %v", got["b"], got, z.failed)
+	if z := b.zoneNamed("b"); !z.health.ejected || got["b"] > 20 {
+		t.Errorf("a zone of errors got %d of %v attempts, failed %v", got["b"], got, z.health.ejected)
 	}
 	states := map[string]ZoneState{}
 	for _, z := range b.ZoneStatuses(now) {
@@ -284,13 +284,13 @@
 		t.Errorf("zones are told as %v", states)
 	}
 	for _, name := range []string{"near", "c", "d"} {
-		if b.zoneOf(name).failed {
+		if b.zoneNamed(name).health.ejected {
 			t.Errorf("zone %s was left too", name)
 		}
 	}
 	now, _ = answered(b, now, 3000, 1500, well)
-	if z := b.zoneOf("b"); z.failed || z.back < 1 {
-		t.Errorf("after 30 s of good answers: failed %v, %v of its share", z.failed, z.back)
+	if z := b.zoneNamed("b"); z.health.ejected || z.health.recoveredShare < 1 {
+		t.Errorf("after 30 s of good answers: failed %v, %v of its share", z.health.ejected, z.health.recoveredShare)
 	}
 	if _, after := answered(b, now, 5000, 400, well); after["b"] < before["b"]/2 {
 		t.Errorf("%d of 400 attempts before, %d after", before["b"], after["b"])
@@ -303,23 +303,23 @@
 	for _, c := range []struct {
 		name string
 		list []Endpoint
-		sick func(u *upstream) bool
+		sick func(u *endpoint) bool
 	}{
-		{"all alike", four(4), func(u *upstream) bool { return u.ID%4 != 0 }},
-		{"others somewhat less", four(4), func(u *upstream) bool { return u.Zone == "b" || u.ID%2 == 0 }},
-		{"the greater part of the fleet", sited(map[string]int{"near": 2, "b": 8}, "near", "b"), func(u *upstream) bool { return u.Zone == "b" }},
-		{"one bad rack of four", four(4), func(u *upstream) bool { return u.Zone == "b" && u.ID%4 == 0 }},
-		{"a lone upstream", four(1), func(u *upstream) bool { return u.Zone == "b" }},
+		{"all alike", four(4), func(u *endpoint) bool { return u.ID%4 != 0 }},
+		{"others somewhat less", four(4), func(u *endpoint) bool { return u.Zone == "b" || u.ID%2 == 0 }},
+		{"the greater part of the fleet", sited(map[string]int{"near": 2, "b": 8}, "near", "b"), func(u *endpoint) bool { return u.Zone == "b" }},
+		{"one bad rack of four", four(4), func(u *endpoint) bool { return u.Zone == "b" && u.ID%4 == 0 }},
+		{"a lone upstream", four(1), func(u *endpoint) bool { return u.Zone == "b" }},
 	} {
 		b, _ := start(t, settings(), c.list)
-		for _, u := range b.ups {
+		for _, u := range b.endpoints {
 			if c.sick(u) {
-				u.errors = 1
+				u.outlier.errorRate = 1
 			}
 		}
-		b.health(time.Hour)
+		b.updateZoneHealth(time.Hour)
 		for _, z := range b.zones {
-			if z.failed {
+			if z.health.ejected {
 				t.Errorf("%s: zone %s was left", c.name, z.name)
 			}
 		}
@@ -331,45 +331,45 @@
 func TestZoneFallsSilentJointly(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		owes func(u *upstream) bool
+		owes func(u *endpoint) bool
 		want bool
 	}{
-		{"a zone", func(u *upstream) bool { return u.Zone == "b" }, true},
-		{"most of it, and nothing is heard of the last", func(u *upstream) bool { return u.Zone == "b" && u.ID != 5 }, true},
-		{"two of it", func(u *upstream) bool { return u.ID == 5 || u.ID == 6 }, false},
-		{"half of every zone", func(u *upstream) bool { return u.ID%4 > 1 }, false},
-		{"a zone, beside others whose answers are late", func(u *upstream) bool { return u.Zone == "b" }, false},
+		{"a zone", func(u *endpoint) bool { return u.Zone == "b" }, true},
+		{"most of it, and nothing is heard of the last", func(u *endpoint) bool { return u.Zone == "b" && u.ID != 5 }, true},
+		{"two of it", func(u *endpoint) bool { return u.ID == 5 || u.ID == 6 }, false},
+		{"half of every zone", func(u *endpoint) bool { return u.ID%4 > 1 }, false},
+		{"a zone, beside others whose answers are late", func(u *endpoint) bool { return u.Zone == "b" }, false},
 	} {
 		b, _ := start(t, settings(), four(4))
 		now := time.Hour
-		for i, u := range b.ups {
-			u.lat, u.latDev, u.units = float64(100*ms), float64(20*ms), 1
-			if u.answeredAt = now; u.ID == 5 && !c.owes(u) && c.want {
-				u.answeredAt = 0 // idle for long
+		for i, u := range b.endpoints {
+			u.latency.mean, u.latency.deviation, u.latency.workUnits = float64(100*ms), float64(20*ms), 1
+			if u.outlier.respondedAt = now; u.ID == 5 && !c.owes(u) && c.want {
+				u.outlier.respondedAt = 0 // idle for long
 			}
-			if u.calm, u.slow = 1, 1; strings.Contains(c.name, "late") {
-				u.slow = 2
+			if u.latency.baseline, u.latency.smoothed = 1, 1; strings.Contains(c.name, "late") {
+				u.latency.smoothed = 2
 			}
 			if c.owes(u) {
 				id := RequestID(i + 1)
-				r := &request{Request: Request{ID: id, Timeout: time.Second}, class: b.classes["read"], units: 1, deadline: now + time.Second}
+				r := &request{Request: Request{ID: id, Timeout: time.Second}, class: b.classes["read"], workUnits: 1, deadline: now + time.Second}
 				b.requests[id] = r
-				b.send(r, u, now)
+				b.startAttempt(r, u, now)
 			}
 		}
 		now += 200 * ms // the patience with one alone is over 350 ms
-		for _, u := range b.ups {
-			if !c.owes(u) && u.answeredAt > 0 {
-				u.answeredAt = now
+		for _, u := range b.endpoints {
+			if !c.owes(u) && u.outlier.respondedAt > 0 {
+				u.outlier.respondedAt = now
 			}
 		}
-		b.lat = float64(100 * ms)
-		b.health(now)
-		if z := b.zoneOf("b"); z.failed != c.want {
-			t.Errorf("%s owe answers for twice the usual time: failed %v, want %v", c.name, z.failed, c.want)
+		b.latency = float64(100 * ms)
+		b.updateZoneHealth(now)
+		if z := b.zoneNamed("b"); z.health.ejected != c.want {
+			t.Errorf("%s owe answers for twice the usual time: failed %v, want %v", c.name, z.health.ejected, c.want)
 		}
 		for _, name := range []string{"near", "c", "d"} {
-			if b.zoneOf(name).failed {
+			if b.zoneNamed(name).health.ejected {
 				t.Errorf("%s: zone %s was left", c.name, name)
 			}
 		}
@@ -381,16 +381,16 @@
 	b, _ := start(t, settings(), four(6))
 	now, id := time.Hour, RequestID(1)
 	for i := range 12 {
-		u := b.ups[6+i%6]
-		r := &request{Request: Request{ID: id, Timeout: time.Second}, class: b.classes["read"], units: 1, deadline: now + time.Second}
+		u := b.endpoints[6+i%6]
+		r := &request{Request: Request{ID: id, Timeout: time.Second}, class: b.classes["read"], workUnits: 1, deadline: now + time.Second}
 		b.requests[id] = r
-		b.send(r, u, now)
+		b.startAttempt(r, u, now)
 		b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: u.ID, Latency: ms, Status: Error, RequestClosed: true})
 		id++
 		now += 10 * ms
-		b.health(now)
-		if z := b.zoneOf("b"); z.failed != (i >= 10) { // three quarters of six
-			t.Fatalf("after %d errors over all 6: failed %v", i+1, z.failed)
+		b.updateZoneHealth(now)
+		if z := b.zoneNamed("b"); z.health.ejected != (i >= 10) { // three quarters of six
+			t.Fatalf("after %d errors over all 6: failed %v", i+1, z.health.ejected)
 		}
 	}
 }
@@ -401,21 +401,21 @@
 	b, _ := start(t, settings(), four(4))
 	now := time.Hour
 	for i := range 600 {
-		u := b.ups[4+i%2]
+		u := b.endpoints[4+i%2]
 		if i%15 == 14 {
-			u = b.ups[6+i%2]
+			u = b.endpoints[6+i%2]
 		}
 		id := RequestID(i + 1)
-		r := &request{Request: Request{ID: id, Timeout: time.Second}, class: b.classes["read"], units: 1, deadline: now + time.Second}
+		r := &request{Request: Request{ID: id, Timeout: time.Second}, class: b.classes["read"], workUnits: 1, deadline: now + time.Second}
 		b.requests[id] = r
-		b.send(r, u, now)
+		b.startAttempt(r, u, now)
 		status := OK
 		if u.ID <= 6 || i%300 == 299 { // the good ones fail now and then, too
 			status = Error
 		}
 		b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: u.ID, Latency: ms, Status: status, RequestClosed: true})
 		now += 10 * ms
-		if b.health(now); b.zoneOf("b").failed {
+		if b.updateZoneHealth(now); b.zoneNamed("b").health.ejected {
 			t.Fatalf("the zone was left after %d answers", i+1)
 		}
 	}
@@ -444,28 +444,28 @@
 				now, _ = answered(b, now, id, 1, of)
 				id++
 				for _, z := range b.zones {
-					if !z.failed && failed[z.name] && z.back > returnStep {
-						rt.Fatalf("%s has %v of its share as it returns", z.name, z.back)
-					} else if !z.failed && z.back > back[z.name]+returnStep+1e-9 {
-						rt.Fatalf("%s went from %v to %v of its share", z.name, back[z.name], z.back)
-					} else if z.failed && !failed[z.name] && b.without(z) < leaveFloor*12 {
-						rt.Fatalf("%s was left, and only %v of 12 is well elsewhere", z.name, b.without(z))
+					if !z.health.ejected && failed[z.name] && z.health.recoveredShare > recoveryStep {
+						rt.Fatalf("%s has %v of its share as it returns", z.name, z.health.recoveredShare)
+					} else if !z.health.ejected && z.health.recoveredShare > back[z.name]+recoveryStep+1e-9 {
+						rt.Fatalf("%s went from %v to %v of its share", z.name, back[z.name], z.health.recoveredShare)
+					} else if z.health.ejected && !failed[z.name] && b.weightOutside(z) < minRemainingCapacity*12 {
+						rt.Fatalf("%s was left, and only %v of 12 is well elsewhere", z.name, b.weightOutside(z))
 					}
 					out := 0
-					for _, u := range b.ups {
-						for _, a := range u.outs {
+					for _, u := range b.endpoints {
+						for _, a := range u.attempts {
 							if u.zone == z && a.sentAt > since[z.name] {
 								out++
 							}
 						}
 					}
-					if z.failed && !failed[z.name] {
+					if z.health.ejected && !failed[z.name] {
 						since[z.name] = now
 					}
-					if z.failed && failed[z.name] && out > 1 {
+					if z.health.ejected && failed[z.name] && out > 1 {
 						rt.Fatalf("%s is failed and has %d attempts out", z.name, out)
 					}
-					back[z.name], failed[z.name] = z.back, z.failed
+					back[z.name], failed[z.name] = z.health.recoveredShare, z.health.ejected
 				}
 			}
 		}
@@ -488,13 +488,13 @@
 		}
 		b, _ := start(t, s, list)
 		home, used := 0, 0
-		for _, u := range b.near {
+		for _, u := range b.subset {
 			if used++; u.Zone == "a" {
 				home++
 			}
 		}
-		if leans := b.stay > 0; leans != x.leans || used == 0 {
-			t.Errorf("%d balancers of %d upstreams: uses %d, %d at home, %.2f stay, want leaning %v", x.balancers, x.upstreams, used, home, b.stay, x.leans)
+		if leans := b.locality.localShare > 0; leans != x.leans || used == 0 {
+			t.Errorf("%d balancers of %d upstreams: uses %d, %d at home, %.2f stay, want leaning %v", x.balancers, x.upstreams, used, home, b.locality.localShare, x.leans)
 		}
 	}
 }
