--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	ticksPerObjective     = 16   // the queue is looked at this often within the shortest latency objective
+	ticksPerObjective     = 16   // housekeeping ticks within the shortest latency objective
 	initialLatencyDivisor = 4    // of the shortest latency objective: the latency taken before any response
 	attemptReserve        = 2.33 // mean latencies left to the objective when a queued request is sent, less its late priority
 	timeoutTolerance      = 16   // a timeout shorter than usual by one in this many marks a client's retry
 	costWeight            = ewmaWeight * ewmaWeight
 )
 
-// setTiming sets the tick, and the latency that is taken until responses tell, by the shortest latency objective.
+// setTiming derives the tick, and the latency assumed before any response, from the shortest latency objective.
 func (b *Balancer) setTiming(shortest time.Duration) {
 	b.latency = float64(shortest) / initialLatencyDivisor
 	b.tick = max(b.settings.EventSpacing, shortest/ticksPerObjective, time.Millisecond)
 }
 
-// OnRequest takes a client's request.
+// OnRequest handles a new request of a client.
 func (b *Balancer) OnRequest(now time.Duration, q Request) {
 	c := b.classes[q.Class]
 	if c == nil { // a class that the settings lack; never sent, so a retry is harmless
@@ -40,7 +40,7 @@
 	if c.isLateRetry(q, reserve) {
 		r.priority *= c.LatePriorityFactor
 	}
-	// Queued requests are looked at once a tick: without one in reserve a short timeout would pass unseen.
+	// The queue is processed once a tick: without a tick in reserve a short timeout would expire unnoticed.
 	r.attemptBy = now + min(c.LatencyObjective, q.Timeout) - max(reserve, b.tick) - b.tick
 	b.requests[r.ID] = r
 	if r.priority == 0 && b.isSaturated(now) {
@@ -72,14 +72,15 @@
 	return priority
 }
 
-// isLateRetry tells whether a client's retry, which shows by its short timeout, can't meet the objective any more.
+// isLateRetry reports whether a request is a client's retry, recognised by its short timeout, that can no longer meet
+// the latency objective.
 func (c *class) isLateRetry(q Request, reserve time.Duration) bool {
 	c.longestTimeout = max(c.longestTimeout, q.Timeout)
 	isRetry := q.Timeout < c.longestTimeout-c.longestTimeout/timeoutTolerance
 	return isRetry && c.LatencyObjective-(c.Deadline-q.Timeout) < reserve
 }
 
-// isSaturated tells whether no endpoint could take some request within the last mean latency.
+// isSaturated reports whether, within the last mean latency, there was a request that no endpoint could take.
 func (b *Balancer) isSaturated(now time.Duration) bool {
 	return now-b.saturatedAt < time.Duration(b.latency)
 }
@@ -91,7 +92,7 @@
 		b.startAttempt(r, e, now)
 		return
 	}
-	if permitted { // also where it can't be queued: limits would stay low beside rejections
+	if permitted { // also if it can't be queued: otherwise limits would stay low while requests are rejected
 		b.saturatedAt = now
 	}
 	if (permitted || len(r.attempts) == 0) && now < r.attemptBy {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -17,7 +17,7 @@
 	classes     map[string]*class
 	tenants     map[string]*tenant
 	safestClass Idempotency
-	tick        time.Duration // between two looks at queue and endpoints
+	tick        time.Duration // interval of queue processing and failure detection
 
 	requests  map[RequestID]*request
 	queue     []*request // by priority, then newest first
@@ -105,7 +105,7 @@
 	return b, nil
 }
 
-// OnFleetSizeChanged takes how many balancers there are from now on. What was counted and measured so far stays.
+// OnFleetSizeChanged sets the number of balancers from now on. Counters and measurements stay.
 func (b *Balancer) OnFleetSizeChanged(now time.Duration, size FleetSize) {
 	b.fleetSize = FleetSize{
 		Balancers:    max(size.Balancers, 1),
@@ -118,7 +118,7 @@
 	b.rebuildSubset(now)
 }
 
-// OnTimer takes a timer that the Balancer has set.
+// OnTimer handles a timer that the Balancer has set.
 func (b *Balancer) OnTimer(now time.Duration, token uint64) {
 	if token != tickToken { // discoveryToken; an unknown one must not start a second row of ticks
 		b.effects.WatchEndpoints(true)
@@ -136,7 +136,7 @@
 	b.dispatchQueue(now)
 }
 
-// closePeriod ends a period of the bands: shares move, and all that is reckoned once a period is reckoned anew.
+// closePeriod ends a band period: it adjusts traffic shares and recomputes everything that is computed once a period.
 func (b *Balancer) closePeriod(now time.Duration) {
 	for _, e := range b.subset {
 		b.integrateBand(e, now)
@@ -203,7 +203,7 @@
 	return stats.ValueAbove(n, samples)
 }
 
-// OnEndpointUpdate takes what discovery says of the endpoints.
+// OnEndpointUpdate handles a list of endpoints from discovery, or a failed call.
 func (b *Balancer) OnEndpointUpdate(now time.Duration, mode UpdateMode, list []Endpoint) {
 	if mode == UpdateFailed {
 		b.retryDiscovery(now)
--- a/balancer/bands.go
+++ b/balancer/bands.go
@@ -20,7 +20,7 @@
 	ewmaWeight     = 0.1         // weight of a new sample in running means
 )
 
-// recordUtilization takes a load report as a reading of utilisation. Where it has none, requests in progress and waiting
+// recordUtilization records a load report as a reading of utilisation. Where it has none, requests in progress and waiting
 // stand in; at sites without reports it is the response's share of its latency objective (0: no response).
 func (b *Balancer) recordUtilization(e *endpoint, report LoadReport, objectiveShare float64, now time.Duration) {
 	reading := report.Utilization
@@ -66,14 +66,14 @@
 	}
 }
 
-// updateFleetStats takes what the subset has in common from the period that ends.
+// updateFleetStats computes the statistics of the subset at the end of a period.
 func (b *Balancer) updateFleetStats() {
 	b.fleet.utilization = b.valueAbove(2, func(e *endpoint) float64 { return e.utilization.mean })
 	b.fleet.baselineLatency = b.valueAbove(4, func(e *endpoint) float64 { return e.latency.baseline })
 }
 
-// estimateWorkPerWeight reckons what warm endpoints do for their weight, as zones count now: it is what a warming
-// endpoint's budget is taken from, and a zone that counts for more at once must not bring its warming endpoints more than
+// estimateWorkPerWeight estimates the work that warm endpoints do for their weight, by present zone weights: a warming
+// endpoint's budget is derived from it, and a zone whose weight jumps must not send its warming endpoints more than
 // that.
 func (b *Balancer) estimateWorkPerWeight() {
 	var work, weight, most float64
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -23,7 +23,7 @@
 	b.log(now, "discovery", "discovery call failed: asking again in %v", wait)
 }
 
-// applyEndpoint takes one entry of a list.
+// applyEndpoint applies one entry of a list.
 func (b *Balancer) applyEndpoint(entry Endpoint, now time.Duration) {
 	e := b.byID[entry.ID]
 	if e == nil {
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -41,7 +41,7 @@
 	lastReport   LoadReport
 }
 
-// add takes a reading of utilisation, 0 to 1.
+// add records a reading of utilisation, 0 to 1.
 func (w *bandWindow) add(reading float64) {
 	w.window[w.readings%bandReadings] = reading
 	w.readings++
@@ -62,7 +62,7 @@
 	deviation float64 // mean absolute deviation
 	workUnits float64 // mean work of its responses, in mean requests
 	smoothed  float64 // slow mean of the latency for a unit of work
-	baseline  float64 // the lowest that mean has been, unlearnt slowly
+	baseline  float64 // the lowest value of that mean; it drifts up slowly
 }
 
 // perUnit is the latency for a unit of work, ns.
@@ -124,18 +124,18 @@
 	return e
 }
 
-// silence is how long an endpoint has owed the response to its oldest attempt with no sign of life.
-func (e *endpoint) silence(oldest *attempt, now time.Duration) time.Duration {
+// waitingTime returns how long the oldest attempt has been waiting without any response from the endpoint.
+func (e *endpoint) waitingTime(oldest *attempt, now time.Duration) time.Duration {
 	return now - max(oldest.sentAt, e.outlier.respondedAt)
 }
 
-// closePeriod takes the present period into the mean and begins the next one.
+// closePeriod adds the present period to the running mean and begins the next one.
 func (w *workStats) closePeriod() {
 	w.mean += ewmaWeight * (w.period - w.mean)
 	w.period = 0
 }
 
-// forgetMeasurements drops what responses have told of the endpoint.
+// forgetMeasurements drops latency, utilisation and errors.
 func (e *endpoint) forgetMeasurements() {
 	e.latency = latencyStats{}
 	e.utilization.reset()
--- a/balancer/ledger.go
+++ b/balancer/ledger.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// OnBodySent notes that an upload has been passed on completely: its endpoint starts on it now.
+// OnBodySent records that an upload has been forwarded completely: its endpoint starts to execute it now.
 func (b *Balancer) OnBodySent(now time.Duration, id RequestID, index int) {
 	r, a := b.findAttempt(id, index)
 	if a == nil || !a.uploading {
--- a/balancer/limit.go
+++ b/balancer/limit.go
@@ -15,21 +15,21 @@
 	limitReduction          = 0.8   // on a saturated response
 	limitGrowth             = 0.5   // attempts, on a response of an endpoint with headroom while the fleet is saturated
 	fullUtilization         = 0.8   // mean utilisation over which more attempts in flight bring no more
-	saturatedRatio          = 1.6   // latency over this multiple of the baseline: saturated or unhealthy
-	saturatedObjectiveShare = 0.5   // if it takes this part of the objective: far under it saturation hurts nobody
-	baselineDrift           = 0.005 // how fast the baseline latency is unlearnt
+	saturatedRatio          = 1.6   // latency over this multiple of the baseline means saturated or unhealthy
+	saturatedObjectiveShare = 0.5   // if it is also over this part of the objective: below, saturation does no harm
+	baselineDrift           = 0.005 // weight of a sample by which the baseline latency drifts up
 	minWorkUnits            = 0.5   // even the smallest request has a fixed part
 
 	rejectionReduction = limitReduction * limitReduction // on a full queue or a timeout
 )
 
-// hasHeadroom tells whether the endpoint's readings show utilisation to spare; without readings it has none.
+// hasHeadroom reports whether the readings show spare utilisation; without readings there is none.
 func (e *endpoint) hasHeadroom() bool {
 	u := &e.utilization
 	return u.readings > 0 && u.mean < fullUtilization && u.lastReport.Queue <= 0
 }
 
-// observeLatency takes a response into the running means. The rarer an endpoint's responses, the more each one tells of
+// observeLatency updates the running means by a response. The rarer an endpoint's responses, the more weight each has for
 // it.
 func (b *Balancer) observeLatency(a *attempt, latency time.Duration) {
 	e, sample := a.endpoint, float64(latency)
@@ -44,7 +44,7 @@
 	e.latency.baseline = min(e.latency.baseline, e.latency.smoothed)
 }
 
-// isSlow tells whether responses take far longer than they once did.
+// isSlow reports whether latency is far over its baseline.
 func (l *latencyStats) isSlow() bool { return l.smoothed > saturatedRatio*l.baseline }
 
 // adjustLimit moves the limit by a response. A slow response alone proves no saturation, since work and waits vary by as
@@ -58,14 +58,14 @@
 	switch {
 	case saturated && !e.hasHeadroom():
 		b.reduceLimit(e, now, limitReduction)
-	case e.limit.current < b.initialLimit: // it has had its pauses
+	case e.limit.current < b.initialLimit: // recovered
 		e.limit.current = b.initialLimit
 	case e.hasHeadroom() && b.needsHigherLimit(e, now):
 		e.limit.current = max(e.limit.current, min(e.limit.current+limitGrowth, e.limit.ceiling))
 	}
 }
 
-// needsHigherLimit tells whether requests find no endpoint, or local ones go elsewhere only for the limit of e.
+// needsHigherLimit reports whether requests find no endpoint, or leave the zone only because of the limit of e.
 func (b *Balancer) needsHigherLimit(e *endpoint, now time.Duration) bool {
 	if b.isSaturated(now) {
 		return true
@@ -74,7 +74,7 @@
 	return missedTurn && e.utilization.mean < minExcessLevel && e.limit.current < e.neededConcurrency()
 }
 
-// neededConcurrency is how many attempts are in flight at e for its own traffic, with what chance brings together. It
+// neededConcurrency is how many attempts are in flight at e for its own traffic, with a margin for bursts. It
 // goes by the baseline latency: an endpoint that holds many because it is slow needs no more.
 func (e *endpoint) neededConcurrency() float64 {
 	mean := e.work.mean / bandPeriod.Seconds() * e.latency.baseline / float64(time.Second)
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Locality; the package comment tells how it works. Those without a unit are ratios.
+// Locality, see the package comment. Constants without a unit are ratios.
 const (
 	minLocalitySubset   = 8    // endpoints used of more, under which one or two are local: one that drains is half of them
 	maxLocalShare       = 0.92 // of the traffic: with less for the rest, readings from elsewhere grow old
@@ -33,7 +33,7 @@
 		locality.localShare = 0
 		return
 	}
-	if locality.localShare == 0 { // each zone's balancers bring as much, until readings tell
+	if locality.localShare == 0 { // assume equal load from each zone until there are readings
 		locality.localShare = min(maxLocalShare, b.usableZones()*home.capacity/all.capacity)
 		locality.regionShare = maxLocalShare
 	}
@@ -100,7 +100,7 @@
 	return max(1.0/maxSpareFactor, min(maxSpareFactor, factor))
 }
 
-// canAnswerInTime tells whether a response from e can come before the client gives up. Only another region is judged so:
+// canAnswerInTime reports whether a response from e can come before the client gives up. It checks other regions only:
 // the way there and back is part of every response, and one nearby may be quicker this time.
 func (b *Balancer) canAnswerInTime(e *endpoint, r *request, now time.Duration) bool {
 	if b.locality.home == nil || e.zone.region == b.locality.home.region || e.latency.workUnits == 0 {
@@ -109,7 +109,7 @@
 	return r.deadline-now >= time.Duration(e.latency.perUnit()*r.workUnits)
 }
 
-// noteMissedTurns notes which local endpoints were due before a remote one that gets the turn: only their limits sent it
+// noteMissedTurns records which local endpoints were due before a remote one that gets the turn: only their limits sent it
 // away, and these may grow as where no endpoint is free.
 func (b *Balancer) noteMissedTurns(best *endpoint, now time.Duration) {
 	if b.locality.localShare == 0 || best.Zone == b.settings.Zone {
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -11,21 +11,21 @@
 	errorWeight       = 2 * ewmaWeight // of a new result in the running mean of errors
 )
 
-// responseTimeout is how long an endpoint may owe all responses before it counts as unresponsive. The fleet's latency
+// responseTimeout is how long an endpoint may give no response before it counts as unresponsive. The fleet's latency
 // bounds it from below: one quick response is no measure.
 func (b *Balancer) responseTimeout(e *endpoint, workUnits float64) time.Duration {
 	expected := max(e.latency.mean+timeoutDeviations*e.latency.deviation, (1+timeoutDeviations/2)*b.latency)
 	return time.Duration(expected*max(1, workUnits)) + b.tick
 }
 
-// detectUnresponsive looks whether an endpoint has attempts in flight and has not responded within its response timeout.
+// detectUnresponsive ejects an endpoint with attempts in flight that has not responded within its response timeout.
 func (b *Balancer) detectUnresponsive(e *endpoint, now time.Duration) {
 	oldest := e.oldestAttempt()
 	if e.outlier.unresponsive || oldest == nil {
 		return
 	}
 	workUnits := oldest.request.workUnits
-	if e.silence(oldest, now) > b.responseTimeout(e, workUnits) {
+	if e.waitingTime(oldest, now) > b.responseTimeout(e, workUnits) {
 		b.markUnresponsive(e, workUnits, now)
 	}
 }
@@ -33,7 +33,7 @@
 // markUnresponsive ejects an endpoint until it responds: it gets one trial at a time, the first after the time that a
 // response of so much work may take, and what may be executed twice is hedged elsewhere or cancelled.
 func (b *Balancer) markUnresponsive(e *endpoint, workUnits float64, now time.Duration) {
-	b.log(now, "silent", "endpoint %d unresponsive for %v: trials only", e.ID, e.silence(e.oldestAttempt(), now))
+	b.log(now, "silent", "endpoint %d unresponsive for %v: trials only", e.ID, e.waitingTime(e.oldestAttempt(), now))
 	e.outlier.unresponsive = true
 	e.outlier.backoff = b.responseTimeout(e, workUnits)
 	e.outlier.nextTrialAt = now + e.outlier.backoff
@@ -51,7 +51,7 @@
 	}
 }
 
-// markResponsive notes a sign of life, which ends ejection and backoff.
+// markResponsive records a response, which ends ejection and backoff.
 func (b *Balancer) markResponsive(e *endpoint, now time.Duration) {
 	e.outlier.unresponsive = false
 	e.outlier.respondedAt = now
@@ -65,7 +65,7 @@
 	e.outlier.backoff *= backoffGrowth
 }
 
-// backOff leaves an endpoint alone that could not be reached or broke a connection: it is down, or its connection table
+// backOff pauses an endpoint that could not be reached or broke a connection: it is down, or its connection table
 // is full. Attempts that failed together count once.
 func (b *Balancer) backOff(e *endpoint, now time.Duration) {
 	if now < e.outlier.unreachableUntil {
@@ -75,7 +75,7 @@
 	e.outlier.backoff = min(e.outlier.backoff*backoffGrowth, b.settings.Obligations.SlowStartWindow)
 }
 
-// observeErrors takes a result into the running mean of errors.
+// observeErrors updates the running mean of errors by a result.
 func (e *endpoint) observeErrors(status Status, now time.Duration) {
 	switch status {
 	case OK:
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -7,7 +7,7 @@
 
 const (
 	maxTurnDebt = 1.0             // turns that an endpoint could not take are forgotten beyond this many rounds
-	maxBlocked  = 2 * time.Second // of nothing but rejections, before an endpoint that is left alone gets an attempt
+	maxBlocked  = 2 * time.Second // of rejections only, before an endpoint in backoff gets an attempt all the same
 )
 
 // trafficShare is an endpoint's part of the traffic, not scaled.
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// mayAttempt alone decides whether r may have an attempt, first or further, at e.
+// mayAttempt reports whether r may have an attempt, first or retry, at e. No other code decides this.
 func (b *Balancer) mayAttempt(r *request, e *endpoint, now time.Duration) bool {
 	if r.finished || now >= r.deadline || e.State != Active {
 		return false
@@ -27,7 +27,7 @@
 	return true
 }
 
-// mayRepeat tells whether what an attempt may have executed may be executed again at e.
+// mayRepeat reports whether a request that an attempt may have executed may be executed again at e.
 func (b *Balancer) mayRepeat(c *class, a *attempt, e *endpoint, now time.Duration) bool {
 	switch c.Idempotency {
 	case NonIdempotent:
@@ -41,7 +41,7 @@
 	return true
 }
 
-// mayReject alone decides whether the client may be told that a retry is harmless.
+// mayReject reports whether the client may be told that a retry is harmless. No other code decides this.
 func (b *Balancer) mayReject(r *request) bool {
 	if r.class.Idempotency == Idempotent {
 		return true
@@ -61,7 +61,7 @@
 	} else if e.outlier.unresponsive {
 		e.beginTrial(now)
 	}
-	timeout := time.Duration(0) // until the client gives up: work half done is worth more than work begun anew
+	timeout := time.Duration(0) // none: a response in progress is worth more than a new attempt
 	if onTrial && r.class.Idempotency != NonIdempotent && !r.Upload {
 		timeout = b.responseTimeout(e, r.workUnits) // leaves time for another attempt
 	}
@@ -73,7 +73,7 @@
 	b.effects.Send(r.ID, e.ID, timeout)
 }
 
-// OnAttemptResult takes the end of an attempt: it is the request's answer, or the request is tried again or given up.
+// OnAttemptResult handles the end of an attempt: the request is answered, retried or given up.
 func (b *Balancer) OnAttemptResult(now time.Duration, result AttemptResult) {
 	r, a := b.findAttempt(result.ID, result.Attempt)
 	if a == nil || a.ended {
@@ -89,7 +89,7 @@
 	b.dispatchQueue(now)
 }
 
-// observeResult draws from a result what it tells about its endpoint.
+// observeResult updates what is known of an endpoint by a result.
 func (b *Balancer) observeResult(a *attempt, result AttemptResult, now time.Duration) {
 	e := a.endpoint
 	e.zone.observeResult(result.Status)
@@ -121,7 +121,7 @@
 	b.recordUtilization(e, result.Load, objectiveShare, now)
 }
 
-// rejectOrFail gives the final answer to a request that is not served.
+// rejectOrFail gives the final answer to a request that can't be served.
 func (b *Balancer) rejectOrFail(r *request) {
 	b.finishRequest(r, noAttempt)
 	if b.mayReject(r) {
@@ -131,7 +131,7 @@
 	}
 }
 
-// finishRequest notes that r has its final answer, from the attempt of an index or noAttempt, and cancels its other
+// finishRequest records that r has its final answer, from the attempt of an index or noAttempt, and cancels its other
 // attempts.
 func (b *Balancer) finishRequest(r *request, answered int) {
 	for i, a := range r.attempts {
--- a/balancer/restore.go
+++ b/balancer/restore.go
@@ -5,7 +5,7 @@
 // snapshotLifetime is the age at which what was known before a restart counts for nothing.
 const snapshotLifetime = 5 * time.Minute
 
-// confidence is what a snapshot of an age is worth, 0 to 1: it fades evenly. A clock that was set back gives no age at
+// confidence is the weight of a snapshot by its age, 1 to 0: it falls linearly. A clock that was set back gives no age at
 // all.
 func confidence(age time.Duration) float64 {
 	if age < 0 {
@@ -25,7 +25,7 @@
 	}
 }
 
-// restoreEndpoint takes up what was known of an endpoint. Unresponsive ones have to pass a trial first, each balancer's
+// restoreEndpoint restores what was known of an endpoint. Unresponsive ones have to pass a trial first, each balancer's
 // at a time of its own. The figures of warm ones fade to those of an unknown endpoint.
 func (b *Balancer) restoreEndpoint(e *endpoint, known EndpointStats, now, takenAt time.Duration) {
 	trust := confidence(now - takenAt)
@@ -61,7 +61,7 @@
 	}
 }
 
-// restoreZone takes up what was known of a zone. One that was ejected has to pass its trials.
+// restoreZone restores what was known of a zone. One that was ejected has to pass its trials.
 func (b *Balancer) restoreZone(z *zone, known ZoneStats, now time.Duration) {
 	health := &z.health
 	health.holdMultiple = max(1, min(known.HoldPeriods, maxHoldMultiple))
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -83,7 +83,7 @@
 	ReportInHealthChecks              // with health checks only
 )
 
-// Settings is what a Balancer is told at its start.
+// Settings configures a Balancer.
 type Settings struct {
 	Zone            string
 	Balancers       int // instances in this tier
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -18,7 +18,7 @@
 	return 1
 }
 
-// beginSlowStart treats an endpoint as started at a time: nothing learnt before holds.
+// beginSlowStart treats an endpoint as started at a time: measurements from before are dropped.
 func (b *Balancer) beginSlowStart(e *endpoint, at time.Duration) {
 	e.slowStart.active = true
 	e.slowStart.since = at
@@ -26,7 +26,7 @@
 	e.limit.current = b.initialLimit
 }
 
-// fitsSlowStart tells whether an endpoint is warm, or r fits this balancer's part of what it may get while it warms up,
+// fitsSlowStart reports whether an endpoint is warm, or r fits this balancer's part of what it may get while it warms up,
 // judged by what warm ones do. No request counts less than the mean: many small ones overload an endpoint too.
 func (b *Balancer) fitsSlowStart(e *endpoint, r *request, now time.Duration) bool {
 	if b.slowStartCapacity(e, now) == 1 {
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Snapshot is what a Balancer has learnt, to be taken up by one that is started after it. It has no requests: what was
+// Snapshot is what a Balancer knows, to be restored by one that is started after it. It has no requests: what was
 // in flight when a process ended is never sent again. Times are on the owner's clock.
 type Snapshot struct {
 	TakenAt          time.Duration      `json:"At"`      // when it was taken
@@ -135,7 +135,7 @@
 	b.estimateWorkPerWeight()
 }
 
-// restoreFleet takes up what endpoints have in common.
+// restoreFleet restores the statistics over all endpoints.
 func (b *Balancer) restoreFleet(snapshot Snapshot) {
 	b.latency = snapshot.Latency
 	b.meanCost = finite(snapshot.MeanCost)
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -55,7 +55,7 @@
 }
 
 // localFirst orders the ring for a balancer at a place from 0 to 1 that uses so many endpoints: as many of its own zone
-// as make its part if every zone's balancers bring as much, then the others. It goes round the rings of its zone and of
+// as make its part if every zone's balancers send as much, then the others. It goes round the rings of its zone and of
 // the others each by its place, so that every endpoint of a zone has about as many balancers. Without zones, or where it
 // uses all, there is one ring.
 func (b *Balancer) localFirst(active []*endpoint, place, wanted float64) []*endpoint {
@@ -73,7 +73,7 @@
 		return ring.From(active, place)
 	}
 	part := wanted * float64(len(local)*len(zones)) / float64(len(active))
-	part = math.Round(max(1, min(wanted-1, part))) // it has to hear of the others
+	part = math.Round(max(1, min(wanted-1, part))) // it needs readings from the others
 	n := min(len(local), int(part))
 	local, remote = ring.From(local, place), ring.From(remote, place)
 	return slices.Concat(local[:n], remote, local[n:])
--- a/balancer/validate.go
+++ b/balancer/validate.go
@@ -14,7 +14,7 @@
 	return fmt.Errorf("sprucehill: %w: %s", ErrSettings, fmt.Sprintf(format, args...))
 }
 
-// isAmount tells whether x is a finite figure that is not negative.
+// isAmount reports whether x is finite and not negative.
 func isAmount(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
 
 // Validate returns an error, which wraps ErrSettings, for the first setting that is missing or out of range. It names the
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -41,7 +41,7 @@
 	backoff        time.Duration // between trials
 }
 
-// resetEvidence forgets what endpoints told, before it is counted anew.
+// resetEvidence clears the counters of evidence.
 func (h *zoneHealth) resetEvidence() {
 	h.members = 0
 	h.unhealthy = 0
@@ -138,7 +138,7 @@
 	return count
 }
 
-// countEvidence counts what the endpoints of each zone tell, and returns how many there are and their weight.
+// countEvidence counts the evidence of all endpoints for their zones, and returns their number and weight.
 func (b *Balancer) countEvidence(now time.Duration) (members int, weight float64) {
 	for _, z := range b.zones {
 		z.health.resetEvidence()
--- a/balancer/zonehealth.go
+++ b/balancer/zonehealth.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Zone health; the package comment tells the states. Those without a unit are ratios.
+// Zone health, see the package comment for the states. Constants without a unit are ratios.
 const (
 	degradedFraction     = 0.5            // of a zone's endpoints unhealthy: it gets this part of its share
 	ejectFraction        = 0.75           // of them: it is ejected
@@ -17,26 +17,26 @@
 	overdueDeviations    = 2.0            // over its mean latency that count as overdue where several are so together
 	minCorrelated        = 3              // that many
 	responsiveRatio      = 8              // times as many of the others have responded lately as are overdue
-	responsiveSpan       = 2 * bandPeriod // since its last response an endpoint speaks for its zone
-	trialsToRecover      = 3              // successful trials in a row that bring a zone back
+	responsiveSpan       = 2 * bandPeriod // since its last response an endpoint counts as responsive
+	trialsToRecover      = 3              // successful trials in a row that end an ejection
 	firstTrialTicks      = 2              // between the first trials
 	recoveryStep         = 0.25           // of its share that a zone gains at once
-	minHoldPeriods       = 3              // that a step is held: reports of the one before have come by then
+	minHoldPeriods       = 3              // that a step is held: long enough for reports of its effect
 	maxHoldMultiple      = 8              // times as long are steps held at most, after setbacks
 )
 
-// isUnhealthy tells whether e gives no good responses now.
+// isUnhealthy reports whether e gives no good responses now.
 func (e *endpoint) isUnhealthy(now time.Duration) bool {
 	return e.outlier.unresponsive || now < e.outlier.unreachableUntil || e.outlier.errorRate >= unhealthyErrorRate
 }
 
-// isErring tells whether e has failed since its zone last gave a good response, and not for the first time. Where several
+// isErring reports whether e has failed since its zone last gave a good response, and not for the first time. Where several
 // do, all are unhealthy: a balancer that sends a zone little would see five errors of each only after it has lost much.
 func (e *endpoint) isErring() bool {
 	return e.outlier.failedAt > e.zone.health.succeededAt && e.outlier.errorRate >= erringErrorRate
 }
 
-// isOverdue tells whether e has owed every response for well over its usual time. One endpoint alone may do so by chance;
+// isOverdue reports whether e has not responded for well over its usual time. One endpoint alone may do so by chance;
 // several of a zone at once, while the rest responds, do not. One that has been slow for a while has another fault.
 func (b *Balancer) isOverdue(e *endpoint, now time.Duration) bool {
 	oldest := e.oldestAttempt()
@@ -44,10 +44,10 @@
 		return false
 	}
 	expected := max(e.latency.mean+overdueDeviations*e.latency.deviation, b.latency)
-	return float64(e.silence(oldest, now)) > max(1, oldest.request.workUnits)*expected
+	return float64(e.waitingTime(oldest, now)) > max(1, oldest.request.workUnits)*expected
 }
 
-// countEndpoint counts what one endpoint tells of its zone.
+// countEndpoint counts one endpoint as evidence for its zone.
 func (b *Balancer) countEndpoint(e *endpoint, now time.Duration) {
 	health := &e.zone.health
 	health.members++
@@ -67,7 +67,7 @@
 	}
 }
 
-// detectCorrelatedFailure takes as unresponsive what is overdue at once in one zone, long before each alone would be. The
+// detectCorrelatedFailure ejects endpoints of one zone that are overdue at once, long before each alone would be. The
 // others have to respond as quickly as they can, but for zones that do not respond at all: a link of the balancer's own
 // that loses some messages makes responses late everywhere, and where that is usual by now, overdue only where little is
 // known.
@@ -86,13 +86,13 @@
 	}
 }
 
-// mostlySuspect tells whether so many suspects are most of a zone.
+// mostlySuspect reports whether so many suspects are most of a zone.
 func (h *zoneHealth) mostlySuspect(suspects int) bool {
 	ofHeard := ejectFraction * float64(suspects+h.responsive)
 	return suspects >= minCorrelated && 2*suspects >= h.members && float64(suspects) >= ofHeard
 }
 
-// ejectOverdue takes the overdue endpoints of a zone as unresponsive.
+// ejectOverdue marks the overdue endpoints of a zone as unresponsive.
 func (b *Balancer) ejectOverdue(z *zone, now time.Duration) {
 	for _, e := range slices.Clone(b.subset) {
 		if e.zone == z && !e.outlier.unresponsive && b.isOverdue(e, now) {
@@ -137,16 +137,16 @@
 	return false
 }
 
-// mayEject tells whether most of a zone is unhealthy, and the others have the capacity to go on without it.
+// mayEject reports whether most of a zone is unhealthy, and the others have the capacity to go on without it.
 func (b *Balancer) mayEject(z *zone, weight float64) bool {
 	mostlyUnhealthy := z.health.unhealthy >= minUnhealthy && z.health.unhealthyFraction() >= ejectFraction
 	return mostlyUnhealthy && b.weightOutside(z) >= minRemainingCapacity*weight
 }
 
-// inUse tells whether a zone gets traffic beyond trials.
+// inUse reports whether a zone gets traffic beyond trials.
 func (z *zone) inUse() bool { return !z.drained && !z.health.ejected }
 
-// isUsable tells whether an endpoint counts for the capacity of its zone.
+// isUsable reports whether an endpoint counts for the capacity of its zone.
 func (e *endpoint) isUsable() bool { return !e.outlier.unresponsive && e.zone.inUse() }
 
 // shareFactor is what traffic shares count for in a zone that is in use.
@@ -162,12 +162,12 @@
 	return float64(h.unhealthy) / float64(max(1, of))
 }
 
-// isDegraded tells whether a good part of a zone is unhealthy, and not one bad rack.
+// isDegraded reports whether at least degradedFraction of a zone is unhealthy.
 func (h *zoneHealth) isDegraded() bool {
 	return h.unhealthy >= minUnhealthy && h.unhealthyFraction() >= degradedFraction
 }
 
-// eject leaves a zone but for trials. One that was recovering has its next steps held longer.
+// eject stops traffic to a zone but for trials. After a setback during recovery the next steps are held longer.
 func (h *zoneHealth) eject(now time.Duration) {
 	if h.recovering {
 		h.holdMultiple = min(2*h.holdMultiple, maxHoldMultiple)
@@ -229,14 +229,14 @@
 	}
 }
 
-// allowsTrial tells whether an ejected zone gets a trial: one at a time, of the safest class, so that it may go
+// allowsTrial reports whether an ejected zone gets a trial: one at a time, of the safest class, so that it may go
 // elsewhere.
 func (b *Balancer) allowsTrial(z *zone, r *request, now time.Duration) bool {
 	ended := z.health.trial == nil || z.health.trial.ended
 	return ended && now >= z.health.nextTrialAt && r.class.Idempotency == b.safestClass
 }
 
-// beginTrial notes a trial of an ejected zone. While trials succeed the next follows at once.
+// beginTrial records a trial of an ejected zone. While trials succeed the next follows at once.
 func (z *zone) beginTrial(a *attempt) {
 	z.health.trial = a
 	z.health.nextTrialAt = a.sentAt + z.health.backoff
