--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -64,17 +64,17 @@
 		return err
 	}
 	server := proxy.New(c, listener)
-	others, err := join(&c, file, server)
+	member, err := joinFleet(&c, file, server)
 	if err != nil {
 		return fmt.Errorf("%s: %w", os.Getenv(fleet.Variable), err)
 	}
-	defer others.close()
+	defer member.close()
 	if c.Management != "" {
 		operators, err := net.Listen("tcp", c.Management)
 		if err != nil {
 			return fmt.Errorf("listening for operators: %w", err)
 		}
-		defer manage(operators, operated{server, others})()
+		defer manage(operators, managementTarget{server, member})()
 	}
 	moves := make(chan string)
 	go reload(ctx, reloads, moves)
--- a/cmd/balancer/members.go
+++ b/cmd/balancer/members.go
@@ -17,81 +17,120 @@
 	"sprucehill/internal/proxy"
 )
 
-// kindMembers is the kind of state that the membership keeps, and the version of what stands in it.
-const kindMembers, versionMembers = "members", 1
+const (
+	// kindMembers is the kind of the stored record of the membership.
+	kindMembers = "members"
+	// versionMembers is the version of its payload, a membershipRecord.
+	versionMembers = 1
+)
 
-// keptMembers is what outlives the process: a later one must not take an incarnation that is not higher, whatever the clock
-// says by then, and divides budgets by no smaller fleet than was there, until it has seen for itself.
-type keptMembers struct {
+// membershipRecord is what outlives the process. A later process must take a higher incarnation, whatever its clock says,
+// and divides budgets by no smaller fleet until it has seen the fleet itself. The JSON keys are those of stored records.
+type membershipRecord struct {
 	Incarnation uint64 `json:"incarnation"`
-	Balancers   int    `json:"balancers"`
+	Balancers   int    `json:"balancers"` // divisor of budgets
 }
 
-// others is the membership, where there is one.
-type others struct{ node *membership.Node }
-
-// memberKeeper keeps it. Its keeper may be nil.
-type memberKeeper struct{ keeper proxy.Keeper }
+// membershipStore persists the membershipRecord. Without a keeper it persists nothing.
+type membershipStore struct{ keeper proxy.Keeper }
 
-// begin is the next incarnation, which is safe on disk where that can be, and the size of the fleet before.
-func (k memberKeeper) begin() keptMembers {
-	next := keptMembers{Incarnation: uint64(time.Now().UnixMilli())}
-	if k.keeper == nil {
+// nextRecord returns the record to start with: the next incarnation, which is on disk when this returns unless that
+// failed, and the size of the fleet before.
+func (s membershipStore) nextRecord() membershipRecord {
+	next := membershipRecord{Incarnation: uint64(time.Now().UnixMilli())}
+	if s.keeper == nil {
 		return next
 	}
-	var last keptMembers
-	if r, ok := k.keeper.Load(kindMembers); ok {
-		if err := json.Unmarshal(r.Payload, &last); err != nil || last.Balancers < 0 || last.Incarnation == math.MaxUint64 {
-			slog.Error("state passed over", "kind", kindMembers, "generation", r.Generation, "err", err)
-			last = keptMembers{}
-		}
-	}
-	next.Incarnation, next.Balancers = max(next.Incarnation, last.Incarnation+1), last.Balancers
-	text, err := json.Marshal(next)
-	if err == nil {
-		err = k.keeper.Keep(kindMembers, versionMembers, time.Now(), text)
-	}
-	if err != nil {
+	last := s.load()
+	next.Incarnation = max(next.Incarnation, last.Incarnation+1)
+	next.Balancers = last.Balancers
+	if err := s.saveSync(next); err != nil {
 		slog.Error("the incarnation is not kept", "incarnation", next.Incarnation, "err", err)
 	}
 	return next
 }
 
-// number hands over the size of the fleet.
-func (k memberKeeper) number(m keptMembers) {
-	if k.keeper != nil {
-		k.keeper.Offer(kindMembers, versionMembers, time.Now(), func() ([]byte, error) { return json.Marshal(m) })
+// load returns the record on disk, or an empty one if there is none or it is invalid.
+func (s membershipStore) load() membershipRecord {
+	stored, ok := s.keeper.Load(kindMembers)
+	if !ok {
+		return membershipRecord{}
 	}
+	var last membershipRecord
+	err := json.Unmarshal(stored.Payload, &last)
+	if err != nil || last.Balancers < 0 || last.Incarnation == math.MaxUint64 {
+		slog.Error("state passed over", "kind", kindMembers, "generation", stored.Generation, "err", err)
+		return membershipRecord{}
+	}
+	return last
 }
 
-// join enters the fleet that the file names seeds of.
-func join(c *proxy.Config, file fleet.File, server *proxy.Proxy) (others, error) {
-	m := file.Membership
-	if !m.On() {
-		return others{}, nil
+// saveSync persists a record before it returns.
+func (s membershipStore) saveSync(record membershipRecord) error {
+	payload, err := json.Marshal(record)
+	if err != nil {
+		return err
 	}
-	keeper := memberKeeper{c.Keeper}
-	before := keeper.begin()
-	zone, region := c.Settings.Zone, ""
-	if r, z, found := strings.Cut(c.Settings.Zone, "/"); found {
-		region, zone = r, z
+	return s.keeper.Keep(kindMembers, versionMembers, time.Now(), payload)
+}
+
+// save persists a record in the background.
+func (s membershipStore) save(record membershipRecord) {
+	if s.keeper == nil {
+		return
+	}
+	encode := func() ([]byte, error) { return json.Marshal(record) }
+	s.keeper.Offer(kindMembers, versionMembers, time.Now(), encode)
+}
+
+// fleetMember is this balancer's part in the fleet. node is nil if the fleet file names no seeds.
+type fleetMember struct{ node *membership.Node }
+
+// joinFleet joins the fleet that the file names seeds of.
+func joinFleet(c *proxy.Config, file fleet.File, server *proxy.Proxy) (fleetMember, error) {
+	if !file.Membership.On() {
+		return fleetMember{}, nil
 	}
+	store := membershipStore{c.Keeper}
+	record := store.nextRecord()
 	node, err := membership.Start(membership.Options{
-		Self: membership.Member{Name: c.Name, Incarnation: before.Incarnation, Zone: zone, Region: region,
-			Version: version(), Config: file.Digest, Successor: os.Getenv("RELAY_FD") != ""},
-		Listen: m.Listen, Tell: m.Tell, Seeds: m.Seeds, Keys: m.Keys, Number: c.Settings.Balancers, Rank: c.Settings.Rank, Before: before.Balancers,
-		Log:  slog.Info,
-		Does: func() membership.State { return does(server) },
-		Divided: func(incarnation uint64, d membership.Division) error {
-			keeper.number(keptMembers{incarnation, d.Most})
-			return server.Fleet(balancer.FleetSize{Balancers: d.Balancers, Rank: d.Rank, MaxBalancers: d.Most})
+		Self:         ownMember(c, file, record.Incarnation),
+		Listen:       file.Membership.Listen,
+		Advertise:    file.Membership.Tell,
+		Seeds:        file.Membership.Seeds,
+		KeyFile:      file.Membership.Keys,
+		Configured:   membership.Placement{Serving: c.Settings.Balancers, Rank: c.Settings.Rank},
+		PreviousSize: record.Balancers,
+		Log:          slog.Info,
+		CurrentState: func() membership.State { return memberState(server) },
+		OnFleetSize: func(incarnation uint64, size membership.FleetSize) error {
+			store.save(membershipRecord{Incarnation: incarnation, Balancers: size.BudgetDivisor})
+			return server.Fleet(balancer.FleetSize{Balancers: size.RoutingDivisor, Rank: size.Rank, MaxBalancers: size.BudgetDivisor})
 		},
 	})
-	return others{node}, err
+	return fleetMember{node}, err
 }
 
-// does is a balancer's state in the words of members.
-func does(server *proxy.Proxy) membership.State {
+// ownMember is what this process publishes to the fleet.
+func ownMember(c *proxy.Config, file fleet.File, incarnation uint64) membership.Member {
+	region, zone, hasRegion := strings.Cut(c.Settings.Zone, "/")
+	if !hasRegion {
+		region = ""
+		zone = c.Settings.Zone
+	}
+	return membership.Member{
+		Name:        c.Name,
+		Incarnation: incarnation,
+		Zone:        zone,
+		Region:      region,
+		Version:     version(),
+		Config:      file.Digest,
+		Successor:   os.Getenv("RELAY_FD") != "",
+	}
+}
+
+// memberState translates the balancer's state.
+func memberState(server *proxy.Proxy) membership.State {
 	switch _, state := server.Ready(); state {
 	case "serving":
 		return membership.Serving
@@ -103,7 +142,7 @@
 	return membership.Joining
 }
 
-// version is the revision that the program was built from, shortened.
+// version is the start of the revision that the program was built from.
 func version() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
@@ -115,31 +154,36 @@
 	return "unknown"
 }
 
-func (o others) close() {
-	if o.node == nil {
+func (m fleetMember) close() {
+	if m.node == nil {
 		return
 	}
-	if err := o.node.Close(); err != nil {
+	if err := m.node.Close(); err != nil {
 		slog.Error("membership was not left in good order", "err", err)
 	}
 }
 
-// operated is what operators' calls reach.
-type operated struct {
+// managementTarget is what operators' calls reach: the proxy and the membership.
+type managementTarget struct {
 	*proxy.Proxy
-	others others
+	member fleetMember
 }
 
-func (o operated) WriteFigures(w io.Writer) error {
-	if err := o.Proxy.WriteFigures(w); err != nil || o.others.node == nil {
+// WriteFigures writes the metrics of the proxy and of the membership.
+func (t managementTarget) WriteFigures(w io.Writer) error {
+	if err := t.Proxy.WriteFigures(w); err != nil {
 		return err
 	}
-	return o.others.node.Status().WriteFigures(w)
+	if t.member.node == nil {
+		return nil
+	}
+	return t.member.node.Status().WriteMetrics(w)
 }
 
-func (o operated) WriteMembers(w io.Writer) error {
-	if o.others.node == nil {
+// WriteMembers writes the members of the fleet as this balancer sees them.
+func (t managementTarget) WriteMembers(w io.Writer) error {
+	if t.member.node == nil {
 		return errors.New("there is no membership: the fleet file names no seeds")
 	}
-	return o.others.node.Status().Write(w)
+	return t.member.node.Status().Write(w)
 }
--- a/cmd/balancer/members_test.go
+++ b/cmd/balancer/members_test.go
@@ -17,90 +17,113 @@
 	"sprucehill/internal/membership"
 )
 
-// peer is one process of a fleet with membership.
+// peer is one balancer process of a fleet with membership.
 type peer struct {
-	name, operators, listen string
-	cmd                     *exec.Cmd
-	log                     *os.File
+	name       string
+	management string // address of the management calls
+	listen     string // address of membership
+	cmd        *exec.Cmd
+	log        *os.File
 }
 
-// peers starts processes that share a list of seeds, the first two of them.
-type peers struct {
-	t     *testing.T
-	path  string
-	dir   string
-	seeds []string
-	state bool // each name keeps its state in a folder
-	all   []*peer
+// peerFleet starts balancer processes. The first two are to listen at its seeds.
+type peerFleet struct {
+	t          *testing.T
+	program    string // path
+	dir        string
+	seeds      []string // two addresses
+	persistent bool     // the processes of each name share a state folder
+	all        []*peer
 }
 
-func newPeers(t *testing.T) *peers {
+func newPeerFleet(t *testing.T) *peerFleet {
+	t.Helper()
 	if os.Getenv("RUN") != "" {
 		t.Skip("this needs the program itself, not a shell about it")
 	}
-	p := &peers{t: t, path: program(t).Path, dir: t.TempDir(), seeds: []string{free(t), free(t)}}
+	f := &peerFleet{t: t, program: program(t).Path, dir: t.TempDir(), seeds: []string{free(t), free(t)}}
 	t.Cleanup(func() {
-		for _, one := range p.all {
-			one.cmd.Process.Signal(syscall.SIGCONT)
-			one.cmd.Process.Kill()
-			one.cmd.Wait()
-			if text, _ := os.ReadFile(one.log.Name()); t.Failed() {
-				t.Logf("%s:\n%s", one.name, text[max(0, len(text)-3000):])
-			}
-			one.log.Close()
+		for _, p := range f.all {
+			f.end(p)
 		}
 	})
-	return p
+	return f
 }
 
-// start starts a process under a name; listen is its address of membership.
-func (p *peers) start(name, listen string) *peer {
-	p.t.Helper()
-	serial := len(p.all)
-	file := func(kind string) string { return filepath.Join(p.dir, fmt.Sprint(serial, kind)) }
-	state := ""
-	if p.state {
-		state = fmt.Sprintf("[state]\nfolder = %q\nevery = \"100ms\"\n", filepath.Join(p.dir, "state-"+name))
-	}
-	one := &peer{name: name, operators: free(p.t), listen: listen}
-	for path, text := range map[string]string{
-		file("config.json"): fmt.Sprintf(config, free(p.t), free(p.t)),
-		file("fleet.toml"):  fmt.Sprintf("[membership]\nlisten = %q\nseeds = [%q, %q]\n%s", listen, p.seeds[0], p.seeds[1], state),
-	} {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			p.t.Fatal(err)
-		}
+// end kills a process and, after a failure, logs the end of its log.
+func (f *peerFleet) end(p *peer) {
+	const shownLogSize = 3000
+	p.cmd.Process.Signal(syscall.SIGCONT)
+	p.cmd.Process.Kill()
+	p.cmd.Wait()
+	if text, _ := os.ReadFile(p.log.Name()); f.t.Failed() {
+		f.t.Logf("%s:\n%s", p.name, text[max(0, len(text)-shownLogSize):])
 	}
+	p.log.Close()
+}
+
+// start starts a process under a name; listen is its address of membership.
+func (f *peerFleet) start(name, listen string) *peer {
+	f.t.Helper()
+	number := len(f.all)
+	path := func(file string) string { return filepath.Join(f.dir, fmt.Sprint(number, file)) }
+	p := &peer{name: name, management: free(f.t), listen: listen}
+	f.writeFile(path("config.json"), fmt.Sprintf(config, free(f.t), free(f.t)))
+	f.writeFile(path("fleet.toml"), f.fleetFile(name, listen))
 	var err error
-	if one.log, err = os.Create(file("log")); err != nil {
-		p.t.Fatal(err)
+	if p.log, err = os.Create(path("log")); err != nil {
+		f.t.Fatal(err)
 	}
-	one.cmd = exec.Command(p.path)
-	one.cmd.Env = append(os.Environ(), "RELAY_NAME="+name, "RELAY_CONFIG="+file("config.json"), "RELAY_FLEET="+file("fleet.toml"),
-		"RELAY_MANAGEMENT="+one.operators)
-	one.cmd.Stdout, one.cmd.Stderr = one.log, one.log
-	if err := one.cmd.Start(); err != nil {
-		p.t.Fatal(err)
+	p.cmd = exec.Command(f.program)
+	p.cmd.Env = append(os.Environ(),
+		"RELAY_NAME="+name,
+		"RELAY_CONFIG="+path("config.json"),
+		"RELAY_FLEET="+path("fleet.toml"),
+		"RELAY_MANAGEMENT="+p.management)
+	p.cmd.Stdout = p.log
+	p.cmd.Stderr = p.log
+	if err := p.cmd.Start(); err != nil {
+		f.t.Fatal(err)
 	}
-	p.all = append(p.all, one)
-	return one
+	f.all = append(f.all, p)
+	return p
 }
 
-// view is what a process sees, with the names of its members; none where it does not answer.
-func (one *peer) view() (s membership.Status, names string) {
-	c, err := net.DialTimeout("tcp", one.operators, time.Second)
-	if err != nil {
-		return s, ""
+// fleetFile is the fleet file of a process.
+func (f *peerFleet) fleetFile(name, listen string) string {
+	text := fmt.Sprintf("[membership]\nlisten = %q\nseeds = [%q, %q]\n", listen, f.seeds[0], f.seeds[1])
+	if f.persistent {
+		text += fmt.Sprintf("[state]\nfolder = %q\nevery = \"100ms\"\n", filepath.Join(f.dir, "state-"+name))
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	fmt.Fprintln(c, "members")
-	text, err := io.ReadAll(bufio.NewReader(c))
-	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
-	if err != nil || lines[len(lines)-1] != "END" {
-		return s, ""
+	return text
+}
+
+func (f *peerFleet) writeFile(path, text string) {
+	f.t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		f.t.Fatal(err)
+	}
+}
+
+// kill ends a process without notice.
+func (p *peer) kill() { p.cmd.Process.Kill() }
+
+// stop asks a process to shut down gracefully.
+func (p *peer) stop() { p.cmd.Process.Signal(syscall.SIGTERM) }
+
+// freeze stops a process's execution until unfreeze.
+func (p *peer) freeze() { p.cmd.Process.Signal(syscall.SIGSTOP) }
+
+func (p *peer) unfreeze() { p.cmd.Process.Signal(syscall.SIGCONT) }
+
+// view asks a process what it sees. names are those of the members, separated by blanks; empty if it does not answer.
+func (p *peer) view() (s membership.Status, names string) {
+	lines, err := p.callMembers()
+	if err != nil {
+		return membership.Status{}, ""
 	}
-	if s, _, err = membership.ReadStatus(lines[:len(lines)-1]); err != nil {
+	s, _, err = membership.ReadStatus(lines)
+	if err != nil {
 		return s, ""
 	}
 	var all []string
@@ -110,111 +133,168 @@
 	return s, strings.Join(all, " ")
 }
 
-// see waits until all of some processes see the names.
-func (p *peers) see(names string, by ...*peer) {
-	p.t.Helper()
-	p.wait("all see "+names, func() bool {
-		return !slices.ContainsFunc(by, func(one *peer) bool {
-			_, sees := one.view()
-			return sees != names
+// callMembers returns the answer to the management call members, without its END.
+func (p *peer) callMembers() ([]string, error) {
+	c, err := net.DialTimeout("tcp", p.management, time.Second)
+	if err != nil {
+		return nil, err
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(5 * time.Second))
+	fmt.Fprintln(c, "members")
+	text, err := io.ReadAll(bufio.NewReader(c))
+	if err != nil {
+		return nil, err
+	}
+	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
+	last := len(lines) - 1
+	if lines[last] != "END" {
+		return nil, io.ErrUnexpectedEOF
+	}
+	return lines[:last], nil
+}
+
+// waitForView waits until all of some processes see the names.
+func (f *peerFleet) waitForView(names string, by ...*peer) {
+	f.t.Helper()
+	f.waitFor("all see "+names, func() bool {
+		return !slices.ContainsFunc(by, func(p *peer) bool {
+			_, seen := p.view()
+			return seen != names
 		})
 	})
 }
 
-func (p *peers) wait(what string, holds func() bool) {
-	p.t.Helper()
-	for limit := time.Now().Add(time.Minute); !holds(); time.Sleep(50 * time.Millisecond) {
-		if time.Now().After(limit) {
-			for _, one := range p.all {
-				s, sees := one.view()
-				p.t.Logf("%s sees %q: %+v", one.name, sees, s)
-			}
-			p.t.Fatalf("not in a minute: %s", what)
+// waitFor waits for at most a minute until a condition holds.
+func (f *peerFleet) waitFor(what string, condition func() bool) {
+	f.t.Helper()
+	const limit = time.Minute
+	const pollInterval = 50 * time.Millisecond
+	deadline := time.Now().Add(limit)
+	for !condition() {
+		if time.Now().After(deadline) {
+			f.logViews()
+			f.t.Fatalf("not within %v: %s", limit, what)
 		}
+		time.Sleep(pollInterval)
 	}
 }
 
-// Real processes find each other, a killed, a frozen and a stopped one, and two of one name.
-func TestMembersFindEachOther(t *testing.T) {
-	p := newPeers(t)
-	a, b := p.start("a", p.seeds[0]), p.start("b", p.seeds[1])
-	c, d := p.start("c", free(t)), p.start("d", free(t))
-	p.see("a b c d", a, b, c, d)
-	p.wait("routing divides by four", func() bool { s, _ := a.view(); return s.Division.Balancers == 4 && s.Division.Most == 4 })
+func (f *peerFleet) logViews() {
+	f.t.Helper()
+	for _, p := range f.all {
+		s, names := p.view()
+		f.t.Logf("%s sees %q: %+v", p.name, names, s)
+	}
+}
+
+// Real processes discover each other and notice one that is killed, frozen, stopped, duplicated or upgraded.
+func TestProcessesDiscoverEachOther(t *testing.T) {
+	f := newPeerFleet(t)
+	a := f.start("a", f.seeds[0])
+	b := f.start("b", f.seeds[1])
+	c := f.start("c", free(t))
+	d := f.start("d", free(t))
+	f.waitForView("a b c d", a, b, c, d)
+	f.waitFor("the fleet size is four", func() bool {
+		s, _ := a.view()
+		return s.FleetSize.RoutingDivisor == 4 && s.FleetSize.BudgetDivisor == 4
+	})
 
-	d.cmd.Process.Kill()
-	p.see("a b c", a, b, c)
-	if s, _ := a.view(); s.Division.Most != 4 {
-		t.Errorf("budgets divide by %d just after one of four was lost", s.Division.Most)
+	d.kill()
+	f.waitForView("a b c", a, b, c)
+	if s, _ := a.view(); s.FleetSize.BudgetDivisor != 4 {
+		t.Errorf("the divisor of budgets is %d just after one of four was lost", s.FleetSize.BudgetDivisor)
 	}
 
-	c.cmd.Process.Signal(syscall.SIGSTOP)
-	p.see("a b", a, b)
-	c.cmd.Process.Signal(syscall.SIGCONT)
-	p.see("a b c", a, b, c)
+	c.freeze()
+	f.waitForView("a b", a, b)
+	c.unfreeze()
+	f.waitForView("a b c", a, b, c)
 
-	again := p.start("d", d.listen)
-	p.see("a b c d", a, b, c, again)
+	d = f.start("d", d.listen)
+	f.waitForView("a b c d", a, b, c, d)
 
-	twin := p.start("c", free(t))
-	p.wait("the older one of two is fenced, the newer is not", func() bool {
-		older, names := c.view()
-		newer, _ := twin.view()
-		return older.Fenced && names == "a b c d" && !newer.Fenced && newer.Self.Name == "c"
-	})
-	if answer := call(c.operators, "check"); !strings.HasPrefix(answer, "YES") {
-		t.Errorf("the older one does not serve on: %q", answer)
-	}
-
-	next := p.start("a", a.listen) // as in an upgrade: the address is taken until the one before has ended
-	p.wait("the next one answers", func() bool { return strings.HasPrefix(call(next.operators, "check"), "YES") })
-	a.cmd.Process.Signal(syscall.SIGTERM)
-	p.see("a b c d", b, twin, next, again)
-	p.wait("the next one is the one that counts", func() bool {
-		s, _ := b.view()
-		own, _ := next.view()
-		return len(s.View.Members) == 4 && own.Self.Incarnation > 0 && s.View.Members[0].Incarnation == own.Self.Incarnation
+	newerC := startDuplicate(f, c)
+	newerA := upgrade(f, a, []*peer{b, newerC, d}, b)
+
+	b.stop()
+	f.waitForView("a c d", newerC, newerA, d)
+}
+
+// startDuplicate starts a second process under the name of one in the fleet a b c d. The older is fenced and serves on.
+func startDuplicate(f *peerFleet, older *peer) (newer *peer) {
+	f.t.Helper()
+	newer = f.start(older.name, free(f.t))
+	f.waitFor("the older process of two is fenced, the newer is not", func() bool {
+		olderStatus, names := older.view()
+		newerStatus, _ := newer.view()
+		return olderStatus.Fenced && names == "a b c d" && !newerStatus.Fenced && newerStatus.Self.Name == older.name
 	})
+	if answer := call(older.management, "check"); !strings.HasPrefix(answer, "YES") {
+		f.t.Errorf("the older process does not serve on: %q", answer)
+	}
+	return newer
+}
 
-	b.cmd.Process.Signal(syscall.SIGTERM)
-	p.see("a c d", twin, next, again)
+// upgrade replaces the first member of the fleet a b c d by a new process at the same address of membership, which is taken
+// until the old process has ended.
+func upgrade(f *peerFleet, old *peer, others []*peer, observer *peer) (successor *peer) {
+	f.t.Helper()
+	successor = f.start(old.name, old.listen)
+	f.waitFor("the successor answers", func() bool { return strings.HasPrefix(call(successor.management, "check"), "YES") })
+	old.stop()
+	f.waitForView("a b c d", append(others, successor)...)
+	f.waitFor("the successor counts", func() bool {
+		seen, _ := observer.view()
+		own, _ := successor.view()
+		return len(seen.View.Members) == 4 && own.Self.Incarnation > 0 && seen.View.Members[0].Incarnation == own.Self.Incarnation
+	})
+	return successor
 }
 
-// A process that is started again alone divides budgets by the fleet that was there, and has a higher incarnation.
-func TestRestartKnowsTheFleet(t *testing.T) {
-	p := newPeers(t)
-	p.state = true
-	a, b, c := p.start("a", p.seeds[0]), p.start("b", p.seeds[1]), p.start("c", free(t))
-	p.see("a b c", a, b, c)
-	p.wait("the size of the fleet is kept", func() bool {
-		files, _ := filepath.Glob(filepath.Join(p.dir, "state-a", kindMembers+"-*.state"))
+// A process that is restarted alone divides budgets by the fleet that was there, and has a higher incarnation.
+func TestRestartRestoresFleetSize(t *testing.T) {
+	f := newPeerFleet(t)
+	f.persistent = true
+	a := f.start("a", f.seeds[0])
+	b := f.start("b", f.seeds[1])
+	c := f.start("c", free(t))
+	f.waitForView("a b c", a, b, c)
+	f.waitFor("the fleet size is persisted", func() bool {
+		files, _ := filepath.Glob(filepath.Join(f.dir, "state-a", kindMembers+"-*.state"))
 		return slices.ContainsFunc(files, func(path string) bool {
 			text, _ := os.ReadFile(path)
 			return strings.Contains(string(text), `"balancers":3`)
 		})
 	})
 	before, _ := a.view()
-	for _, one := range p.all {
-		one.cmd.Process.Kill()
-		one.cmd.Wait()
+	for _, p := range f.all {
+		p.kill()
+		p.cmd.Wait()
 	}
-	again := p.start("a", a.listen)
+	restarted := f.start("a", a.listen)
 	var after membership.Status
-	p.wait("it answers", func() bool { s, names := again.view(); after = s; return names == "a" })
-	if after.Division.Most < 2 || after.Division.Balancers != 1 { // it has seen for itself after 10 s, and goes down by 1 a second
-		t.Errorf("alone it divides by %+v, three were there", after.Division)
+	f.waitFor("it answers", func() bool {
+		s, names := restarted.view()
+		after = s
+		return names == "a"
+	})
+	// It has seen the fleet itself after 10 s; from then on the divisor of budgets falls by 1 a second.
+	if after.FleetSize.BudgetDivisor < 2 || after.FleetSize.RoutingDivisor != 1 {
+		t.Errorf("alone its fleet size is %+v, three were there", after.FleetSize)
 	}
 	if after.Self.Incarnation <= before.Self.Incarnation {
 		t.Errorf("incarnation %d after %d", after.Self.Incarnation, before.Self.Incarnation)
 	}
 }
 
-// An address that is none of this machine's ends the start with one line that names the file and the key.
-func TestBadMembershipSaysWhy(t *testing.T) {
-	p := newPeers(t)
-	one := p.start("a", "192.0.2.1:7946")
-	err := one.cmd.Wait()
-	text, _ := os.ReadFile(one.log.Name())
+// An address that is not this machine's ends the start with an error that names the section and the address.
+func TestInvalidListenAddressIsReported(t *testing.T) {
+	f := newPeerFleet(t)
+	p := f.start("a", "192.0.2.1:7946")
+	err := p.cmd.Wait()
+	text, _ := os.ReadFile(p.log.Name())
 	if err == nil || !strings.Contains(string(text), "membership") || !strings.Contains(string(text), "192.0.2.1:7946") {
 		t.Errorf("%v: %s", err, text)
 	}
--- a/cmd/balancerctl/explore.go
+++ b/cmd/balancerctl/explore.go
@@ -8,7 +8,7 @@
 	"sprucehill/internal/lab/leases"
 )
 
-// exploreCmd is lab explore.
+// exploreCmd is the command lab explore.
 type exploreCmd struct {
 	Voters     int    `default:"3" help:"Voters, 2 to 5."`
 	Candidates int    `default:"2" help:"Voters that want the role."`
@@ -19,25 +19,48 @@
 	JSON       bool   `name:"json" help:"Write the result as JSON."`
 }
 
-// Run carries it out. It exits with 1 if it finds a state that must not be.
+// Run searches and reports. It returns errClaim if it finds a state that violates the invariant.
 func (c *exploreCmd) Run(context.Context) error {
-	if c.Voters < 2 || c.Voters > leases.MostVoters || c.Candidates < 1 || c.Candidates > c.Voters || c.Depth < 1 || c.States < 1 {
-		return fmt.Errorf("2 to %d voters, 1 to as many candidates, and at least one step and state", leases.MostVoters)
+	if !c.isValid() {
+		return fmt.Errorf("2 to %d voters, 1 to as many candidates, and at least one step and state", leases.MaxVoters)
 	}
-	r := explore.Search(leases.Model{Voters: c.Voters, Candidates: c.Candidates, Crashes: c.Crashes, Broken: leases.Broken{
-		Forgetful: c.Broken == "forgetful", Greedy: c.Broken == "greedy", Deaf: c.Broken == "deaf"}}, c.Depth, c.States)
+	result := explore.Search(c.model(), explore.Limits{Depth: c.Depth, States: c.States})
+	if err := c.report(result); err != nil {
+		return err
+	}
+	if result.Violation != nil {
+		return fmt.Errorf("%w: %w", errClaim, result.Violation)
+	}
+	return nil
+}
+
+func (c *exploreCmd) isValid() bool {
+	return c.Voters >= 2 && c.Voters <= leases.MaxVoters &&
+		c.Candidates >= 1 && c.Candidates <= c.Voters &&
+		c.Depth >= 1 && c.States >= 1
+}
+
+// model returns the model that the flags describe.
+func (c *exploreCmd) model() leases.Model {
+	return leases.Model{
+		Voters:      c.Voters,
+		Candidates:  c.Candidates,
+		MaxRestarts: c.Crashes,
+		Mutations: leases.Mutations{
+			SkipRestartWait: c.Broken == "forgetful",
+			OverlongHold:    c.Broken == "greedy",
+			RegrantTerm:     c.Broken == "deaf",
+		},
+	}
+}
+
+func (c *exploreCmd) report(result explore.Result) error {
 	if c.JSON {
-		if err := writeJSON(r); err != nil {
-			return err
-		}
-	} else {
-		fmt.Printf("%d states, all that can be reached in %d steps\n", r.States, r.Depth)
-		for i, what := range r.Trace {
-			fmt.Printf("%3d  %s\n", i+1, what)
-		}
+		return writeJSON(result)
 	}
-	if r.Wrong != nil {
-		return fmt.Errorf("%w: %w", errClaim, r.Wrong)
+	fmt.Printf("%d states, all that can be reached in %d steps\n", result.States, result.Depth)
+	for i, label := range result.Trace {
+		fmt.Printf("%3d  %s\n", i+1, label)
 	}
 	return nil
 }
--- a/cmd/balancerctl/members.go
+++ b/cmd/balancerctl/members.go
@@ -4,95 +4,99 @@
 	"context"
 	"fmt"
 	"io"
+	"slices"
 	"strings"
 	"time"
 
 	"sprucehill/internal/membership"
 )
 
-// membersCmd is members.
+// membersCmd is the command members.
 type membersCmd struct {
 	Addresses []string      `arg:"" help:"Management addresses of balancers, host:port; what each sees is compared."`
 	Watch     time.Duration `help:"Show it anew after each such time, until interrupted."`
 	JSON      bool          `name:"json" help:"Write it as JSON."`
 }
 
-// memberView is what one balancer sees of its fleet.
+// memberView is one balancer's view of its fleet. The field names are the keys of its JSON.
 type memberView struct {
 	Address string
 	Error   string             `json:",omitempty"` // why there is no view
-	Digest  string             `json:",omitempty"` // equal for equal views
+	Digest  string             `json:",omitempty"` // hexadecimal; equal for equal views
 	Status  *membership.Status `json:",omitempty"`
 }
 
-// Run carries it out. It exits with 1 if a balancer gives no view, or two see different fleets.
+// Run asks the balancers and shows their views. It returns errClaim if one gives no view or two views differ.
 func (c *membersCmd) Run(ctx context.Context) error {
-	return watch(ctx, c.Watch, c.JSON, func() []memberView { return askAll(ctx, c.Addresses, oneView) }, showMembers, agreed)
+	ask := func() []memberView { return askAll(ctx, c.Addresses, fetchMemberView) }
+	return watch(ctx, c.Watch, c.JSON, ask, showMembers, checkViewsAgree)
 }
 
-// agreed tells whether all see the same.
-func agreed(all []memberView) error {
-	for _, v := range all {
+// checkViewsAgree returns errClaim unless all balancers gave the same view.
+func checkViewsAgree(views []memberView) error {
+	for _, v := range views {
 		switch {
 		case v.Error != "":
 			return fmt.Errorf("%w: %s: %s", errClaim, v.Address, v.Error)
-		case v.Digest != all[0].Digest:
-			return fmt.Errorf("%w: %s and %s see different fleets", errClaim, all[0].Address, v.Address)
+		case v.Digest != views[0].Digest:
+			return fmt.Errorf("%w: %s and %s see different fleets", errClaim, views[0].Address, v.Address)
 		}
 	}
 	return nil
 }
 
-func oneView(ctx context.Context, address string) memberView {
-	v := memberView{Address: address}
+// fetchMemberView asks a balancer for its view.
+func fetchMemberView(ctx context.Context, address string) memberView {
 	lines, err := callOperators(ctx, address, "members")
-	switch {
-	case err != nil:
-		v.Error = err.Error()
-		return v
-	case strings.HasPrefix(lines[0], "NO "):
-		v.Error = lines[0]
-		return v
+	if err != nil {
+		return memberView{Address: address, Error: err.Error()}
+	}
+	if strings.HasPrefix(lines[0], "NO ") {
+		return memberView{Address: address, Error: lines[0]}
 	}
 	status, digest, err := membership.ReadStatus(lines)
 	if err != nil {
-		v.Error = err.Error()
-		return v
+		return memberView{Address: address, Error: err.Error()}
 	}
-	v.Digest, v.Status = fmt.Sprintf("%x", digest), &status
-	return v
+	return memberView{Address: address, Digest: fmt.Sprintf("%x", digest), Status: &status}
 }
 
-// showMembers writes what the first that has a view sees, and how each of those asked sees its fleet.
-func showMembers(w io.Writer, all []memberView) {
+// showMembers writes a row on each balancer that was asked, and the members in the first view.
+func showMembers(w io.Writer, views []memberView) {
 	rows := [][]any{{"asked", "is", "sees", "digest", "same", "differ", "lost", "divides by", "safely by", "rank", ""}}
-	var first *membership.Status
-	for _, v := range all {
-		if v.Status == nil {
-			rows = append(rows, []any{v.Address, v.Error})
-			continue
-		}
-		s, notes := v.Status, []string{}
-		if first == nil {
-			first = s
-		}
-		if s.Fenced {
-			notes = append(notes, "another process of this name counts")
-		}
-		if s.Minority {
-			notes = append(notes, "no majority is seen")
-		}
-		rows = append(rows, []any{v.Address, s.Self.Name, len(s.View.Members), v.Digest, s.Same, s.Other, s.Lost,
-			s.Division.Balancers, s.Division.Most, s.Division.Rank, strings.Join(notes, ", ")})
+	for _, v := range views {
+		rows = append(rows, memberViewRow(v))
 	}
 	table(w, rows...)
-	if first == nil {
+	first := slices.IndexFunc(views, func(v memberView) bool { return v.Status != nil })
+	if first < 0 {
 		return
 	}
 	fmt.Fprintln(w)
 	rows = [][]any{{"member", "state", "zone", "region", "version", "config", "incarnation", "at"}}
-	for _, m := range first.View.Members {
+	for _, m := range views[first].Status.View.Members {
 		rows = append(rows, []any{m.Name, m.State, m.Zone, m.Region, m.Version, fmt.Sprintf("%x", m.Config), m.Incarnation, m.Address})
 	}
 	table(w, rows...)
 }
+
+// memberViewRow is the row on one balancer in the table of showMembers.
+func memberViewRow(v memberView) []any {
+	s := v.Status
+	if s == nil {
+		return []any{v.Address, v.Error}
+	}
+	var notes []string
+	if s.Fenced {
+		notes = append(notes, "another process of this name counts")
+	}
+	if s.Minority {
+		notes = append(notes, "no majority is seen")
+	}
+	return []any{
+		v.Address, s.Self.Name, len(s.View.Members), v.Digest,
+		s.Agreeing, s.Diverging, s.Lost,
+		s.FleetSize.RoutingDivisor, s.FleetSize.BudgetDivisor, s.FleetSize.Rank,
+		strings.Join(notes, ", "),
+	}
+}
--- a/cmd/balancerctl/operators_test.go
+++ b/cmd/balancerctl/operators_test.go
@@ -54,7 +54,7 @@
 	}
 	one, two, other := view("a", "b"), view("a", "b"), view("a")
 	off := operators(t, map[string]string{"members": "NO there is no membership\n"})
-	all := askAll(context.Background(), []string{one, off}, oneView)
+	all := askAll(context.Background(), []string{one, off}, fetchMemberView)
 	if s := all[0].Status; s == nil || s.Self.State != membership.Draining || len(s.View.Members) != 2 ||
 		s.View.Members[1] != (membership.Member{Name: "b", Incarnation: 1 << 62, State: membership.Serving, Address: "127.0.0.1:7"}) {
 		t.Errorf("%+v", all[0])
--- a/internal/lab/leases/leases.go
+++ b/internal/lab/leases/leases.go
@@ -1,201 +1,218 @@
-// Package leases is the model of roles that one member alone may hold: the real voters and candidates of
-// internal/membership, with everything between them that may go wrong, for internal/lab/explore to search.
+// Package leases models roles that at most one member may hold: the real voters and candidates of internal/membership, with
+// all faults that may happen between them, for internal/lab/explore to search.
+//
+// A Model is immutable, and a World is a value: nothing is shared between states.
 package leases
 
 import (
-	"cmp"
 	"fmt"
-	"slices"
 	"time"
 
 	"sprucehill/internal/lab/explore"
 	"sprucehill/internal/membership"
 )
 
-// MostVoters bounds the voters of a model.
-const MostVoters = 5
-
 const (
-	mostAfloat = 8 // messages that were sent; more are lost, which may happen to any
+	// MaxVoters bounds the voters of a model.
+	MaxVoters = 5
+	// maxTerm bounds the terms that candidates request, which keeps the number of states finite.
+	maxTerm = 3
+	// tickDuration is how far real time advances in one step.
+	tickDuration = membership.LeaseDuration / 2
+	// overlongHold is for how long a holder with Mutations.OverlongHold overstays.
+	overlongHold = membership.LeaseDuration * 7 / 10
 )
 
-// Broken is how the rules are broken on purpose, to see that the search finds it.
-type Broken struct {
-	Forgetful bool // a voter that starts again does not wait
-	Greedy    bool // a holder holds for more than the voters' span
-	Deaf      bool // a voter grants a term that is no higher
-}
-
-// mail is a message on its way: a question of a candidate, or an answer to it.
-type mail struct {
-	answer   bool
-	from, to int8
-	term     uint64
-	life     uint8 // of the candidate
-	round    uint32
-	granted  bool
-	highest  uint64
+// Mutations break rules of the protocol on purpose, to show that the search finds it.
+type Mutations struct {
+	SkipRestartWait bool // a restarted voter does not wait for a lease's duration
+	OverlongHold    bool // a holder holds the role for longer than voters are bound
+	RegrantTerm     bool // a voter grants the same term to another candidate
 }
 
-// World is all voters, who may be candidates too, with their clocks and what is on its way.
+// World is a state of the model: all voters, which may be candidates too, with their clocks and the messages in transit.
 type World struct {
-	clock  [MostVoters]time.Duration
-	voter  [MostVoters]membership.Voter
-	who    [MostVoters]membership.Candidate
-	afloat [mostAfloat]mail
-	life   [MostVoters]uint8 // which process of its name it is
-	crash  int8
-	fence  uint64 // the highest term that was ever held
-	by     string // the process that held that
-	stale  bool   // another process held it or a lower one after that
+	clocks      [MaxVoters]time.Duration
+	voters      [MaxVoters]membership.Voter
+	candidates  [MaxVoters]membership.Candidate
+	inTransit   [maxInTransit]message
+	incarnation [MaxVoters]uint8 // of the process; a restart raises it
+	restarts    int8
+	fence       uint64 // highest term ever held
+	fenceHolder string // process that held it
+	termReused  bool   // a term not above fence was held by another process
 }
 
-// Model is the model: time goes on by ticks, in which clocks run as far apart as they may.
+// Model is a model of a fleet of voters. In each step of time its clocks advance at rates that differ as far as the
+// protocol allows.
 type Model struct {
-	Voters     int  // 5 at most
-	Candidates int  // the first of the voters
-	Crashes    int8 // of voters, in all
-	Broken
+	Voters      int  // 1 to MaxVoters
+	Candidates  int  // the first so many voters want the role
+	MaxRestarts int8 // of voters, in all
+	Mutations
 }
 
-const tick = membership.LeaseSpan / 2
+var _ explore.Model[World] = Model{}
 
-// Begin is a fleet that has just been started.
-func (l Model) Begin() (w World) {
-	for i := range l.Voters {
-		w.who[i], w.clock[i] = membership.NewCandidate(process(i, 0)), membership.LeaseSpan
+// Initial returns a fleet that has just been started.
+func (m Model) Initial() World {
+	var w World
+	for i := range m.Voters {
+		w.candidates[i] = membership.NewCandidate(processName(i, 0))
+		w.clocks[i] = membership.LeaseDuration
 	}
 	return w
 }
 
-// rate is how far a clock goes in a tick.
-func rate(i int) time.Duration {
-	return []time.Duration{tick * 20 / 21, tick * 20 / 21 * 11 / 10, tick}[i%3] // a tenth apart
+// clockAdvance is how far the clock of a member advances in a tick. The fastest runs a tenth faster than the slowest.
+func clockAdvance(i int) time.Duration {
+	const slowest = tickDuration * 20 / 21
+	const fastest = slowest * 11 / 10
+	return []time.Duration{slowest, fastest, tickDuration}[i%3]
 }
 
-// process names a process of a voter.
-func process(i int, life uint8) string { return fmt.Sprint(name(i), "/", life) }
+// memberName is the name of voter i in traces.
+func memberName(i int) string { return string(rune('a' + i)) }
 
-// holds tells whether a member takes itself for the holder.
-func (l Model) holds(w *World, i int) bool {
-	now := w.clock[i]
-	if l.Greedy {
-		now -= membership.LeaseSpan * 7 / 10
+// processName is the name of a process of voter i, unique among its restarts.
+func processName(i int, incarnation uint8) string { return fmt.Sprint(memberName(i), "/", incarnation) }
+
+// holds reports whether member i takes itself for the holder.
+func (m Model) holds(w *World, i int) bool {
+	now := w.clocks[i]
+	if m.OverlongHold {
+		now -= overlongHold
 	}
-	return w.who[i].Holds(now)
+	return w.candidates[i].Holds(now)
 }
 
-func name(i int) string { return string(rune('a' + i)) }
-
-// post sends a message. What was sent once may arrive at any time, as often as it likes, or never; what finds no room is lost.
-func (w *World) post(m mail) {
-	if slices.Contains(w.afloat[:], m) {
-		return
+// respond lets a voter decide on a request and returns its response.
+func (m Model) respond(w *World, request message) message {
+	voter := &w.voters[request.to]
+	if m.RegrantTerm && request.term == voter.Term {
+		voter.Term--
 	}
-	if i := slices.Index(w.afloat[:], mail{}); i >= 0 {
-		w.afloat[i] = m
+	requester := processName(int(request.from), request.incarnation)
+	decision := voter.RequestLease(w.clocks[request.to], requester, request.term)
+	return message{
+		isResponse:  true,
+		from:        request.to,
+		to:          request.from,
+		term:        request.term,
+		incarnation: request.incarnation,
+		round:       request.round,
+		granted:     decision.Granted,
+		highestTerm: voter.Term,
 	}
 }
 
-// sort keeps what is afloat in one order, so that equal Worlds are equal.
-func (w *World) sort() {
-	slices.SortFunc(w.afloat[:], func(x, y mail) int {
-		flag := map[bool]int{true: 1}
-		return cmp.Or(cmp.Compare(y.round, x.round), cmp.Compare(x.from, y.from), cmp.Compare(x.to, y.to), cmp.Compare(x.life, y.life),
-			cmp.Compare(flag[x.answer], flag[y.answer]), cmp.Compare(flag[x.granted], flag[y.granted]),
-			cmp.Compare(x.term, y.term), cmp.Compare(x.highest, y.highest))
-	})
-}
-
-// ask has a voter answer.
-func (l Model) ask(w *World, m mail) mail {
-	v := &w.voter[m.to]
-	if l.Deaf && m.term == v.Term {
-		v.Term--
+// handleResponse lets a candidate count a response, and checks the term if that makes it the holder.
+func (m Model) handleResponse(w *World, response message) {
+	i := int(response.to)
+	process := processName(i, response.incarnation)
+	candidate := &w.candidates[i]
+	heldBefore := m.holds(w, i)
+	candidate.HandleResponse(membership.LeaseResponse{
+		Voter:       int(response.from),
+		Requester:   process,
+		Round:       response.round,
+		Granted:     response.granted,
+		HighestTerm: response.highestTerm,
+	}, m.Voters)
+	if heldBefore || !m.holds(w, i) {
+		return
 	}
-	granted, _ := v.Ask(w.clock[m.to], process(int(m.from), m.life), m.term)
-	return mail{answer: true, from: m.to, to: m.from, term: m.term, life: m.life, round: m.round, granted: granted, highest: v.Term}
-}
-
-func (l Model) answer(w *World, m mail) {
-	c := &w.who[m.to]
-	held := l.holds(w, int(m.to))
-	c.Answer(process(int(m.to), m.life), int(m.from), l.Voters, m.round, m.granted, m.highest)
-	if !held && l.holds(w, int(m.to)) {
-		w.stale = w.stale || c.Term() < w.fence || c.Term() == w.fence && process(int(m.to), m.life) != w.by
-		w.fence, w.by = c.Term(), process(int(m.to), m.life)
+	term := candidate.Term()
+	if term < w.fence || term == w.fence && process != w.fenceHolder {
+		w.termReused = true
 	}
+	w.fence = term
+	w.fenceHolder = process
 }
 
-// Next lists what may happen.
-func (l Model) Next(w World) []explore.Step[World] {
-	var all []explore.Step[World]
-	add := func(what string, do func(next *World)) {
+// Transitions lists what may happen in a state: time passes, a candidate starts a round, a message arrives, or a voter
+// restarts.
+func (m Model) Transitions(w World) []explore.Transition[World] {
+	var transitions []explore.Transition[World]
+	add := func(label string, apply func(next *World)) {
 		next := w
-		do(&next)
-		next.sort()
-		all = append(all, explore.Step[World]{What: what, To: next})
+		apply(&next)
+		next.sortMessages()
+		transitions = append(transitions, explore.Transition[World]{Label: label, To: next})
 	}
-	add("time", func(next *World) {
-		for i := range l.Voters {
-			next.clock[i] += rate(i)
+	add("time", m.advanceClocks)
+	for i := range m.Candidates {
+		if w.candidates[i].Term() < maxTerm {
+			add(memberName(i)+" asks", func(next *World) { m.startRound(next, i) })
 		}
-	})
-	for i := range l.Candidates {
-		if w.who[i].Term() < 3 {
-			add(name(i)+" asks", func(next *World) {
-				term, round := next.who[i].Begin(next.clock[i])
-				for j := range l.Voters {
-					m := mail{from: int8(i), to: int8(j), term: term, life: next.life[i], round: round}
-					if i == j {
-						l.answer(next, l.ask(next, m))
-					} else {
-						next.post(m)
-					}
-				}
-			})
+	}
+	for _, msg := range w.inTransit {
+		if msg != (message{}) {
+			label := memberName(int(msg.from)) + " to " + memberName(int(msg.to))
+			add(label, func(next *World) { m.deliver(next, msg) })
 		}
 	}
-	for _, m := range w.afloat {
-		if m == (mail{}) {
-			continue
+	if w.restarts < m.MaxRestarts {
+		for i := range m.Voters {
+			add(memberName(i)+" starts again", func(next *World) { m.restart(next, i) })
 		}
-		add(name(int(m.from))+" to "+name(int(m.to)), func(next *World) {
-			if m.answer {
-				l.answer(next, m)
-			} else {
-				next.post(l.ask(next, m))
-			}
-		})
-	}
-	for i := range l.Voters {
-		if w.crash < l.Crashes {
-			add(name(i)+" starts again", func(next *World) {
-				next.crash++
-				next.life[i]++
-				next.who[i] = membership.NewCandidate(process(i, next.life[i]))
-				next.voter[i] = membership.NewVoter(next.clock[i], next.voter[i].Promise)
-				if l.Forgetful {
-					next.voter[i] = membership.Voter{Promise: next.voter[i].Promise}
-				}
-			})
+	}
+	return transitions
+}
+
+func (m Model) advanceClocks(w *World) {
+	for i := range m.Voters {
+		w.clocks[i] += clockAdvance(i)
+	}
+}
+
+// startRound lets a candidate send its requests. The one to itself arrives at once.
+func (m Model) startRound(w *World, i int) {
+	request := w.candidates[i].StartRound(w.clocks[i])
+	for voter := range m.Voters {
+		msg := message{from: int8(i), to: int8(voter), term: request.Term, incarnation: w.incarnation[i], round: request.Round}
+		if voter == i {
+			m.handleResponse(w, m.respond(w, msg))
+		} else {
+			w.send(msg)
 		}
 	}
-	return all
 }
 
-// Check tells whether one holds the role at most, and terms rise.
-func (l Model) Check(w World) error {
+// deliver lets a message arrive. It stays in transit, since it may arrive again.
+func (m Model) deliver(w *World, msg message) {
+	if msg.isResponse {
+		m.handleResponse(w, msg)
+	} else {
+		w.send(m.respond(w, msg))
+	}
+}
+
+// restart replaces the process of a voter, which keeps only its persisted grant.
+func (m Model) restart(w *World, i int) {
+	w.restarts++
+	w.incarnation[i]++
+	w.candidates[i] = membership.NewCandidate(processName(i, w.incarnation[i]))
+	grant := w.voters[i].Grant
+	if m.SkipRestartWait {
+		w.voters[i] = membership.Voter{Grant: grant}
+	} else {
+		w.voters[i] = membership.NewVoter(w.clocks[i], grant)
+	}
+}
+
+// Check returns an error if more than one member holds the role, or a term did not rise from holder to holder.
+func (m Model) Check(w World) error {
 	holders := 0
-	for i := range l.Voters {
-		if l.holds(&w, i) {
+	for i := range m.Voters {
+		if m.holds(&w, i) {
 			holders++
 		}
 	}
 	switch {
 	case holders > 1:
 		return fmt.Errorf("%d hold the role", holders)
-	case w.stale:
+	case w.termReused:
 		return fmt.Errorf("a term is held that is not higher than %d", w.fence)
 	}
 	return nil
--- a/internal/lab/leases/leases_test.go
+++ b/internal/lab/leases/leases_test.go
@@ -9,59 +9,82 @@
 	"sprucehill/internal/lab/explore"
 )
 
-// broken is models with a rule taken out each.
-var broken = []Model{
-	{Voters: 3, Candidates: 2, Crashes: 1, Broken: Broken{Forgetful: true}},
-	{Voters: 3, Candidates: 2, Broken: Broken{Greedy: true}},
-	{Voters: 3, Candidates: 2, Crashes: 1, Broken: Broken{Deaf: true}},
+// mutants are models that break one rule of the protocol each.
+var mutants = []struct {
+	name  string
+	model Model
+}{
+	{"skip restart wait", Model{Voters: 3, Candidates: 2, MaxRestarts: 1, Mutations: Mutations{SkipRestartWait: true}}},
+	{"overlong hold", Model{Voters: 3, Candidates: 2, Mutations: Mutations{OverlongHold: true}}},
+	{"regrant term", Model{Voters: 3, Candidates: 2, MaxRestarts: 1, Mutations: Mutations{RegrantTerm: true}}},
 }
 
-// However messages are lost, late or doubled, voters crash and clocks run apart within the bound: one member at most holds
-// a role, and each holder's term is higher than that of the one before. The search finds what is wrong where a rule is
-// taken out.
-func TestOneHolder(t *testing.T) {
+// Whatever messages are lost, delayed or duplicated, voters restarted and clocks skewed within the bound: at most one
+// member holds the role, and terms rise from holder to holder.
+func TestAtMostOneHolder(t *testing.T) {
 	for _, voters := range []int{3, 5} {
-		r := explore.Search(Model{Voters: voters, Candidates: 2, Crashes: 1}, 11, 60_000)
-		if t.Logf("%d voters: %v", voters, r); r.Wrong != nil || r.States < 1000 {
-			t.Errorf("%d voters: %v", voters, r)
-		}
-	}
-	for _, l := range broken {
-		r := explore.Search(l, 14, 3_000_000)
-		if t.Logf("%+v: %v", l, r); r.Wrong == nil {
-			t.Errorf("%+v is not found: %v", l, r)
+		result := explore.Search(Model{Voters: voters, Candidates: 2, MaxRestarts: 1}, explore.Limits{Depth: 11, States: 60_000})
+		t.Logf("%d voters: %v", voters, result)
+		if result.Violation != nil || result.States < 1000 {
+			t.Errorf("%d voters: %v", voters, result)
 		}
 	}
 }
 
-// The same claim on long random walks, and each broken rule found by them too.
-func TestOneHolderOnWalks(t *testing.T) {
-	walk := func(l Model) func(t *rapid.T) {
-		return func(t *rapid.T) {
-			w := l.Begin()
-			for range 120 {
-				steps := l.Next(w)
-				w = steps[rapid.IntRange(0, len(steps)-1).Draw(t, "step")].To
-				if err := l.Check(w); err != nil {
-					t.Fatal(err)
-				}
+// The search finds each broken rule.
+func TestSearchFindsMutants(t *testing.T) {
+	for _, mutant := range mutants {
+		t.Run(mutant.name, func(t *testing.T) {
+			result := explore.Search(mutant.model, explore.Limits{Depth: 14, States: 3_000_000})
+			t.Log(result)
+			if result.Violation == nil {
+				t.Errorf("not found: %v", result)
 			}
-		}
+		})
 	}
-	rapid.Check(t, walk(Model{Voters: 5, Candidates: 5, Crashes: 3}))
-	for _, l := range broken {
-		rng, walks := rand.New(rand.NewPCG(5, 0)), 0
-		for w := l.Begin(); l.Check(w) == nil; walks++ {
-			if w = l.Begin(); walks == 100_000 {
-				t.Fatalf("%+v is not found in %d walks", l, walks)
+}
+
+// The same claim holds on long random walks.
+func TestAtMostOneHolderOnRandomWalks(t *testing.T) {
+	model := Model{Voters: 5, Candidates: 5, MaxRestarts: 3}
+	rapid.Check(t, func(t *rapid.T) {
+		world := model.Initial()
+		for range 120 {
+			transitions := model.Transitions(world)
+			world = transitions[rapid.IntRange(0, len(transitions)-1).Draw(t, "step")].To
+			if err := model.Check(world); err != nil {
+				t.Fatal(err)
 			}
-			for range 25 {
-				steps := l.Next(w)
-				if w = steps[rng.IntN(len(steps))].To; l.Check(w) != nil {
-					break
+		}
+	})
+}
+
+// Random walks find each broken rule too.
+func TestRandomWalksFindMutants(t *testing.T) {
+	const maxWalks = 100_000
+	for _, mutant := range mutants {
+		t.Run(mutant.name, func(t *testing.T) {
+			rng := rand.New(rand.NewPCG(5, 0))
+			for walk := range maxWalks {
+				if violatesOnWalk(mutant.model, rng) {
+					t.Logf("found by walk %d", walk+1)
+					return
 				}
 			}
+			t.Fatalf("not found in %d walks", maxWalks)
+		})
+	}
+}
+
+// violatesOnWalk reports whether a random walk of 25 steps reaches a state that violates the invariant.
+func violatesOnWalk(model Model, rng *rand.Rand) bool {
+	world := model.Initial()
+	for range 25 {
+		transitions := model.Transitions(world)
+		world = transitions[rng.IntN(len(transitions))].To
+		if model.Check(world) != nil {
+			return true
 		}
-		t.Logf("%+v: found by walk %d", l, walks)
 	}
+	return false
 }
--- /dev/null
+++ b/internal/lab/leases/message.go
@@ -0,0 +1,58 @@
+package leases
+
+import (
+	"cmp"
+	"slices"
+)
+
+// maxInTransit bounds the messages that may still arrive. Those sent beyond it are lost, which may happen to any.
+const maxInTransit = 8
+
+// message is a candidate's request or a voter's response to it. The zero value stands for none.
+type message struct {
+	isResponse  bool
+	from        int8 // voter by index
+	to          int8
+	term        uint64
+	incarnation uint8 // of the candidate's process
+	round       uint32
+	granted     bool   // in a response
+	highestTerm uint64 // in a response
+}
+
+// send puts a message in transit. From then on it may arrive at any time, any number of times, or never.
+func (w *World) send(msg message) {
+	if slices.Contains(w.inTransit[:], msg) {
+		return
+	}
+	if free := slices.Index(w.inTransit[:], message{}); free >= 0 {
+		w.inTransit[free] = msg
+	}
+}
+
+// sortMessages puts the messages in a canonical order, so that equivalent worlds are equal.
+func (w *World) sortMessages() { slices.SortFunc(w.inTransit[:], compareMessages) }
+
+func compareMessages(x, y message) int {
+	return cmp.Or(
+		cmp.Compare(y.round, x.round), // latest round first, free places last
+		cmp.Compare(x.from, y.from),
+		cmp.Compare(x.to, y.to),
+		cmp.Compare(x.incarnation, y.incarnation),
+		compareBools(x.isResponse, y.isResponse),
+		compareBools(x.granted, y.granted),
+		cmp.Compare(x.term, y.term),
+		cmp.Compare(x.highestTerm, y.highestTerm),
+	)
+}
+
+// compareBools orders false before true.
+func compareBools(x, y bool) int {
+	switch {
+	case x == y:
+		return 0
+	case y:
+		return -1
+	}
+	return 1
+}
--- /dev/null
+++ b/internal/membership/convergence.go
@@ -0,0 +1,93 @@
+package membership
+
+import "time"
+
+const (
+	// viewReportTTL is for how long a member's last report of its view digest is taken as its view.
+	viewReportTTL = 30 * time.Second
+	// maxReportsNeeded is how many other members must report the same view, in a fleet that has more, before the view counts
+	// as agreed.
+	maxReportsNeeded = 30
+)
+
+// Convergence counts the other members that count and have reported their view within viewReportTTL.
+type Convergence struct {
+	Agreeing  int // with the same view as this process
+	Diverging int // with another
+}
+
+// Convergence compares the views that other members have reported with this process's.
+func (t *MemberTable) Convergence(now time.Duration) Convergence {
+	var c Convergence
+	digest := t.Digest()
+	for _, process := range t.newest() {
+		hasReported := process.viewReportedAt > 0 && now-process.viewReportedAt <= viewReportTTL
+		if process.ProcessID() == t.self || !hasReported {
+			continue
+		}
+		if process.viewDigest == digest {
+			c.Agreeing++
+		} else {
+			c.Diverging++
+		}
+	}
+	return c
+}
+
+// DivergentAddresses lists the addresses of members that have reported another view within maxAge.
+func (t *MemberTable) DivergentAddresses(now, maxAge time.Duration) []string {
+	var addresses []string
+	digest := t.Digest()
+	for _, process := range t.sortedAlive() {
+		hasReported := process.viewReportedAt > 0 && now-process.viewReportedAt < maxAge
+		if hasReported && process.viewDigest != digest {
+			addresses = append(addresses, process.Address)
+		}
+	}
+	return addresses
+}
+
+// Quorum is how much of the last agreed membership is in the view.
+type Quorum struct {
+	Present int // agreed members that count now
+	Agreed  int // all agreed members
+}
+
+// HasMajority reports whether more than half of the agreed members are present.
+func (q Quorum) HasMajority() bool { return 2*q.Present > q.Agreed }
+
+// UpdateAgreedMembers makes the view the agreed membership if no recent report differs from it, enough members report it,
+// and it holds a majority of the agreed membership before; so a minority side of a partition never takes itself for the
+// fleet. Members lost for rejoinPeriod are dropped from the agreed membership.
+func (t *MemberTable) UpdateAgreedMembers(now time.Duration) Quorum {
+	newest := t.newest()
+	for id, lost := range t.lost {
+		if newest[id.Name] == nil && now-lost.lostAt >= rejoinPeriod {
+			delete(t.agreedNames, id.Name)
+		}
+	}
+	quorum := t.quorum()
+	c := t.Convergence(now)
+	reportsNeeded := min(len(newest)-1, maxReportsNeeded)
+	hasConverged := c.Diverging == 0 && c.Agreeing >= reportsNeeded
+	if !hasConverged || !quorum.HasMajority() {
+		return quorum
+	}
+	clear(t.agreedNames)
+	for name := range newest {
+		t.agreedNames[name] = true
+	}
+	return Quorum{Present: len(newest), Agreed: len(newest)}
+}
+
+// quorum counts the agreed members that are in the view.
+func (t *MemberTable) quorum() Quorum {
+	q := Quorum{Agreed: len(t.agreedNames)}
+	newest := t.newest()
+	for name := range t.agreedNames {
+		if newest[name] != nil {
+			q.Present++
+		}
+	}
+	return q
+}
--- /dev/null
+++ b/internal/membership/fleet_test.go
@@ -0,0 +1,171 @@
+package membership_test
+
+import (
+	"flag"
+	"fmt"
+	"slices"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+
+	"sprucehill/internal/lab/gossip"
+	"sprucehill/internal/membership"
+)
+
+// Time is virtual in the tests that use a testFleet: real memberlist and real nodes on an emulated network.
+
+var (
+	plays = flag.Uint64("plays", 1, "number of seeds that each scenario of the emulated fleet runs with")
+	span  = flag.Duration("span", 40*time.Second, "duration of the scenario with packet loss, and age of replayed packets")
+)
+
+const (
+	// networkDelay is how long a packet takes one way.
+	networkDelay = 500 * time.Microsecond
+	// settleTime is enough for all members to report to each other that they agree.
+	settleTime = 10 * time.Second
+)
+
+// testFleet is nodes on one emulated network.
+type testFleet struct {
+	t     *testing.T
+	net   *gossip.Network
+	nodes []*membership.Node
+
+	mu  sync.Mutex
+	log []string
+}
+
+// runScenario runs a scenario in virtual time with a fleet of size members that agree, once for each seed.
+func runScenario(t *testing.T, size int, scenario func(t *testing.T, f *testFleet)) {
+	t.Helper()
+	for seed := range *plays {
+		synctest.Test(t, func(t *testing.T) {
+			f := &testFleet{t: t, net: gossip.New(seed+1, networkDelay)}
+			defer f.close(seed + 1)
+			for i := range size {
+				f.nodes = append(f.nodes, f.start(f.options(i)))
+			}
+			if size > 0 {
+				f.within(time.Minute, "the fleet agrees", func() bool { return f.agree(f.nodes, size) })
+			}
+			time.Sleep(settleTime)
+			scenario(t, f)
+		})
+	}
+}
+
+// close closes all nodes and, after a failure, logs the end of the fleet's log.
+func (f *testFleet) close(seed uint64) {
+	var closing sync.WaitGroup
+	for _, n := range f.nodes {
+		closing.Go(func() { n.Close() })
+	}
+	closing.Wait()
+	time.Sleep(10 * time.Second) // outstanding probes must time out before virtual time ends with the scenario
+	if f.t.Failed() {
+		const shownLines = 30
+		f.t.Logf("seed %d; the last lines: %q", seed, f.logSince(max(0, f.logLength()-shownLines)))
+	}
+}
+
+// options returns the options of member i, which serves in a fleet with the seeds 0 and 1.
+func (f *testFleet) options(i int) membership.Options {
+	return membership.Options{
+		Self: membership.Member{
+			Name:        fmt.Sprintf("lb-%d", i),
+			Incarnation: uint64(time.Now().UnixMilli()),
+			Zone:        "z",
+			State:       membership.Serving,
+		},
+		Listen:       gossip.Address(i),
+		Seeds:        []string{gossip.Address(0), gossip.Address(1)},
+		Configured:   membership.Placement{Serving: 3, Rank: 0},
+		NewTransport: func() memberlist.Transport { return f.net.Join(gossip.Address(i)) },
+		CurrentState: func() membership.State { return membership.Serving },
+		OnFleetSize:  func(uint64, membership.FleetSize) error { return nil },
+		Log: func(text string, keys ...any) {
+			f.mu.Lock()
+			defer f.mu.Unlock()
+			f.log = append(f.log, fmt.Sprint(time.Now().Format("05.000 "), i, " ", text, keys))
+		},
+	}
+}
+
+func (f *testFleet) start(o membership.Options) *membership.Node {
+	f.t.Helper()
+	n, err := membership.Start(o)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	return n
+}
+
+// without returns the nodes but for node i.
+func (f *testFleet) without(i int) []*membership.Node {
+	return slices.Delete(slices.Clone(f.nodes), i, i+1)
+}
+
+func (f *testFleet) logLength() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return len(f.log)
+}
+
+// logSince returns the lines of all nodes' logs from line from on.
+func (f *testFleet) logSince(from int) []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return slices.Clone(f.log[from:])
+}
+
+// within waits until a condition holds, fails the test after limit, and returns how long it took.
+func (f *testFleet) within(limit time.Duration, what string, condition func() bool) time.Duration {
+	f.t.Helper()
+	start := time.Now()
+	pollInterval := time.Duration(max(20, len(f.nodes))) * time.Millisecond
+	for !condition() {
+		if time.Since(start) > limit {
+			f.t.Fatalf("not within %v: %s", limit, what)
+		}
+		time.Sleep(pollInterval)
+	}
+	return time.Since(start)
+}
+
+// agree reports whether all nodes have the same view of a size.
+func (f *testFleet) agree(nodes []*membership.Node, size int) bool {
+	first := nodes[0].Status().View
+	return len(first.Members) == size && allNodes(nodes, func(s membership.Status) bool {
+		return s.View.Digest() == first.Digest()
+	})
+}
+
+// allNodes reports whether a condition holds for the status of each node.
+func allNodes(nodes []*membership.Node, condition func(s membership.Status) bool) bool {
+	return !slices.ContainsFunc(nodes, func(n *membership.Node) bool { return !condition(n.Status()) })
+}
+
+// linkFilter selects the links from member i to member j.
+type linkFilter func(i, j int) bool
+
+func allLinks(int, int) bool { return true }
+
+// cut cuts the links selected.
+func (f *testFleet) cut(selected linkFilter) { f.setFault(selected, gossip.Fault{Cut: true}) }
+
+// heal removes all faults.
+func (f *testFleet) heal() { f.setFault(allLinks, gossip.Fault{}) }
+
+func (f *testFleet) setFault(selected linkFilter, fault gossip.Fault) {
+	for i := range f.nodes {
+		for j := range f.nodes {
+			if i != j && selected(i, j) {
+				f.net.SetFault(gossip.Address(i), gossip.Address(j), fault)
+			}
+		}
+	}
+}
--- a/internal/membership/format_test.go
+++ b/internal/membership/format_test.go
@@ -15,17 +15,28 @@
 
 // exampleStatus has a value other than zero in each field.
 func exampleStatus() Status {
-	return Status{Self: exampleMember(), View: View{Members: []Member{exampleMember()}}, Fenced: true, Minority: true, Same: 1, Other: 2,
-		Lost: 3, Refused: 4, Grumbles: 5, Division: Division{Balancers: 6, Rank: 7, Most: 8}, Age: 9 * time.Second}
+	return Status{
+		Self:             exampleMember(),
+		View:             View{Members: []Member{exampleMember()}},
+		Fenced:           true,
+		Minority:         true,
+		Agreeing:         1,
+		Diverging:        2,
+		Lost:             3,
+		RejectedMessages: 4,
+		TransportErrors:  5,
+		FleetSize:        FleetSize{RoutingDivisor: 6, Rank: 7, BudgetDivisor: 8},
+		ViewAge:          9 * time.Second,
+	}
 }
 
 // The encoded forms are read by other processes, of other versions too, and must not change by accident.
 func TestEncodedFormsAreStable(t *testing.T) {
-	metadata, err := exampleMember().encode()
+	metadata, err := encodeMetadata(exampleMember())
 	if err != nil {
 		t.Fatal(err)
 	}
-	minimal, err := Member{Name: "a", Incarnation: 1}.encode()
+	minimal, err := encodeMetadata(Member{Name: "a", Incarnation: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +44,7 @@
 	if err := exampleStatus().Write(&answer); err != nil {
 		t.Fatal(err)
 	}
-	if err := exampleStatus().WriteFigures(&metrics); err != nil {
+	if err := exampleStatus().WriteMetrics(&metrics); err != nil {
 		t.Fatal(err)
 	}
 	statusJSON, err := json.Marshal(exampleStatus())
@@ -43,7 +54,7 @@
 	for _, c := range []struct{ name, got, want string }{
 		{"metadata", string(metadata), `{"f":1,"s":1,"n":"lb-1","i":9223372036854775808,"z":"dc-a","r":"java","v":"v1.2","t":2,"c":50,"d":255,"u":true}`},
 		{"metadata without optional fields", string(minimal), `{"f":1,"s":1,"n":"a","i":1,"t":0}`},
-		{"node name", exampleMember().process().node(), "lb-1/8000000000000000"},
+		{"node name", exampleMember().ProcessID().nodeName(), "lb-1/8000000000000000"},
 		{"answer to members", answer.String(), `self "lb-1" incarnation 9223372036854775808 state draining fenced true minority true digest a3d66c6b1bd8d107 same 1 differ 2 lost 3 refused 4 complaints 5 balancers 6 rank 7 most 8
 member "lb-1" incarnation 9223372036854775808 state draining zone "dc-a" region "java" version "v1.2" capacity 50 config ff at 10.0.0.1:7946
 `},
--- /dev/null
+++ b/internal/membership/keyring.go
@@ -0,0 +1,140 @@
+package membership
+
+import (
+	"encoding/base64"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"slices"
+	"strings"
+
+	"github.com/hashicorp/memberlist"
+)
+
+const (
+	// maxKeyFileSize bounds the key file, in bytes.
+	maxKeyFileSize = 4096
+	// maxKeys is the number of keys that a key file may hold.
+	maxKeys = 8
+)
+
+// keyring is the keys of a file that encrypt gossip: one of 16, 24 or 32 bytes in base64 per line. The first encrypts, all
+// decrypt. A key is rotated without downtime by appending the new key everywhere, then moving it to the front everywhere,
+// then removing the old one. A nil keyring has no keys, and gossip is in the clear.
+//
+// It is not safe for concurrent use; memberlist's Keyring inside it is.
+type keyring struct {
+	path     string
+	lastText string // content of the file at the last load; empty after a read error
+	keys     [][]byte
+	ring     *memberlist.Keyring
+}
+
+// loadKeyring reads a key file. An empty path gives a nil keyring.
+func loadKeyring(path string) (*keyring, error) {
+	if path == "" {
+		return nil, nil
+	}
+	text, err := readKeyFile(path)
+	if err != nil {
+		return nil, err
+	}
+	keys, err := parseKeys(text)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	ring, err := memberlist.NewKeyring(keys, keys[0])
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return &keyring{path: path, lastText: text, keys: keys, ring: ring}, nil
+}
+
+// memberlistRing returns the keys in memberlist's form, nil without keys.
+func (k *keyring) memberlistRing() *memberlist.Keyring {
+	if k == nil {
+		return nil
+	}
+	return k.ring
+}
+
+// reload applies the file's content if it has changed since the last load. An invalid or unreadable file leaves the keys as
+// they are and is reported once.
+func (k *keyring) reload() (changed bool, err error) {
+	if k == nil {
+		return false, nil
+	}
+	text, err := readKeyFile(k.path)
+	if err != nil {
+		alreadyReported := k.lastText == ""
+		k.lastText = ""
+		if alreadyReported {
+			return false, nil
+		}
+		return false, err
+	}
+	if text == k.lastText {
+		return false, nil
+	}
+	k.lastText = text
+	keys, err := parseKeys(text)
+	if err != nil {
+		return false, fmt.Errorf("%s: %w", k.path, err)
+	}
+	return true, k.replaceKeys(keys)
+}
+
+// replaceKeys makes keys the ring's only ones. The new primary key is in use before any key is removed.
+func (k *keyring) replaceKeys(keys [][]byte) error {
+	var errs []error
+	for _, key := range keys {
+		errs = append(errs, k.ring.AddKey(key))
+	}
+	errs = append(errs, k.ring.UseKey(keys[0]))
+	for _, old := range k.keys {
+		isKept := slices.ContainsFunc(keys, func(key []byte) bool { return slices.Equal(key, old) })
+		if !isKept {
+			errs = append(errs, k.ring.RemoveKey(old))
+		}
+	}
+	k.keys = keys
+	return errors.Join(errs...)
+}
+
+// readKeyFile reads a file of at most maxKeyFileSize bytes.
+func readKeyFile(path string) (string, error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return "", fmt.Errorf("reading the keys of membership: %w", err)
+	}
+	defer f.Close()
+	text, err := io.ReadAll(io.LimitReader(f, maxKeyFileSize+1))
+	if err == nil && len(text) > maxKeyFileSize {
+		err = fmt.Errorf("more than %d bytes", maxKeyFileSize)
+	}
+	if err != nil {
+		return "", fmt.Errorf("reading the keys of membership: %s: %w", path, err)
+	}
+	return string(text), nil
+}
+
+// parseKeys decodes the keys, one per line. Blank lines and lines that start with # are skipped.
+func parseKeys(text string) ([][]byte, error) {
+	var keys [][]byte
+	for i, line := range strings.Split(text, "\n") {
+		line = strings.TrimSpace(line)
+		if line == "" || strings.HasPrefix(line, "#") {
+			continue
+		}
+		key, err := base64.StdEncoding.DecodeString(line)
+		if err != nil || memberlist.ValidateKey(key) != nil {
+			return nil, fmt.Errorf("line %d is no key of 16, 24 or 32 bytes in base64", i+1)
+		}
+		keys = append(keys, key)
+	}
+	if len(keys) == 0 || len(keys) > maxKeys {
+		return nil, fmt.Errorf("%d keys, not 1 to %d", len(keys), maxKeys)
+	}
+	return keys, nil
+}
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -5,103 +5,131 @@
 	"time"
 )
 
-// A role that one member alone may hold, such as that of carrying out a release, is a lease: voters, whose names operators
-// give, each grant it to one member at a time, for a span by the voter's own clock. Who has grants of a majority holds the
-// role for less than that span by its own clock, counted from before it asked. So it has lost the role by time before
-// enough voters are free to grant it to another, whatever clocks say, as long as no clock runs more than clockRate faster
-// than another. Each term of a role is granted once by each voter, in rising order: the term fences, that is, whoever
-// carries out orders of a holder refuses those of a lower term.
+// A role that at most one member may hold, such as that of carrying out a release, is a lease. Voters, whose names
+// operators configure, each grant it to one process at a time, for LeaseDuration by the voter's own clock. The process with
+// grants of a majority holds the role for a shorter time by its own clock, counted from before it sent its requests. So
+// its hold has expired before enough voters are free to grant the role to another, as long as no clock runs more than
+// maxClockSkewRate faster than another; clocks need not agree on the time. Each voter grants each term once, in rising
+// order, which makes the term a fencing token: whoever carries out a holder's orders rejects those of a lower term.
 //
-// Two lists of voters that differ by one name have majorities with a voter in common; so the list may change by one name
-// at a time. A voter's promise outlives its process; a voter that lost it may not vote under its name again.
+// Two lists of voters that differ by one name have majorities with a voter in common, so the list may change by one name at
+// a time. A voter's grant outlives its process; a voter that has lost its grant must not vote under its name again.
 const (
-	// LeaseSpan is for how long a grant binds its voter.
-	LeaseSpan = 5 * time.Second
-	// clockRate is by how much one clock may run faster than another.
-	clockRate = 0.1
-	// leaseUse is for how long of the span a holder holds; the rest is the margin for clocks.
-	leaseUse = 1 - 2*clockRate
+	// LeaseDuration is for how long a grant binds its voter.
+	LeaseDuration = 5 * time.Second
+	// maxClockSkewRate is the fraction by which one clock may run faster than another.
+	maxClockSkewRate = 0.1
+	// holdFraction is the part of LeaseDuration for which a holder relies on its grants; the rest is the margin for clocks.
+	holdFraction = 1 - 2*maxClockSkewRate
+	// holdDuration is for how long a holder relies on its grants.
+	holdDuration = time.Duration(holdFraction * float64(LeaseDuration))
 )
 
-// Promise is what a voter has to remember for good.
-type Promise struct {
-	Term   uint64 // the highest granted
-	Holder string // whom to, a process: a later one of its name is another
+// Grant is what a voter has to persist.
+type Grant struct {
+	Term   uint64 // highest term granted; 0: none
+	Holder string // process that it was granted to; a later process of the same name is a different one
 }
 
-// Voter grants one role. All times are by its own clock.
+// Voter grants one role. All times are by its own clock. It is not safe for concurrent use.
 type Voter struct {
-	Promise
-	until time.Duration // it grants nobody else before
+	Grant
+	boundUntil time.Duration // it grants the role to no other process before
 }
 
-// NewVoter is a voter with its last promise. What it granted before may be held still, so it waits for a whole span; a
-// voter that never promised anything need not.
-func NewVoter(now time.Duration, last Promise) Voter {
-	v := Voter{Promise: last}
+// NewVoter restores a voter with its persisted grant. The lease it granted before may still be held, so it waits for a
+// LeaseDuration before it grants the role to another; a voter that never granted anything need not.
+func NewVoter(now time.Duration, last Grant) Voter {
+	v := Voter{Grant: last}
 	if last.Term > 0 {
-		v.until = now + LeaseSpan
+		v.boundUntil = now + LeaseDuration
 	}
 	return v
 }
 
-// Ask answers a member that asks for a term. A grant counts only once the promise is safe, where changed tells that there
-// is a new one. What is not granted is answered with the highest term granted.
-func (v *Voter) Ask(now time.Duration, from string, term uint64) (granted, changed bool) {
-	switch {
-	case term == v.Term && from == v.Holder && term > 0: // it holds on
-	case term <= v.Term, now < v.until && from != v.Holder:
-		return false, false
-	default:
-		v.Term, v.Holder, changed = term, from, true
+// Decision is a voter's decision on a request.
+type Decision struct {
+	Granted bool
+	// GrantChanged means that the voter's Grant must be persisted before the response is sent.
+	GrantChanged bool
+}
+
+// RequestLease decides on the request of a process for a term. A rejection is to be answered with the highest term granted.
+func (v *Voter) RequestLease(now time.Duration, requester string, term uint64) Decision {
+	isRenewal := term == v.Term && requester == v.Holder && term > 0
+	if isRenewal {
+		v.boundUntil = max(v.boundUntil, now+LeaseDuration)
+		return Decision{Granted: true}
 	}
-	v.until = max(v.until, now+LeaseSpan)
-	return true, changed
+	boundToOther := now < v.boundUntil && requester != v.Holder
+	if term <= v.Term || boundToOther {
+		return Decision{}
+	}
+	v.Grant = Grant{Term: term, Holder: requester}
+	v.boundUntil = max(v.boundUntil, now+LeaseDuration)
+	return Decision{Granted: true, GrantChanged: true}
 }
 
-// Candidate is a process that wants a role, or holds it. All times are by its own clock.
+// Candidate is a process that wants a role or holds it. All times are by its own clock. It is not safe for concurrent use.
 type Candidate struct {
-	self   string
-	term   uint64
-	seen   uint64 // the highest term heard of
-	round  uint32
-	asked  time.Duration // when the round was begun
-	grants uint64        // of the round, a bit a voter
-	until  time.Duration // it holds the role before
+	self           string
+	term           uint64 // held or requested last
+	highestTerm    uint64 // highest term that a voter has reported
+	round          uint32
+	roundStartedAt time.Duration
+	grants         uint64        // received in the round; bit i is voter i
+	holdsUntil     time.Duration // it holds the role before
 }
 
-// NewCandidate is the candidate of a process, whose name no other process ever has.
+// NewCandidate returns the candidate of a process, whose name must be unique among all processes ever started.
 func NewCandidate(self string) Candidate { return Candidate{self: self} }
 
-// Begin begins a round in which all voters are asked for a term. Who holds the role asks for the same term, or else for
-// one above all that it has heard of.
-func (c *Candidate) Begin(now time.Duration) (term uint64, round uint32) {
+// LeaseRequest is what a candidate sends to all voters in a round.
+type LeaseRequest struct {
+	Term  uint64
+	Round uint32 // to be returned in the response
+}
+
+// StartRound begins a round of requests to all voters. A holder requests its own term again, others a term above all that
+// they know of.
+func (c *Candidate) StartRound(now time.Duration) LeaseRequest {
 	if !c.Holds(now) {
-		c.term = max(c.seen, c.term) + 1
+		c.term = max(c.highestTerm, c.term) + 1
 	}
 	c.round++
-	c.asked, c.grants = now, 0
-	return c.term, c.round
+	c.roundStartedAt = now
+	c.grants = 0
+	return LeaseRequest{Term: c.term, Round: c.round}
+}
+
+// LeaseResponse is a voter's response to a request.
+type LeaseResponse struct {
+	Voter       int    // index in the list of voters, 0 to 63
+	Requester   string // process that sent the request
+	Round       uint32 // of the request
+	Granted     bool
+	HighestTerm uint64 // highest term that the voter has granted
 }
 
-// Answer takes the answer of a voter, by its place in the list of voters, to the process and round that asked. highest is
-// the highest term that it has granted. An answer to an earlier process of the name is none to this one: its round began
-// before the grant, this one's may have begun long after.
-func (c *Candidate) Answer(to string, voter, voters int, round uint32, granted bool, highest uint64) {
-	c.seen = max(c.seen, highest)
-	if to != c.self || round != c.round || !granted {
+// HandleResponse counts a response. One to an earlier process of the same name must not count: that process's round began
+// before the grant, whereas this one's may have begun long after.
+func (c *Candidate) HandleResponse(r LeaseResponse, voters int) {
+	c.highestTerm = max(c.highestTerm, r.HighestTerm)
+	if r.Requester != c.self || r.Round != c.round || !r.Granted {
 		return
 	}
-	if c.grants |= 1 << voter; 2*bits.OnesCount64(c.grants) > voters {
-		c.until = max(c.until, c.asked+time.Duration(leaseUse*float64(LeaseSpan)))
+	c.grants |= 1 << r.Voter
+	hasMajority := 2*bits.OnesCount64(c.grants) > voters
+	if hasMajority {
+		c.holdsUntil = max(c.holdsUntil, c.roundStartedAt+holdDuration)
 	}
 }
 
-// Holds tells whether the member holds the role; its term is the fence.
-func (c *Candidate) Holds(now time.Duration) bool { return now < c.until }
+// Holds reports whether the process holds the role; its Term is the fencing token.
+func (c *Candidate) Holds(now time.Duration) bool { return now < c.holdsUntil }
 
-// Term is the term held or asked for last.
+// Term is the term held or requested last.
 func (c *Candidate) Term() uint64 { return c.term }
 
-// Yield gives the role up.
-func (c *Candidate) Yield() { c.until = 0 }
+// Release gives the role up.
+func (c *Candidate) Release() { c.holdsUntil = 0 }
--- /dev/null
+++ b/internal/membership/log_writer.go
@@ -0,0 +1,34 @@
+package membership
+
+import (
+	"bytes"
+	"time"
+)
+
+const (
+	// transportErrorLogInterval is the least time between two log lines on memberlist's warnings and errors.
+	transportErrorLogInterval = 10 * time.Second
+	// maxTransportErrorLength bounds the text of memberlist in such a line, in bytes.
+	maxTransportErrorLength = 200
+)
+
+// logWriter receives memberlist's own log. It counts warnings and errors and passes some on; the rest is dropped, since
+// all changes of members are logged from the member table.
+type logWriter struct{ node *Node }
+
+func (w logWriter) Write(line []byte) (int, error) {
+	if !bytes.Contains(line, []byte("[ERR]")) && !bytes.Contains(line, []byte("[WARN]")) {
+		return len(line), nil
+	}
+	n := w.node
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.transportErrors++
+	if time.Since(n.transportErrorLoggedAt) < transportErrorLogInterval {
+		return len(line), nil
+	}
+	n.transportErrorLoggedAt = time.Now()
+	text := bytes.TrimSpace(line[:min(len(line), maxTransportErrorLength)])
+	n.options.Log("membership's transport complains", "text", string(text), "complaints", n.transportErrors)
+	return len(line), nil
+}
--- /dev/null
+++ b/internal/membership/tick.go
@@ -0,0 +1,153 @@
+package membership
+
+import (
+	"math/rand/v2"
+	"net"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+)
+
+const (
+	// tickInterval is the mean time between two ticks.
+	tickInterval = 100 * time.Millisecond
+	// maxPingsPerTick bounds the pings of one tick to unconfirmed processes.
+	maxPingsPerTick = 16
+)
+
+// tick publishes this process's state, confirms processes that came back, logs changes and delivers the fleet size.
+func (n *Node) tick() {
+	state := n.options.CurrentState()
+	list, unconfirmed, stateChanged := n.setOwnState(state)
+	if list == nil {
+		return
+	}
+	if stateChanged {
+		_ = list.UpdateNode(broadcastTimeout) // after a timeout the update still spreads
+	}
+	answered := pingSome(list, unconfirmed)
+	size := n.advance(answered)
+	n.deliverFleetSize(size)
+}
+
+// setOwnState records this process's state and returns what the rest of the tick works on.
+func (n *Node) setOwnState(state State) (list *memberlist.Memberlist, unconfirmed []Member, changed bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	unconfirmed = n.table.Unconfirmed()
+	changed = n.self.State != state
+	n.self.State = state
+	n.table.ObserveAlive(n.now(), n.self)
+	return n.list, unconfirmed, changed
+}
+
+// pingSome pings at most maxPingsPerTick of the members, in random order, and returns those that answered.
+func pingSome(list *memberlist.Memberlist, members []Member) []Member {
+	var answered []Member
+	for _, i := range rand.Perm(len(members))[:min(len(members), maxPingsPerTick)] {
+		m := members[i]
+		address, err := net.ResolveUDPAddr("udp", m.Address)
+		if err != nil {
+			continue
+		}
+		if _, err := list.Ping(m.ProcessID().nodeName(), address); err == nil {
+			answered = append(answered, m)
+		}
+	}
+	return answered
+}
+
+// advance confirms the members that answered, brings the member table and what follows from it up to date, and returns the
+// fleet size.
+func (n *Node) advance(answered []Member) FleetSize {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	now := n.now()
+	for _, m := range answered {
+		n.table.ConfirmAlive(m.ProcessID())
+	}
+	n.table.Tick(now)
+	changes := n.table.TakeChanges()
+	n.logChanges(changes)
+	n.updateFenced()
+	n.updateMinority(now)
+	if len(changes) > 0 {
+		n.viewChangedAt = now
+		n.observePlacement(now)
+	}
+	return n.sizer.Current(now)
+}
+
+// logChanges writes a line for each change. n.mu is held.
+func (n *Node) logChanges(changes []Change) {
+	for _, c := range changes {
+		keys := []any{
+			"member", c.Member.Name,
+			"incarnation", c.Member.Incarnation,
+			"change", string(c.Kind),
+			"state", c.Member.State.String(),
+		}
+		if c.Kind == Updated {
+			keys = append(keys, "was", c.PreviousState.String())
+		}
+		n.options.Log("membership", keys...)
+	}
+}
+
+// updateFenced logs a change of whether another process counts under this one's name. n.mu is held.
+func (n *Node) updateFenced() {
+	counting, fenced := n.table.Fenced()
+	if fenced == n.fenced {
+		return
+	}
+	n.fenced = fenced
+	text := "this process counts again under its name"
+	switch {
+	case fenced && counting.Successor:
+		text = "a successor counts in this process's place"
+	case fenced:
+		text = "another process was started under this name: it counts, this one serves on uncounted"
+	}
+	n.options.Log(text, "incarnation", n.self.Incarnation, "counts", counting.Incarnation, "at", counting.Address)
+}
+
+// updateMinority logs a change of whether a majority of the agreed members is in the view. n.mu is held.
+func (n *Node) updateMinority(now time.Duration) {
+	quorum := n.table.UpdateAgreedMembers(now)
+	minority := !quorum.HasMajority()
+	if minority == n.minority {
+		return
+	}
+	n.minority = minority
+	text := "most members are seen again"
+	if minority {
+		text = "no majority of the members is seen: serving on"
+	}
+	n.options.Log(text, "seen", quorum.Present, "of", quorum.Agreed)
+}
+
+// observePlacement takes the view's size into account, unless this process is alone in it: then the configured or last size
+// stays. n.mu is held.
+func (n *Node) observePlacement(now time.Duration) {
+	view := n.table.View()
+	if len(view.Members) > 1 {
+		n.sizer.Observe(now, view.Placement(n.self.Name))
+	}
+}
+
+// deliverFleetSize calls OnFleetSize if the fleet size differs from the one accepted last.
+func (n *Node) deliverFleetSize(size FleetSize) {
+	n.mu.Lock()
+	delivered := n.deliveredSize
+	incarnation := n.self.Incarnation
+	n.mu.Unlock()
+	if size == delivered {
+		return
+	}
+	if err := n.options.OnFleetSize(incarnation, size); err != nil {
+		return // the next tick tries again
+	}
+	n.mu.Lock()
+	n.deliveredSize = size
+	n.mu.Unlock()
+}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -8,68 +8,89 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// View is the members that count, as one balancer sees them: one process of each name, by name.
+// View is the members that count, as one balancer sees them: one process of each name, sorted by name.
 type View struct {
 	Members []Member
 }
 
-// Digest is equal for equal views and differs, but for chance, for others. What members do is not in it: a drain is no
-// disagreement on who is there.
+// Digest hashes the names and incarnations in the view. It leaves out the members' states: a drain is no divergence about
+// who is a member.
 func (v View) Digest() uint64 {
-	d := xxhash.New()
-	var n [8]byte
+	digest := xxhash.New()
+	var incarnation [8]byte
 	for _, m := range v.Members {
-		d.WriteString(m.Name)
-		binary.BigEndian.PutUint64(n[:], m.Incarnation)
-		d.Write(n[:])
+		_, _ = digest.WriteString(m.Name) // a hash never returns an error
+		binary.BigEndian.PutUint64(incarnation[:], m.Incarnation)
+		_, _ = digest.Write(incarnation[:])
 	}
-	return d.Sum64()
+	return digest.Sum64()
 }
 
-// Has tells whether a name is in the view.
+// Has reports whether a name is in the view.
 func (v View) Has(name string) bool {
 	_, found := slices.BinarySearchFunc(v.Members, name, func(m Member, name string) int { return cmp.Compare(m.Name, name) })
 	return found
 }
 
-// Rank is the place of a name among those that take clients, from 0, counting that name in; number is how many they are.
+// Placement returns the place of a balancer among the serving ones, which it is counted among whatever its state.
 //
-// The rule needs no history, so all who see the same members give the same ranks, and it moves few when one leaves: the
-// ranks are handed out in order, each to the member left that likes it best by a hash of both. Where a member leaves,
-// its rank goes to the next best, whose own rank goes on in turn, always to a higher one: about ln n ranks move.
-func (v View) Rank(name string) (number, rank int) {
-	type candidate struct {
-		hash uint64
-		name string
+// It is rendezvous hashing: ranks are assigned in order, each to the remaining member with the highest hash of member and
+// rank. It needs no history, so that all who see the same members compute the same ranks, and few ranks change when a
+// member leaves: its rank goes to the next best, whose own rank passes on in turn, always to a higher rank. That is about
+// ln n of n ranks.
+func (v View) Placement(name string) Placement {
+	remaining := v.rankCandidates(name)
+	placement := Placement{Serving: len(remaining)}
+	for rank := range placement.Serving {
+		placement.Rank = rank
+		best := bestCandidate(remaining, rank)
+		if remaining[best].name == name {
+			break
+		}
+		last := len(remaining) - 1
+		remaining[best] = remaining[last]
+		remaining = remaining[:last]
 	}
-	var left []candidate
+	return placement
+}
+
+// rankCandidate is a balancer that a rank can be assigned to.
+type rankCandidate struct {
+	name string
+	hash uint64
+}
+
+// rankCandidates lists the serving members and the named balancer.
+func (v View) rankCandidates(name string) []rankCandidate {
+	var candidates []rankCandidate
 	for _, m := range v.Members {
 		if m.State == Serving || m.Name == name {
-			left = append(left, candidate{xxhash.Sum64String(m.Name), m.Name})
+			candidates = append(candidates, rankCandidate{m.Name, xxhash.Sum64String(m.Name)})
 		}
 	}
 	if !v.Has(name) {
-		left = append(left, candidate{xxhash.Sum64String(name), name})
+		candidates = append(candidates, rankCandidate{name, xxhash.Sum64String(name)})
 	}
-	number = len(left)
-	for rank = range number {
-		best, most := 0, uint64(0)
-		for i, c := range left {
-			if liking := mix(c.hash ^ mix(uint64(rank)+1)); liking > most || liking == most && c.name < left[best].name {
-				best, most = i, liking
-			}
-		}
-		if left[best].name == name {
-			break
+	return candidates
+}
+
+// bestCandidate returns the index of the candidate with the highest hash for a rank; the lowest name breaks ties.
+func bestCandidate(candidates []rankCandidate, rank int) int {
+	rankHash := mix64(uint64(rank) + 1)
+	best := 0
+	bestScore := uint64(0)
+	for i, c := range candidates {
+		score := mix64(c.hash ^ rankHash)
+		if score > bestScore || score == bestScore && c.name < candidates[best].name {
+			best = i
+			bestScore = score
 		}
-		left[best] = left[len(left)-1]
-		left = left[:len(left)-1]
 	}
-	return number, rank
+	return best
 }
 
-// mix spreads x over all 64 bits, one to one (the finalizer of MurmurHash3, by Austin Appleby).
-func mix(x uint64) uint64 {
+// mix64 is a bijection that spreads x over all 64 bits (the finalizer of MurmurHash3, by Austin Appleby).
+func mix64(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
