--- a/cmd/balancer/members.go
+++ b/cmd/balancer/members.go
@@ -45,7 +45,7 @@
 	next.Incarnation = max(next.Incarnation, last.Incarnation+1)
 	next.Balancers = last.Balancers
 	if err := s.saveSync(next); err != nil {
-		slog.Error("the incarnation is not kept", "incarnation", next.Incarnation, "err", err)
+		slog.Error("the incarnation could not be persisted", "incarnation", next.Incarnation, "err", err)
 	}
 	return next
 }
@@ -159,7 +159,7 @@
 		return
 	}
 	if err := m.node.Close(); err != nil {
-		slog.Error("membership was not left in good order", "err", err)
+		slog.Error("leaving membership failed", "err", err)
 	}
 }
 
--- a/cmd/balancer/members_test.go
+++ b/cmd/balancer/members_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"encoding/json"
 	"fmt"
 	"io"
 	"net"
@@ -289,6 +290,17 @@
 	}
 }
 
+// The stored record is read by later versions of the program, so its form must not change by accident.
+func TestMembershipRecordForm(t *testing.T) {
+	payload, err := json.Marshal(membershipRecord{Incarnation: 1 << 63, Balancers: 3})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := `{"incarnation":9223372036854775808,"balancers":3}`; string(payload) != want {
+		t.Errorf("got %s, want %s", payload, want)
+	}
+}
+
 // An address that is not this machine's ends the start with an error that names the section and the address.
 func TestInvalidListenAddressIsReported(t *testing.T) {
 	f := newPeerFleet(t)
--- a/internal/membership/fleet_size.go
+++ b/internal/membership/fleet_size.go
@@ -31,7 +31,7 @@
 	// Rank is this balancer's place among them, from 0.
 	Rank int
 	// BudgetDivisor is the number for limits that all balancers together must not exceed, such as tenants' quotas and
-	// slow-start budgets. It is at least RoutingDivisor in a stable fleet and stays high while balancers are missing.
+	// slow-start budgets. Never below RoutingDivisor; it stays high for a while after balancers are lost.
 	BudgetDivisor int `json:"Most"`
 }
 
