--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -44,8 +44,8 @@
 	}
 	c.Locate(file.Localities())
 	if file.State.Folder != "" {
-		keeper, err := durable.Start(durable.Options{Path: file.State.Folder, Owner: c.Name + "@" + file.State.Site,
-			Every: file.State.Spacing(), Orders: proxy.OrderKinds, Log: slog.Info}, kinds())
+		keeper, err := durable.StartWriter(durable.Options{Path: file.State.Folder, Owner: c.Name + "@" + file.State.Site,
+			MinInterval: file.State.Spacing(), OrderKinds: proxy.OrderKinds, Log: slog.Info}, kinds())
 		if err != nil {
 			return fmt.Errorf("%s: %w", os.Getenv(fleet.Variable), err)
 		}
--- a/cmd/balancer/members.go
+++ b/cmd/balancer/members.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	return s.keeper.Keep(kindMembers, versionMembers, time.Now(), payload)
+	return s.keeper.SaveSync(kindMembers, versionMembers, time.Now(), payload)
 }
 
 // save persists a record in the background.
@@ -80,7 +80,7 @@
 		return
 	}
 	encode := func() ([]byte, error) { return json.Marshal(record) }
-	s.keeper.Offer(kindMembers, versionMembers, time.Now(), encode)
+	s.keeper.Save(kindMembers, versionMembers, time.Now(), encode)
 }
 
 // fleetMember is this balancer's part in the fleet. node is nil if the fleet file names no seeds.
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -153,8 +153,8 @@
 // A second process reads while the first holds the folder, keeps nothing, and takes over as soon as the first has ended.
 func TestOverlapOfAnUpgrade(t *testing.T) {
 	dir, j := folder(t), &journal{}
-	begin := func() *Keeper {
-		k, err := Start(Options{Path: dir, Owner: "b@s", Every: time.Millisecond, Orders: []string{"orders"}, Log: j.log},
+	begin := func() *Writer {
+		k, err := StartWriter(Options{Path: dir, Owner: "b@s", MinInterval: time.Millisecond, OrderKinds: []string{"orders"}, Log: j.log},
 			map[string]uint16{"learnt": 1, "orders": 1})
 		if err != nil {
 			t.Fatal(err)
@@ -162,21 +162,21 @@
 		return k
 	}
 	old := begin()
-	if err := old.Keep("learnt", 1, time.Now(), []byte("of the old")); err != nil {
+	if err := old.SaveSync("learnt", 1, time.Now(), []byte("of the old")); err != nil {
 		t.Fatal(err)
 	}
 	next := begin()
 	if r, ok := next.Load("learnt"); !ok || string(r.Payload) != "of the old" {
 		t.Errorf("the successor reads %q", r.Payload)
 	}
-	if err := next.Keep("orders", 1, time.Now(), []byte("too soon")); err == nil {
+	if err := next.SaveSync("orders", 1, time.Now(), []byte("too soon")); err == nil {
 		t.Error("an order is kept in a folder that another process holds")
 	}
-	next.Offer("learnt", 1, time.Now(), func() ([]byte, error) { return []byte("of the new"), nil })
-	old.Offer("learnt", 1, time.Now(), func() ([]byte, error) { return []byte("last of the old"), nil })
+	next.Save("learnt", 1, time.Now(), func() ([]byte, error) { return []byte("of the new"), nil })
+	old.Save("learnt", 1, time.Now(), func() ([]byte, error) { return []byte("last of the old"), nil })
 	old.Close()
 	limit := time.Now().Add(30 * time.Second)
-	for next.Keep("orders", 1, time.Now(), []byte("in time")) != nil {
+	for next.SaveSync("orders", 1, time.Now(), []byte("in time")) != nil {
 		if time.Now().After(limit) {
 			t.Fatalf("the successor never takes the folder: %q", j.lines)
 		}
@@ -226,17 +226,17 @@
 		t.Fatal(err)
 	}
 	hang := make(chan struct{})
-	k := StartOn(troubled{Folder: f, hang: hang}, Options{Path: dir, Owner: "b@s", Every: time.Millisecond, Log: j.log}, map[string]uint16{"learnt": 1})
+	k := StartWriterOn(troubled{Folder: f, hang: hang}, Options{Path: dir, Owner: "b@s", MinInterval: time.Millisecond, Log: j.log}, map[string]uint16{"learnt": 1})
 	if _, ok := k.Load("learnt"); ok || !j.has("has not answered in time") {
 		t.Errorf("started with %v: %q", ok, j.lines)
 	}
-	k.Offer("learnt", 1, time.Now(), func() ([]byte, error) { return []byte("after"), nil })
-	if err := k.Keep("orders", 1, time.Now(), []byte("x")); !errors.Is(err, ErrSlow) {
+	k.Save("learnt", 1, time.Now(), func() ([]byte, error) { return []byte("after"), nil })
+	if err := k.SaveSync("orders", 1, time.Now(), []byte("x")); !errors.Is(err, ErrTimeout) {
 		t.Errorf("an order on a hanging disk: %v", err)
 	}
 	close(hang)
 	limit := time.Now().Add(30 * time.Second)
-	for k.Keep("orders", 1, time.Now(), []byte("y")) != nil {
+	for k.SaveSync("orders", 1, time.Now(), []byte("y")) != nil {
 		if time.Now().After(limit) {
 			t.Fatalf("it never keeps again: %q", j.lines)
 		}
@@ -258,13 +258,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := StartOn(troubled{Folder: f, lock: errors.New("read-only file system")}, Options{Path: dir, Owner: "b@s", Every: time.Millisecond, Log: j.log},
+	k := StartWriterOn(troubled{Folder: f, lock: errors.New("read-only file system")}, Options{Path: dir, Owner: "b@s", MinInterval: time.Millisecond, Log: j.log},
 		map[string]uint16{"learnt": 1})
 	defer k.Close()
 	if r, ok := k.Load("learnt"); !ok || string(r.Payload) != "before" || !j.has("reading only") {
 		t.Errorf("%q, %v: %q", r.Payload, ok, j.lines)
 	}
-	if err := k.Keep("orders", 1, time.Now(), []byte("x")); err == nil {
+	if err := k.SaveSync("orders", 1, time.Now(), []byte("x")); err == nil {
 		t.Error("an order is kept in a folder that can't be locked")
 	}
 }
@@ -272,14 +272,14 @@
 // Offers never wait, the newest of a kind is what is saved, and a state that can't be encoded is complained of.
 func TestOffers(t *testing.T) {
 	dir, j := folder(t), &journal{}
-	k, err := Start(Options{Path: dir, Owner: "b@s", Every: time.Hour, Log: j.log}, nil)
+	k, err := StartWriter(Options{Path: dir, Owner: "b@s", MinInterval: time.Hour, Log: j.log}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 1000 {
-		k.Offer("list", 1, time.Now(), func() ([]byte, error) { return fmt.Append(nil, i), nil })
+		k.Save("list", 1, time.Now(), func() ([]byte, error) { return fmt.Append(nil, i), nil })
 	}
-	k.Offer("learnt", 1, time.Now(), func() ([]byte, error) { return nil, errors.New("no number") })
+	k.Save("learnt", 1, time.Now(), func() ([]byte, error) { return nil, errors.New("no number") })
 	k.Close()
 	if r, ok := open(t, dir, "b@s", j).Load("list", 1); !ok || string(r.Payload) != "999" || r.Generation > 2 {
 		t.Errorf("%q of generation %d was saved", r.Payload, r.Generation)
--- a/internal/durable/inspect.go
+++ b/internal/durable/inspect.go
@@ -46,7 +46,7 @@
 
 // Repair sets aside what is no whole state, so that the next start has nothing to pass over. It returns how many files.
 // The caller holds the lock.
-func Repair(fs FS, log Log) (int, error) {
+func Repair(fs FS, log LogFunc) (int, error) {
 	all, err := Inspect(fs)
 	if err != nil {
 		return 0, err
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -61,21 +61,21 @@
 	Close() error
 }
 
-// Log writes a line with its keys.
-type Log func(text string, keys ...any)
+// LogFunc writes a line with its keys.
+type LogFunc func(text string, keys ...any)
 
 // Store is an open folder. It is used from one goroutine at a time.
 type Store struct {
 	fs    FS
 	owner string
-	log   Log
+	log   LogFunc
 	may   bool // write: this process holds the lock
 	next  map[string]uint64
 	aside int
 }
 
 // Open looks at a folder. may tells whether this process may write to it; without that it only reads.
-func Open(fs FS, owner string, may bool, log Log) (*Store, error) {
+func Open(fs FS, owner string, may bool, log LogFunc) (*Store, error) {
 	if owner == "" || len(owner) > maxName {
 		return nil, fmt.Errorf("owner %q: 1 to %d bytes are needed", owner, maxName)
 	}
--- a/internal/durable/keeper.go
+++ b/internal/durable/writer.go
@@ -22,17 +22,17 @@
 	complainEvery = 10 * time.Second
 )
 
-// ErrSlow says that the disk has not taken a state in time. It may still do so.
-var ErrSlow = errors.New("the disk has not taken it in time")
+// ErrTimeout says that the disk has not taken a state in time. It may still do so.
+var ErrTimeout = errors.New("the disk has not taken it in time")
 
 // Options is how a Keeper keeps.
 type Options struct {
 	Path  string
 	Owner string        // the balancer and its site
-	Every time.Duration // least time between two saves of one kind by Offer
-	// Orders names the kinds that hold operators' orders.
-	Orders []string
-	Log    Log
+	MinInterval time.Duration // least time between two saves of one kind by Offer
+	// OrderKinds names the kinds that hold operators' orders.
+	OrderKinds []string
+	Log    LogFunc
 }
 
 // Locked is a folder that one process holds at a time.
@@ -42,9 +42,9 @@
 	Close() error
 }
 
-// Keeper keeps states in a folder, from a goroutine of its own: who offers one never waits for the disk. A disk that is
+// Writer keeps states in a folder, from a goroutine of its own: who offers one never waits for the disk. A disk that is
 // slow or full costs freshness and nothing else.
-type Keeper struct {
+type Writer struct {
 	o      Options
 	folder Locked
 	loaded map[string]Record
@@ -75,20 +75,20 @@
 	done chan error
 }
 
-// Start opens a folder, reads every kind that wanted names with its version, and begins to keep. An error says that the
+// StartWriter opens a folder, reads every kind that wanted names with its version, and begins to keep. An error says that the
 // folder can't be used at all; that it is held by another process, damaged or slow is none: the log says so.
-func Start(o Options, wanted map[string]uint16) (*Keeper, error) {
+func StartWriter(o Options, wanted map[string]uint16) (*Writer, error) {
 	folder, err := OpenFolder(o.Path)
 	if err != nil {
 		return nil, fmt.Errorf("state folder: %w", err)
 	}
-	return StartOn(folder, o, wanted), nil
+	return StartWriterOn(folder, o, wanted), nil
 }
 
-// StartOn is Start on a folder that is open.
-func StartOn(folder Locked, o Options, wanted map[string]uint16) *Keeper {
+// StartWriterOn is Start on a folder that is open.
+func StartWriterOn(folder Locked, o Options, wanted map[string]uint16) *Writer {
 	ctx, end := context.WithCancel(context.Background())
-	k := &Keeper{o: o, folder: folder, offered: map[string]offer{}, wake: make(chan struct{}, 1),
+	k := &Writer{o: o, folder: folder, offered: map[string]offer{}, wake: make(chan struct{}, 1),
 		asked: make(chan order), end: end, ended: make(chan struct{})}
 	opened := make(chan map[string]Record, 1)
 	go k.run(ctx, wanted, opened)
@@ -103,21 +103,21 @@
 }
 
 // Load is the state of a kind as it was at the start.
-func (k *Keeper) Load(kind string) (Record, bool) {
+func (k *Writer) Load(kind string) (Record, bool) {
 	r, ok := k.loaded[kind]
 	return r, ok
 }
 
 // Offer hands over a state to be saved in its time, in place of an older one that has not been. encode is called from
 // the keeper's goroutine; what it reads must not change any more.
-func (k *Keeper) Offer(kind string, version uint16, at time.Time, encode func() ([]byte, error)) {
+func (k *Writer) Save(kind string, version uint16, at time.Time, encode func() ([]byte, error)) {
 	k.mu.Lock()
 	k.offered[kind] = offer{version, at, encode}
 	k.mu.Unlock()
 	k.rouse()
 }
 
-func (k *Keeper) rouse() {
+func (k *Writer) rouse() {
 	select {
 	case k.wake <- struct{}{}:
 	default:
@@ -125,7 +125,7 @@
 }
 
 // Keep saves a state and returns when it is safe. It waits for the disk, but not for ever.
-func (k *Keeper) Keep(kind string, version uint16, at time.Time, payload []byte) error {
+func (k *Writer) SaveSync(kind string, version uint16, at time.Time, payload []byte) error {
 	x := order{kind, offer{version, at, func() ([]byte, error) { return payload, nil }}, make(chan error, 1)}
 	limit := time.NewTimer(keepWait)
 	defer limit.Stop()
@@ -134,28 +134,28 @@
 	case <-k.ended:
 		return errors.New("the state folder is closed")
 	case <-limit.C:
-		return ErrSlow
+		return ErrTimeout
 	}
 	select {
 	case err := <-x.done:
 		return err
 	case <-limit.C:
-		return ErrSlow
+		return ErrTimeout
 	}
 }
 
 // Close saves what has been offered and gives the folder back, waiting for a hanging disk no longer than closeWait.
-func (k *Keeper) Close() {
+func (k *Writer) Close() {
 	k.end()
 	select {
 	case <-k.ended:
 	case <-time.After(closeWait):
-		k.o.Log("last state not saved", "why", ErrSlow)
+		k.o.Log("last state not saved", "why", ErrTimeout)
 	}
 }
 
 // run owns the store.
-func (k *Keeper) run(ctx context.Context, wanted map[string]uint16, opened chan<- map[string]Record) {
+func (k *Writer) run(ctx context.Context, wanted map[string]uint16, opened chan<- map[string]Record) {
 	defer close(k.ended)
 	defer k.folder.Close()
 	if !k.open(wanted, opened) {
@@ -168,7 +168,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			k.save(last, 0)
+			k.saveDue(last, 0)
 			return
 		case x := <-k.asked:
 			k.mayWrite()
@@ -182,14 +182,14 @@
 		}
 		if !k.mayWrite() {
 			look.Reset(lockEvery)
-		} else if next := k.save(last, k.o.Every); next > 0 {
+		} else if next := k.saveDue(last, k.o.MinInterval); next > 0 {
 			look.Reset(next)
 		}
 	}
 }
 
 // open takes the lock if it is free, and reads.
-func (k *Keeper) open(wanted map[string]uint16, opened chan<- map[string]Record) bool {
+func (k *Writer) open(wanted map[string]uint16, opened chan<- map[string]Record) bool {
 	free, lockErr := k.folder.Lock()
 	store, err := Open(k.folder, k.o.Owner, free, k.o.Log)
 	if err != nil {
@@ -202,7 +202,7 @@
 	} else if !free {
 		k.o.Log("state folder is held by another process: reading, and waiting for it", "folder", k.o.Path)
 	}
-	k.store.Begin(k.o.Orders...)
+	k.store.Begin(k.o.OrderKinds...)
 	loaded := map[string]Record{}
 	for kind, version := range wanted {
 		if r, ok := k.store.Load(kind, version); ok {
@@ -214,7 +214,7 @@
 }
 
 // mayWrite tells whether this process holds the folder, and takes it as soon as it is free.
-func (k *Keeper) mayWrite() bool {
+func (k *Writer) mayWrite() bool {
 	if k.store.may {
 		return true
 	}
@@ -233,13 +233,13 @@
 }
 
 // Recovered notes that the start has come through with what was loaded.
-func (k *Keeper) Recovered() {
+func (k *Writer) MarkRecovered() {
 	k.recovered.Store(true)
 	k.rouse()
 }
 
-// save saves what has been offered and is due, and returns when the next is; 0: nothing waits.
-func (k *Keeper) save(last map[string]time.Time, every time.Duration) (next time.Duration) {
+// saveDue saves what has been offered and is due, and returns when the next is; 0: nothing waits.
+func (k *Writer) saveDue(last map[string]time.Time, every time.Duration) (next time.Duration) {
 	if !k.store.may {
 		return 0
 	}
@@ -265,7 +265,7 @@
 	return next
 }
 
-func (k *Keeper) put(kind string, x offer) error {
+func (k *Writer) put(kind string, x offer) error {
 	payload, err := x.encode()
 	if err != nil {
 		return fmt.Errorf("encoding %s: %w", kind, err)
@@ -274,7 +274,7 @@
 }
 
 // complain logs that a state was not saved, now and then.
-func (k *Keeper) complain(kind string, err error) {
+func (k *Writer) complain(kind string, err error) {
 	if now := time.Now(); now.Sub(k.told) >= complainEvery {
 		k.told = now
 		k.o.Log("state not saved", "kind", kind, "err", err)
--- a/internal/proxy/stall_test.go
+++ b/internal/proxy/stall_test.go
@@ -52,7 +52,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				k := durable.StartOn(slowDisk{folder, 50 * time.Millisecond}, durable.Options{Owner: "b", Every: 200 * time.Millisecond,
+				k := durable.StartWriterOn(slowDisk{folder, 50 * time.Millisecond}, durable.Options{Owner: "b", MinInterval: 200 * time.Millisecond,
 					Log: func(string, ...any) {}}, Kinds)
 				b.Cleanup(k.Close)
 				c.Keeper = k
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -48,9 +48,9 @@
 // Keeper keeps states. Only Keep waits for the disk.
 type Keeper interface {
 	Load(kind string) (durable.Record, bool)
-	Offer(kind string, version uint16, at time.Time, encode func() ([]byte, error))
-	Keep(kind string, version uint16, at time.Time, payload []byte) error
-	Recovered()
+	Save(kind string, version uint16, at time.Time, encode func() ([]byte, error))
+	SaveSync(kind string, version uint16, at time.Time, payload []byte) error
+	MarkRecovered()
 }
 
 // keptList is the list of upstreams with the address of the discovery that told it.
@@ -138,7 +138,7 @@
 	if s.keeper == nil {
 		return
 	}
-	defer s.keeper.Recovered()
+	defer s.keeper.MarkRecovered()
 	var kept keptLearnt
 	r, ok := s.load(kindLearnt, &kept)
 	k := kept.Knowledge
@@ -184,7 +184,7 @@
 	}
 	kept := keptList{s.discovery, listing{Revision: x.Revision, Complete: true, Members: slices.SortedFunc(maps.Values(s.members),
 		func(a, b member) int { return cmp.Compare(a.ID, b.ID) })}}
-	s.keeper.Offer(kindList, versionList, time.Now(), func() ([]byte, error) { return json.Marshal(kept) })
+	s.keeper.Save(kindList, versionList, time.Now(), func() ([]byte, error) { return json.Marshal(kept) })
 }
 
 // learnt offers what the module knows, now and then.
@@ -197,7 +197,7 @@
 	for _, u := range kept.Knowledge.Endpoints {
 		kept.Names = append(kept.Names, s.names[u.ID])
 	}
-	s.keeper.Offer(kindLearnt, versionLearnt, time.Now(), func() ([]byte, error) { return json.Marshal(kept) })
+	s.keeper.Save(kindLearnt, versionLearnt, time.Now(), func() ([]byte, error) { return json.Marshal(kept) })
 }
 
 // order keeps what operators have ordered and returns when that is safe. Orders are kept one after the other.
@@ -213,9 +213,9 @@
 	change(&next)
 	text, err := json.Marshal(next)
 	if err == nil {
-		err = s.keeper.Keep(kindOrders, versionOrders, time.Now(), text)
+		err = s.keeper.SaveSync(kindOrders, versionOrders, time.Now(), text)
 	}
-	if err != nil && !errors.Is(err, durable.ErrSlow) {
+	if err != nil && !errors.Is(err, durable.ErrTimeout) {
 		return fmt.Errorf("but not kept: %w", err)
 	}
 	s.orders = next // a slow disk may have it all the same, and what follows builds on it
--- a/internal/proxy/state_test.go
+++ b/internal/proxy/state_test.go
@@ -27,13 +27,13 @@
 	return r, ok
 }
 
-func (s *shelf) Offer(kind string, version uint16, at time.Time, encode func() ([]byte, error)) {
+func (s *shelf) Save(kind string, version uint16, at time.Time, encode func() ([]byte, error)) {
 	if text, err := encode(); err == nil {
-		s.Keep(kind, version, at, text)
+		s.SaveSync(kind, version, at, text)
 	}
 }
 
-func (s *shelf) Keep(kind string, version uint16, at time.Time, payload []byte) error {
+func (s *shelf) SaveSync(kind string, version uint16, at time.Time, payload []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.full {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-func (s *shelf) Recovered() {}
+func (s *shelf) MarkRecovered() {}
 
 func (b *testBalancer) stop(t *testing.T) {
 	t.Helper()
@@ -125,7 +125,7 @@
 func TestStateOfAnotherForm(t *testing.T) {
 	kept := newShelf()
 	for kind, text := range map[string]string{kindList: `{"discovery":1}`, kindLearnt: `{"names":["a"],"knowledge":{}}`, kindOrders: "[]"} {
-		kept.Keep(kind, 1, time.Now(), []byte(text))
+		kept.SaveSync(kind, 1, time.Now(), []byte(text))
 	}
 	b := newBalancerWith(t, newRegistry(t), func(c *Config) { c.Keeper = kept }, up("s-00000001", newServer(t, okAll)))
 	if status, _ := b.do(t, b.ask("checkin", "")); status != 200 {
@@ -152,7 +152,7 @@
 	}{{true, spreadCalls}, {false, grace / 2}} {
 		for seed := range uint64(50) {
 			shelf := newShelf()
-			if err := shelf.Keep(kindList, versionList, time.Now(), list); err != nil {
+			if err := shelf.SaveSync(kindList, versionList, time.Now(), list); err != nil {
 				t.Fatal(err)
 			}
 			c := benchConfig(t)
