--- a/cmd/balancerctl/state.go
+++ b/cmd/balancerctl/state.go
@@ -7,10 +7,9 @@
 	"time"
 
 	"sprucehill/internal/durable"
-	"sprucehill/internal/lab/crash"
 )
 
-// stateCmd is what can be done with a state folder. Only repair changes anything.
+// stateCmd is the command group "state". Only repair changes the folder.
 type stateCmd struct {
 	Show   stateShowCmd   `cmd:"" help:"List what a state folder holds."`
 	Verify stateVerifyCmd `cmd:"" help:"Check every state in a folder to the bit."`
@@ -18,66 +17,79 @@
 	Repair stateRepairCmd `cmd:"" help:"Set aside what is no whole state. The balancer must not run."`
 }
 
-type stateShowCmd struct {
-	Dir  string `arg:"" help:"State folder." type:"existingdir"`
-	JSON bool   `name:"json" help:"Write it as JSON."`
+const (
+	// validVerdict is the verdict on a valid record in use.
+	validVerdict = "whole"
+	// quarantinedVerdictPrefix precedes the verdict on a quarantined file.
+	quarantinedVerdictPrefix = "set aside: "
+)
+
+// stateFile describes a file in a state folder.
+type stateFile struct {
+	File       string    `json:"File"`
+	Kind       string    `json:"Kind,omitempty"`
+	Owner      string    `json:"Owner,omitempty"`
+	Version    uint16    `json:"Version"`
+	Generation uint64    `json:"Generation"`
+	SavedAt    time.Time `json:"SavedAt"`
+	Bytes      int       `json:"Bytes"`
+	Verdict    string    `json:"Verdict"` // validVerdict, or what is wrong
 }
 
-// shownState is a file as show tells of it.
-type shownState struct {
-	File       string
-	Kind       string `json:",omitempty"`
-	Owner      string `json:",omitempty"`
-	Version    uint16
-	Generation uint64
-	SavedAt    time.Time
-	Bytes      int
-	Verdict    string
+func newStateFile(file durable.InspectedFile) stateFile {
+	verdict := validVerdict
+	if file.Err != nil {
+		verdict = file.Err.Error()
+	}
+	if file.Quarantined {
+		verdict = quarantinedVerdictPrefix + verdict
+	}
+	return stateFile{
+		File:       file.Name,
+		Kind:       file.Record.Kind,
+		Owner:      file.Record.Owner,
+		Version:    file.Record.Version,
+		Generation: file.Record.Generation,
+		SavedAt:    file.Record.SavedAt,
+		Bytes:      len(file.Record.Payload),
+		Verdict:    verdict,
+	}
 }
 
-func inspect(dir string) ([]shownState, int, error) {
+// inspectFolder opens a state folder and reads all records in it.
+func inspectFolder(dir string) ([]durable.InspectedFile, error) {
 	folder, err := durable.OpenFolder(dir)
 	if err != nil {
-		return nil, 0, err
-	}
-	found, err := durable.Inspect(folder)
-	if err != nil {
-		return nil, 0, err
-	}
-	var all []shownState
-	bad := 0
-	for _, f := range found {
-		r := f.Record
-		s := shownState{f.File, r.Kind, r.Owner, r.Version, r.Generation, r.SavedAt, len(r.Payload), "whole"}
-		if f.Err != nil {
-			s.Verdict = f.Err.Error()
-		}
-		if f.Aside {
-			s.Verdict = "set aside: " + s.Verdict
-		} else if f.Err != nil {
-			bad++
-		}
-		all = append(all, s)
+		return nil, err
 	}
-	return all, bad, nil
+	return durable.Inspect(folder)
 }
 
-// Run carries it out.
+type stateShowCmd struct {
+	Dir  string `arg:"" help:"State folder." type:"existingdir"`
+	JSON bool   `name:"json" help:"Write it as JSON."`
+}
+
+// Run lists the files of a state folder.
 func (c *stateShowCmd) Run() error {
-	all, _, err := inspect(c.Dir)
+	inspected, err := inspectFolder(c.Dir)
 	if err != nil {
 		return err
 	}
+	var files []stateFile
+	for _, file := range inspected {
+		files = append(files, newStateFile(file))
+	}
 	if c.JSON {
-		return writeJSON(all)
+		return writeJSON(files)
 	}
 	rows := [][]any{{"file", "kind", "owner", "version", "generation", "saved", "bytes", "verdict"}}
-	for _, s := range all {
+	for _, f := range files {
 		saved := "-"
-		if s.Kind != "" {
-			saved = s.SavedAt.UTC().Format(time.DateTime)
+		if f.Kind != "" {
+			saved = f.SavedAt.UTC().Format(time.DateTime)
 		}
-		rows = append(rows, []any{s.File, s.Kind, s.Owner, s.Version, s.Generation, saved, s.Bytes, s.Verdict})
+		rows = append(rows, []any{f.File, f.Kind, f.Owner, f.Version, f.Generation, saved, f.Bytes, f.Verdict})
 	}
 	table(os.Stdout, rows...)
 	return nil
@@ -87,21 +99,25 @@
 	Dir string `arg:"" help:"State folder." type:"existingdir"`
 }
 
-// Run carries it out.
+// Run lists the files that are not valid records in use. It fails if any of them is not quarantined.
 func (c *stateVerifyCmd) Run() error {
-	all, bad, err := inspect(c.Dir)
+	inspected, err := inspectFolder(c.Dir)
 	if err != nil {
 		return err
 	}
-	for _, s := range all {
-		if s.Verdict != "whole" {
-			fmt.Printf("%s: %s\n", s.File, s.Verdict)
+	invalid := 0
+	for _, file := range inspected {
+		if file.Err != nil && !file.Quarantined {
+			invalid++
+		}
+		if verdict := newStateFile(file).Verdict; verdict != validVerdict {
+			fmt.Printf("%s: %s\n", file.Name, verdict)
 		}
 	}
-	if bad > 0 {
-		return fmt.Errorf("%w: %d of %d states can't be used", errClaim, bad, len(all))
+	if invalid > 0 {
+		return fmt.Errorf("%w: %d of %d states can't be used", errClaim, invalid, len(inspected))
 	}
-	fmt.Printf("%d states, all that are used are whole\n", len(all))
+	fmt.Printf("%d states, all that are used are whole\n", len(inspected))
 	return nil
 }
 
@@ -110,87 +126,67 @@
 	Kind string `arg:"" help:"list, learnt or orders."`
 }
 
-// Run carries it out.
+// Run writes the payload of the newest valid record of a kind.
 func (c *stateExportCmd) Run() error {
-	folder, err := durable.OpenFolder(c.Dir)
+	files, err := inspectFolder(c.Dir)
 	if err != nil {
 		return err
 	}
-	found, err := durable.Inspect(folder)
-	if err != nil {
-		return err
-	}
-	var newest *durable.Record
-	for i, f := range found {
-		if f.Err == nil && !f.Aside && f.Record.Kind == c.Kind && (newest == nil || f.Record.Generation > newest.Generation) {
-			newest = &found[i].Record
-		}
-	}
-	if newest == nil {
+	newest, ok := newestRecord(files, c.Kind)
+	if !ok {
 		return fmt.Errorf("%s has no whole state of kind %q", c.Dir, c.Kind)
 	}
 	fmt.Printf("%s\n", newest.Payload)
 	return nil
 }
 
+// newestRecord returns the valid record of a kind with the highest generation, and false if there is none.
+func newestRecord(files []durable.InspectedFile, kind string) (durable.Record, bool) {
+	var newest durable.Record
+	found := false
+	for _, file := range files {
+		if file.Err != nil || file.Quarantined || file.Record.Kind != kind {
+			continue
+		}
+		if !found || file.Record.Generation > newest.Generation {
+			newest = file.Record
+			found = true
+		}
+	}
+	return newest, found
+}
+
 type stateRepairCmd struct {
 	Dir string `arg:"" help:"State folder." type:"existingdir"`
 }
 
-// Run carries it out.
+// Run quarantines the files that are not valid records.
 func (c *stateRepairCmd) Run() error {
 	folder, err := durable.OpenFolder(c.Dir)
 	if err != nil {
 		return err
 	}
 	defer folder.Close()
-	free, err := folder.Lock()
+	locked, err := folder.Lock()
 	if err != nil {
 		return err
 	}
-	if !free {
+	if !locked {
 		return errors.New("a balancer holds the folder: it sets aside by itself what it can't use")
 	}
-	n, err := durable.Repair(folder, func(text string, keys ...any) {
-		fmt.Print(text)
-		for i := 0; i+1 < len(keys); i += 2 {
-			fmt.Printf(" %v=%v", keys[i], keys[i+1])
-		}
-		fmt.Println()
-	})
+	quarantined, err := durable.Repair(folder, printLogLine)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%d files set aside\n", n)
+	fmt.Printf("%d files set aside\n", quarantined)
 	return nil
 }
 
-// crashCmd is lab crash.
-type crashCmd struct {
-	Upstreams int    `help:"Upstreams of the balancer whose states are saved." default:"12"`
-	Rounds    int    `help:"Saves of each kind." default:"4"`
-	Every     int    `help:"Try one case in so many, drawn by the seed; 1: all." default:"1"`
-	Again     int    `help:"Cut the power again in one recovery of so many; 0: never." default:"100"`
-	Seed      uint64 `help:"Draws states and cases." default:"1"`
-}
-
-// Run carries it out.
-func (c *crashCmd) Run() error {
-	if c.Upstreams < 1 || c.Upstreams > 5000 || c.Rounds < 1 || c.Rounds > 100 || c.Every < 1 || c.Again < 0 {
-		return errors.New("--upstreams: 1 to 5000; --rounds: 1 to 100; --every: 1 and more; --again: 0 and more")
+// printLogLine is a durable.LogFunc that writes to standard output.
+func printLogLine(message string, keysAndValues ...any) {
+	fmt.Print(message)
+	for i := 0; i+1 < len(keysAndValues); i += 2 {
+		fmt.Printf(" %v=%v", keysAndValues[i], keysAndValues[i+1])
 	}
-	r, err := crash.Run(crash.Saves(c.Rounds, c.Upstreams, c.Seed), c.Every, c.Again, c.Seed)
-	if err != nil {
-		return err
-	}
-	fmt.Printf("%d cases: power cut %d, byte flipped %d, power cut again in the recovery %d\n", r.Cases(), r.Cuts, r.Flips, r.Again)
-	fmt.Printf("states read: the newest %d times, the one before %d, none where none had been saved %d\n", r.Newest, r.Before, r.Nothing)
-	for _, w := range r.Wrong {
-		fmt.Println("WRONG:", w)
-	}
-	if len(r.Wrong) > 0 {
-		return fmt.Errorf("%w: a state was lost, or one read that was never written", errClaim)
-	}
-	fmt.Println("every one was written, and none that was safe was lost")
-	return nil
+	fmt.Println()
 }
--- a/internal/durable/choice_test.go
+++ b/internal/durable/choice_test.go
@@ -11,51 +11,60 @@
 	"go.etcd.io/bbolt"
 )
 
-// The benchmarks set the store beside bbolt, which was the other choice: a save of a state and its reading at a start,
-// with 12 and with 2,000 upstreams. bbolt has no sums over its pages of data, so a flipped bit in them is read as
-// written, or ends the process; TestBboltReadsFlippedBits shows that.
+// The benchmarks compare the store with bbolt, the alternative to it: a save of a state and its loading at a start, with
+// 12 and with 2,000 upstreams. bbolt has no checksums over its data pages, so that a flipped bit in them is read as if it
+// had been written, or ends the process; TestBboltReadsFlippedBits shows that.
+
+const (
+	bboltBucket = "state"
+	bboltKey    = "learnt"
+	// stateBytesPerUpstream is about what a saved state needs for an upstream.
+	stateBytesPerUpstream = 300
+)
+
+var benchmarkedUpstreams = []int{12, 2000}
 
 func BenchmarkSave(b *testing.B) {
-	for _, n := range []int{12, 2000} {
-		state := bytes.Repeat([]byte{'x'}, 300*n)
-		b.Run(fmt.Sprintf("store/%d", n), func(b *testing.B) {
-			s := open(b, b.TempDir(), "b@s", &journal{})
+	for _, upstreams := range benchmarkedUpstreams {
+		state := bytes.Repeat([]byte{'x'}, stateBytesPerUpstream*upstreams)
+		b.Run(fmt.Sprintf("store/%d", upstreams), func(b *testing.B) {
+			s := openStore(b, b.TempDir(), testOwner, &logRecorder{})
 			b.ReportAllocs()
 			for b.Loop() {
 				save(b, s, "learnt", 1, string(state))
 			}
 		})
-		b.Run(fmt.Sprintf("bbolt/%d", n), func(b *testing.B) {
-			db := openBolt(b, filepath.Join(b.TempDir(), "db"))
+		b.Run(fmt.Sprintf("bbolt/%d", upstreams), func(b *testing.B) {
+			db := openBbolt(b, filepath.Join(b.TempDir(), "db"))
 			defer db.Close()
 			b.ReportAllocs()
 			for b.Loop() {
-				putBolt(b, db, state)
+				putBbolt(b, db, state)
 			}
 		})
 	}
 }
 
 func BenchmarkRecover(b *testing.B) {
-	for _, n := range []int{12, 2000} {
-		state := bytes.Repeat([]byte{'x'}, 300*n)
-		b.Run(fmt.Sprintf("store/%d", n), func(b *testing.B) {
-			dir := b.TempDir()
-			save(b, open(b, dir, "b@s", &journal{}), "learnt", 1, string(state))
+	for _, upstreams := range benchmarkedUpstreams {
+		state := bytes.Repeat([]byte{'x'}, stateBytesPerUpstream*upstreams)
+		b.Run(fmt.Sprintf("store/%d", upstreams), func(b *testing.B) {
+			path := b.TempDir()
+			save(b, openStore(b, path, testOwner, &logRecorder{}), "learnt", 1, string(state))
 			for b.Loop() {
-				if _, ok := open(b, dir, "b@s", &journal{}).Load("learnt", 1); !ok {
+				if _, ok := openStore(b, path, testOwner, &logRecorder{}).Load("learnt", 1); !ok {
 					b.Fatal("the state is not there")
 				}
 			}
 		})
-		b.Run(fmt.Sprintf("bbolt/%d", n), func(b *testing.B) {
+		b.Run(fmt.Sprintf("bbolt/%d", upstreams), func(b *testing.B) {
 			path := filepath.Join(b.TempDir(), "db")
-			db := openBolt(b, path)
-			putBolt(b, db, state)
+			db := openBbolt(b, path)
+			putBbolt(b, db, state)
 			db.Close()
 			for b.Loop() {
-				db := openBolt(b, path)
-				if got := getBolt(b, db); len(got) != len(state) {
+				db := openBbolt(b, path)
+				if got := getBbolt(b, db); len(got) != len(state) {
 					b.Fatal("the state is not there")
 				}
 				db.Close()
@@ -64,58 +73,62 @@
 	}
 }
 
-func openBolt(t testing.TB, path string) *bbolt.DB {
+func openBbolt(t testing.TB, path string) *bbolt.DB {
 	t.Helper()
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second})
+	db, err := bbolt.Open(path, fileMode, &bbolt.Options{Timeout: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return db
 }
 
-func putBolt(t testing.TB, db *bbolt.DB, state []byte) {
+func putBbolt(t testing.TB, db *bbolt.DB, state []byte) {
 	t.Helper()
-	if err := db.Update(func(tx *bbolt.Tx) error {
-		bucket, err := tx.CreateBucketIfNotExists([]byte("state"))
+	err := db.Update(func(tx *bbolt.Tx) error {
+		bucket, err := tx.CreateBucketIfNotExists([]byte(bboltBucket))
 		if err != nil {
 			return err
 		}
-		return bucket.Put([]byte("learnt"), state)
-	}); err != nil {
+		return bucket.Put([]byte(bboltKey), state)
+	})
+	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-func getBolt(t testing.TB, db *bbolt.DB) (state []byte) {
+func getBbolt(t testing.TB, db *bbolt.DB) []byte {
 	t.Helper()
-	if err := db.View(func(tx *bbolt.Tx) error {
-		state = bytes.Clone(tx.Bucket([]byte("state")).Get([]byte("learnt")))
+	var state []byte
+	err := db.View(func(tx *bbolt.Tx) error {
+		state = bytes.Clone(tx.Bucket([]byte(bboltBucket)).Get([]byte(bboltKey)))
 		return nil
-	}); err != nil {
+	})
+	if err != nil {
 		t.Fatal(err)
 	}
 	return state
 }
 
-// The reason for the choice: what bbolt reads after a flipped bit in a value is what was never written.
+// This is why bbolt was not chosen: after a flipped bit in a value it reads what was never written. If the test fails,
+// the choice can be reconsidered.
 func TestBboltReadsFlippedBits(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "db")
 	state := bytes.Repeat([]byte("0123456789"), 30)
-	db := openBolt(t, path)
-	putBolt(t, db, state)
+	db := openBbolt(t, path)
+	putBbolt(t, db, state)
 	db.Close()
-	text, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := bytes.LastIndex(text, []byte("0123456789"))
-	text[at] ^= 1
-	if err := os.WriteFile(path, text, 0o600); err != nil {
+	offset := bytes.LastIndex(content, []byte("0123456789"))
+	content[offset] ^= 1
+	if err := os.WriteFile(path, content, fileMode); err != nil {
 		t.Fatal(err)
 	}
-	db = openBolt(t, path)
+	db = openBbolt(t, path)
 	defer db.Close()
-	if got := getBolt(t, db); bytes.Equal(got, state) || len(got) != len(state) {
-		t.Errorf("bbolt finds the flipped bit: the choice may be looked at anew; it reads %d bytes", len(got))
+	if got := getBbolt(t, db); bytes.Equal(got, state) || len(got) != len(state) {
+		t.Errorf("bbolt finds the flipped bit: the choice may be reconsidered; it reads %d bytes", len(got))
 	}
 }
--- /dev/null
+++ b/internal/durable/filename.go
@@ -0,0 +1,55 @@
+package durable
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+const (
+	recordSuffix     = ".state"
+	temporarySuffix  = ".new"
+	quarantinePrefix = "aside."
+
+	// maxKindLength is the greatest length of a kind's name, in bytes.
+	maxKindLength = 32
+	// generationDigits is the number of hexadecimal digits of a generation in a file name: fixed, so that names sort
+	// by generation.
+	generationDigits = 16
+)
+
+// recordFileName returns the name of the file of a kind's generation.
+func recordFileName(kind string, generation uint64) string {
+	return fmt.Sprintf("%s-%0*x%s", kind, generationDigits, generation, recordSuffix)
+}
+
+// parseFileName is the inverse of recordFileName. ok is false if the name is not that of a record in use.
+func parseFileName(name string) (kind string, generation uint64, ok bool) {
+	base, hasSuffix := strings.CutSuffix(name, recordSuffix)
+	if !hasSuffix || strings.HasPrefix(base, quarantinePrefix) {
+		return "", 0, false
+	}
+	separator := strings.LastIndexByte(base, '-')
+	if separator < 1 {
+		return "", 0, false
+	}
+	kind = base[:separator]
+	digits := base[separator+1:]
+	if len(digits) != generationDigits || !isValidKind(kind) {
+		return "", 0, false
+	}
+	generation, err := strconv.ParseUint(digits, 16, 64)
+	if err != nil {
+		return "", 0, false
+	}
+	return kind, generation, true
+}
+
+// isValidKind reports whether a string can be the name of a kind: 1 to maxKindLength lower-case letters and hyphens.
+func isValidKind(kind string) bool {
+	if kind == "" || len(kind) > maxKindLength {
+		return false
+	}
+	isInvalid := func(r rune) bool { return r != '-' && (r < 'a' || r > 'z') }
+	return !strings.ContainsFunc(kind, isInvalid)
+}
--- a/internal/durable/folder.go
+++ b/internal/durable/folder.go
@@ -11,20 +11,29 @@
 
 const (
 	lockFile = "lock"
-	// maxFile is the size over which a file can be no record.
-	maxFile = headSize + 2*maxName + 2*sumSize + maxPayload
+
+	folderMode os.FileMode = 0o700
+	fileMode   os.FileMode = 0o600
+	// writableByOthers is the permission bits that a state folder must not have.
+	writableByOthers os.FileMode = 0o022
+
+	// maxFileSize is the size of the largest possible record, in bytes.
+	maxFileSize = fixedHeaderSize + 2*maxNameSize + 2*checksumSize + maxPayloadSize
 )
 
-// Folder is an FS on a folder of the operating system.
+// Folder is a LockableFS on a directory of the operating system.
 type Folder struct {
 	path string
+	// lock is the open lock file; nil before the first Lock.
 	lock *os.File
 }
 
-// OpenFolder opens a folder of this user's own, making it where it is missing. A symbolic link, or what another user
-// could write to, is refused: whoever can change the state can order the balancer about.
+var _ LockableFS = (*Folder)(nil)
+
+// OpenFolder opens a state folder, and creates it if it is missing. It refuses a symbolic link, a folder of another user
+// and one that others may write to: whoever can change the state can give orders to the balancer.
 func OpenFolder(path string) (*Folder, error) {
-	if err := os.MkdirAll(path, 0o700); err != nil {
+	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, err
 	}
 	info, err := os.Lstat(path)
@@ -39,32 +48,32 @@
 		return nil, fmt.Errorf("%s is no folder", path)
 	case ok && int(owner.Uid) != os.Geteuid():
 		return nil, fmt.Errorf("%s is of another user (%d)", path, owner.Uid)
-	case info.Mode().Perm()&0o022 != 0:
+	case info.Mode().Perm()&writableByOthers != 0:
 		return nil, fmt.Errorf("%s may be written to by others (%v): take that right from them", path, info.Mode().Perm())
 	}
 	return &Folder{path: path}, nil
 }
 
-// Lock takes the folder for this process until Close or its end. false: another process has it.
+// Lock takes the folder's lock until Close or the end of the process. It returns false if another process holds it.
 func (f *Folder) Lock() (bool, error) {
 	if f.lock == nil {
-		file, err := os.OpenFile(filepath.Join(f.path, lockFile), os.O_RDWR|os.O_CREATE, 0o600)
+		file, err := os.OpenFile(f.filePath(lockFile), os.O_RDWR|os.O_CREATE, fileMode)
 		if err != nil {
 			return false, err
 		}
 		f.lock = file
 	}
-	switch err := syscall.Flock(int(f.lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); {
-	case err == nil:
-		return true, nil
-	case errors.Is(err, syscall.EWOULDBLOCK):
+	err := syscall.Flock(int(f.lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
+	if errors.Is(err, syscall.EWOULDBLOCK) {
 		return false, nil
-	default:
+	}
+	if err != nil {
 		return false, fmt.Errorf("locking %s: %w", f.path, err)
 	}
+	return true, nil
 }
 
-// Close gives the lock back.
+// Close releases the lock.
 func (f *Folder) Close() error {
 	if f.lock == nil {
 		return nil
@@ -72,54 +81,62 @@
 	return f.lock.Close()
 }
 
-// List names what is in the folder.
+// List returns the names of all files in the folder.
 func (f *Folder) List() ([]string, error) {
-	d, err := os.Open(f.path)
+	directory, err := os.Open(f.path)
 	if err != nil {
 		return nil, err
 	}
-	defer d.Close()
-	return d.Readdirnames(-1)
+	defer directory.Close()
+	return directory.Readdirnames(-1)
 }
 
-// ReadFile reads a plain file.
+// ReadFile reads a regular file. It follows no symbolic link and does not block on a named pipe.
 func (f *Folder) ReadFile(name string) ([]byte, error) {
-	file, err := os.OpenFile(filepath.Join(f.path, name), os.O_RDONLY|syscall.O_NOFOLLOW|syscall.O_NONBLOCK, 0)
+	file, err := os.OpenFile(f.filePath(name), os.O_RDONLY|syscall.O_NOFOLLOW|syscall.O_NONBLOCK, 0)
 	if err != nil {
 		return nil, err
 	}
 	defer file.Close()
-	if info, err := file.Stat(); err != nil {
+	info, err := file.Stat()
+	if err != nil {
 		return nil, err
-	} else if !info.Mode().IsRegular() {
-		return nil, fmt.Errorf("%w: no plain file", ErrTorn)
 	}
-	text, err := io.ReadAll(io.LimitReader(file, maxFile+1))
-	if err == nil && len(text) > maxFile {
-		err = fmt.Errorf("%w: larger than any record", ErrTorn)
+	if !info.Mode().IsRegular() {
+		return nil, corrupt("no plain file")
+	}
+	content, err := io.ReadAll(io.LimitReader(file, int64(maxFileSize)+1))
+	if err == nil && len(content) > maxFileSize {
+		err = corrupt("larger than any record")
 	}
-	return text, err
+	return content, err
 }
 
-// Create makes or empties a file.
+// Create opens a file for writing. An existing one is truncated; a symbolic link is not followed.
 func (f *Folder) Create(name string) (File, error) {
-	return os.OpenFile(filepath.Join(f.path, name), os.O_WRONLY|os.O_CREATE|os.O_TRUNC|syscall.O_NOFOLLOW, 0o600)
+	return os.OpenFile(f.filePath(name), os.O_WRONLY|os.O_CREATE|os.O_TRUNC|syscall.O_NOFOLLOW, fileMode)
 }
 
-// Rename gives a file another name.
+// Rename renames a file, replacing an existing one.
 func (f *Folder) Rename(from, to string) error {
-	return os.Rename(filepath.Join(f.path, from), filepath.Join(f.path, to))
+	return os.Rename(f.filePath(from), f.filePath(to))
 }
 
 // Remove deletes a file.
-func (f *Folder) Remove(name string) error { return os.Remove(filepath.Join(f.path, name)) }
+func (f *Folder) Remove(name string) error {
+	return os.Remove(f.filePath(name))
+}
 
-// Sync makes names last.
+// Sync makes creations, renames and removals durable.
 func (f *Folder) Sync() error {
-	d, err := os.Open(f.path)
+	directory, err := os.Open(f.path)
 	if err != nil {
 		return err
 	}
-	defer d.Close()
-	return d.Sync()
+	defer directory.Close()
+	return directory.Sync()
+}
+
+func (f *Folder) filePath(name string) string {
+	return filepath.Join(f.path, name)
 }
--- /dev/null
+++ b/internal/durable/helpers_test.go
@@ -0,0 +1,93 @@
+package durable
+
+import (
+	"fmt"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+const (
+	testOwner = "b@s"
+	// eventuallyTimeout bounds how long a test waits for another goroutine. It is long, so that only a fault reaches it.
+	eventuallyTimeout = 30 * time.Second
+	// eventuallyInterval is the time between two attempts.
+	eventuallyInterval = 10 * time.Millisecond
+)
+
+// logRecorder collects log lines.
+type logRecorder struct {
+	mu    sync.Mutex
+	lines []string
+}
+
+func (l *logRecorder) log(message string, keysAndValues ...any) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lines = append(l.lines, fmt.Sprint(append([]any{message, " "}, keysAndValues...)...))
+}
+
+func (l *logRecorder) contains(part string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.ContainsFunc(l.lines, func(line string) bool { return strings.Contains(line, part) })
+}
+
+// String returns all lines, for the message of a failed test.
+func (l *logRecorder) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return fmt.Sprintf("%q", l.lines)
+}
+
+// newFolderPath returns the path of a state folder that does not exist yet.
+func newFolderPath(t *testing.T) string {
+	t.Helper()
+	return filepath.Join(t.TempDir(), "state")
+}
+
+func openFolder(t testing.TB, path string) *Folder {
+	t.Helper()
+	folder, err := OpenFolder(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return folder
+}
+
+func openStore(t testing.TB, path, owner string, recorder *logRecorder) *Store {
+	t.Helper()
+	store, err := OpenStore(openFolder(t, path), owner, ReadWrite, recorder.log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return store
+}
+
+func save(t testing.TB, store *Store, kind string, version uint16, text string) {
+	t.Helper()
+	if err := store.Save(kind, version, time.Unix(1e9, 0), []byte(text)); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// eventually repeats an attempt until it returns no error.
+func eventually(t *testing.T, recorder *logRecorder, attempt func() error) {
+	t.Helper()
+	deadline := time.Now().Add(eventuallyTimeout)
+	pause := time.NewTicker(eventuallyInterval)
+	defer pause.Stop()
+	for {
+		err := attempt()
+		if err == nil {
+			return
+		}
+		if time.Now().After(deadline) {
+			t.Fatalf("still failing after %v: %v; log: %v", eventuallyTimeout, err, recorder)
+		}
+		<-pause.C
+	}
+}
--- a/internal/durable/inspect.go
+++ b/internal/durable/inspect.go
@@ -1,65 +1,73 @@
 package durable
 
 import (
-	"fmt"
 	"slices"
 	"strings"
 )
 
-// Found is a file of a state folder.
-type Found struct {
-	File   string
-	Record Record
-	Err    error // why it is no record
-	Aside  bool  // it has been set aside before
+// repairOwner is the owner of the store that Repair uses, which neither loads nor saves records.
+const repairOwner = "repair"
+
+// InspectedFile is a record's file as Inspect found it.
+type InspectedFile struct {
+	Name        string
+	Record      Record // what could be decoded; the zero value if nothing could
+	Err         error  // why the file is not a valid record; nil if it is one
+	Quarantined bool
 }
 
-// Inspect reads every state in a folder, whoever it is of, and changes nothing.
-func Inspect(fs FS) ([]Found, error) {
-	names, err := fs.List()
+// Inspect reads all records in a folder, of any owner and also quarantined ones, and changes nothing. The files are sorted
+// by name.
+func Inspect(fs FS) ([]InspectedFile, error) {
+	names, err := listFiles(fs)
 	if err != nil {
-		return nil, fmt.Errorf("reading the folder: %w", err)
+		return nil, err
 	}
 	slices.Sort(names)
-	var all []Found
-	for _, n := range names {
-		if !strings.HasSuffix(n, suffix) {
-			continue
-		}
-		f := Found{File: n, Aside: strings.HasPrefix(n, asideMark)}
-		kind, generation, named := parse(n)
-		text, err := fs.ReadFile(n)
-		if f.Err = err; err == nil {
-			f.Record, f.Err = decode(text)
-		}
-		switch {
-		case f.Aside || f.Err != nil:
-		case !named:
-			f.Err = fmt.Errorf("%w: its name is none of a state", ErrTorn)
-		case f.Record.Kind != kind || f.Record.Generation != generation:
-			f.Err = fmt.Errorf("%w: it says that it is %s", ErrTorn, name(f.Record.Kind, f.Record.Generation))
+	var files []InspectedFile
+	for _, name := range names {
+		if strings.HasSuffix(name, recordSuffix) {
+			files = append(files, inspectFile(fs, name))
 		}
-		all = append(all, f)
 	}
-	return all, nil
+	return files, nil
+}
+
+func inspectFile(fs FS, name string) InspectedFile {
+	file := InspectedFile{Name: name, Quarantined: strings.HasPrefix(name, quarantinePrefix)}
+	content, err := fs.ReadFile(name)
+	if err != nil {
+		file.Err = err
+		return file
+	}
+	file.Record, file.Err = decode(content)
+	if file.Err != nil || file.Quarantined {
+		return file
+	}
+	if _, _, ok := parseFileName(name); !ok {
+		file.Err = corrupt("its name is none of a state")
+		return file
+	}
+	file.Err = checkFileName(name, file.Record)
+	return file
 }
 
-// Repair sets aside what is no whole state, so that the next start has nothing to pass over. It returns how many files.
-// The caller holds the lock.
+// Repair quarantines the files that are not valid records, so that the next start finds only usable ones, and returns how
+// many it quarantined. The caller holds the folder's lock.
 func Repair(fs FS, log LogFunc) (int, error) {
-	all, err := Inspect(fs)
+	files, err := Inspect(fs)
 	if err != nil {
 		return 0, err
 	}
-	s, err := Open(fs, "repair", true, log)
+	s, err := OpenStore(fs, repairOwner, ReadWrite, log)
 	if err != nil {
 		return 0, err
 	}
-	before := s.aside
-	for _, f := range all {
-		if f.Err != nil && !f.Aside {
-			s.setAside(f.File, f.Err)
+	before := s.quarantined
+	for _, file := range files {
+		if file.Err != nil && !file.Quarantined {
+			s.quarantine(file.Name, file.Err)
 		}
 	}
-	return s.aside - before, nil
+	return s.quarantined - before, nil
 }
--- /dev/null
+++ b/internal/durable/inspect_test.go
@@ -0,0 +1,54 @@
+package durable
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// inspectionCount is how many files of each sort an inspection has found.
+type inspectionCount struct{ valid, invalid, quarantined int }
+
+func countInspected(t *testing.T, fs FS) inspectionCount {
+	t.Helper()
+	files, err := Inspect(fs)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var count inspectionCount
+	for _, file := range files {
+		switch {
+		case file.Quarantined:
+			count.quarantined++
+		case file.Err != nil:
+			count.invalid++
+		default:
+			count.valid++
+		}
+	}
+	return count
+}
+
+// Repair quarantines just what Inspect finds invalid.
+func TestRepairQuarantinesInvalidFiles(t *testing.T) {
+	path, recorder := newFolderPath(t), &logRecorder{}
+	s := openStore(t, path, testOwner, recorder)
+	save(t, s, "list", 1, "one")
+	save(t, s, "list", 1, "two")
+	garbage := bytes.Repeat([]byte{1}, 80)
+	if err := os.WriteFile(filepath.Join(path, recordFileName("orders", 7)), garbage, fileMode); err != nil {
+		t.Fatal(err)
+	}
+	before := inspectionCount{valid: 2, invalid: 1, quarantined: 0}
+	if got := countInspected(t, s.fs); got != before {
+		t.Errorf("before the repair: %+v, want %+v", got, before)
+	}
+	if n, err := Repair(s.fs, recorder.log); n != 1 || err != nil {
+		t.Errorf("repaired %d, %v", n, err)
+	}
+	after := inspectionCount{valid: 2, invalid: 0, quarantined: 1}
+	if got := countInspected(t, s.fs); got != after {
+		t.Errorf("after the repair: %+v, want %+v", got, after)
+	}
+}
--- a/internal/durable/record.go
+++ b/internal/durable/record.go
@@ -9,86 +9,142 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The form of a record's file, all numbers little-endian:
+// The format of a record's file. All integers are little-endian; sizes are in bytes:
 //
 //	magic 8 | format 2 | version of the kind 2 | length of kind 2 | length of owner 2 |
-//	generation 8 | saved at, Unix ns 8 | length of payload 4 | kind | owner | xxhash64 of all before 8 |
-//	payload | xxhash64 of the sum before and the payload 8
+//	generation 8 | saved at, Unix ns 8 | length of payload 4 | kind | owner | header checksum 8 |
+//	payload | payload checksum 8
 //
-// Nothing follows. A file that differs from this in any bit is no record.
+// The header checksum is the xxhash64 of all bytes before it; the payload checksum is that of the header checksum and the
+// payload. Nothing follows. A file that differs from what was written in any bit is not a valid record.
 const (
-	magic      = "SPRUCEST"
-	format     = 1
-	headSize   = 8 + 2 + 2 + 2 + 2 + 8 + 8 + 4
-	sumSize    = 8
-	maxPayload = 8 << 20
-	maxName    = 128
+	recordMagic  = "SPRUCEST"
+	recordFormat = 1
+
+	offsetFormat        = len(recordMagic)
+	offsetVersion       = offsetFormat + 2
+	offsetKindLength    = offsetVersion + 2
+	offsetOwnerLength   = offsetKindLength + 2
+	offsetGeneration    = offsetOwnerLength + 2
+	offsetSavedAt       = offsetGeneration + 8
+	offsetPayloadLength = offsetSavedAt + 8
+	// fixedHeaderSize is the size of the fields before kind and owner.
+	fixedHeaderSize = offsetPayloadLength + 4
+
+	checksumSize = 8
+	// maxPayloadSize bounds a payload, in bytes.
+	maxPayloadSize = 8 << 20
+	// maxNameSize bounds the names of the kind and of the owner in a record, in bytes.
+	maxNameSize = 128
 )
 
-// Why a file is no record that can be used. Each is wrapped with what was found.
+// Reasons why a file is not a record that can be used. Each is wrapped with what was found.
 var (
-	ErrTorn    = errors.New("torn or damaged")
-	ErrFormat  = errors.New("of another format")
-	ErrOwner   = errors.New("of another balancer or site")
-	ErrVersion = errors.New("of a version that this program can't read")
+	// ErrCorrupt means that the file is incomplete or was changed.
+	ErrCorrupt = errors.New("torn or damaged")
+	// ErrUnknownFormat means that the record is of another recordFormat.
+	ErrUnknownFormat = errors.New("of another format")
+	// ErrForeignOwner means that another balancer, or the same of another site, wrote the record.
+	ErrForeignOwner = errors.New("of another balancer or site")
+	// ErrUnsupportedVersion means that the kind's version is more than one away from this program's.
+	ErrUnsupportedVersion = errors.New("of a version that this program can't read")
 )
 
-// Record is one state of a kind, as it was saved.
+// Record is one saved state of a kind.
 type Record struct {
 	Kind       string
 	Owner      string // the balancer and its site
-	Version    uint16 // of the kind's payload
-	Generation uint64 // counts the saves of a kind
+	Version    uint16 // the version of the payload's format, which belongs to the kind
+	Generation uint64 // counts the saves of the kind
 	SavedAt    time.Time
 	Payload    []byte
 }
 
-// encode is the record as a file.
+// encode returns the content of the record's file.
 func (r Record) encode() []byte {
-	b := make([]byte, 0, headSize+len(r.Kind)+len(r.Owner)+2*sumSize+len(r.Payload))
-	b = append(b, magic...)
-	for _, x := range []uint16{format, r.Version, uint16(len(r.Kind)), uint16(len(r.Owner))} {
-		b = binary.LittleEndian.AppendUint16(b, x)
-	}
+	size := fixedHeaderSize + len(r.Kind) + len(r.Owner) + 2*checksumSize + len(r.Payload)
+	b := make([]byte, 0, size)
+	b = append(b, recordMagic...)
+	b = binary.LittleEndian.AppendUint16(b, recordFormat)
+	b = binary.LittleEndian.AppendUint16(b, r.Version)
+	b = binary.LittleEndian.AppendUint16(b, uint16(len(r.Kind)))
+	b = binary.LittleEndian.AppendUint16(b, uint16(len(r.Owner)))
 	b = binary.LittleEndian.AppendUint64(b, r.Generation)
 	b = binary.LittleEndian.AppendUint64(b, uint64(r.SavedAt.UnixNano()))
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(r.Payload)))
-	b = append(append(b, r.Kind...), r.Owner...)
+	b = append(b, r.Kind...)
+	b = append(b, r.Owner...)
+	headerSize := len(b)
 	b = binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
-	at := len(b) - sumSize
 	b = append(b, r.Payload...)
-	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b[at:]))
+	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b[headerSize:]))
 }
 
-// decode reads a file. It trusts no length before the sum over it has been checked, and never panics.
+// decode parses the content of a record's file. The payload of the record is a part of b. decode relies on a length only
+// after the checksum over it was verified, and never panics.
 func decode(b []byte) (Record, error) {
-	torn := func(what string) (Record, error) { return Record{}, fmt.Errorf("%w: %s", ErrTorn, what) }
-	if len(b) < headSize {
-		return torn("shorter than a head")
+	headerSize, err := verifyHeader(b)
+	if err != nil {
+		return Record{}, err
 	}
-	if string(b[:8]) != magic {
-		return torn("it does not begin as a record does")
+	payload, err := verifyPayload(b, headerSize)
+	if err != nil {
+		return Record{}, err
 	}
-	u16 := func(at int) int { return int(binary.LittleEndian.Uint16(b[at:])) }
-	kind, owner := u16(12), u16(14)
-	size := int(binary.LittleEndian.Uint32(b[32:]))
-	head := headSize + kind + owner
-	if kind > maxName || owner > maxName || len(b) < head+sumSize {
-		return torn("its head is cut")
+	endOfKind := fixedHeaderSize + uint16At(b, offsetKindLength)
+	savedAt := binary.LittleEndian.Uint64(b[offsetSavedAt:])
+	return Record{
+		Kind:       string(b[fixedHeaderSize:endOfKind]),
+		Owner:      string(b[endOfKind:headerSize]),
+		Version:    uint16(uint16At(b, offsetVersion)),
+		Generation: binary.LittleEndian.Uint64(b[offsetGeneration:]),
+		SavedAt:    time.Unix(0, int64(savedAt)),
+		Payload:    payload,
+	}, nil
+}
+
+// verifyHeader checks the header with its checksum and format, and returns the header's size without the checksum.
+func verifyHeader(b []byte) (int, error) {
+	if len(b) < fixedHeaderSize {
+		return 0, corrupt("shorter than a head")
 	}
-	if xxhash.Sum64(b[:head]) != binary.LittleEndian.Uint64(b[head:]) {
-		return torn("the sum of its head is wrong")
+	if string(b[:len(recordMagic)]) != recordMagic {
+		return 0, corrupt("it does not begin as a record does")
 	}
-	if u16(8) != format {
-		return Record{}, fmt.Errorf("%w: %d, this program writes %d", ErrFormat, u16(8), format)
+	kindLength := uint16At(b, offsetKindLength)
+	ownerLength := uint16At(b, offsetOwnerLength)
+	headerSize := fixedHeaderSize + kindLength + ownerLength
+	if kindLength > maxNameSize || ownerLength > maxNameSize || len(b) < headerSize+checksumSize {
+		return 0, corrupt("its head is cut")
 	}
-	if size > maxPayload || len(b) != head+2*sumSize+size {
-		return torn("its payload is cut, or something follows")
+	if xxhash.Sum64(b[:headerSize]) != binary.LittleEndian.Uint64(b[headerSize:]) {
+		return 0, corrupt("the sum of its head is wrong")
 	}
-	if end := len(b) - sumSize; xxhash.Sum64(b[head:end]) != binary.LittleEndian.Uint64(b[end:]) {
-		return torn("the sum of its payload is wrong")
+	if format := uint16At(b, offsetFormat); format != recordFormat {
+		return 0, fmt.Errorf("%w: %d, this program writes %d", ErrUnknownFormat, format, recordFormat)
 	}
-	return Record{Kind: string(b[headSize : headSize+kind]), Owner: string(b[headSize+kind : head]), Version: uint16(u16(10)),
-		Generation: binary.LittleEndian.Uint64(b[16:]), SavedAt: time.Unix(0, int64(binary.LittleEndian.Uint64(b[24:]))),
-		Payload: b[head+sumSize : head+sumSize+size]}, nil
+	return headerSize, nil
+}
+
+// verifyPayload checks the payload behind a verified header, and returns it.
+func verifyPayload(b []byte, headerSize int) ([]byte, error) {
+	size := int(binary.LittleEndian.Uint32(b[offsetPayloadLength:]))
+	start := headerSize + checksumSize
+	end := start + size
+	if size > maxPayloadSize || len(b) != end+checksumSize {
+		return nil, corrupt("its payload is cut, or something follows")
+	}
+	if xxhash.Sum64(b[headerSize:end]) != binary.LittleEndian.Uint64(b[end:]) {
+		return nil, corrupt("the sum of its payload is wrong")
+	}
+	return b[start:end], nil
+}
+
+// corrupt returns an ErrCorrupt that says what was found.
+func corrupt(found string) error {
+	return fmt.Errorf("%w: %s", ErrCorrupt, found)
+}
+
+func uint16At(b []byte, offset int) int {
+	return int(binary.LittleEndian.Uint16(b[offset:]))
 }
--- a/internal/durable/record_test.go
+++ b/internal/durable/record_test.go
@@ -1,13 +1,15 @@
 package durable
 
 import (
+	"bytes"
 	"encoding/hex"
+	"fmt"
 	"testing"
 	"time"
 )
 
-// The bytes of a record on disk, written by the version of this package before its readability work. A change here
-// means that state folders in use can't be read any more: raise recordFormat instead.
+// The bytes of a record must not change: an update has to read the records of the previous build. A new format needs a
+// new recordFormat.
 func TestRecordBytesAreStable(t *testing.T) {
 	r := Record{Kind: "list", Owner: "b@s", Version: 3, Generation: 7, SavedAt: time.Unix(1e9, 42), Payload: []byte(`{"x":1}`)}
 	const want = "5350525543455354010003000400030007000000000000002a0064a7b3b6e00d070000006c697374624073d1a54dc2b936ee387b2278223a317d26dbe46bb3f272e4"
@@ -15,3 +17,42 @@
 		t.Errorf("the record is encoded as %s, want %s", got, want)
 	}
 }
+
+// What decodes without an error is encoded to the same bytes.
+func FuzzDecode(f *testing.F) {
+	f.Add(Record{Kind: "list", Owner: testOwner, Version: 1, Generation: 3, SavedAt: time.Unix(1e9, 0), Payload: []byte("{}")}.encode())
+	f.Add([]byte(recordMagic))
+	f.Fuzz(func(t *testing.T, content []byte) {
+		r, err := decode(content)
+		if err == nil && !bytes.Equal(r.encode(), content) {
+			t.Errorf("%x is decoded as %+v, which is encoded differently", content, r)
+		}
+	})
+}
+
+func BenchmarkEncode(b *testing.B) {
+	benchmarkRecord(b, func(r Record, _ []byte) { r.encode() })
+}
+
+func BenchmarkDecode(b *testing.B) {
+	benchmarkRecord(b, func(_ Record, content []byte) {
+		if _, err := decode(content); err != nil {
+			b.Fatal(err)
+		}
+	})
+}
+
+// benchmarkRecord runs an operation on records of the size that 12 and 2,000 upstreams need.
+func benchmarkRecord(b *testing.B, operation func(r Record, content []byte)) {
+	for _, upstreams := range []int{12, 2000} {
+		r := Record{Kind: "learnt", Owner: testOwner, Version: 1, Payload: bytes.Repeat([]byte{'x'}, 300*upstreams)}
+		content := r.encode()
+		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
+			b.ReportAllocs()
+			b.SetBytes(int64(len(content)))
+			for b.Loop() {
+				operation(r, content)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/durable/writer_loop.go
@@ -0,0 +1,159 @@
+package durable
+
+import (
+	"context"
+	"fmt"
+	"time"
+)
+
+// This file is the Writer's goroutine: every function in it is called from there only.
+
+// run opens the store, sends what it has loaded, and saves until ctx is cancelled.
+func (w *Writer) run(ctx context.Context, versions map[string]uint16, loaded chan<- map[string]Record) {
+	defer close(w.stopped)
+	defer w.folder.Close()
+	if err := w.openStore(); err != nil {
+		w.options.Log("state not kept", "folder", w.options.Path, "err", err)
+		loaded <- nil
+		<-ctx.Done()
+		return
+	}
+	loaded <- w.loadAll(versions)
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			w.savePending(0)
+			return
+		case request := <-w.syncRequests:
+			w.acquireFolder()
+			request.result <- w.save(request.kind, request.state)
+			continue
+		case <-w.wake:
+		case <-timer.C:
+		}
+		if next := w.work(); next > 0 {
+			timer.Reset(next)
+		}
+	}
+}
+
+// work does what is due and returns after what time there is more to do; 0: only after the next wake-up.
+func (w *Writer) work() time.Duration {
+	if w.markRecovered.CompareAndSwap(true, false) {
+		w.store.MarkRecovered()
+	}
+	if !w.acquireFolder() {
+		return lockPollInterval
+	}
+	return w.savePending(w.options.MinInterval)
+}
+
+// openStore opens the store, for writing if the folder's lock is free.
+func (w *Writer) openStore() error {
+	locked, lockErr := w.folder.Lock()
+	access := ReadOnly
+	if locked {
+		access = ReadWrite
+	}
+	store, err := OpenStore(w.folder, w.options.Owner, access, w.options.Log)
+	if err != nil {
+		return err
+	}
+	w.store = store
+	switch {
+	case lockErr != nil: // such as a read-only file system: what is there is better than nothing
+		w.options.Log("state folder can't be locked: reading only", "folder", w.options.Path, "err", lockErr)
+	case !locked:
+		w.options.Log("state folder is held by another process: reading, and waiting for it", "folder", w.options.Path)
+	}
+	return nil
+}
+
+// loadAll begins the recovery and loads all kinds in versions.
+func (w *Writer) loadAll(versions map[string]uint16) map[string]Record {
+	w.store.BeginRecovery(w.options.OrderKinds...)
+	loaded := map[string]Record{}
+	for kind, version := range versions {
+		if r, ok := w.store.Load(kind, version); ok {
+			loaded[kind] = r
+		}
+	}
+	return loaded
+}
+
+// acquireFolder takes the folder's lock if this process does not hold it yet, and reports whether it does now.
+func (w *Writer) acquireFolder() bool {
+	if w.store.access == ReadWrite {
+		return true
+	}
+	locked, err := w.folder.Lock()
+	if err != nil || !locked {
+		return false
+	}
+	// The previous holder has saved since this process listed the folder.
+	store, err := OpenStore(w.folder, w.options.Owner, ReadWrite, w.options.Log)
+	if err != nil {
+		w.logError("", err)
+		return false
+	}
+	w.store = store
+	w.options.Log("state folder is free: keeping", "folder", w.options.Path)
+	return true
+}
+
+// savePending saves the pending states of the kinds whose last save is at least minInterval ago. It returns after what
+// time the next is due; 0: nothing is pending.
+func (w *Writer) savePending(minInterval time.Duration) time.Duration {
+	if w.store.access == ReadOnly {
+		return 0
+	}
+	due, next := w.takeDue(minInterval)
+	for kind, state := range due {
+		w.lastSave[kind] = time.Now()
+		if err := w.save(kind, state); err != nil {
+			w.logError(kind, err)
+		}
+	}
+	return next
+}
+
+// takeDue removes the due states from the pending ones and returns them, with the time until the next of the others is
+// due; 0: there is no other.
+func (w *Writer) takeDue(minInterval time.Duration) (due map[string]pendingState, next time.Duration) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	due = map[string]pendingState{}
+	for kind, state := range w.pending {
+		wait := minInterval - time.Since(w.lastSave[kind])
+		if wait <= 0 {
+			due[kind] = state
+			delete(w.pending, kind)
+			continue
+		}
+		if next == 0 || wait < next {
+			next = wait
+		}
+	}
+	return due, next
+}
+
+// save encodes a state and saves it.
+func (w *Writer) save(kind string, state pendingState) error {
+	payload, err := state.encode()
+	if err != nil {
+		return fmt.Errorf("encoding %s: %w", kind, err)
+	}
+	return w.store.Save(kind, state.version, state.savedAt, payload)
+}
+
+// logError logs a failed save, at most once in errorLogInterval.
+func (w *Writer) logError(kind string, err error) {
+	now := time.Now()
+	if now.Sub(w.lastErrorLog) < errorLogInterval {
+		return
+	}
+	w.lastErrorLog = now
+	w.options.Log("state not saved", "kind", kind, "err", err)
+}
--- /dev/null
+++ b/internal/durable/writer_test.go
@@ -0,0 +1,148 @@
+package durable
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+)
+
+// encodeText returns an encode function for Writer.Save.
+func encodeText(text string) func() ([]byte, error) {
+	return func() ([]byte, error) { return []byte(text), nil }
+}
+
+// A second process reads while the first holds the folder, saves nothing, and takes over as soon as the first has ended.
+func TestWriterTakesOverFromPreviousProcess(t *testing.T) {
+	path, recorder := newFolderPath(t), &logRecorder{}
+	start := func() *Writer {
+		t.Helper()
+		options := Options{Path: path, Owner: testOwner, MinInterval: time.Millisecond, OrderKinds: []string{"orders"}, Log: recorder.log}
+		w, err := StartWriter(options, map[string]uint16{"learnt": 1, "orders": 1})
+		if err != nil {
+			t.Fatal(err)
+		}
+		return w
+	}
+	first := start()
+	if err := first.SaveSync("learnt", 1, time.Now(), []byte("of the first")); err != nil {
+		t.Fatal(err)
+	}
+	second := start()
+	if r, ok := second.Load("learnt"); !ok || string(r.Payload) != "of the first" {
+		t.Errorf("the second process loads %q", r.Payload)
+	}
+	if err := second.SaveSync("orders", 1, time.Now(), []byte("too soon")); err == nil {
+		t.Error("an order is saved in a folder that another process holds")
+	}
+	second.Save("learnt", 1, time.Now(), encodeText("of the second"))
+	first.Save("learnt", 1, time.Now(), encodeText("last of the first"))
+	first.Close()
+	eventually(t, recorder, func() error {
+		return second.SaveSync("orders", 1, time.Now(), []byte("in time"))
+	})
+	second.Close()
+	third := start()
+	defer third.Close()
+	for kind, want := range map[string]string{"learnt": "of the second", "orders": "in time"} {
+		if r, ok := third.Load(kind); !ok || string(r.Payload) != want {
+			t.Errorf("%s: %q, want %q", kind, r.Payload, want)
+		}
+	}
+}
+
+// faultyFolder is a folder whose lock fails, or whose List and Create block.
+type faultyFolder struct {
+	*Folder
+	lockErr error
+	// unblocked lets the calls through when it is closed; nil: no call blocks.
+	unblocked chan struct{}
+}
+
+func (f faultyFolder) Lock() (bool, error) {
+	if f.lockErr != nil {
+		return false, f.lockErr
+	}
+	return f.Folder.Lock()
+}
+
+func (f faultyFolder) List() ([]string, error) {
+	f.wait()
+	return f.Folder.List()
+}
+
+func (f faultyFolder) Create(name string) (File, error) {
+	f.wait()
+	return f.Folder.Create(name)
+}
+
+func (f faultyFolder) wait() {
+	if f.unblocked != nil {
+		<-f.unblocked
+	}
+}
+
+// A disk that hangs blocks neither the start nor Save, and lets SaveSync time out; when it answers again saves succeed.
+func TestWriterOnHangingDisk(t *testing.T) {
+	path, recorder := newFolderPath(t), &logRecorder{}
+	save(t, openStore(t, path, testOwner, recorder), "learnt", 1, "before")
+	unblocked := make(chan struct{})
+	folder := faultyFolder{Folder: openFolder(t, path), unblocked: unblocked}
+	options := Options{Path: path, Owner: testOwner, MinInterval: time.Millisecond, Log: recorder.log}
+	w := StartWriterOn(folder, options, map[string]uint16{"learnt": 1})
+	if _, ok := w.Load("learnt"); ok || !recorder.contains("has not answered in time") {
+		t.Errorf("loaded %v; log: %v", ok, recorder)
+	}
+	w.Save("learnt", 1, time.Now(), encodeText("after"))
+	if err := w.SaveSync("orders", 1, time.Now(), []byte("x")); !errors.Is(err, ErrTimeout) {
+		t.Errorf("SaveSync on a hanging disk: %v", err)
+	}
+	close(unblocked)
+	eventually(t, recorder, func() error {
+		return w.SaveSync("orders", 1, time.Now(), []byte("y"))
+	})
+	w.Close()
+	s := openStore(t, path, testOwner, recorder)
+	for kind, want := range map[string]string{"learnt": "after", "orders": "y"} {
+		if r, ok := s.Load(kind, 1); !ok || string(r.Payload) != want {
+			t.Errorf("%s: %q, want %q", kind, r.Payload, want)
+		}
+	}
+}
+
+// A folder that can't be locked, such as a read-only one, is read and not written to.
+func TestWriterOnFolderThatCannotBeLocked(t *testing.T) {
+	path, recorder := newFolderPath(t), &logRecorder{}
+	save(t, openStore(t, path, testOwner, recorder), "learnt", 1, "before")
+	folder := faultyFolder{Folder: openFolder(t, path), lockErr: errors.New("read-only file system")}
+	options := Options{Path: path, Owner: testOwner, MinInterval: time.Millisecond, Log: recorder.log}
+	w := StartWriterOn(folder, options, map[string]uint16{"learnt": 1})
+	defer w.Close()
+	if r, ok := w.Load("learnt"); !ok || string(r.Payload) != "before" || !recorder.contains("reading only") {
+		t.Errorf("loaded %q, %v; log: %v", r.Payload, ok, recorder)
+	}
+	if err := w.SaveSync("orders", 1, time.Now(), []byte("x")); err == nil {
+		t.Error("an order is saved in a folder that can't be locked")
+	}
+}
+
+// Save never waits, the newest state of a kind is what is saved, and one that can't be encoded is logged.
+func TestSaveKeepsNewestStateOfKind(t *testing.T) {
+	path, recorder := newFolderPath(t), &logRecorder{}
+	w, err := StartWriter(Options{Path: path, Owner: testOwner, MinInterval: time.Hour, Log: recorder.log}, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range 1000 {
+		w.Save("list", 1, time.Now(), encodeText(fmt.Sprint(i)))
+	}
+	w.Save("learnt", 1, time.Now(), func() ([]byte, error) { return nil, errors.New("no number") })
+	w.Close()
+	r, ok := openStore(t, path, testOwner, recorder).Load("list", 1)
+	if !ok || string(r.Payload) != "999" || r.Generation > 2 {
+		t.Errorf("%q of generation %d was saved", r.Payload, r.Generation)
+	}
+	if !recorder.contains("no number") {
+		t.Errorf("the failed encoding is not logged: %v", recorder)
+	}
+}
--- a/internal/lab/crash/crash_test.go
+++ b/internal/lab/crash/crash_test.go
@@ -2,112 +2,137 @@
 
 import (
 	"errors"
+	"fmt"
 	"slices"
 	"testing"
-	"time"
 
 	"sprucehill/internal/durable"
 )
 
-// Whatever a power loss or a flipped bit leaves, what is read was written, and no saved state is lost but for the one
-// that a flip hits. `balancerctl lab crash` goes through all cases; this is a drawn part.
-func TestMatrix(t *testing.T) {
-	for _, c := range []struct{ upstreams, every, again int }{{2, 1, 40}, {12, 15, 50}} {
-		const seed = 5
-		r, err := Run(Saves(3, c.upstreams, seed), c.every, c.again, seed)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, w := range r.Wrong {
-			t.Errorf("seed %d, %d upstreams: %s", seed, c.upstreams, w)
-		}
-		if r.Cuts < 1000 || r.Flips < 500 || r.Again < 20 || r.Newest == 0 || r.Before == 0 || r.Nothing == 0 {
-			t.Errorf("the cases ask too little: %+v", *r)
-		}
+func mustOpenStore(t *testing.T, fs durable.FS) *durable.Store {
+	t.Helper()
+	store, err := openStore(fs)
+	if err != nil {
+		t.Fatal(err)
 	}
+	return store
 }
 
-// forgetful is a disk that says yes to a sync and forgets it: the matrix has to find what that breaks, or it shows nothing.
-type forgetful struct{ *Disk }
+// Whatever a power loss or a flipped bit leaves, what is loaded was saved, and no saved record is lost but for the one that
+// a flip hits. `balancerctl lab crash` runs all cases; this is a sample of them.
+func TestMatrixFindsNoViolation(t *testing.T) {
+	for _, c := range []struct{ upstreams, sampleOneIn, recoveryCutOneIn int }{
+		{upstreams: 2, sampleOneIn: 1, recoveryCutOneIn: 40},
+		{upstreams: 12, sampleOneIn: 15, recoveryCutOneIn: 50},
+	} {
+		t.Run(fmt.Sprintf("%d upstreams", c.upstreams), func(t *testing.T) {
+			const seed = 5
+			options := Options{SampleOneIn: c.sampleOneIn, RecoveryCutOneIn: c.recoveryCutOneIn, Seed: seed}
+			r, err := Run(GenerateSaves(3, c.upstreams, seed), options)
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, violation := range r.Violations {
+				t.Errorf("seed %d: %s", seed, violation)
+			}
+			if r.PowerCuts < 1000 || r.ByteFlips < 500 || r.RecoveryCuts < 20 {
+				t.Errorf("too few cases: %+v", *r)
+			}
+			if r.LoadedNewest == 0 || r.LoadedPrevious == 0 || r.LoadedNone == 0 {
+				t.Errorf("the cases are too much alike: %+v", *r)
+			}
+		})
+	}
+}
+
+// unsyncedDisk reports success for a sync of a file without doing it. The matrix has to find what that breaks.
+type unsyncedDisk struct{ *Disk }
 
-func (f forgetful) Create(name string) (durable.File, error) {
-	file, err := f.Disk.Create(name)
-	return lying{file}, err
+func (d unsyncedDisk) Create(name string) (durable.File, error) {
+	file, err := d.Disk.Create(name)
+	return unsyncedFile{file}, err
 }
 
-type lying struct{ durable.File }
+type unsyncedFile struct{ durable.File }
 
-func (lying) Sync() error { return nil }
+func (unsyncedFile) Sync() error { return nil }
 
-func TestMatrixFindsAMissingSync(t *testing.T) {
+func TestMatrixFindsMissingSync(t *testing.T) {
 	disk := NewDisk()
-	m := &matrix{issued: map[string][][]byte{"list": {[]byte("one"), []byte("two")}}, safe: map[string]int{"list": 0}}
-	store, err := durable.Open(forgetful{disk}, owner, true, func(string, ...any) {})
-	if err != nil {
+	m := &matrix{
+		issued: map[string][][]byte{kindList: {[]byte("one"), []byte("two")}},
+		safe:   map[string]int{kindList: 0},
+	}
+	store := mustOpenStore(t, unsyncedDisk{disk})
+	if err := store.Save(kindList, payloadVersion, savedAt, []byte("one")); err != nil {
 		t.Fatal(err)
 	}
-	if err := store.Save("list", 1, time.Unix(1, 0), []byte("one")); err != nil {
+	err := disk.forEachPowerLoss(func(remaining *Disk) { m.checkRecovery(remaining, "power cut", m.safe) })
+	if err != nil {
 		t.Fatal(err)
 	}
-	if err := disk.after(func(left *Disk) { m.check(left, "power cut", m.safe, 0) }); err != nil {
+	if len(m.Violations) == 0 {
+		t.Error("a record that was never synced counts as safe")
+	}
+}
+
+// A disk on which an operation fails, once or several times, fails saves and has no other effect: what was safe is loaded,
+// and saves succeed again when the operation does.
+func TestSavesOnFailingDisk(t *testing.T) {
+	operations := []Operation{OpCreate, OpWrite, OpSync, OpClose, OpRename, OpSyncFolder, OpRemove, OpList}
+	for _, op := range operations {
+		for _, failures := range []int{1, 5} {
+			t.Run(fmt.Sprintf("%s fails %d times", op, failures), func(t *testing.T) {
+				testSavesOnFailingDisk(t, op, failures)
+			})
+		}
+	}
+}
+
+func testSavesOnFailingDisk(t *testing.T, op Operation, failures int) {
+	t.Helper()
+	disk := NewDisk()
+	store := mustOpenStore(t, disk)
+	save := func(text string) error { return store.Save(kindList, payloadVersion, savedAt, []byte(text)) }
+	for _, text := range []string{"one", "two", "three"} {
+		if err := save(text); err != nil {
+			t.Fatal(err)
+		}
+	}
+
+	lastSafe := "three"
+	issued := []string{lastSafe}
+	disk.InjectFault = failFirst(op, failures)
+	for range failures + 1 {
+		text := "x" + lastSafe
+		issued = append(issued, text)
+		if save(text) == nil {
+			lastSafe = text
+		}
+	}
+	disk.InjectFault = nil
+
+	err := disk.forEachPowerLoss(func(remaining *Disk) {
+		r, ok := mustOpenStore(t, remaining).Load(kindList, payloadVersion)
+		if got := string(r.Payload); !ok || slices.Index(issued, got) < slices.Index(issued, lastSafe) {
+			t.Errorf("%q is loaded after a power loss, %q was safe", got, lastSafe)
+		}
+	})
+	if err != nil {
 		t.Fatal(err)
 	}
-	if len(m.Wrong) == 0 {
-		t.Error("a state that was never synced counts as safe")
+	if err := save("good again"); err != nil {
+		t.Errorf("saving does not work again: %v", err)
 	}
 }
 
-// A disk that fails, at any call, once or for long, costs saves and nothing else: what was safe is read, and saves work
-// again when it does.
-func TestFailingDisk(t *testing.T) {
-	broken := errors.New("input/output error")
-	for _, call := range []string{"create", "write", "sync", "close", "rename", "sync folder", "remove", "list"} {
-		for _, long := range []int{1, 5} {
-			disk := NewDisk()
-			store, err := durable.Open(disk, owner, true, func(string, ...any) {})
-			if err != nil {
-				t.Fatal(err)
-			}
-			save := func(text string) error { return store.Save("list", 1, time.Unix(1, 0), []byte(text)) }
-			for _, text := range []string{"one", "two", "three"} {
-				if err := save(text); err != nil {
-					t.Fatal(err)
-				}
-			}
-			left := long
-			disk.Fail = func(c string) error {
-				if c != call || left == 0 {
-					return nil
-				}
-				left--
-				return broken
-			}
-			written := []string{"three"}
-			last := "three" // that is sure
-			for range long + 1 {
-				text := "x" + last
-				written = append(written, text)
-				if save(text) == nil {
-					last = text
-				}
-			}
-			disk.Fail = nil
-			check := func(x *Disk) {
-				again, err := durable.Open(x, owner, true, func(string, ...any) {})
-				if err != nil {
-					t.Fatal(err)
-				}
-				r, ok := again.Load("list", 1)
-				if got := string(r.Payload); !ok || slices.Index(written, got) < slices.Index(written, last) {
-					t.Errorf("%s fails %d times: %q is read after a power loss, %q was safe", call, long, got, last)
-				}
-			}
-			if err := disk.after(check); err != nil {
-				t.Fatal(err)
-			}
-			if err := save("good again"); err != nil {
-				t.Errorf("%s failed %d times, and saving does not work again: %v", call, long, err)
-			}
+// failFirst returns an InjectFault that makes the first calls of an operation fail.
+func failFirst(op Operation, failures int) func(Operation) error {
+	return func(called Operation) error {
+		if called != op || failures == 0 {
+			return nil
 		}
+		failures--
+		return errors.New("input/output error")
 	}
 }
--- a/internal/lab/crash/disk.go
+++ b/internal/lab/crash/disk.go
@@ -1,10 +1,6 @@
-// Package crash cuts the power of a balancer's state folder at every point, flips its bits, and looks what a balancer
-// that starts afterwards reads. The disk is emulated: it keeps apart what has been synced from what has not, and what has
-// not may be there after a power loss or not, in part, and in any order.
 package crash
 
 import (
-	"errors"
 	"io/fs"
 	"maps"
 	"slices"
@@ -12,213 +8,189 @@
 	"sprucehill/internal/durable"
 )
 
-// inode is a file's content: what a reader sees, and what is sure to be there after a power loss.
-type inode struct{ data, synced []byte }
+// Operation is a call on a Disk or on one of its files.
+type Operation string
+
+// The operations that can be made to fail.
+const (
+	OpList       Operation = "list"
+	OpRead       Operation = "read"
+	OpCreate     Operation = "create"
+	OpWrite      Operation = "write"
+	OpSync       Operation = "sync"
+	OpClose      Operation = "close"
+	OpRename     Operation = "rename"
+	OpRemove     Operation = "remove"
+	OpSyncFolder Operation = "sync folder"
+)
+
+// inode is the content of a file.
+type inode struct {
+	data   []byte // as readers see it
+	synced []byte // as it is after a power loss
+}
 
-// entry is a change of the folder that has not been synced: a name gets a file, or loses it.
-type entry struct {
+// nameChange is a change of a name in the folder that was not synced.
+type nameChange struct {
 	name string
-	file *inode // nil: the name goes
+	file *inode // the name's new file; nil: the name is removed
 }
 
-// Disk is an emulated folder. It is a durable.FS.
+// Disk is an emulated folder in memory. It implements durable.FS.
 type Disk struct {
-	now     map[string]*inode // as readers see it
-	sure    map[string]*inode // as it is after a power loss, but for pending
-	pending []entry
-	step    func() // called before and after each change; may be nil
-	// Fail makes a call fail, by its name; nil: none does.
-	Fail func(call string) error
+	current map[string]*inode // the folder as readers see it
+	synced  map[string]*inode // the folder after a power loss that loses all of unsynced
+	// unsynced is the changes of names since the last Sync, the oldest first.
+	unsynced []nameChange
+	// onChange is called after each change; it may be nil.
+	onChange func()
+	// InjectFault returns the error with which an operation fails, or nil if it succeeds. If InjectFault is nil, all
+	// operations succeed.
+	InjectFault func(Operation) error
 }
 
 var _ durable.FS = (*Disk)(nil)
 
-// NewDisk is an empty folder.
-func NewDisk() *Disk { return &Disk{now: map[string]*inode{}, sure: map[string]*inode{}} }
-
-func (d *Disk) fail(call string) error {
-	if d.Fail == nil {
-		return nil
-	}
-	return d.Fail(call)
+// NewDisk returns an empty folder.
+func NewDisk() *Disk {
+	return &Disk{current: map[string]*inode{}, synced: map[string]*inode{}}
 }
 
-func (d *Disk) stepped() {
-	if d.step != nil {
-		d.step()
-	}
-}
-
-// link changes the folder.
-func (d *Disk) link(name string, file *inode) {
-	if file == nil {
-		delete(d.now, name)
-	} else {
-		d.now[name] = file
+// newSyncedDisk returns a folder with the given files, all of them synced.
+func newSyncedDisk(files map[string][]byte) *Disk {
+	d := NewDisk()
+	for name, content := range files {
+		file := &inode{data: slices.Clone(content), synced: slices.Clone(content)}
+		d.current[name] = file
+		d.synced[name] = file
 	}
-	d.pending = append(d.pending, entry{name, file})
+	return d
 }
 
-// List names the files.
+// List returns the names of all files, sorted.
 func (d *Disk) List() ([]string, error) {
-	return slices.Sorted(maps.Keys(d.now)), d.fail("list")
+	return slices.Sorted(maps.Keys(d.current)), d.fault(OpList)
 }
 
-// ReadFile reads a file.
+// ReadFile returns the content of a file.
 func (d *Disk) ReadFile(name string) ([]byte, error) {
-	if err := d.fail("read"); err != nil {
+	if err := d.fault(OpRead); err != nil {
 		return nil, err
 	}
-	f := d.now[name]
-	if f == nil {
+	file := d.current[name]
+	if file == nil {
 		return nil, fs.ErrNotExist
 	}
-	return slices.Clone(f.data), nil
+	return slices.Clone(file.data), nil
 }
 
-// Create makes or empties a file.
+// Create creates a file, or truncates an existing one.
 func (d *Disk) Create(name string) (durable.File, error) {
-	if err := d.fail("create"); err != nil {
+	if err := d.fault(OpCreate); err != nil {
 		return nil, err
 	}
-	f := d.now[name]
-	if f == nil {
-		f = &inode{}
-		d.link(name, f)
+	file := d.current[name]
+	if file == nil {
+		file = &inode{}
+		d.setName(name, file)
 	}
-	f.data = nil
-	d.stepped()
-	return &handle{d, f}, nil
+	file.data = nil
+	d.changed()
+	return &handle{disk: d, file: file}, nil
 }
 
-// Rename gives a file another name. A power loss may leave it with both, one or the other.
+// Rename renames a file. A power loss may leave it with both names, with either, or with none.
 func (d *Disk) Rename(from, to string) error {
-	if err := d.fail("rename"); err != nil {
+	if err := d.fault(OpRename); err != nil {
 		return err
 	}
-	f := d.now[from]
-	if f == nil {
+	file := d.current[from]
+	if file == nil {
 		return fs.ErrNotExist
 	}
-	d.link(to, f)
-	d.link(from, nil)
-	d.stepped()
+	d.setName(to, file)
+	d.setName(from, nil)
+	d.changed()
 	return nil
 }
 
 // Remove deletes a file.
 func (d *Disk) Remove(name string) error {
-	if err := d.fail("remove"); err != nil {
+	if err := d.fault(OpRemove); err != nil {
 		return err
 	}
-	if d.now[name] == nil {
+	if d.current[name] == nil {
 		return fs.ErrNotExist
 	}
-	d.link(name, nil)
-	d.stepped()
+	d.setName(name, nil)
+	d.changed()
 	return nil
 }
 
-// Sync makes the folder's changes last.
+// Sync makes all changes of names durable.
 func (d *Disk) Sync() error {
-	if err := d.fail("sync folder"); err != nil {
+	if err := d.fault(OpSyncFolder); err != nil {
 		return err
 	}
-	d.sure, d.pending = maps.Clone(d.now), nil
-	d.stepped()
+	d.synced = maps.Clone(d.current)
+	d.unsynced = nil
+	d.changed()
 	return nil
 }
 
-// handle is an open file.
+// setName gives a name to a file, or removes the name if file is nil.
+func (d *Disk) setName(name string, file *inode) {
+	if file == nil {
+		delete(d.current, name)
+	} else {
+		d.current[name] = file
+	}
+	d.unsynced = append(d.unsynced, nameChange{name: name, file: file})
+}
+
+// fault returns the error that is injected into an operation.
+func (d *Disk) fault(op Operation) error {
+	if d.InjectFault == nil {
+		return nil
+	}
+	return d.InjectFault(op)
+}
+
+func (d *Disk) changed() {
+	if d.onChange != nil {
+		d.onChange()
+	}
+}
+
+// handle is an open file. It implements durable.File.
 type handle struct {
 	disk *Disk
 	file *inode
 }
 
-// Write adds to the file. A disk that is full takes a part.
+// Write appends to the file. If it fails it has written half of p, as on a full disk.
 func (h *handle) Write(p []byte) (int, error) {
-	if err := h.disk.fail("write"); err != nil {
-		h.file.data = append(h.file.data, p[:len(p)/2]...)
-		h.disk.stepped()
-		return len(p) / 2, err
+	err := h.disk.fault(OpWrite)
+	written := len(p)
+	if err != nil {
+		written = len(p) / 2
 	}
-	h.file.data = append(h.file.data, p...)
-	h.disk.stepped()
-	return len(p), nil
+	h.file.data = append(h.file.data, p[:written]...)
+	h.disk.changed()
+	return written, err
 }
 
-// Sync makes the content last. One that fails leaves it open what does: here nothing of it.
+// Sync makes the content durable. If it fails nothing of it is, which is the worst that a disk may do.
 func (h *handle) Sync() error {
-	if err := h.disk.fail("sync"); err != nil {
+	if err := h.disk.fault(OpSync); err != nil {
 		return err
 	}
 	h.file.synced = slices.Clone(h.file.data)
-	h.disk.stepped()
+	h.disk.changed()
 	return nil
 }
 
-// Close does nothing: it makes nothing last.
-func (h *handle) Close() error { return h.disk.fail("close") }
-
-// mostPending bounds the changes of a folder whose subsets are gone through; a save has four at most.
-const mostPending = 8
-
-// after calls with every folder that a power loss now may leave: any subset of the unsynced changes of names, and of
-// each file that is not synced its old content, every beginning of the new one, or as many zeros. That is one file at a
-// time, since a store writes one.
-func (d *Disk) after(with func(*Disk)) error {
-	if len(d.pending) > mostPending {
-		return errors.New("too many changes without a sync to go through them all")
-	}
-	for subset := range 1 << len(d.pending) {
-		names := maps.Clone(d.sure)
-		for i, e := range d.pending {
-			switch {
-			case subset&(1<<i) == 0:
-			case e.file == nil:
-				delete(names, e.name)
-			default:
-				names[e.name] = e.file
-			}
-		}
-		d.contents(names, with)
-	}
-	return nil
-}
-
-// contents goes through what the files of a folder may hold.
-func (d *Disk) contents(names map[string]*inode, with func(*Disk)) {
-	base, open := map[string][]byte{}, map[*inode]bool{}
-	for n, f := range names {
-		base[n] = f.synced
-		if !slices.Equal(f.data, f.synced) {
-			open[f] = true
-		}
-	}
-	with(folderOf(base))
-	for f := range open {
-		put := func(text []byte) {
-			x := maps.Clone(base)
-			for n, of := range names {
-				if of == f {
-					x[n] = text
-				}
-			}
-			with(folderOf(x))
-		}
-		for cut := range len(f.data) + 1 {
-			put(f.data[:cut])
-		}
-		put(make([]byte, len(f.data)))
-	}
-}
-
-// folderOf is a disk on which all that it holds is synced.
-func folderOf(files map[string][]byte) *Disk {
-	d := NewDisk()
-	for n, text := range files {
-		f := &inode{data: slices.Clone(text), synced: slices.Clone(text)}
-		d.now[n], d.sure[n] = f, f
-	}
-	return d
+// Close makes nothing durable.
+func (h *handle) Close() error {
+	return h.disk.fault(OpClose)
 }
--- a/internal/lab/crash/matrix.go
+++ b/internal/lab/crash/matrix.go
@@ -9,172 +9,229 @@
 	"sprucehill/internal/durable"
 )
 
-// Save is a state handed to the store, in this order.
-type Save struct {
-	Kind    string
-	Payload []byte
+const (
+	// maxViolations bounds the violations that a result describes.
+	maxViolations = 20
+
+	owner = "b1@site"
+	// payloadVersion is the version of all kinds.
+	payloadVersion = 1
+	// notSaved stands for the generation of a kind of which no save has returned yet.
+	notSaved = -1
+
+	// casesStream separates the random numbers that choose the cases from those of GenerateSaves.
+	casesStream = 0
+	// allBits is the mask that flips a whole byte.
+	allBits = 0xff
+)
+
+// savedAt is the time of all saves.
+var savedAt = time.Unix(1e9, 0)
+
+// Options says which part of the matrix is run.
+type Options struct {
+	// SampleOneIn runs one case of so many, drawn by the seed; 1: all.
+	SampleOneIn int
+	// RecoveryCutOneIn cuts the power again at each step of one recovery of so many; 0: of none.
+	RecoveryCutOneIn int
+	Seed             uint64
 }
 
-// Result is what a matrix has found.
+// Result is what a run has found.
 type Result struct {
-	Cuts, Flips, Again int // cases of each sort: power cut, a bit flipped, power cut again in the recovery
-	Newest, Before     int // what was read: the newest state that had been saved or was being saved, or the one before it
-	Nothing            int
-	Wrong              []string // each a case in words; none: all is well
-}
+	// The cases that were run.
+
+	PowerCuts    int
+	ByteFlips    int
+	RecoveryCuts int // the power was cut again in the recovery from a power cut
 
-// Cases is how many there were.
-func (r *Result) Cases() int { return r.Cuts + r.Flips + r.Again }
+	// What was loaded in these cases, of each kind.
 
-// mostWrong bounds the cases that are told.
-const mostWrong = 20
+	LoadedNewest   int // the newest record that had been saved or was being saved
+	LoadedPrevious int // an older one that is allowed
+	LoadedNone     int // none, where none had been saved
 
-const owner = "b1@site"
+	// Violations describes cases in which a saved record was lost, or something loaded that was never saved; at most
+	// maxViolations. If it is empty all cases passed.
+	Violations []string
+}
+
+// Cases returns the number of all cases.
+func (r *Result) Cases() int {
+	return r.PowerCuts + r.ByteFlips + r.RecoveryCuts
+}
 
-// matrix is one run over a row of saves.
+// matrix is the state of one run.
 type matrix struct {
 	Result
-	saves  []Save
-	every  int // one case in so many is tried, by a seed
-	rng    *rand.Rand
-	issued map[string][][]byte // payloads by kind and generation
-	safe   map[string]int      // generations whose Save has returned without an error, by kind; -1: none
-}
-
-// Run goes through the saves on an emulated disk, cuts the power at each step in each way that a disk may leave it, and
-// at the end flips each byte of each file. every: one case in so many is tried, drawn by the seed; 1: all. again: one
-// recovery in so many has its own power cut, at each of its steps; 0: none.
-func Run(saves []Save, every, again int, seed uint64) (*Result, error) {
-	m := &matrix{saves: saves, every: every, rng: rand.New(rand.NewPCG(seed, 0)), issued: map[string][][]byte{}, safe: map[string]int{}}
-	disk := NewDisk()
-	var failed error
-	disk.step = func() {
-		err := disk.after(func(left *Disk) {
-			if m.draw(m.every) {
-				m.Cuts++
-				m.check(left, "power cut", m.safe, again)
-			}
-		})
-		failed = first(failed, err)
+	options Options
+	rng     *rand.Rand
+	// issued is the payloads given to the store, by kind and generation.
+	issued map[string][][]byte
+	// safe is the newest generation whose save has returned without an error, by kind; or notSaved.
+	safe map[string]int
+	// err is the first error that made the run incomplete.
+	err error
+}
+
+// Run performs the saves on an emulated disk, cuts the power at each step in each way that a disk may leave, and at the
+// end flips each byte of each file.
+func Run(saves []Save, options Options) (*Result, error) {
+	m := &matrix{
+		options: options,
+		rng:     rand.New(rand.NewPCG(options.Seed, casesStream)),
+		issued:  map[string][][]byte{},
+		safe:    map[string]int{},
 	}
-	store, err := durable.Open(disk, owner, true, func(string, ...any) {})
+	disk := NewDisk()
+	disk.onChange = func() { m.cutPower(disk) }
+	store, err := openStore(disk)
 	if err != nil {
 		return nil, err
 	}
 	for _, s := range saves {
-		if _, known := m.safe[s.Kind]; !known {
-			m.safe[s.Kind] = -1
-		}
-		m.issued[s.Kind] = append(m.issued[s.Kind], s.Payload)
-		if err := store.Save(s.Kind, 1, time.Unix(1e9, 0), s.Payload); err != nil {
+		if err := m.save(store, s); err != nil {
 			return nil, err
 		}
-		m.safe[s.Kind] = len(m.issued[s.Kind]) - 1
 	}
-	if failed != nil {
-		return nil, failed
+	if m.err != nil {
+		return nil, m.err
 	}
-	m.flip(disk)
+	m.flipBytes(disk)
 	return &m.Result, nil
 }
 
-// first is the first of two errors.
-func first(a, b error) error {
-	if a != nil {
-		return a
+// save saves a state and records that it was issued, and then that it is safe.
+func (m *matrix) save(store *durable.Store, s Save) error {
+	if _, known := m.safe[s.Kind]; !known {
+		m.safe[s.Kind] = notSaved
 	}
-	return b
+	m.issued[s.Kind] = append(m.issued[s.Kind], s.Payload)
+	if err := store.Save(s.Kind, payloadVersion, savedAt, s.Payload); err != nil {
+		return err
+	}
+	m.safe[s.Kind] = len(m.issued[s.Kind]) - 1
+	return nil
 }
 
-func (m *matrix) draw(every int) bool { return every <= 1 || m.rng.IntN(every) == 0 }
+// cutPower checks the recovery from each folder that a power loss may leave now.
+func (m *matrix) cutPower(disk *Disk) {
+	err := disk.forEachPowerLoss(func(remaining *Disk) {
+		if !m.draw(m.options.SampleOneIn) {
+			return
+		}
+		m.PowerCuts++
+		const description = "power cut"
+		if m.options.RecoveryCutOneIn > 0 && m.draw(m.options.RecoveryCutOneIn) {
+			m.cutPowerInRecovery(remaining, description)
+		}
+		m.checkRecovery(remaining, description, m.safe)
+	})
+	m.noteError(err)
+}
 
-// flip changes each byte of each file in turn: one bit of it, and all of them.
-func (m *matrix) flip(disk *Disk) {
-	before := map[string]int{} // one state may be lost by a flip, not two
-	for kind, n := range m.safe {
-		before[kind] = n - 1
+// cutPowerInRecovery makes the recovery on a disk have a power loss of its own at each of its steps.
+func (m *matrix) cutPowerInRecovery(disk *Disk, description string) {
+	disk.onChange = func() {
+		err := disk.forEachPowerLoss(func(remaining *Disk) {
+			m.RecoveryCuts++
+			m.checkRecovery(remaining, description+", and again in the recovery", m.safe)
+		})
+		m.noteError(err)
 	}
-	for name, f := range disk.now {
-		for at := range f.data {
-			for _, mask := range []byte{1 << m.rng.IntN(8), 0xff} {
-				if !m.draw(m.every) {
+}
+
+// flipBytes changes each byte of each file in turn: one of its bits, and then all of them.
+func (m *matrix) flipBytes(disk *Disk) {
+	required := map[string]int{} // a flip may cost one record of a kind, not two
+	for kind, generation := range m.safe {
+		required[kind] = generation - 1
+	}
+	for name, file := range disk.current {
+		for offset := range file.data {
+			for _, mask := range []byte{1 << m.rng.IntN(8), allBits} {
+				if !m.draw(m.options.SampleOneIn) {
 					continue
 				}
-				files := map[string][]byte{}
-				for n, of := range disk.now {
-					files[n] = of.data
-				}
-				files[name] = slices.Clone(f.data)
-				files[name][at] ^= mask
-				m.Flips++
-				m.check(folderOf(files), fmt.Sprintf("byte %d of %s flipped by %02x", at, name, mask), before, 0)
+				m.ByteFlips++
+				description := fmt.Sprintf("byte %d of %s flipped by %02x", offset, name, mask)
+				m.checkRecovery(flipped(disk, name, offset, mask), description, required)
 			}
 		}
 	}
 }
 
-// check starts a store on what is left and holds what it reads against what was written. least is the generation of each
-// kind that has to be there at least.
-func (m *matrix) check(left *Disk, what string, least map[string]int, again int) {
-	if again > 0 && m.draw(again) {
-		left.step = func() {
-			left.after(func(x *Disk) { // a recovery has few changes
-				m.Again++
-				m.check(x, what+", and again in the recovery", least, 0)
-			})
-		}
+// flipped returns a copy of a disk on which some bits of one byte are flipped.
+func flipped(disk *Disk, name string, offset int, mask byte) *Disk {
+	files := map[string][]byte{}
+	for other, file := range disk.current {
+		files[other] = file.data
 	}
+	content := slices.Clone(files[name])
+	content[offset] ^= mask
+	files[name] = content
+	return newSyncedDisk(files)
+}
+
+// checkRecovery opens a store on a disk and compares what it loads with what was saved. required is the oldest generation
+// that may be loaded, by kind; if it is negative there may be none.
+func (m *matrix) checkRecovery(disk *Disk, description string, required map[string]int) {
 	defer func() {
 		if r := recover(); r != nil {
-			m.wrong("%s: the store panics: %v", what, r)
+			m.addViolation("%s: the store panics: %v", description, r)
 		}
 	}()
-	store, err := durable.Open(left, owner, true, func(string, ...any) {})
+	store, err := openStore(disk)
 	if err != nil {
-		m.wrong("%s: the folder does not open: %v", what, err)
+		m.addViolation("%s: the folder does not open: %v", description, err)
 		return
 	}
-	store.Begin("orders")
-	for kind, need := range least {
-		r, ok := store.Load(kind, 1)
-		switch issued := m.issued[kind]; {
-		case !ok && need >= 0:
-			m.wrong("%s: nothing of %s is left, generation %d was safe", what, kind, need)
-		case !ok:
-			m.Nothing++
-		case r.Generation >= uint64(len(issued)) || !slices.Equal(r.Payload, issued[r.Generation]):
-			m.wrong("%s: %s of generation %d was never written so", what, kind, r.Generation)
-		case int(r.Generation) < need:
-			m.wrong("%s: %s of generation %d, %d was safe", what, kind, r.Generation, need)
-		case int(r.Generation) == len(issued)-1:
-			m.Newest++
-		default:
-			m.Before++
-		}
+	store.BeginRecovery(kindOrders)
+	for kind, generation := range required {
+		m.checkLoad(store, kind, description, generation)
 	}
-	store.Recovered()
+	store.MarkRecovered()
 }
 
-func (m *matrix) wrong(format string, args ...any) {
-	if len(m.Wrong) < mostWrong {
-		m.Wrong = append(m.Wrong, fmt.Sprintf(format, args...))
+// checkLoad compares what a store loads of a kind with what was saved.
+func (m *matrix) checkLoad(store *durable.Store, kind, description string, required int) {
+	issued := m.issued[kind]
+	r, ok := store.Load(kind, payloadVersion)
+	switch {
+	case !ok && required >= 0:
+		m.addViolation("%s: nothing of %s is left, generation %d was safe", description, kind, required)
+	case !ok:
+		m.LoadedNone++
+	case r.Generation >= uint64(len(issued)) || !slices.Equal(r.Payload, issued[r.Generation]):
+		m.addViolation("%s: %s of generation %d was never written so", description, kind, r.Generation)
+	case int(r.Generation) < required:
+		m.addViolation("%s: %s of generation %d, %d was safe", description, kind, r.Generation, required)
+	case int(r.Generation) == len(issued)-1:
+		m.LoadedNewest++
+	default:
+		m.LoadedPrevious++
 	}
 }
 
-// Saves is a row of states as a balancer with so many upstreams saves them: list, what was learnt, orders, in turn.
-func Saves(rounds, upstreams int, seed uint64) []Save {
-	rng := rand.New(rand.NewPCG(seed, 1))
-	text := func(n int) []byte {
-		b := make([]byte, n)
-		for i := range b {
-			b[i] = byte(' ' + rng.IntN(95))
-		}
-		return b
+func (m *matrix) addViolation(format string, args ...any) {
+	if len(m.Violations) < maxViolations {
+		m.Violations = append(m.Violations, fmt.Sprintf(format, args...))
 	}
-	var saves []Save
-	for i := range rounds {
-		saves = append(saves, Save{"list", text(150 * upstreams)}, Save{"learnt", text(300 * upstreams)},
-			Save{"orders", fmt.Appendf(nil, `{"serial":%d,"drain":%v,"left":[]}`, i, i%2 == 0)})
+}
+
+// draw returns true once in oneIn calls on average; always if oneIn is 1 or less.
+func (m *matrix) draw(oneIn int) bool {
+	return oneIn <= 1 || m.rng.IntN(oneIn) == 0
+}
+
+// noteError keeps the first error.
+func (m *matrix) noteError(err error) {
+	if m.err == nil {
+		m.err = err
 	}
-	return saves
+}
+
+// openStore opens a store on an emulated disk, without a log.
+func openStore(fs durable.FS) (*durable.Store, error) {
+	return durable.OpenStore(fs, owner, durable.ReadWrite, func(string, ...any) {})
 }
--- /dev/null
+++ b/internal/lab/crash/saves.go
@@ -0,0 +1,52 @@
+package crash
+
+import (
+	"fmt"
+	"math/rand/v2"
+)
+
+const (
+	// listBytesPerUpstream and learntBytesPerUpstream are about what the records of a balancer need for an upstream.
+	listBytesPerUpstream   = 150
+	learntBytesPerUpstream = 300
+
+	kindList   = "list"
+	kindLearnt = "learnt"
+	kindOrders = "orders"
+
+	// savesStream separates the random numbers of GenerateSaves from those that choose the cases.
+	savesStream = 1
+)
+
+// Save is a state to be saved.
+type Save struct {
+	Kind    string
+	Payload []byte
+}
+
+// GenerateSaves returns a sequence of saves like those of a balancer with so many upstreams: in each round one of the
+// list, of what was learnt, and of the orders. The payloads are drawn by the seed.
+func GenerateSaves(rounds, upstreams int, seed uint64) []Save {
+	rng := rand.New(rand.NewPCG(seed, savesStream))
+	var saves []Save
+	for round := range rounds {
+		list := randomText(rng, listBytesPerUpstream*upstreams)
+		learnt := randomText(rng, learntBytesPerUpstream*upstreams)
+		orders := fmt.Appendf(nil, `{"serial":%d,"drain":%v,"left":[]}`, round, round%2 == 0)
+		saves = append(saves,
+			Save{Kind: kindList, Payload: list},
+			Save{Kind: kindLearnt, Payload: learnt},
+			Save{Kind: kindOrders, Payload: orders})
+	}
+	return saves
+}
+
+// randomText returns printable ASCII characters.
+func randomText(rng *rand.Rand, size int) []byte {
+	const printable = '~' - ' ' + 1
+	text := make([]byte, size)
+	for i := range text {
+		text[i] = byte(' ' + rng.IntN(printable))
+	}
+	return text
+}
