--- a/internal/durable/inspect_test.go
+++ b/internal/durable/inspect_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"os"
 	"path/filepath"
 	"testing"
@@ -52,3 +53,33 @@
 		t.Errorf("after the repair: %+v, want %+v", got, after)
 	}
 }
+
+// A valid record under the name of another is invalid, as is one whose name is not that of a record.
+func TestInspectChecksFileNames(t *testing.T) {
+	path, recorder := newFolderPath(t), &logRecorder{}
+	s := openStore(t, path, testOwner, recorder)
+	save(t, s, "list", 1, "one")
+	original := recordFileName("list", 0)
+	content, err := os.ReadFile(filepath.Join(path, original))
+	if err != nil {
+		t.Fatal(err)
+	}
+	copies := []string{"List-name.state", recordFileName("list", 3), recordFileName("orders", 0)}
+	for _, name := range copies {
+		if err := os.WriteFile(filepath.Join(path, name), content, fileMode); err != nil {
+			t.Fatal(err)
+		}
+	}
+	files, err := Inspect(s.fs)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(files) != len(copies)+1 {
+		t.Errorf("%d files inspected, want %d", len(files), len(copies)+1)
+	}
+	for _, file := range files {
+		if isOriginal := file.Name == original; isOriginal != (file.Err == nil) || isOriginal == errors.Is(file.Err, ErrCorrupt) {
+			t.Errorf("%s: %v", file.Name, file.Err)
+		}
+	}
+}
--- a/internal/durable/record_test.go
+++ b/internal/durable/record_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/hex"
+	"errors"
 	"fmt"
 	"testing"
 	"time"
@@ -18,6 +19,20 @@
 	}
 }
 
+// Every bit of a file is covered by a check: a record with any one flipped is corrupt.
+func TestDecodeDetectsEveryFlippedBit(t *testing.T) {
+	content := Record{Kind: "list", Owner: testOwner, Version: 3, Generation: 7, SavedAt: time.Unix(1e9, 42), Payload: []byte(`{"x":1}`)}.encode()
+	for offset := range content {
+		for bit := range 8 {
+			flipped := bytes.Clone(content)
+			flipped[offset] ^= 1 << bit
+			if _, err := decode(flipped); !errors.Is(err, ErrCorrupt) {
+				t.Errorf("bit %d of byte %d is flipped: %v, want %v", bit, offset, err, ErrCorrupt)
+			}
+		}
+	}
+}
+
 // What decodes without an error is encoded to the same bytes.
 func FuzzDecode(f *testing.F) {
 	f.Add(Record{Kind: "list", Owner: testOwner, Version: 1, Generation: 3, SavedAt: time.Unix(1e9, 0), Payload: []byte("{}")}.encode())
--- a/internal/durable/writer_test.go
+++ b/internal/durable/writer_test.go
@@ -146,3 +146,48 @@
 		t.Errorf("the failed encoding is not logged: %v", recorder)
 	}
 }
+
+// A state is saved once, however often the Writer is woken after it.
+func TestSaveWritesStateOnce(t *testing.T) {
+	path, recorder := newFolderPath(t), &logRecorder{}
+	w, err := StartWriter(Options{Path: path, Owner: testOwner, MinInterval: time.Nanosecond, Log: recorder.log}, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	w.Save("list", 1, time.Now(), encodeText("once"))
+	eventually(t, recorder, func() error {
+		if _, ok := openStore(t, path, testOwner, recorder).Load("list", 1); !ok {
+			return errors.New("the state is not saved yet")
+		}
+		return nil
+	})
+	w.MarkRecovered()
+	w.Close()
+	r, ok := openStore(t, path, testOwner, recorder).Load("list", 1)
+	if !ok || string(r.Payload) != "once" || r.Generation != 0 {
+		t.Errorf("loaded %q of generation %d, %v", r.Payload, r.Generation, ok)
+	}
+}
+
+// Starts that complete their recovery never quarantine what they load.
+func TestWriterMarksRecovery(t *testing.T) {
+	path, recorder := newFolderPath(t), &logRecorder{}
+	save(t, openStore(t, path, testOwner, recorder), "learnt", 1, "good")
+	for start := 1; start <= maxFailedRecoveries+1; start++ {
+		w, err := StartWriter(Options{Path: path, Owner: testOwner, MinInterval: time.Millisecond, Log: recorder.log}, map[string]uint16{"learnt": 1})
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, ok := w.Load("learnt"); !ok {
+			t.Errorf("start %d loads nothing; log: %v", start, recorder)
+		}
+		w.MarkRecovered()
+		eventually(t, recorder, func() error {
+			if failed := openStore(t, path, testOwner, recorder).readFailedRecoveries(); failed != 0 {
+				return fmt.Errorf("%d starts count as failed", failed)
+			}
+			return nil
+		})
+		w.Close()
+	}
+}
