--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -1,100 +1,128 @@
 package balancer
 
 import (
-	"fmt"
-	"slices"
+	"strings"
 	"testing"
 	"time"
 )
 
-// A balancer whose upstreams all fail must go on trying them: one that rejects all that it gets for 4 s with no attempt in
-// between counts as out of service. Its waits for an unresponsive upstream grew without a bound, to 50 s in these plays.
-func TestSomeAttemptGoesOutWhileAllUpstreamsFail(t *testing.T) {
-	const (
-		longestPause = 4 * time.Second // by the operators' word
-		every        = 50 * ms
-		lasts        = 2 * time.Minute
-	)
-	for name, failure := range map[string]struct {
-		status  Status
-		latency time.Duration
-	}{
-		"no answer":          {Timeout, 0}, // until the request's time is over
-		"connection refused": {ConnectFailed, 0},
-		"connect time-out":   {ConnectFailed, 250 * ms},
-		"queue full":         {Rejected, 2 * ms},
-		"error":              {Error, 2 * ms},
-		"reset":              {Reset, 2 * ms},
-	} {
-		for _, upstreams := range []int{1, 4, 12} {
-			for _, x := range []struct {
-				class     string
-				balancers int
-			}{{"read", 2}, {"write", 2}, {"read", 300}, {"write", 300}} {
-				t.Run(fmt.Sprintf("%s, %d upstreams, %s, %d balancers", name, upstreams, x.class, x.balancers), func(t *testing.T) {
-					world := newFailingWorld(t, upstreams, x.balancers)
-					world.play(x.class, OK, 50*ms, every, 10*time.Second)
-					latency := failure.latency
-					if failure.status == Timeout {
-						latency = time.Second
-					}
-					pause := world.play(x.class, failure.status, latency, every, lasts)
-					if pause > longestPause {
-						t.Errorf("no attempt for %v while requests came every %v", pause, every)
-					}
-				})
-			}
-		}
+// A request with a short budget was once held past its deadline, since holds are looked at once a tick.
+func TestShortBudgetIsAnsweredInTime(t *testing.T) {
+	b, h := start(t, settings(), fleet(1))
+	b.endpoints[0].limit.pausedUntil = 2 * time.Hour
+	b.OnRequest(time.Hour, Request{ID: 1, Class: "write", Timeout: 10 * ms})
+	if h.count("refuse id=1") != 1 {
+		t.Errorf("not refused at once: %v", h.lines)
 	}
 }
 
-// failingWorld answers each attempt of a Balancer in the same way, in virtual time.
-type failingWorld struct {
-	balancer *Balancer
-	now      time.Duration
-	lastID   RequestID
-	pending  []pendingOutcome
+// Without a list, with an emptied one, and for a budget that is used up, the answer is true and comes at once or
+// within the budget.
+func TestNobodyToSendTo(t *testing.T) {
+	b, h := start(t, settings(), nil)
+	b.OnRequest(time.Hour, Request{ID: 1, Class: "write", Timeout: 0})
+	b.OnRequest(time.Hour, Request{ID: 2, Class: "write", Timeout: -time.Second})
+	b.OnRequest(time.Hour, Request{ID: 3, Class: "no such class", Timeout: time.Second})
+	if h.count("refuse") != 3 {
+		t.Errorf("not refused at once: %v", h.lines)
+	}
+	b.OnEndpointUpdate(time.Hour, UpdateComplete, fleet(4))
+	b.OnEndpointUpdate(time.Hour, UpdateComplete, nil)
+	b.OnRequest(time.Hour, Request{ID: 4, Class: "write", Timeout: time.Second})
+	for now := time.Hour; now < time.Hour+time.Second; now += 10 * ms {
+		b.OnTimer(now, tickToken)
+	}
+	b.OnClientDisconnected(time.Hour+time.Second, 77)
+	b.OnStreamStarted(time.Hour+time.Second, 77, 0)
+	b.OnAttemptResult(time.Hour+time.Second, AttemptResult{ID: 4, Attempt: -1})
+	if h.count("refuse id=4") != 1 || h.count("send") != 0 {
+		t.Errorf("with an emptied list: %v", h.lines)
+	}
 }
 
-type pendingOutcome struct {
-	at time.Duration
-	AttemptResult
+func TestHeldRequestsWaitForTheListAndMostWorthGoesFirst(t *testing.T) {
+	b, h := start(t, settings(), nil)
+	for i, class := range []string{"read", "write", "keyed"} {
+		b.OnRequest(time.Hour, Request{ID: RequestID(i + 1), Class: class, Timeout: time.Second})
+	}
+	b.OnEndpointUpdate(time.Hour+50*ms, UpdateComplete, fleet(8))
+	var order []string
+	for _, l := range h.lines {
+		if strings.HasPrefix(l, "send") {
+			order = append(order, strings.Fields(l)[1])
+		}
+	}
+	if strings.Join(order, " ") != "id=3 id=2 id=1" {
+		t.Errorf("sent in order %v", order)
+	}
 }
 
-func newFailingWorld(t *testing.T, upstreams, balancers int) *failingWorld {
+// A short class was once refused whenever no turn was free: the mean latency of all classes exceeded its aim, so
+// there never seemed to be time to hold it.
+func TestShortClassIsHeldByItsOwnLatency(t *testing.T) {
 	s := settings()
-	s.Balancers = balancers
-	b, _ := start(t, s, fleet(upstreams))
-	return &failingWorld{balancer: b, now: time.Hour}
+	s.Classes[2].LatencyObjective = 200 * ms
+	b, h := start(t, s, fleet(1))
+	for i := range 60 {
+		for j, c := range []struct {
+			class string
+			lat   time.Duration
+		}{{"read", 240 * ms}, {"write", 40 * ms}} {
+			now := time.Hour + time.Duration(2*i+j+1)*time.Second
+			id := RequestID(2*i + j + 1)
+			b.OnRequest(now, Request{ID: id, Class: c.class, Timeout: time.Second})
+			b.OnAttemptResult(now+c.lat, AttemptResult{ID: id, Endpoint: 1, Latency: c.lat, Status: OK, RequestClosed: true})
+		}
+	}
+	now := 2 * time.Hour
+	b.endpoints[0].limit.pausedUntil = now + time.Minute
+	b.OnRequest(now, Request{ID: 1000, Class: "write", Timeout: time.Second})
+	if r := b.requests[1000]; r == nil || !r.queued || r.workUnits > 0.5 {
+		t.Errorf("a request with five times its usual latency left to its aim was not held: %v", h.lines[len(h.lines)-1])
+	}
 }
 
-// play sends a request of a class every so often and ends each attempt with a status after a latency. It returns the longest
-// time without an attempt.
-func (w *failingWorld) play(class string, status Status, latency, every, lasts time.Duration) (longest time.Duration) {
-	b := w.balancer
-	attempts := map[*attempt]bool{}
-	for end, last := w.now+lasts, w.now; w.now < end; w.now += 5 * ms {
-		if w.now%every == 0 {
-			w.lastID++
-			b.OnRequest(w.now, Request{ID: w.lastID, Class: class, Timeout: time.Second})
+// In overload a third of all turns went to clients' later tries whose aim had passed before they were sent.
+func TestLaterTryWithoutTimeYieldsWhileTurnsAreShort(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		budget time.Duration // of 1 s; the aim is 300 ms
+		tight  bool
+		sent   bool
+	}{
+		{"first try", time.Second, true, true},
+		{"later try with time left", 950 * ms, true, true},
+		{"later try past the aim", 500 * ms, true, false},
+		{"later try past the aim, turns free", 500 * ms, false, true},
+	} {
+		b, h := start(t, settings(), fleet(4))
+		b.OnRequest(time.Hour, Request{ID: 1, Class: "write", Timeout: time.Second})
+		now := time.Hour + time.Second
+		if c.tight {
+			b.saturatedAt = now
+		}
+		b.OnRequest(now, Request{ID: 2, Class: "write", Timeout: c.budget})
+		if (h.count("send id=2") == 1) != c.sent || h.count("send id=2")+h.count("refuse id=2") != 1 {
+			t.Errorf("%s: %v", c.name, h.lines[len(h.lines)-1])
 		}
-		b.OnTimer(w.now, tickToken)
-		for _, u := range b.endpoints {
-			for _, a := range u.attempts {
-				if !attempts[a] {
-					attempts[a] = true
-					last = w.now
-					w.pending = append(w.pending, pendingOutcome{w.now + latency, AttemptResult{ID: a.request.ID, Endpoint: u.ID,
-						Attempt: slices.Index(a.request.attempts, a), Latency: latency, Status: status, RequestClosed: status == OK}})
-				}
+	}
+}
+
+// A refused client was told nothing, and came back at once to the same full turns.
+func TestRefusedClientIsToldWhenToComeBack(t *testing.T) {
+	for _, allowed := range []bool{true, false} {
+		s := settings()
+		s.Limits.AllowRetryAfter, s.Limits.MaxRetryAfter = allowed, time.Second
+		b, h := start(t, s, nil)
+		var advice time.Duration
+		h.hook = func(kind string, _ RequestID, _ EndpointID, d time.Duration, _ uint64) {
+			if kind == "refuse" {
+				advice = d
 			}
 		}
-		longest = max(longest, w.now-last)
-		for len(w.pending) > 0 && w.pending[0].at <= w.now {
-			o := w.pending[0]
-			w.pending = w.pending[1:]
-			b.OnAttemptResult(w.now, o.AttemptResult)
+		b.OnRequest(time.Hour, Request{ID: 1, Class: "read", Timeout: ms}) // too short to wait for anybody
+		if h.count("refuse") != 1 || (advice > 0) != allowed {
+			t.Errorf("allowed %v: advised %v by %v", allowed, advice, h.lines)
 		}
 	}
-	return longest
 }
--- a/balancer/host_test.go
+++ b/balancer/effects_test.go
@@ -41,39 +41,9 @@
 	return n
 }
 
-const ms = time.Millisecond
+// silentHost carries out nothing, for the benchmark.
+type silentHost struct{ Effects }
 
-// settings returns valid settings with one class of each repeat kind.
-func settings() Settings {
-	return Settings{
-		Zone: "near", Balancers: 2, OverQuotaFactor: 0.1, PriorityByWork: true, KeyAffinity: true,
-		Classes: []Class{
-			{Name: "read", LatencyObjective: 300 * ms, Deadline: time.Second, Idempotency: Idempotent, PriorityWeight: 1, LatePriorityFactor: 0.5},
-			{Name: "keyed", LatencyObjective: 300 * ms, Deadline: time.Second, Idempotency: IdempotentByKey, Scope: ScopeZone, IdempotencyWindow: 400 * ms, PriorityWeight: 3},
-			{Name: "write", LatencyObjective: 300 * ms, Deadline: time.Second, Idempotency: NonIdempotent, PriorityWeight: 2},
-		},
-		Tenants:      []Tenant{{Name: "big", Quota: 200}, {Name: "small", Quota: 20}},
-		Limits:       Limits{AllowCancel: true, AllowHealthChecks: true, MaxAttempts: 4},
-		Obligations:  Obligations{PollInterval: 10 * time.Second, SlowStartFrom: 0.3, SlowStartWindow: 9 * time.Second, OverloadMultiple: 3, OverloadWindow: 1500 * ms, DrainGrace: time.Second, AnswerSlack: 20 * ms},
-		Weights:      WeightNominal,
-		Reports:      ReportInResponses,
-		EventSpacing: 5 * ms,
-	}
-}
-
-// fleet returns n active upstreams, long started, in two zones and three cells.
-func fleet(n int) []Endpoint {
-	list := make([]Endpoint, n)
-	for i := range list {
-		list[i] = Endpoint{ID: EndpointID(i + 1), Zone: []string{"near", "far"}[i%2], Cell: i % 3, Weight: 1}
-	}
-	return list
-}
-
-// oneZone puts upstreams into the zone of settings, where shares alone decide.
-func oneZone(list []Endpoint) []Endpoint {
-	for i := range list {
-		list[i].Zone = "near"
-	}
-	return list
-}
+func (silentHost) Send(RequestID, EndpointID, time.Duration) {}
+func (silentHost) Reject(RequestID, time.Duration)           {}
+func (silentHost) SetTimer(time.Duration, uint64)            {}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"math"
-	"math/rand/v2"
 	"slices"
 	"testing"
 	"time"
@@ -155,136 +153,6 @@
 	}
 }
 
-// drive feeds random legal events for a while and returns the rules broken.
-func drive(t *testing.T, s Settings, seed uint64, origin time.Duration) (*checker, *recorder) {
-	t.Helper()
-	rng := rand.New(rand.NewPCG(seed, 1))
-	c := &checker{t: t, s: s, now: origin, requests: map[RequestID]*seen{}, list: map[EndpointID]Endpoint{}, goneAt: map[EndpointID]time.Duration{}, sent: map[EndpointID][]time.Duration{}}
-	h := &recorder{hook: c.action}
-	b, err := New(s, seed, c.now, h)
-	if err != nil {
-		t.Fatal(err)
-	}
-	c.members(b, UpdateCached, fleet(5))
-	next := RequestID(1)
-	for step := range 4000 {
-		c.now += 5 * ms
-		if step < 3600 && rng.IntN(3) > 0 {
-			c.request(b, rng, next)
-			next++
-		}
-		c.finishSome(b, rng)
-		if rng.IntN(60) == 0 {
-			c.change(b, rng)
-		}
-		c.fire(b)
-		c.overdue()
-	}
-	return c, h
-}
-
-func (c *checker) request(b *Balancer, rng *rand.Rand, id RequestID) {
-	cl := c.s.Classes[rng.IntN(len(c.s.Classes))]
-	budget := cl.Deadline // a first try; the others are later ones, or of impatient clients
-	if rng.IntN(2) == 0 {
-		budget = time.Duration(1+rng.Int64N(int64(cl.Deadline/ms))) * ms
-	}
-	if rng.IntN(40) == 0 {
-		budget = -time.Duration(rng.IntN(2)) * ms
-	}
-	r := &seen{id: id, class: cl, deadline: c.now + budget}
-	c.requests[id] = r
-	q := Request{ID: id, Class: cl.Name, Timeout: budget, CostHint: time.Duration(rng.IntN(90)) * ms,
-		Tenant: c.s.Tenants[rng.IntN(len(c.s.Tenants))].Name}
-	if rng.IntN(2) == 0 {
-		q.Key, q.HasKey = uint64(rng.IntN(20)), true
-	}
-	b.OnRequest(c.now, q)
-	if r.finals == 0 && rng.IntN(50) == 0 { // an impatient client
-		r.ended = c.now
-		b.OnClientDisconnected(c.now, id)
-	}
-}
-
-// finishSome ends attempts that are due, and some at random with any status.
-func (c *checker) finishSome(b *Balancer, rng *rand.Rand) {
-	for _, x := range slices.Clone(c.open) {
-		if x.end > c.now && rng.IntN(12) > 0 {
-			continue
-		}
-		if x.end > c.now {
-			x.status = []Status{OK, OK, OK, OK, Error, Rejected, ConnectFailed, Reset}[rng.IntN(8)]
-		}
-		x.over = true
-		c.open = slices.DeleteFunc(c.open, func(y *try) bool { return y == x })
-		r, load := x.r, LoadReport{}
-		if rng.IntN(2) == 0 {
-			load = LoadReport{Fields: HasUtilization, Utilization: rng.Float64()}
-		} else if rng.IntN(20) == 0 {
-			load = LoadReport{Fields: HasUtilization | HasInflight, Utilization: math.NaN(), Inflight: math.Inf(-1)}
-		}
-		closed := r.ended > 0 || r.finals > 0
-		if x.status == OK && !closed {
-			r.ended, r.finals, closed = c.now, r.finals+1, true
-		}
-		o := AttemptResult{ID: r.id, Endpoint: x.up.ID, Attempt: x.n, Latency: c.now - x.at, Status: x.status, RequestClosed: closed, Load: load}
-		b.OnAttemptResult(c.now, o)
-		if rng.IntN(20) == 0 { // told twice, which must be passed over
-			b.OnAttemptResult(c.now, o)
-		}
-	}
-}
-
-func (c *checker) members(b *Balancer, mode UpdateMode, list []Endpoint) {
-	for _, u := range list {
-		c.list[u.ID] = u
-		if delete(c.goneAt, u.ID); u.State != Active {
-			c.goneAt[u.ID] = c.now
-		}
-	}
-	if mode == UpdateComplete || mode == UpdateCached {
-		for id := range c.list {
-			_, told := c.goneAt[id]
-			if !told && !slices.ContainsFunc(list, func(u Endpoint) bool { return u.ID == id }) {
-				c.goneAt[id] = c.now
-			}
-		}
-	}
-	b.OnEndpointUpdate(c.now, mode, list)
-}
-
-func (c *checker) change(b *Balancer, rng *rand.Rand) {
-	list := fleet(8)
-	switch rng.IntN(6) {
-	case 0:
-		c.members(b, UpdateComplete, list[rng.IntN(9):])
-	case 1:
-		b.OnEndpointUpdate(c.now, UpdateFailed, nil)
-	default:
-		u := list[rng.IntN(8)]
-		u.State = EndpointState(rng.IntN(3))
-		if rng.IntN(2) == 0 {
-			u.State, u.StartedAt = Active, c.now-time.Duration(rng.IntN(3))*time.Second
-		}
-		if u.Weight = 1; rng.IntN(10) == 0 {
-			u.Weight = []float64{0, -1, math.NaN(), math.Inf(1)}[rng.IntN(4)]
-		}
-		c.members(b, UpdateDelta, []Endpoint{u, u})
-	}
-}
-
-func (c *checker) fire(b *Balancer) {
-	due := c.timers
-	c.timers = nil
-	for _, a := range due {
-		if a.at <= c.now {
-			b.OnTimer(c.now, a.token)
-		} else {
-			c.timers = append(c.timers, a)
-		}
-	}
-}
-
 // overdue finds requests that have had no final answer in time.
 func (c *checker) overdue() {
 	for id, r := range c.requests {
@@ -295,18 +163,6 @@
 	}
 }
 
-// variants are settings that ask the rules differently.
-func variants() map[string]Settings {
-	all, cell, copies, asked := settings(), settings(), settings(), settings()
-	all.Classes[1].Scope = ScopeAll
-	cell.Classes[1].Scope, cell.Limits.AllowHedging = ScopeCell, true
-	copies.Limits.AllowHedging, copies.Limits.AllowCancel, copies.KeyAffinity = true, false, false
-	asked.PollDiscovery, asked.Reports, asked.PriorityByWork = true, ReportInHealthChecks, false
-	many := settings()
-	many.Balancers, many.Rank, many.Limits.AllowHedging, many.Weights = 5, 4, true, WeightLive
-	return map[string]Settings{"zone": settings(), "all": all, "cell": cell, "copies": copies, "asked": asked, "many": many}
-}
-
 func TestRulesHoldOnRandomEvents(t *testing.T) {
 	for name, s := range variants() {
 		for seed := range uint64(12) {
@@ -320,81 +176,3 @@
 		}
 	}
 }
-
-func TestSameEventsSameActions(t *testing.T) {
-	renamed := settings()
-	for i, name := range []string{"x", "y", "z"} {
-		renamed.Classes[i].Name = name
-	}
-	renamed.Tenants[0].Name, renamed.Tenants[1].Name = "one", "two"
-	_, want := drive(t, settings(), 7, 10*time.Hour)
-	for _, c := range []struct {
-		name   string
-		s      Settings
-		origin time.Duration
-	}{
-		{"again", settings(), 10 * time.Hour},
-		{"clock shifted", settings(), 500 * time.Hour},
-		{"classes and tenants renamed", renamed, 10 * time.Hour},
-	} {
-		if _, got := drive(t, c.s, 7, c.origin); !slices.Equal(got.lines, want.lines) {
-			t.Errorf("%s: other actions", c.name)
-		}
-	}
-	if _, other := drive(t, settings(), 8, 10*time.Hour); slices.Equal(other.lines, want.lines) {
-		t.Error("another seed gave the same actions, so the comparison shows nothing")
-	}
-}
-
-// Instances share nothing, not even in one process: one fed in between leaves the other as it was.
-func TestInstancesApartOrTogether(t *testing.T) {
-	feed := func(b *Balancer, i int) {
-		now := time.Hour + time.Duration(i)*20*ms
-		b.OnRequest(now, Request{ID: RequestID(i + 1), Class: "write", Timeout: time.Second})
-		b.OnTimer(now, tickToken)
-	}
-	alone, wantLines := start(t, settings(), fleet(5))
-	for i := range 200 {
-		feed(alone, i)
-	}
-	one, lines := start(t, settings(), fleet(5))
-	two, _ := start(t, settings(), fleet(5))
-	for i := range 200 {
-		feed(two, i+1000)
-		feed(one, i)
-	}
-	if !slices.Equal(lines.lines, wantLines.lines) {
-		t.Error("an instance acted otherwise beside another")
-	}
-}
-
-func TestStateStaysBounded(t *testing.T) {
-	c, _ := drive(t, settings(), 3, 0)
-	b, err := New(settings(), 3, c.now, &recorder{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	now := c.now
-	for i := range 20000 {
-		now += 5 * ms
-		if i%10 == 0 {
-			list := fleet(4)
-			for j := range list {
-				list[j].ID += EndpointID(i)
-			}
-			b.OnEndpointUpdate(now, UpdateComplete, list)
-		}
-		id := RequestID(i + 1)
-		b.OnRequest(now, Request{ID: id, Class: "read", Timeout: 100 * ms, Key: uint64(i), HasKey: true})
-		if r := b.requests[id]; r != nil && r.inFlight > 0 {
-			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: r.attempts[0].endpoint.ID, Latency: 10 * ms, Status: OK, RequestClosed: true})
-		}
-		if i%20 == 0 {
-			b.OnTimer(now, tickToken)
-		}
-	}
-	b.OnTimer(now+2*time.Second, tickToken)
-	if len(b.requests)+len(b.queue) > 0 || len(b.endpoints) != 4 || len(b.byID) != 4 {
-		t.Errorf("kept %d requests, %d held, %d upstreams", len(b.requests), len(b.queue), len(b.endpoints))
-	}
-}
--- /dev/null
+++ b/balancer/zonehealth_test.go
@@ -0,0 +1,219 @@
+package balancer
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// A zone that answers everything at once with an error once drew traffic without end. It is left but for trials, the rest
+// are not; when it answers well it comes back by steps, and in the end has its part again.
+func TestBlackHoleIsLeftAndComesBack(t *testing.T) {
+	s := settings()
+	s.Zone = "d"
+	b, _ := start(t, s, four(4))
+	well := map[string]Status{"near": OK, "b": OK, "c": OK, "d": OK}
+	now, before := answered(b, time.Hour, 1, 400, well)
+	hole := map[string]Status{"near": OK, "b": Error, "c": OK, "d": OK}
+	now, _ = answered(b, now, 1000, 400, hole)
+	now, got := answered(b, now, 2000, 400, hole)
+	if z := b.zoneNamed("b"); !z.health.ejected || got["b"] > 20 {
+		t.Errorf("a zone of errors got %d of %v attempts, failed %v", got["b"], got, z.health.ejected)
+	}
+	states := map[string]ZoneState{}
+	for _, z := range b.ZoneStatuses(now) {
+		states[z.Name] = z.State
+	}
+	if states["b"] != ZoneFailed || states["c"] != ZoneHealthy {
+		t.Errorf("zones are told as %v", states)
+	}
+	for _, name := range []string{"near", "c", "d"} {
+		if b.zoneNamed(name).health.ejected {
+			t.Errorf("zone %s was left too", name)
+		}
+	}
+	now, _ = answered(b, now, 3000, 1500, well)
+	if z := b.zoneNamed("b"); z.health.ejected || z.health.recoveredShare < 1 {
+		t.Errorf("after 30 s of good answers: failed %v, %v of its share", z.health.ejected, z.health.recoveredShare)
+	}
+	if _, after := answered(b, now, 5000, 400, well); after["b"] < before["b"]/2 {
+		t.Errorf("%d of 400 attempts before, %d after", before["b"], after["b"])
+	}
+}
+
+// Where every zone is sick alike the fault may be this balancer's own link: nobody is left. Nor is one whose loss the
+// others could not bear, nor one with a single bad rack.
+func TestZonesAreNotLeftLightly(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		list []Endpoint
+		sick func(u *endpoint) bool
+	}{
+		{"all alike", four(4), func(u *endpoint) bool { return u.ID%4 != 0 }},
+		{"others somewhat less", four(4), func(u *endpoint) bool { return u.Zone == "b" || u.ID%2 == 0 }},
+		{"the greater part of the fleet", sited(map[string]int{"near": 2, "b": 8}, "near", "b"), func(u *endpoint) bool { return u.Zone == "b" }},
+		{"one bad rack of four", four(4), func(u *endpoint) bool { return u.Zone == "b" && u.ID%4 == 0 }},
+		{"a lone upstream", four(1), func(u *endpoint) bool { return u.Zone == "b" }},
+	} {
+		b, _ := start(t, settings(), c.list)
+		for _, u := range b.endpoints {
+			if c.sick(u) {
+				u.outlier.errorRate = 1
+			}
+		}
+		b.updateZoneHealth(time.Hour)
+		for _, z := range b.zones {
+			if z.health.ejected {
+				t.Errorf("%s: zone %s was left", c.name, z.name)
+			}
+		}
+	}
+}
+
+// Several upstreams of one zone that owe at once, while the rest answers, are silent long before each would count as such
+// alone; two of them, or some everywhere, are not.
+func TestZoneFallsSilentJointly(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		owes func(u *endpoint) bool
+		want bool
+	}{
+		{"a zone", func(u *endpoint) bool { return u.Zone == "b" }, true},
+		{"most of it, and nothing is heard of the last", func(u *endpoint) bool { return u.Zone == "b" && u.ID != 5 }, true},
+		{"two of it", func(u *endpoint) bool { return u.ID == 5 || u.ID == 6 }, false},
+		{"half of every zone", func(u *endpoint) bool { return u.ID%4 > 1 }, false},
+		{"a zone, beside others whose answers are late", func(u *endpoint) bool { return u.Zone == "b" }, false},
+	} {
+		b, _ := start(t, settings(), four(4))
+		now := time.Hour
+		for i, u := range b.endpoints {
+			u.latency.mean, u.latency.deviation, u.latency.workUnits = float64(100*ms), float64(20*ms), 1
+			if u.outlier.respondedAt = now; u.ID == 5 && !c.owes(u) && c.want {
+				u.outlier.respondedAt = 0 // idle for long
+			}
+			if u.latency.baseline, u.latency.smoothed = 1, 1; strings.Contains(c.name, "late") {
+				u.latency.smoothed = 2
+			}
+			if c.owes(u) {
+				id := RequestID(i + 1)
+				r := &request{Request: Request{ID: id, Timeout: time.Second}, class: b.classes["read"], workUnits: 1, deadline: now + time.Second}
+				b.requests[id] = r
+				b.startAttempt(r, u, now)
+			}
+		}
+		now += 200 * ms // the patience with one alone is over 350 ms
+		for _, u := range b.endpoints {
+			if !c.owes(u) && u.outlier.respondedAt > 0 {
+				u.outlier.respondedAt = now
+			}
+		}
+		b.latency = float64(100 * ms)
+		b.updateZoneHealth(now)
+		if z := b.zoneNamed("b"); z.health.ejected != c.want {
+			t.Errorf("%s owe answers for twice the usual time: failed %v, want %v", c.name, z.health.ejected, c.want)
+		}
+		for _, name := range []string{"near", "c", "d"} {
+			if b.zoneNamed(name).health.ejected {
+				t.Errorf("%s: zone %s was left", c.name, name)
+			}
+		}
+	}
+}
+
+// A balancer that brings a zone little hears two errors of each of its upstreams long before five of any.
+func TestErrorsOfAZoneCountTogether(t *testing.T) {
+	b, _ := start(t, settings(), four(6))
+	now, id := time.Hour, RequestID(1)
+	for i := range 12 {
+		u := b.endpoints[6+i%6]
+		r := &request{Request: Request{ID: id, Timeout: time.Second}, class: b.classes["read"], workUnits: 1, deadline: now + time.Second}
+		b.requests[id] = r
+		b.startAttempt(r, u, now)
+		b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: u.ID, Latency: ms, Status: Error, RequestClosed: true})
+		id++
+		now += 10 * ms
+		b.updateZoneHealth(now)
+		if z := b.zoneNamed("b"); z.health.ejected != (i >= 10) { // three quarters of six
+			t.Fatalf("after %d errors over all 6: failed %v", i+1, z.health.ejected)
+		}
+	}
+}
+
+// Two upstreams of four that fail everything at once draw most of a zone's requests. The zone is not left for that: the
+// other two answer in between.
+func TestTwoBadRacksAreNoZone(t *testing.T) {
+	b, _ := start(t, settings(), four(4))
+	now := time.Hour
+	for i := range 600 {
+		u := b.endpoints[4+i%2]
+		if i%15 == 14 {
+			u = b.endpoints[6+i%2]
+		}
+		id := RequestID(i + 1)
+		r := &request{Request: Request{ID: id, Timeout: time.Second}, class: b.classes["read"], workUnits: 1, deadline: now + time.Second}
+		b.requests[id] = r
+		b.startAttempt(r, u, now)
+		status := OK
+		if u.ID <= 6 || i%300 == 299 { // the good ones fail now and then, too
+			status = Error
+		}
+		b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: u.ID, Latency: ms, Status: status, RequestClosed: true})
+		now += 10 * ms
+		if b.updateZoneHealth(now); b.zoneNamed("b").health.ejected {
+			t.Fatalf("the zone was left after %d answers", i+1)
+		}
+	}
+}
+
+// Whatever happens to upstreams, no zone goes from failed to its whole share without each step, a failed one gets one
+// attempt at a time, and those that are not failed keep the floor.
+func TestZoneHealthGoesByItsSteps(t *testing.T) {
+	names := []string{"near", "b", "c", "d"}
+	rapid.Check(t, func(rt *rapid.T) {
+		b, _ := start(t, settings(), four(3))
+		now, id := time.Hour, RequestID(1)
+		back, failed, since := map[string]float64{}, map[string]bool{}, map[string]time.Duration{}
+		for _, z := range names {
+			back[z] = 1
+		}
+		for range rapid.IntRange(1, 30).Draw(rt, "events") {
+			of := map[string]Status{}
+			for _, z := range names {
+				of[z] = rapid.SampledFrom([]Status{OK, OK, Error, Reset, ConnectFailed, Rejected}).Draw(rt, z)
+			}
+			if rapid.Bool().Draw(rt, "a period") {
+				now = periods(b, now, 1, map[string]float64{"near": 0.3, "b": 0.3, "c": 0.3, "d": 0.3})
+			}
+			for range rapid.IntRange(1, 60).Draw(rt, "requests") {
+				now, _ = answered(b, now, id, 1, of)
+				id++
+				for _, z := range b.zones {
+					if !z.health.ejected && failed[z.name] && z.health.recoveredShare > recoveryStep {
+						rt.Fatalf("%s has %v of its share as it returns", z.name, z.health.recoveredShare)
+					} else if !z.health.ejected && z.health.recoveredShare > back[z.name]+recoveryStep+1e-9 {
+						rt.Fatalf("%s went from %v to %v of its share", z.name, back[z.name], z.health.recoveredShare)
+					} else if z.health.ejected && !failed[z.name] && b.weightOutside(z) < minRemainingCapacity*12 {
+						rt.Fatalf("%s was left, and only %v of 12 is well elsewhere", z.name, b.weightOutside(z))
+					}
+					out := 0
+					for _, u := range b.endpoints {
+						for _, a := range u.attempts {
+							if u.zone == z && a.sentAt > since[z.name] {
+								out++
+							}
+						}
+					}
+					if z.health.ejected && !failed[z.name] {
+						since[z.name] = now
+					}
+					if z.health.ejected && failed[z.name] && out > 1 {
+						rt.Fatalf("%s is failed and has %d attempts out", z.name, out)
+					}
+					back[z.name], failed[z.name] = z.health.recoveredShare, z.health.ejected
+				}
+			}
+		}
+	})
+}
