--- a/balancer/actions_test.go
+++ b/balancer/actions_test.go
@@ -22,189 +22,189 @@
 )
 
 // happening is one event of a drawn stream. Which of its values count depends on the kind.
-type happening struct {
-	kind  string
-	after time.Duration // since the one before
-	pick  int           // which upstream, attempt, zone, class
-	span  time.Duration
-	share float64
-	flag  bool
+type streamEvent struct {
+	kind     string
+	after    time.Duration // since the one before
+	pick     int           // which upstream, attempt, zone, class
+	duration time.Duration
+	fraction float64
+	flag     bool
 }
 
 // kinds is every event of the module, and its restart from a snapshot. Those that a service sees often stand more often.
-var kinds = []string{"request", "request", "request", "request", "outcome", "outcome", "outcome", "outcome", "timers", "timers",
+var eventKinds = []string{"request", "request", "request", "request", "outcome", "outcome", "outcome", "outcome", "timers", "timers",
 	"timers", "members", "written", "started", "gone", "probed", "fleet", "leave zone", "return zone", "restart", "list failed"}
 
 // happenings draws a stream.
-var happenings = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) happening {
-	return happening{
-		kind:  rapid.SampledFrom(kinds).Draw(t, "kind"),
-		after: time.Duration(rapid.IntRange(0, 40).Draw(t, "after")) * ms,
-		pick:  rapid.IntRange(0, 1000).Draw(t, "pick"),
-		span:  time.Duration(rapid.IntRange(0, 1200).Draw(t, "span")) * ms,
-		share: rapid.Float64Range(0, 1).Draw(t, "share"),
-		flag:  rapid.Bool().Draw(t, "flag"),
+var eventStretch = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) streamEvent {
+	return streamEvent{
+		kind:     rapid.SampledFrom(eventKinds).Draw(t, "kind"),
+		after:    time.Duration(rapid.IntRange(0, 40).Draw(t, "after")) * ms,
+		pick:     rapid.IntRange(0, 1000).Draw(t, "pick"),
+		duration: time.Duration(rapid.IntRange(0, 1200).Draw(t, "span")) * ms,
+		fraction: rapid.Float64Range(0, 1).Draw(t, "share"),
+		flag:     rapid.Bool().Draw(t, "flag"),
 	}
 }), 400, 400)
 
 // stream plays happenings on a Balancer.
 type stream struct {
-	t        *testing.T
-	settings Settings
-	seed     uint64
-	host     *recorder
-	balancer *Balancer
-	now      time.Duration
-	last     RequestID
-	out      []streamAttempt // attempts whose outcome is still to come
-	timers   []alarm
-	list     []Endpoint
+	t         *testing.T
+	settings  Settings
+	seed      uint64
+	effects   *recorder
+	balancer  *Balancer
+	now       time.Duration
+	lastID    RequestID
+	inFlight  []streamAttempt // attempts whose outcome is still to come
+	timers    []pendingTimer
+	endpoints []Endpoint
 }
 
 type streamAttempt struct {
-	id RequestID
-	up EndpointID
-	n  int
-	at time.Duration
+	id       RequestID
+	endpoint EndpointID
+	index    int
+	sentAt   time.Duration
 }
 
 func newStream(t *testing.T, s Settings, seed uint64) *stream {
 	t.Helper()
-	x := &stream{t: t, settings: s, seed: seed, now: time.Hour, list: fleet(9)}
-	x.begin()
-	x.balancer.OnEndpointUpdate(x.now, UpdateComplete, x.list)
+	x := &stream{t: t, settings: s, seed: seed, now: time.Hour, endpoints: fleet(9)}
+	x.startBalancer()
+	x.balancer.OnEndpointUpdate(x.now, UpdateComplete, x.endpoints)
 	return x
 }
 
 // begin starts a Balancer in place of the one before, whose attempts and timers are gone.
-func (x *stream) begin() {
-	x.t.Helper()
+func (s *stream) startBalancer() {
+	s.t.Helper()
 	attempts := map[RequestID]int{}
 	lines := []string(nil)
-	if x.host != nil {
-		lines = x.host.lines
+	if s.effects != nil {
+		lines = s.effects.calls
 	}
-	x.out, x.timers = nil, nil
-	x.host = &recorder{lines: lines, hook: func(kind string, id RequestID, up EndpointID, d time.Duration, n uint64) {
+	s.inFlight, s.timers = nil, nil
+	s.effects = &recorder{calls: lines, hook: func(kind string, id RequestID, up EndpointID, d time.Duration, n uint64) {
 		switch kind {
 		case "send":
-			x.out = append(x.out, streamAttempt{id, up, attempts[id], x.now})
+			s.inFlight = append(s.inFlight, streamAttempt{id, up, attempts[id], s.now})
 			attempts[id]++
 		case "timer":
-			x.timers = append(x.timers, alarm{x.now + max(d, ms), n})
+			s.timers = append(s.timers, pendingTimer{s.now + max(d, ms), n})
 		}
 	}}
-	b, err := New(x.settings, x.seed, x.now, x.host)
+	b, err := New(s.settings, s.seed, s.now, s.effects)
 	if err != nil {
-		x.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	x.balancer = b
+	s.balancer = b
 }
 
-func (x *stream) play(h happening) {
-	x.now += h.after
-	b := x.balancer
-	switch h.kind {
+func (s *stream) apply(event streamEvent) {
+	s.now += event.after
+	b := s.balancer
+	switch event.kind {
 	case "request":
-		x.request(h)
+		s.sendRequest(event)
 	case "outcome":
-		x.outcome(h)
+		s.endAttempt(event)
 	case "timers":
-		due := x.timers
-		x.timers = nil
+		due := s.timers
+		s.timers = nil
 		for _, a := range due {
-			if a.at <= x.now {
-				b.OnTimer(x.now, a.token)
+			if a.at <= s.now {
+				b.OnTimer(s.now, a.token)
 			} else {
-				x.timers = append(x.timers, a)
+				s.timers = append(s.timers, a)
 			}
 		}
 	case "members":
-		x.members(h)
+		s.changeEndpoints(event)
 	case "list failed":
-		b.OnEndpointUpdate(x.now, UpdateFailed, nil)
+		b.OnEndpointUpdate(s.now, UpdateFailed, nil)
 	case "written":
-		if a, ok := x.attempt(h); ok {
-			b.OnBodySent(x.now, a.id, a.n)
+		if a, ok := s.pickAttempt(event); ok {
+			b.OnBodySent(s.now, a.id, a.index)
 		}
 	case "started":
-		if a, ok := x.attempt(h); ok {
-			b.OnStreamStarted(x.now, a.id, a.n)
+		if a, ok := s.pickAttempt(event); ok {
+			b.OnStreamStarted(s.now, a.id, a.index)
 		}
 	case "gone":
-		b.OnClientDisconnected(x.now, x.last-RequestID(h.pick%5))
+		b.OnClientDisconnected(s.now, s.lastID-RequestID(event.pick%5))
 	case "probed":
-		b.OnHealthCheckResult(x.now, HealthCheckResult{Endpoint: EndpointID(h.pick%9 + 1), Latency: h.span, Load: LoadReport{Fields: HasUtilization | HasQueue, Utilization: h.share, Queue: float64(h.pick % 3)}})
+		b.OnHealthCheckResult(s.now, HealthCheckResult{Endpoint: EndpointID(event.pick%9 + 1), Latency: event.duration, Load: LoadReport{Fields: HasUtilization | HasQueue, Utilization: event.fraction, Queue: float64(event.pick % 3)}})
 	case "fleet":
-		b.OnFleetSizeChanged(x.now, FleetSize{Balancers: 1 + h.pick%7, Rank: h.pick % 3, MaxBalancers: 1 + h.pick%9})
+		b.OnFleetSizeChanged(s.now, FleetSize{Balancers: 1 + event.pick%7, Rank: event.pick % 3, MaxBalancers: 1 + event.pick%9})
 	case "leave zone":
-		x.host.note(fmt.Sprintf("left %t", b.DrainZone(x.now, []string{"near", "far"}[h.pick%2])), 0, 0, 0, 0)
+		s.effects.record(fmt.Sprintf("left %t", b.DrainZone(s.now, []string{"near", "far"}[event.pick%2])), 0, 0, 0, 0)
 	case "return zone":
-		x.host.note(fmt.Sprintf("returned %t", b.ReinstateZone(x.now, []string{"near", "far"}[h.pick%2])), 0, 0, 0, 0)
+		s.effects.record(fmt.Sprintf("returned %t", b.ReinstateZone(s.now, []string{"near", "far"}[event.pick%2])), 0, 0, 0, 0)
 	case "restart":
-		if h.pick%8 > 0 { // seldom
+		if event.pick%8 > 0 { // seldom
 			return
 		}
-		known := b.TakeSnapshot(x.now)
-		x.now += h.span * 100
-		x.begin()
-		x.balancer.OnEndpointUpdate(x.now, UpdateCached, x.list)
-		x.balancer.Restore(x.now, known)
+		known := b.TakeSnapshot(s.now)
+		s.now += event.duration * 100
+		s.startBalancer()
+		s.balancer.OnEndpointUpdate(s.now, UpdateCached, s.endpoints)
+		s.balancer.Restore(s.now, known)
 	default:
-		x.t.Fatalf("no event is called %q", h.kind)
+		s.t.Fatalf("no event is called %q", event.kind)
 	}
 }
 
-func (x *stream) request(h happening) {
-	x.last++
-	class := x.settings.Classes[h.pick%len(x.settings.Classes)]
-	r := Request{ID: x.last, Timeout: class.Deadline, Class: class.Name, CostHint: time.Duration(h.pick%90) * ms,
-		Tenant: x.settings.Tenants[h.pick%len(x.settings.Tenants)].Name, Key: uint64(h.pick % 20), HasKey: h.flag}
-	if h.share < 0.2 {
-		r.Timeout, r.Retry = h.span, true
+func (s *stream) sendRequest(event streamEvent) {
+	s.lastID++
+	class := s.settings.Classes[event.pick%len(s.settings.Classes)]
+	r := Request{ID: s.lastID, Timeout: class.Deadline, Class: class.Name, CostHint: time.Duration(event.pick%90) * ms,
+		Tenant: s.settings.Tenants[event.pick%len(s.settings.Tenants)].Name, Key: uint64(event.pick % 20), HasKey: event.flag}
+	if event.fraction < 0.2 {
+		r.Timeout, r.Retry = event.duration, true
 	}
-	r.Upload = h.share > 0.9
-	x.balancer.OnRequest(x.now, r)
+	r.Upload = event.fraction > 0.9
+	s.balancer.OnRequest(s.now, r)
 }
 
 // attempt is one that is out.
-func (x *stream) attempt(h happening) (streamAttempt, bool) {
-	if len(x.out) == 0 {
+func (s *stream) pickAttempt(event streamEvent) (streamAttempt, bool) {
+	if len(s.inFlight) == 0 {
 		return streamAttempt{}, false
 	}
-	return x.out[h.pick%len(x.out)], true
+	return s.inFlight[event.pick%len(s.inFlight)], true
 }
 
-func (x *stream) outcome(h happening) {
-	a, ok := x.attempt(h)
+func (s *stream) endAttempt(event streamEvent) {
+	a, ok := s.pickAttempt(event)
 	if !ok {
 		return
 	}
-	x.out = slices.DeleteFunc(x.out, func(y streamAttempt) bool { return y == a })
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(y streamAttempt) bool { return y == a })
 	statuses := []Status{OK, OK, OK, OK, OK, OK, OK, OK, Error, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent}
-	o := AttemptResult{ID: a.id, Endpoint: a.up, Attempt: a.n, Latency: x.now - a.at, Status: statuses[h.pick%len(statuses)], BodyConsumed: h.flag && h.share > 0.8}
-	if h.flag {
-		o.Load = LoadReport{Fields: HasUtilization | HasInflight | HasQueue, Utilization: h.share, Inflight: float64(h.pick % 20), Queue: math.Floor(h.share * 3)}
+	o := AttemptResult{ID: a.id, Endpoint: a.endpoint, Attempt: a.index, Latency: s.now - a.sentAt, Status: statuses[event.pick%len(statuses)], BodyConsumed: event.flag && event.fraction > 0.8}
+	if event.flag {
+		o.Load = LoadReport{Fields: HasUtilization | HasInflight | HasQueue, Utilization: event.fraction, Inflight: float64(event.pick % 20), Queue: math.Floor(event.fraction * 3)}
 	}
-	x.balancer.OnAttemptResult(x.now, o)
+	s.balancer.OnAttemptResult(s.now, o)
 }
 
-func (x *stream) members(h happening) {
-	at := h.pick % len(x.list)
+func (s *stream) changeEndpoints(event streamEvent) {
+	at := event.pick % len(s.endpoints)
 	switch {
-	case h.share < 0.3:
-		x.list[at].State = Draining
-	case h.share < 0.5:
-		x.list[at].State = Removed
-	case h.share < 0.8:
-		x.list[at].State, x.list[at].StartedAt = Active, x.now-h.span
+	case event.fraction < 0.3:
+		s.endpoints[at].State = Draining
+	case event.fraction < 0.5:
+		s.endpoints[at].State = Removed
+	case event.fraction < 0.8:
+		s.endpoints[at].State, s.endpoints[at].StartedAt = Active, s.now-event.duration
 	default:
-		x.list[at].State, x.list[at].Weight = Active, 0.5+h.share
+		s.endpoints[at].State, s.endpoints[at].Weight = Active, 0.5+event.fraction
 	}
-	if h.flag {
-		x.balancer.OnEndpointUpdate(x.now, UpdateDelta, x.list[at:at+1])
+	if event.flag {
+		s.balancer.OnEndpointUpdate(s.now, UpdateDelta, s.endpoints[at:at+1])
 	} else {
-		x.balancer.OnEndpointUpdate(x.now, UpdateComplete, x.list)
+		s.balancer.OnEndpointUpdate(s.now, UpdateComplete, s.endpoints)
 	}
 }
 
@@ -212,7 +212,7 @@
 // the settings. A change that means to decide otherwise renews the file (go test . -run TestActionsAreAsRecorded
 // -renew-actions) and says so in its commit; so does a new version of rapid that draws otherwise.
 func TestActionsAreAsRecorded(t *testing.T) {
-	all := variants()
+	all := settingsVariants()
 	names := make([]string, 0, len(all))
 	for name := range all {
 		names = append(names, name)
@@ -223,12 +223,12 @@
 		name := names[seed%len(names)]
 		x := newStream(t, all[name], uint64(seed))
 		for range 4 { // one draw is a stretch of the stream
-			for _, h := range happenings.Example(seed) {
-				x.play(h)
+			for _, effects := range eventStretch.Example(seed) {
+				x.apply(effects)
 			}
 		}
 		sum, actions := fnv.New64a(), 0
-		for _, line := range x.host.lines {
+		for _, line := range x.effects.calls {
 			if !strings.HasPrefix(line, "log: ") { // what a log line says decides nothing
 				fmt.Fprintln(sum, line)
 				actions++
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -7,24 +7,24 @@
 )
 
 // A request with a short budget was once held past its deadline, since holds are looked at once a tick.
-func TestShortBudgetIsAnsweredInTime(t *testing.T) {
-	b, h := start(t, settings(), fleet(1))
+func TestShortTimeoutIsRejectedImmediately(t *testing.T) {
+	b, effects := newTestBalancer(t, testSettings(), fleet(1))
 	b.endpoints[0].limit.pausedUntil = 2 * time.Hour
 	b.OnRequest(time.Hour, Request{ID: 1, Class: "write", Timeout: 10 * ms})
-	if h.count("refuse id=1") != 1 {
-		t.Errorf("not refused at once: %v", h.lines)
+	if effects.count("refuse id=1") != 1 {
+		t.Errorf("not refused at once: %v", effects.calls)
 	}
 }
 
 // Without a list, with an emptied one, and for a budget that is used up, the answer is true and comes at once or
 // within the budget.
-func TestNobodyToSendTo(t *testing.T) {
-	b, h := start(t, settings(), nil)
+func TestRequestsWithoutEndpointsAreRejected(t *testing.T) {
+	b, effects := newTestBalancer(t, testSettings(), nil)
 	b.OnRequest(time.Hour, Request{ID: 1, Class: "write", Timeout: 0})
 	b.OnRequest(time.Hour, Request{ID: 2, Class: "write", Timeout: -time.Second})
 	b.OnRequest(time.Hour, Request{ID: 3, Class: "no such class", Timeout: time.Second})
-	if h.count("refuse") != 3 {
-		t.Errorf("not refused at once: %v", h.lines)
+	if effects.count("refuse") != 3 {
+		t.Errorf("not refused at once: %v", effects.calls)
 	}
 	b.OnEndpointUpdate(time.Hour, UpdateComplete, fleet(4))
 	b.OnEndpointUpdate(time.Hour, UpdateComplete, nil)
@@ -35,19 +35,19 @@
 	b.OnClientDisconnected(time.Hour+time.Second, 77)
 	b.OnStreamStarted(time.Hour+time.Second, 77, 0)
 	b.OnAttemptResult(time.Hour+time.Second, AttemptResult{ID: 4, Attempt: -1})
-	if h.count("refuse id=4") != 1 || h.count("send") != 0 {
-		t.Errorf("with an emptied list: %v", h.lines)
+	if effects.count("refuse id=4") != 1 || effects.count("send") != 0 {
+		t.Errorf("with an emptied list: %v", effects.calls)
 	}
 }
 
-func TestHeldRequestsWaitForTheListAndMostWorthGoesFirst(t *testing.T) {
-	b, h := start(t, settings(), nil)
+func TestQueuedRequestsAreSentByPriorityOnceEndpointsAreKnown(t *testing.T) {
+	b, effects := newTestBalancer(t, testSettings(), nil)
 	for i, class := range []string{"read", "write", "keyed"} {
 		b.OnRequest(time.Hour, Request{ID: RequestID(i + 1), Class: class, Timeout: time.Second})
 	}
 	b.OnEndpointUpdate(time.Hour+50*ms, UpdateComplete, fleet(8))
 	var order []string
-	for _, l := range h.lines {
+	for _, l := range effects.calls {
 		if strings.HasPrefix(l, "send") {
 			order = append(order, strings.Fields(l)[1])
 		}
@@ -59,10 +59,10 @@
 
 // A short class was once refused whenever no turn was free: the mean latency of all classes exceeded its aim, so
 // there never seemed to be time to hold it.
-func TestShortClassIsHeldByItsOwnLatency(t *testing.T) {
-	s := settings()
+func TestQueueingGoesByTheLatencyOfTheClass(t *testing.T) {
+	s := testSettings()
 	s.Classes[2].LatencyObjective = 200 * ms
-	b, h := start(t, s, fleet(1))
+	b, effects := newTestBalancer(t, s, fleet(1))
 	for i := range 60 {
 		for j, c := range []struct {
 			class string
@@ -78,12 +78,12 @@
 	b.endpoints[0].limit.pausedUntil = now + time.Minute
 	b.OnRequest(now, Request{ID: 1000, Class: "write", Timeout: time.Second})
 	if r := b.requests[1000]; r == nil || !r.queued || r.workUnits > 0.5 {
-		t.Errorf("a request with five times its usual latency left to its aim was not held: %v", h.lines[len(h.lines)-1])
+		t.Errorf("a request with five times its usual latency left to its aim was not held: %v", effects.calls[len(effects.calls)-1])
 	}
 }
 
 // In overload a third of all turns went to clients' later tries whose aim had passed before they were sent.
-func TestLaterTryWithoutTimeYieldsWhileTurnsAreShort(t *testing.T) {
+func TestLateRetryIsRejectedWhileSaturated(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		budget time.Duration // of 1 s; the aim is 300 ms
@@ -95,34 +95,34 @@
 		{"later try past the aim", 500 * ms, true, false},
 		{"later try past the aim, turns free", 500 * ms, false, true},
 	} {
-		b, h := start(t, settings(), fleet(4))
+		b, effects := newTestBalancer(t, testSettings(), fleet(4))
 		b.OnRequest(time.Hour, Request{ID: 1, Class: "write", Timeout: time.Second})
 		now := time.Hour + time.Second
 		if c.tight {
 			b.saturatedAt = now
 		}
 		b.OnRequest(now, Request{ID: 2, Class: "write", Timeout: c.budget})
-		if (h.count("send id=2") == 1) != c.sent || h.count("send id=2")+h.count("refuse id=2") != 1 {
-			t.Errorf("%s: %v", c.name, h.lines[len(h.lines)-1])
+		if (effects.count("send id=2") == 1) != c.sent || effects.count("send id=2")+effects.count("refuse id=2") != 1 {
+			t.Errorf("%s: %v", c.name, effects.calls[len(effects.calls)-1])
 		}
 	}
 }
 
 // A refused client was told nothing, and came back at once to the same full turns.
-func TestRefusedClientIsToldWhenToComeBack(t *testing.T) {
+func TestRejectionCarriesRetryAfterWhereAllowed(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
-		s := settings()
+		s := testSettings()
 		s.Limits.AllowRetryAfter, s.Limits.MaxRetryAfter = allowed, time.Second
-		b, h := start(t, s, nil)
+		b, effects := newTestBalancer(t, s, nil)
 		var advice time.Duration
-		h.hook = func(kind string, _ RequestID, _ EndpointID, d time.Duration, _ uint64) {
+		effects.hook = func(kind string, _ RequestID, _ EndpointID, d time.Duration, _ uint64) {
 			if kind == "refuse" {
 				advice = d
 			}
 		}
 		b.OnRequest(time.Hour, Request{ID: 1, Class: "read", Timeout: ms}) // too short to wait for anybody
-		if h.count("refuse") != 1 || (advice > 0) != allowed {
-			t.Errorf("allowed %v: advised %v by %v", allowed, advice, h.lines)
+		if effects.count("refuse") != 1 || (advice > 0) != allowed {
+			t.Errorf("allowed %v: advised %v by %v", allowed, advice, effects.calls)
 		}
 	}
 }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -45,13 +45,13 @@
 }
 
 // Odd figures from owners are passed over; a mean that took one in would stay poisoned.
-func TestOddFiguresPoisonNothing(t *testing.T) {
+func TestInvalidValuesFromOwnerAreIgnored(t *testing.T) {
 	odd := []float64{math.NaN(), math.Inf(1), math.Inf(-1), -3, 0, math.MaxFloat64}
 	list := fleet(len(odd))
 	for i := range list {
 		list[i].Weight = odd[i]
 	}
-	b, h := start(t, settings(), append(list, list[0], Endpoint{ID: 99, State: Removed, Weight: 1}))
+	b, effects := newTestBalancer(t, testSettings(), append(list, list[0], Endpoint{ID: 99, State: Removed, Weight: 1}))
 	now := time.Hour
 	for i := range 400 {
 		now += 20 * ms
@@ -68,44 +68,44 @@
 		b.OnTimer(now, tickToken)
 		b.OnTimer(now, 12345)
 	}
-	for _, u := range b.endpoints {
-		for name, x := range map[string]float64{"mean": u.utilization.mean, "dev": u.utilization.deviation, "weight": u.weight, "latency": u.latency.mean,
-			"bound": u.limit.current, "due": u.nextTurn, "area": u.utilization.area, "factor": u.shareFactor} {
+	for _, e := range b.endpoints {
+		for name, x := range map[string]float64{"mean": e.utilization.mean, "dev": e.utilization.deviation, "weight": e.weight, "latency": e.latency.mean,
+			"bound": e.limit.current, "due": e.nextTurn, "area": e.utilization.area, "factor": e.shareFactor} {
 			if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
-				t.Errorf("upstream %d: %s is %v", u.ID, name, x)
+				t.Errorf("upstream %d: %s is %v", e.ID, name, x)
 			}
 		}
 	}
-	if h.count("send") < 300 || h.count("timer") > 401 {
-		t.Errorf("%d sends of 400, %d timers", h.count("send"), h.count("timer"))
+	if effects.count("send") < 300 || effects.count("timer") > 401 {
+		t.Errorf("%d sends of 400, %d timers", effects.count("send"), effects.count("timer"))
 	}
 }
 
 // Instances share nothing, not even in one process: one fed in between leaves the other as it was.
-func TestInstancesApartOrTogether(t *testing.T) {
+func TestInstancesShareNoState(t *testing.T) {
 	feed := func(b *Balancer, i int) {
 		now := time.Hour + time.Duration(i)*20*ms
 		b.OnRequest(now, Request{ID: RequestID(i + 1), Class: "write", Timeout: time.Second})
 		b.OnTimer(now, tickToken)
 	}
-	alone, wantLines := start(t, settings(), fleet(5))
+	alone, wantLines := newTestBalancer(t, testSettings(), fleet(5))
 	for i := range 200 {
 		feed(alone, i)
 	}
-	one, lines := start(t, settings(), fleet(5))
-	two, _ := start(t, settings(), fleet(5))
+	one, lines := newTestBalancer(t, testSettings(), fleet(5))
+	two, _ := newTestBalancer(t, testSettings(), fleet(5))
 	for i := range 200 {
 		feed(two, i+1000)
 		feed(one, i)
 	}
-	if !slices.Equal(lines.lines, wantLines.lines) {
+	if !slices.Equal(lines.calls, wantLines.calls) {
 		t.Error("an instance acted otherwise beside another")
 	}
 }
 
 func TestStateStaysBounded(t *testing.T) {
-	c, _ := drive(t, settings(), 3, 0)
-	b, err := New(settings(), 3, c.now, &recorder{})
+	c, _ := runRandomEvents(t, testSettings(), 3, 0)
+	b, err := New(testSettings(), 3, c.now, &recorder{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 }
 
 func BenchmarkRequest(b *testing.B) {
-	bal, err := New(settings(), 1, 0, &silentHost{})
+	bal, err := New(testSettings(), 1, 0, &discardEffects{})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/balancer/bands_test.go
+++ b/balancer/bands_test.go
@@ -8,30 +8,30 @@
 	"sprucehill/internal/stats"
 )
 
-func TestBands(t *testing.T) {
+func TestMeanDeviation(t *testing.T) {
 	mean, dev := stats.MeanDeviation([]float64{0.2, 0.4, 0.4, 0.4, 0.5, 0.5, 0.7, 0.9})
 	if math.Abs(mean-0.5) > 1e-9 || math.Abs(dev-0.2) > 1e-9 { // worked by hand: squares sum to 0.32
 		t.Errorf("mean %v, deviation %v; want 0.5, 0.2", mean, dev)
 	}
 }
 
-func TestAreaIsIntegratedOverTimeNotSamples(t *testing.T) {
-	b, _ := start(t, settings(), fleet(1))
-	u := b.endpoints[0]
-	u.utilization.deviation, u.utilization.mean, u.utilization.integratedAt = 0.1, 0.3, time.Hour
-	b.integrateBand(u, time.Hour+250*ms)
-	b.integrateBand(u, time.Hour+500*ms)
-	if want := 2 * bandWidth * 0.1 * 0.5; math.Abs(u.utilization.area-want) > 1e-9 {
-		t.Errorf("area %v, want %v", u.utilization.area, want)
+func TestBandAreaIsIntegratedOverTime(t *testing.T) {
+	b, _ := newTestBalancer(t, testSettings(), fleet(1))
+	e := b.endpoints[0]
+	e.utilization.deviation, e.utilization.mean, e.utilization.integratedAt = 0.1, 0.3, time.Hour
+	b.integrateBand(e, time.Hour+250*ms)
+	b.integrateBand(e, time.Hour+500*ms)
+	if want := 2 * bandWidth * 0.1 * 0.5; math.Abs(e.utilization.area-want) > 1e-9 {
+		t.Errorf("area %v, want %v", e.utilization.area, want)
 	}
 }
 
-func TestPinnedServerLosesShareByDegreesAndRegainsIt(t *testing.T) {
-	b, _ := start(t, settings(), fleet(3))
+func TestShareOfPinnedEndpointIsCutGraduallyAndRegrows(t *testing.T) {
+	b, _ := newTestBalancer(t, testSettings(), fleet(3))
 	step := func(n int) {
 		for range n {
-			for _, u := range b.endpoints {
-				u.utilization.readings, u.utilization.mean = bandReadings, 0.3
+			for _, e := range b.endpoints {
+				e.utilization.readings, e.utilization.mean = bandReadings, 0.3
 			}
 			b.endpoints[0].utilization.mean = 1 // flat readings at full load: no deviation at all
 			b.closePeriod(b.periodStartedAt + bandPeriod)
@@ -52,33 +52,33 @@
 	}
 }
 
-func TestFleetWideRiseCutsNobody(t *testing.T) {
-	b, _ := start(t, settings(), fleet(4))
+func TestFleetWideUtilizationRiseCutsNoShare(t *testing.T) {
+	b, _ := newTestBalancer(t, testSettings(), fleet(4))
 	for range 10 {
-		for _, u := range b.endpoints {
-			u.utilization.readings, u.utilization.mean, u.utilization.deviation = bandReadings, 0.95, 0.2
+		for _, e := range b.endpoints {
+			e.utilization.readings, e.utilization.mean, e.utilization.deviation = bandReadings, 0.95, 0.2
 		}
 		b.closePeriod(b.periodStartedAt + bandPeriod)
 	}
-	for _, u := range b.endpoints {
-		if u.shareFactor != 1 {
-			t.Errorf("upstream %d is left %v of its share", u.ID, u.shareFactor)
+	for _, e := range b.endpoints {
+		if e.shareFactor != 1 {
+			t.Errorf("upstream %d is left %v of its share", e.ID, e.shareFactor)
 		}
 	}
 }
 
-func TestRepeatedReportIsNoReading(t *testing.T) {
-	b, _ := start(t, settings(), fleet(1))
-	u := b.endpoints[0]
+func TestRepeatedLoadReportIsNotCountedAsReading(t *testing.T) {
+	b, _ := newTestBalancer(t, testSettings(), fleet(1))
+	e := b.endpoints[0]
 	for i, util := range []float64{0.5, 0.5, 0.6, 0.6, 0.5} {
-		b.recordUtilization(u, LoadReport{Fields: HasUtilization, Utilization: util}, 0, time.Hour+time.Duration(i)*ms)
+		b.recordUtilization(e, LoadReport{Fields: HasUtilization, Utilization: util}, 0, time.Hour+time.Duration(i)*ms)
 	}
-	if u.utilization.readings != 3 {
-		t.Errorf("%d readings, want 3", u.utilization.readings)
+	if e.utilization.readings != 3 {
+		t.Errorf("%d readings, want 3", e.utilization.readings)
 	}
 }
 
-func TestStandInReadings(t *testing.T) {
+func TestUtilizationFallbacks(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		via  ReportSource
@@ -91,9 +91,9 @@
 		{"waiting", ReportInResponses, LoadReport{Fields: HasQueue, Queue: 1}, 0.2, 0.5},
 		{"no reports: latency against the aim", ReportNone, LoadReport{}, 0.2, 0.2},
 	} {
-		s := settings()
+		s := testSettings()
 		s.Reports = c.via
-		b, _ := start(t, s, fleet(1))
+		b, _ := newTestBalancer(t, s, fleet(1))
 		if b.recordUtilization(b.endpoints[0], c.load, c.late, time.Hour); math.Abs(b.endpoints[0].utilization.mean-c.want) > 1e-9 {
 			t.Errorf("%s: reading %v, want %v", c.name, b.endpoints[0].utilization.mean, c.want)
 		}
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-func TestFailedDiscoveryIsAskedAgainLaterEachTime(t *testing.T) {
-	s := settings()
+func TestFailedDiscoveryIsRetriedWithBackoff(t *testing.T) {
+	s := testSettings()
 	s.PollDiscovery = true
-	b, h := start(t, s, fleet(1))
-	if h.count("watch") != 1 {
+	b, effects := newTestBalancer(t, s, fleet(1))
+	if effects.count("watch") != 1 {
 		t.Fatal("did not subscribe at the start")
 	}
 	var last time.Duration
@@ -21,7 +21,7 @@
 		last = b.discoveryBackoff
 	}
 	var longest time.Duration
-	h.hook = func(kind string, _ RequestID, _ EndpointID, d time.Duration, n uint64) {
+	effects.hook = func(kind string, _ RequestID, _ EndpointID, d time.Duration, n uint64) {
 		if kind == "timer" && n == discoveryToken {
 			longest = max(longest, d)
 		}
@@ -33,7 +33,7 @@
 		t.Errorf("waits of up to %v, want %v at the most", longest, most)
 	}
 	b.OnTimer(time.Hour, discoveryToken)
-	if h.count("watch") != 2 || len(b.endpoints) != 1 {
+	if effects.count("watch") != 2 || len(b.endpoints) != 1 {
 		t.Error("did not ask again, or lost the list")
 	}
 }
@@ -41,7 +41,7 @@
 // What discovery holds counts as told at once where it pushes, so no wait between two calls may come near the grace for
 // drains; waits of 1.9 s stood against one of 0.5 s. Where it is asked, what was to tell counts after 6 s, however rarely
 // the settings want it asked: with 60 s waits were up to 11 s.
-func TestCallsOfDiscoveryKeepToWhatCountsAsTold(t *testing.T) {
+func TestDiscoveryRetriesStayWithinNotificationDelay(t *testing.T) {
 	for _, x := range []struct {
 		asked         bool
 		within, grace time.Duration
@@ -53,11 +53,11 @@
 		{true, time.Minute, 500 * ms, 3 * time.Second},
 		{true, 2 * time.Second, 500 * ms, 400 * ms},
 	} {
-		s := settings()
+		s := testSettings()
 		s.PollDiscovery, s.Obligations.PollInterval, s.Obligations.DrainGrace = x.asked, x.within, x.grace
-		b, h := start(t, s, fleet(1))
+		b, effects := newTestBalancer(t, s, fleet(1))
 		var longest time.Duration
-		h.hook = func(kind string, _ RequestID, _ EndpointID, d time.Duration, n uint64) {
+		effects.hook = func(kind string, _ RequestID, _ EndpointID, d time.Duration, n uint64) {
 			if kind == "timer" && n == discoveryToken {
 				longest = max(longest, d)
 			}
--- a/balancer/fixtures_test.go
+++ b/balancer/fixtures_test.go
@@ -8,7 +8,7 @@
 const ms = time.Millisecond
 
 // settings returns valid settings with one class of each repeat kind.
-func settings() Settings {
+func testSettings() Settings {
 	return Settings{
 		Zone: "near", Balancers: 2, OverQuotaFactor: 0.1, PriorityByWork: true, KeyAffinity: true,
 		Classes: []Class{
@@ -26,15 +26,15 @@
 }
 
 // variants are settings that ask the rules differently.
-func variants() map[string]Settings {
-	all, cell, copies, asked := settings(), settings(), settings(), settings()
+func settingsVariants() map[string]Settings {
+	all, cell, copies, asked := testSettings(), testSettings(), testSettings(), testSettings()
 	all.Classes[1].Scope = ScopeAll
 	cell.Classes[1].Scope, cell.Limits.AllowHedging = ScopeCell, true
 	copies.Limits.AllowHedging, copies.Limits.AllowCancel, copies.KeyAffinity = true, false, false
 	asked.PollDiscovery, asked.Reports, asked.PriorityByWork = true, ReportInHealthChecks, false
-	many := settings()
+	many := testSettings()
 	many.Balancers, many.Rank, many.Limits.AllowHedging, many.Weights = 5, 4, true, WeightLive
-	return map[string]Settings{"zone": settings(), "all": all, "cell": cell, "copies": copies, "asked": asked, "many": many}
+	return map[string]Settings{"zone": testSettings(), "all": all, "cell": cell, "copies": copies, "asked": asked, "many": many}
 }
 
 // fleet returns n active upstreams, long started, in two zones and three cells.
@@ -55,7 +55,7 @@
 }
 
 // sited returns upstreams, so many in each named zone.
-func sited(zones map[string]int, order ...string) []Endpoint {
+func endpointsInZones(zones map[string]int, order ...string) []Endpoint {
 	var list []Endpoint
 	for _, z := range order {
 		for range zones[z] {
@@ -65,37 +65,37 @@
 	return list
 }
 
-func four(n int) []Endpoint {
-	return sited(map[string]int{"near": n, "b": n, "c": n, "d": n}, "near", "b", "c", "d")
+func fourZones(n int) []Endpoint {
+	return endpointsInZones(map[string]int{"near": n, "b": n, "c": n, "d": n}, "near", "b", "c", "d")
 }
 
 // start returns a Balancer with a list, and its recorder.
-func start(t *testing.T, s Settings, list []Endpoint) (*Balancer, *recorder) {
+func newTestBalancer(t *testing.T, s Settings, list []Endpoint) (*Balancer, *recorder) {
 	t.Helper()
-	h := &recorder{}
-	b, err := New(s, 1, time.Hour, h)
+	effects := &recorder{}
+	b, err := New(s, 1, time.Hour, effects)
 	if err != nil {
 		t.Fatal(err)
 	}
 	b.OnEndpointUpdate(time.Hour, UpdateCached, list)
-	return b, h
+	return b, effects
 }
 
 // serve sends a request and answers it at once; it returns the upstream that got it.
-func serve(t *testing.T, b *Balancer, now time.Duration, id RequestID) *endpoint {
+func serveRequest(t *testing.T, b *Balancer, now time.Duration, id RequestID) *endpoint {
 	t.Helper()
 	b.OnRequest(now, Request{ID: id, Class: "write", Timeout: time.Second})
 	r := b.requests[id]
 	if r == nil || r.inFlight != 1 {
 		t.Fatalf("request %d was not sent", id)
 	}
-	u := r.attempts[0].endpoint
-	b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: u.ID, Latency: 50 * ms, Status: OK, RequestClosed: true})
-	return u
+	e := r.attempts[0].endpoint
+	b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: e.ID, Latency: 50 * ms, Status: OK, RequestClosed: true})
+	return e
 }
 
 // answered sends n reads and ends every attempt as its zone does; it tells how many attempts each zone got.
-func answered(b *Balancer, now time.Duration, first RequestID, n int, of map[string]Status) (after time.Duration, got map[string]int) {
+func sendReads(b *Balancer, now time.Duration, first RequestID, n int, of map[string]Status) (after time.Duration, got map[string]int) {
 	got = map[string]int{}
 	for i := range n {
 		id := first + RequestID(i)
@@ -103,9 +103,9 @@
 		b.OnRequest(now, Request{ID: id, Class: "read", Timeout: time.Second})
 		for r := b.requests[id]; r != nil && !r.finished && r.inFlight > 0; r = b.requests[id] {
 			k := len(r.attempts) - 1
-			u := r.attempts[k].endpoint
-			got[u.Zone]++
-			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: u.ID, Attempt: k, Latency: 50 * ms, Status: of[u.Zone], RequestClosed: of[u.Zone] == OK})
+			e := r.attempts[k].endpoint
+			got[e.Zone]++
+			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: e.ID, Attempt: k, Latency: 50 * ms, Status: of[e.Zone], RequestClosed: of[e.Zone] == OK})
 		}
 		b.OnTimer(now, tickToken)
 	}
@@ -113,12 +113,12 @@
 }
 
 // periods lets n periods go by in which each upstream reads as use has it for its zone.
-func periods(b *Balancer, now time.Duration, n int, use map[string]float64) time.Duration {
+func runPeriods(b *Balancer, now time.Duration, n int, use map[string]float64) time.Duration {
 	for range n {
 		now += bandPeriod
-		for _, u := range b.endpoints {
+		for _, e := range b.endpoints {
 			for i := range bandReadings { // a window of like readings, each a little other than the last
-				b.recordUtilization(u, LoadReport{Fields: HasUtilization | HasRate, Utilization: use[u.Zone], Rate: now.Seconds() + float64(i)}, 0, now)
+				b.recordUtilization(e, LoadReport{Fields: HasUtilization | HasRate, Utilization: use[e.Zone], Rate: now.Seconds() + float64(i)}, 0, now)
 			}
 		}
 		b.closePeriod(now)
--- a/balancer/lastresort_test.go
+++ b/balancer/lastresort_test.go
@@ -9,7 +9,7 @@
 
 // A balancer whose upstreams all fail must go on trying them: one that rejects all that it gets for 4 s with no attempt in
 // between counts as out of service. Its waits for an unresponsive upstream grew without a bound, to 50 s in these plays.
-func TestSomeAttemptGoesOutWhileAllUpstreamsFail(t *testing.T) {
+func TestAttemptsContinueWhileAllEndpointsFail(t *testing.T) {
 	const (
 		longestPause = 4 * time.Second // by the operators' word
 		every        = 50 * ms
@@ -32,13 +32,13 @@
 				balancers int
 			}{{"read", 2}, {"write", 2}, {"read", 300}, {"write", 300}} {
 				t.Run(fmt.Sprintf("%s, %d upstreams, %s, %d balancers", name, upstreams, x.class, x.balancers), func(t *testing.T) {
-					world := newFailingWorld(t, upstreams, x.balancers)
-					world.play(x.class, OK, 50*ms, every, 10*time.Second)
+					world := newFailingFleet(t, upstreams, x.balancers)
+					world.run(x.class, OK, 50*ms, every, 10*time.Second)
 					latency := failure.latency
 					if failure.status == Timeout {
 						latency = time.Second
 					}
-					pause := world.play(x.class, failure.status, latency, every, lasts)
+					pause := world.run(x.class, failure.status, latency, every, lasts)
 					if pause > longestPause {
 						t.Errorf("no attempt for %v while requests came every %v", pause, every)
 					}
@@ -49,28 +49,28 @@
 }
 
 // failingWorld answers each attempt of a Balancer in the same way, in virtual time.
-type failingWorld struct {
+type failingFleet struct {
 	balancer *Balancer
 	now      time.Duration
 	lastID   RequestID
-	pending  []pendingOutcome
+	pending  []pendingResult
 }
 
-type pendingOutcome struct {
-	at time.Duration
+type pendingResult struct {
+	dueAt time.Duration
 	AttemptResult
 }
 
-func newFailingWorld(t *testing.T, upstreams, balancers int) *failingWorld {
-	s := settings()
+func newFailingFleet(t *testing.T, upstreams, balancers int) *failingFleet {
+	s := testSettings()
 	s.Balancers = balancers
-	b, _ := start(t, s, fleet(upstreams))
-	return &failingWorld{balancer: b, now: time.Hour}
+	b, _ := newTestBalancer(t, s, fleet(upstreams))
+	return &failingFleet{balancer: b, now: time.Hour}
 }
 
 // play sends a request of a class every so often and ends each attempt with a status after a latency. It returns the longest
 // time without an attempt.
-func (w *failingWorld) play(class string, status Status, latency, every, lasts time.Duration) (longest time.Duration) {
+func (w *failingFleet) run(class string, status Status, latency, every, lasts time.Duration) (longest time.Duration) {
 	b := w.balancer
 	attempts := map[*attempt]bool{}
 	for end, last := w.now+lasts, w.now; w.now < end; w.now += 5 * ms {
@@ -79,18 +79,18 @@
 			b.OnRequest(w.now, Request{ID: w.lastID, Class: class, Timeout: time.Second})
 		}
 		b.OnTimer(w.now, tickToken)
-		for _, u := range b.endpoints {
-			for _, a := range u.attempts {
+		for _, e := range b.endpoints {
+			for _, a := range e.attempts {
 				if !attempts[a] {
 					attempts[a] = true
 					last = w.now
-					w.pending = append(w.pending, pendingOutcome{w.now + latency, AttemptResult{ID: a.request.ID, Endpoint: u.ID,
+					w.pending = append(w.pending, pendingResult{w.now + latency, AttemptResult{ID: a.request.ID, Endpoint: e.ID,
 						Attempt: slices.Index(a.request.attempts, a), Latency: latency, Status: status, RequestClosed: status == OK}})
 				}
 			}
 		}
 		longest = max(longest, w.now-last)
-		for len(w.pending) > 0 && w.pending[0].at <= w.now {
+		for len(w.pending) > 0 && w.pending[0].dueAt <= w.now {
 			o := w.pending[0]
 			w.pending = w.pending[1:]
 			b.OnAttemptResult(w.now, o.AttemptResult)
--- a/balancer/operators_test.go
+++ b/balancer/operators_test.go
@@ -9,10 +9,10 @@
 
 // A zone left by hand gets nothing until it is returned, whatever discovery and readings do, and then each step of its
 // share in order, each held for its periods; at any time some zone that is not left has upstreams.
-func TestHandLeftZoneComesBackStepByStep(t *testing.T) {
+func TestReinstatedZoneRecoversStepByStep(t *testing.T) {
 	names := []string{"near", "b", "c"}
 	rapid.Check(t, func(rt *rapid.T) {
-		b, h := start(t, settings(), sited(map[string]int{"near": 2, "b": 2, "c": 2}, names...))
+		b, effects := newTestBalancer(t, testSettings(), endpointsInZones(map[string]int{"near": 2, "b": 2, "c": 2}, names...))
 		now, id := time.Hour, RequestID(1)
 		back := map[string]float64{"near": 1, "b": 1, "c": 1}
 		left, held := map[string]bool{}, map[string]int{}
@@ -38,19 +38,19 @@
 					left[name], back[name], held[name] = false, 0, 0
 				}
 			case 2:
-				b.OnEndpointUpdate(now, UpdateComplete, sited(map[string]int{"near": 2, "b": 2, "c": 2}, names...))
+				b.OnEndpointUpdate(now, UpdateComplete, endpointsInZones(map[string]int{"near": 2, "b": 2, "c": 2}, names...))
 			case 3:
 				use := map[string]float64{}
 				for _, z := range names {
 					use[z] = rapid.Float64Range(0, 1).Draw(rt, "use of "+z)
 					held[z]++
 				}
-				now = periods(b, now, 1, use)
+				now = runPeriods(b, now, 1, use)
 			case 4:
-				from := len(h.lines)
-				u := serve(t, b, now, id)
-				if id++; left[u.Zone] {
-					rt.Fatalf("%s was left and got %s", u.Zone, h.lines[from:])
+				from := len(effects.calls)
+				e := serveRequest(t, b, now, id)
+				if id++; left[e.Zone] {
+					rt.Fatalf("%s was left and got %s", e.Zone, effects.calls[from:])
 				}
 			}
 			now += 50 * ms
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -7,12 +7,12 @@
 
 // The paper's example: an even split turns 1, 3, 5 into 9, 13, 17 when one server keeps a third as
 // much as the other.
-func TestHalvedQuotaTakesEveryFourthTurn(t *testing.T) {
-	b, _ := start(t, settings(), oneZone(fleet(2)))
+func TestEndpointOfOneThirdWeightTakesEveryFourthTurn(t *testing.T) {
+	b, _ := newTestBalancer(t, testSettings(), oneZone(fleet(2)))
 	one := b.endpoints[0]
 	turns := func(from, n int) (taken []int) {
 		for i := from; i < from+n; i++ {
-			if serve(t, b, time.Hour, RequestID(i)) == one {
+			if serveRequest(t, b, time.Hour, RequestID(i)) == one {
 				taken = append(taken, i)
 			}
 		}
--- a/balancer/randomevents_test.go
+++ b/balancer/randomevents_test.go
@@ -9,35 +9,35 @@
 )
 
 // drive feeds random legal events for a while and returns the rules broken.
-func drive(t *testing.T, s Settings, seed uint64, origin time.Duration) (*checker, *recorder) {
+func runRandomEvents(t *testing.T, s Settings, seed uint64, origin time.Duration) (*checker, *recorder) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
-	c := &checker{t: t, s: s, now: origin, requests: map[RequestID]*seen{}, list: map[EndpointID]Endpoint{}, goneAt: map[EndpointID]time.Duration{}, sent: map[EndpointID][]time.Duration{}}
-	h := &recorder{hook: c.action}
-	b, err := New(s, seed, c.now, h)
+	c := &checker{t: t, settings: s, now: origin, requests: map[RequestID]*checkedRequest{}, listed: map[EndpointID]Endpoint{}, removedAt: map[EndpointID]time.Duration{}, recentSends: map[EndpointID][]time.Duration{}}
+	effects := &recorder{hook: c.onEffect}
+	b, err := New(s, seed, c.now, effects)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.members(b, UpdateCached, fleet(5))
+	c.updateEndpoints(b, UpdateCached, fleet(5))
 	next := RequestID(1)
 	for step := range 4000 {
 		c.now += 5 * ms
 		if step < 3600 && rng.IntN(3) > 0 {
-			c.request(b, rng, next)
+			c.sendRequest(b, rng, next)
 			next++
 		}
-		c.finishSome(b, rng)
+		c.endAttempts(b, rng)
 		if rng.IntN(60) == 0 {
-			c.change(b, rng)
+			c.changeEndpoints(b, rng)
 		}
-		c.fire(b)
-		c.overdue()
+		c.fireTimers(b)
+		c.checkDeadlines()
 	}
-	return c, h
+	return c, effects
 }
 
-func (c *checker) request(b *Balancer, rng *rand.Rand, id RequestID) {
-	cl := c.s.Classes[rng.IntN(len(c.s.Classes))]
+func (c *checker) sendRequest(b *Balancer, rng *rand.Rand, id RequestID) {
+	cl := c.settings.Classes[rng.IntN(len(c.settings.Classes))]
 	budget := cl.Deadline // a first try; the others are later ones, or of impatient clients
 	if rng.IntN(2) == 0 {
 		budget = time.Duration(1+rng.Int64N(int64(cl.Deadline/ms))) * ms
@@ -45,42 +45,42 @@
 	if rng.IntN(40) == 0 {
 		budget = -time.Duration(rng.IntN(2)) * ms
 	}
-	r := &seen{id: id, class: cl, deadline: c.now + budget}
+	r := &checkedRequest{id: id, class: cl, deadline: c.now + budget}
 	c.requests[id] = r
 	q := Request{ID: id, Class: cl.Name, Timeout: budget, CostHint: time.Duration(rng.IntN(90)) * ms,
-		Tenant: c.s.Tenants[rng.IntN(len(c.s.Tenants))].Name}
+		Tenant: c.settings.Tenants[rng.IntN(len(c.settings.Tenants))].Name}
 	if rng.IntN(2) == 0 {
 		q.Key, q.HasKey = uint64(rng.IntN(20)), true
 	}
 	b.OnRequest(c.now, q)
-	if r.finals == 0 && rng.IntN(50) == 0 { // an impatient client
-		r.ended = c.now
+	if r.finalAnswers == 0 && rng.IntN(50) == 0 { // an impatient client
+		r.closedAt = c.now
 		b.OnClientDisconnected(c.now, id)
 	}
 }
 
 // finishSome ends attempts that are due, and some at random with any status.
-func (c *checker) finishSome(b *Balancer, rng *rand.Rand) {
-	for _, x := range slices.Clone(c.open) {
-		if x.end > c.now && rng.IntN(12) > 0 {
+func (c *checker) endAttempts(b *Balancer, rng *rand.Rand) {
+	for _, a := range slices.Clone(c.inFlight) {
+		if a.endsAt > c.now && rng.IntN(12) > 0 {
 			continue
 		}
-		if x.end > c.now {
-			x.status = []Status{OK, OK, OK, OK, Error, Rejected, ConnectFailed, Reset}[rng.IntN(8)]
+		if a.endsAt > c.now {
+			a.status = []Status{OK, OK, OK, OK, Error, Rejected, ConnectFailed, Reset}[rng.IntN(8)]
 		}
-		x.over = true
-		c.open = slices.DeleteFunc(c.open, func(y *try) bool { return y == x })
-		r, load := x.r, LoadReport{}
+		a.ended = true
+		c.inFlight = slices.DeleteFunc(c.inFlight, func(y *checkedAttempt) bool { return y == a })
+		r, load := a.request, LoadReport{}
 		if rng.IntN(2) == 0 {
 			load = LoadReport{Fields: HasUtilization, Utilization: rng.Float64()}
 		} else if rng.IntN(20) == 0 {
 			load = LoadReport{Fields: HasUtilization | HasInflight, Utilization: math.NaN(), Inflight: math.Inf(-1)}
 		}
-		closed := r.ended > 0 || r.finals > 0
-		if x.status == OK && !closed {
-			r.ended, r.finals, closed = c.now, r.finals+1, true
+		closed := r.closedAt > 0 || r.finalAnswers > 0
+		if a.status == OK && !closed {
+			r.closedAt, r.finalAnswers, closed = c.now, r.finalAnswers+1, true
 		}
-		o := AttemptResult{ID: r.id, Endpoint: x.up.ID, Attempt: x.n, Latency: c.now - x.at, Status: x.status, RequestClosed: closed, Load: load}
+		o := AttemptResult{ID: r.id, Endpoint: a.endpoint.ID, Attempt: a.index, Latency: c.now - a.sentAt, Status: a.status, RequestClosed: closed, Load: load}
 		b.OnAttemptResult(c.now, o)
 		if rng.IntN(20) == 0 { // told twice, which must be passed over
 			b.OnAttemptResult(c.now, o)
@@ -88,45 +88,45 @@
 	}
 }
 
-func (c *checker) members(b *Balancer, mode UpdateMode, list []Endpoint) {
-	for _, u := range list {
-		c.list[u.ID] = u
-		if delete(c.goneAt, u.ID); u.State != Active {
-			c.goneAt[u.ID] = c.now
+func (c *checker) updateEndpoints(b *Balancer, mode UpdateMode, list []Endpoint) {
+	for _, e := range list {
+		c.listed[e.ID] = e
+		if delete(c.removedAt, e.ID); e.State != Active {
+			c.removedAt[e.ID] = c.now
 		}
 	}
 	if mode == UpdateComplete || mode == UpdateCached {
-		for id := range c.list {
-			_, told := c.goneAt[id]
-			if !told && !slices.ContainsFunc(list, func(u Endpoint) bool { return u.ID == id }) {
-				c.goneAt[id] = c.now
+		for id := range c.listed {
+			_, told := c.removedAt[id]
+			if !told && !slices.ContainsFunc(list, func(e Endpoint) bool { return e.ID == id }) {
+				c.removedAt[id] = c.now
 			}
 		}
 	}
 	b.OnEndpointUpdate(c.now, mode, list)
 }
 
-func (c *checker) change(b *Balancer, rng *rand.Rand) {
+func (c *checker) changeEndpoints(b *Balancer, rng *rand.Rand) {
 	list := fleet(8)
 	switch rng.IntN(6) {
 	case 0:
-		c.members(b, UpdateComplete, list[rng.IntN(9):])
+		c.updateEndpoints(b, UpdateComplete, list[rng.IntN(9):])
 	case 1:
 		b.OnEndpointUpdate(c.now, UpdateFailed, nil)
 	default:
-		u := list[rng.IntN(8)]
-		u.State = EndpointState(rng.IntN(3))
+		e := list[rng.IntN(8)]
+		e.State = EndpointState(rng.IntN(3))
 		if rng.IntN(2) == 0 {
-			u.State, u.StartedAt = Active, c.now-time.Duration(rng.IntN(3))*time.Second
+			e.State, e.StartedAt = Active, c.now-time.Duration(rng.IntN(3))*time.Second
 		}
-		if u.Weight = 1; rng.IntN(10) == 0 {
-			u.Weight = []float64{0, -1, math.NaN(), math.Inf(1)}[rng.IntN(4)]
+		if e.Weight = 1; rng.IntN(10) == 0 {
+			e.Weight = []float64{0, -1, math.NaN(), math.Inf(1)}[rng.IntN(4)]
 		}
-		c.members(b, UpdateDelta, []Endpoint{u, u})
+		c.updateEndpoints(b, UpdateDelta, []Endpoint{e, e})
 	}
 }
 
-func (c *checker) fire(b *Balancer) {
+func (c *checker) fireTimers(b *Balancer) {
 	due := c.timers
 	c.timers = nil
 	for _, a := range due {
@@ -138,27 +138,27 @@
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
-	renamed := settings()
+func TestSameEventsGiveSameEffects(t *testing.T) {
+	renamed := testSettings()
 	for i, name := range []string{"x", "y", "z"} {
 		renamed.Classes[i].Name = name
 	}
 	renamed.Tenants[0].Name, renamed.Tenants[1].Name = "one", "two"
-	_, want := drive(t, settings(), 7, 10*time.Hour)
+	_, want := runRandomEvents(t, testSettings(), 7, 10*time.Hour)
 	for _, c := range []struct {
 		name   string
 		s      Settings
 		origin time.Duration
 	}{
-		{"again", settings(), 10 * time.Hour},
-		{"clock shifted", settings(), 500 * time.Hour},
+		{"again", testSettings(), 10 * time.Hour},
+		{"clock shifted", testSettings(), 500 * time.Hour},
 		{"classes and tenants renamed", renamed, 10 * time.Hour},
 	} {
-		if _, got := drive(t, c.s, 7, c.origin); !slices.Equal(got.lines, want.lines) {
+		if _, got := runRandomEvents(t, c.s, 7, c.origin); !slices.Equal(got.calls, want.calls) {
 			t.Errorf("%s: other actions", c.name)
 		}
 	}
-	if _, other := drive(t, settings(), 8, 10*time.Hour); slices.Equal(other.lines, want.lines) {
+	if _, other := runRandomEvents(t, testSettings(), 8, 10*time.Hour); slices.Equal(other.calls, want.calls) {
 		t.Error("another seed gave the same actions, so the comparison shows nothing")
 	}
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -7,19 +7,19 @@
 )
 
 // Many requests of small hinted cost once pushed a cold upstream over.
-func TestColdUpstreamGetsFewRequestsHoweverSmall(t *testing.T) {
-	b, h := start(t, settings(), oneZone(fleet(4)))
+func TestSlowStartBudgetCountsSmallRequestsInFull(t *testing.T) {
+	b, effects := newTestBalancer(t, testSettings(), oneZone(fleet(4)))
 	now := time.Hour
 	for i := range 4000 { // warm ones carry work for a while
 		now += 5 * ms
-		serve(t, b, now, RequestID(i+1))
+		serveRequest(t, b, now, RequestID(i+1))
 		if i%4 == 0 {
 			b.OnTimer(now, tickToken)
 		}
 	}
 	cold := Endpoint{ID: 9, Zone: "near", Weight: 1, StartedAt: now}
 	b.OnEndpointUpdate(now, UpdateDelta, []Endpoint{cold})
-	before := h.count("send")
+	before := effects.count("send")
 	for i := range 300 { // one window
 		now += 5 * ms
 		id := RequestID(10000 + i)
@@ -29,27 +29,27 @@
 		}
 	}
 	toCold := 0
-	for _, l := range h.lines {
+	for _, l := range effects.calls {
 		if strings.Contains(l, " up=9 ") {
 			toCold++
 		}
 	}
 	// A warm one carries 75 in the window at most; a cold one may get the margin of its rule's multiple.
 	most := 40 // 75 x tipMargin x 3 x the share of capacity reached, 0.45
-	if toCold == 0 || toCold > most || h.count("send")-before < 250 {
-		t.Errorf("a cold upstream got %d of %d sends, at most %d fit", toCold, h.count("send")-before, most)
+	if toCold == 0 || toCold > most || effects.count("send")-before < 250 {
+		t.Errorf("a cold upstream got %d of %d sends, at most %d fit", toCold, effects.count("send")-before, most)
 	}
 }
 
 // At full size a balancer's part of a cold upstream's budget is under one request: none was sent until the ramp
 // had ended, and then all balancers sent their full share at once. Over many balancers it must come to the part.
-func TestColdUpstreamIsUsedAtFullSizeWithinItsBudget(t *testing.T) {
+func TestSlowStartBudgetHoldsOverManyBalancers(t *testing.T) {
 	const balancers, window = 200, 1500 * ms
-	s, sent := settings(), 0
+	s, sent := testSettings(), 0
 	s.Balancers, s.Obligations.OverloadWindow = balancers, window
 	for s.Rank = range balancers {
-		h := &recorder{}
-		b, err := New(s, uint64(s.Rank), time.Hour, h)
+		effects := &recorder{}
+		b, err := New(s, uint64(s.Rank), time.Hour, effects)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -58,8 +58,8 @@
 		b.OnEndpointUpdate(time.Hour, UpdateCached, list)
 		b.fleet.workPerWeight, b.fleet.maxWorkPerWeight = 0.2, 0.2 // requests a second that a warm upstream takes from this balancer
 		for i := range 150 {
-			for _, u := range b.endpoints[:2] {
-				u.limit.pausedUntil = 2 * time.Hour // all the traffic asks for the cold one
+			for _, e := range b.endpoints[:2] {
+				e.limit.pausedUntil = 2 * time.Hour // all the traffic asks for the cold one
 			}
 			now := time.Hour + time.Duration(i)*10*ms
 			b.OnRequest(now, Request{ID: RequestID(i + 1), Class: "read", Timeout: time.Second})
@@ -67,7 +67,7 @@
 				b.OnAttemptResult(now, AttemptResult{ID: r.ID, Endpoint: 3, Latency: 5 * ms, Status: OK, RequestClosed: true})
 			}
 		}
-		sent += h.count("send")
+		sent += effects.count("send")
 	}
 	// All together may send what a warm one takes times the multiple and the ramp, at most.
 	if most := 0.2 * balancers * 3 * 0.4 * window.Seconds(); sent == 0 || float64(sent) > most {
@@ -76,11 +76,11 @@
 }
 
 // Rule 4 holds across restarts: what was sent before one counts, though nobody knows how much it was.
-func TestColdBudgetHoldsAcrossRestarts(t *testing.T) {
+func TestSlowStartBudgetHoldsAcrossRestarts(t *testing.T) {
 	most := func() (worst float64) {
-		s := settings()
+		s := testSettings()
 		list := fleet(4)
-		b, _ := start(t, s, list)
+		b, _ := newTestBalancer(t, s, list)
 		now := time.Hour
 		var id RequestID
 		var sent []time.Duration
@@ -92,11 +92,11 @@
 			if r == nil || r.inFlight == 0 {
 				return
 			}
-			u := r.attempts[0].endpoint
-			if u.ID == list[0].ID && u.slowStart.active {
+			e := r.attempts[0].endpoint
+			if e.ID == list[0].ID && e.slowStart.active {
 				sent = append(sent, now)
 			}
-			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: u.ID, Latency: 40 * ms, Status: OK, RequestClosed: true, Load: LoadReport{Fields: HasUtilization, Utilization: 0.5}})
+			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: e.ID, Latency: 40 * ms, Status: OK, RequestClosed: true, Load: LoadReport{Fields: HasUtilization, Utilization: 0.5}})
 			b.OnTimer(now, tickToken)
 		}
 		for range 800 {
@@ -138,26 +138,26 @@
 
 // What a cold upstream was sent since the last snapshot is not known, so a window has to pass; one that is older than a
 // window holds nothing that counts.
-func TestColdUpstreamWaitsAWindowAfterARestart(t *testing.T) {
-	b, now := learned(t)
-	list := four(3)
+func TestWarmingEndpointWaitsOverloadWindowAfterRestart(t *testing.T) {
+	b, now := trainedBalancer(t)
+	list := fourZones(3)
 	list[0].StartedAt = now
 	b.OnEndpointUpdate(now, UpdateDelta, list[:1])
 	k := b.TakeSnapshot(now)
 	for _, c := range []struct {
 		age  time.Duration
 		want bool
-	}{{100 * ms, false}, {settings().Obligations.OverloadWindow + ms, true}} {
-		x := reborn(t, now+c.age, list, k)
-		u := x.byID[list[0].ID]
+	}{{100 * ms, false}, {testSettings().Obligations.OverloadWindow + ms, true}} {
+		x := restoredBalancer(t, now+c.age, list, k)
+		e := x.byID[list[0].ID]
 		r := &request{class: x.classes["read"], workUnits: 1}
-		if !u.slowStart.active {
+		if !e.slowStart.active {
 			t.Fatal("it is not cold")
 		}
-		if got := x.fitsSlowStart(u, r, now+c.age); got != c.want {
+		if got := x.fitsSlowStart(e, r, now+c.age); got != c.want {
 			t.Errorf("restarted %v after the snapshot: room %v, want %v", c.age, got, c.want)
 		}
-		if later := now + c.age + settings().Obligations.OverloadWindow; !x.fitsSlowStart(u, r, later) {
+		if later := now + c.age + testSettings().Obligations.OverloadWindow; !x.fitsSlowStart(e, r, later) {
 			t.Errorf("restarted %v after the snapshot: no room a window later", c.age)
 		}
 	}
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -9,8 +9,8 @@
 )
 
 // What is read back is what was written, and senseless figures poison nothing.
-func TestKnowledgeAsText(t *testing.T) {
-	b, now := learned(t)
+func TestSnapshotSurvivesJSON(t *testing.T) {
+	b, now := trainedBalancer(t)
 	k := b.TakeSnapshot(now)
 	text, err := json.Marshal(k)
 	if err != nil {
@@ -24,16 +24,16 @@
 		k := b.TakeSnapshot(now)
 		k.Latency, k.MeanCost, k.WorkPerWeight, k.MaxWorkPerWeight, k.LocalShare, k.RegionShare = bad, bad, bad, bad, bad, bad
 		for i := range k.Endpoints {
-			u := &k.Endpoints[i]
-			u.ShareFactor, u.ConcurrencyLimit, u.Latency, u.LatencyDeviation, u.WorkUnits, u.ErrorRate, u.LatencyEWMA, u.BaselineLatency, u.WorkRate = bad, bad, bad, bad, bad, bad, bad, bad, bad
+			e := &k.Endpoints[i]
+			e.ShareFactor, e.ConcurrencyLimit, e.Latency, e.LatencyDeviation, e.WorkUnits, e.ErrorRate, e.LatencyEWMA, e.BaselineLatency, e.WorkRate = bad, bad, bad, bad, bad, bad, bad, bad, bad
 		}
-		x := reborn(t, now, four(3), k)
+		x := restoredBalancer(t, now, fourZones(3), k)
 		for i := range 100 {
-			serve(t, x, now+time.Duration(i)*ms, RequestID(i+1))
+			serveRequest(t, x, now+time.Duration(i)*ms, RequestID(i+1))
 		}
-		for _, u := range x.endpoints {
-			if s := x.trafficShare(u, now); math.IsNaN(s) || math.IsInf(s, 0) || s < 0 || math.IsNaN(u.limit.current) {
-				t.Errorf("%v: upstream %d has share %v and bound %v", bad, u.ID, s, u.limit.current)
+		for _, e := range x.endpoints {
+			if s := x.trafficShare(e, now); math.IsNaN(s) || math.IsInf(s, 0) || s < 0 || math.IsNaN(e.limit.current) {
+				t.Errorf("%v: upstream %d has share %v and bound %v", bad, e.ID, s, e.limit.current)
 			}
 		}
 	}
@@ -41,7 +41,7 @@
 
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{12, 2000} {
-		x, now := wide(b, n)
+		x, now := benchmarkBalancer(b, n)
 		b.Run(name(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -53,7 +53,7 @@
 
 func BenchmarkRestore(b *testing.B) {
 	for _, n := range []int{12, 2000} {
-		x, now := wide(b, n)
+		x, now := benchmarkBalancer(b, n)
 		k := x.TakeSnapshot(now)
 		b.Run(name(n), func(b *testing.B) {
 			b.ReportAllocs()
@@ -66,12 +66,12 @@
 
 func name(n int) string { return map[int]string{12: "12", 2000: "2000"}[n] }
 
-func wide(b *testing.B, n int) (*Balancer, time.Duration) {
+func benchmarkBalancer(b *testing.B, n int) (*Balancer, time.Duration) {
 	b.Helper()
-	x, err := New(settings(), 1, time.Hour, &recorder{})
+	x, err := New(testSettings(), 1, time.Hour, &recorder{})
 	if err != nil {
 		b.Fatal(err)
 	}
-	x.OnEndpointUpdate(time.Hour, UpdateComplete, four(n/4))
+	x.OnEndpointUpdate(time.Hour, UpdateComplete, fourZones(n/4))
 	return x, time.Hour
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -18,17 +18,17 @@
 		{12, 20, 10, 10},  // in between: the width falls smoothly
 		{1200, 250, 2, 2}, // larger than any so far
 	} {
-		s := settings()
+		s := testSettings()
 		s.Balancers = c.balancers
 		used := map[EndpointID]int{}
 		for s.Rank = range c.balancers {
 			s.Zone = []string{"near", "far"}[s.Rank%2]
-			b, _ := start(t, s, fleet(c.upstreams))
+			b, _ := newTestBalancer(t, s, fleet(c.upstreams))
 			if n := len(b.subset); n < c.least || n > c.most {
 				t.Fatalf("%+v: a balancer uses %d upstreams", c, n)
 			}
-			for _, u := range b.subset {
-				used[u.ID]++
+			for _, e := range b.subset {
+				used[e.ID]++
 			}
 		}
 		mean := float64(c.balancers*c.least) / float64(c.upstreams)
@@ -42,17 +42,17 @@
 
 // Told of another number of balancers, this one is as one that began with it: half of them dead once left quotas at half,
 // and twice as many let each tenant have twice its own.
-func TestFleetDividesAnew(t *testing.T) {
+func TestFleetSizeChangeEqualsFreshStart(t *testing.T) {
 	for _, now := range []FleetSize{{8, 3, 8}, {80, 61, 80}, {8, 3, 80}, {0, -1, 0}} {
-		s := settings()
+		s := testSettings()
 		s.Balancers = 40
-		b, _ := start(t, s, fleet(40))
+		b, _ := newTestBalancer(t, s, fleet(40))
 		b.OnFleetSizeChanged(time.Hour, now)
 		s.Balancers, s.Rank = max(now.Balancers, 1), max(now.Rank, 0)
-		want, _ := start(t, s, fleet(40))
-		for i, u := range b.endpoints {
-			if u.inSubset != want.endpoints[i].inSubset {
-				t.Errorf("%+v: upstream %d is used: %v", now, u.ID, u.inSubset)
+		want, _ := newTestBalancer(t, s, fleet(40))
+		for i, e := range b.endpoints {
+			if e.inSubset != want.endpoints[i].inSubset {
+				t.Errorf("%+v: upstream %d is used: %v", now, e.ID, e.inSubset)
 			}
 		}
 		for _, tenant := range s.Tenants {
@@ -67,10 +67,10 @@
 }
 
 // With most of a small subset gone, a balancer once had nobody to send to while the fleet was well.
-func TestSubsetReachesPastTheSickAndTheCold(t *testing.T) {
-	s := settings()
+func TestSubsetReplacesUnresponsiveAndWarmingEndpoints(t *testing.T) {
+	s := testSettings()
 	s.Balancers = 40
-	b, _ := start(t, s, fleet(40))
+	b, _ := newTestBalancer(t, s, fleet(40))
 	before := slices.Clone(b.subset)
 	before[0].outlier.unresponsive = true
 	before[1].slowStart.active, before[1].slowStart.since = true, time.Hour
--- a/balancer/validate_test.go
+++ b/balancer/validate_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestBadSettings(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	for field, spoil := range map[string]func(*Settings){
 		"Classes":                      func(s *Settings) { s.Classes = nil },
 		"Balancers":                    func(s *Settings) { s.Balancers = 0 },
@@ -34,7 +34,7 @@
 		"\"small\" is set twice or has a quota_rps (Quota)": func(s *Settings) { s.Tenants[1].Quota = math.NaN() },
 		"\"big\" is set twice":                              func(s *Settings) { s.Tenants = append(s.Tenants, s.Tenants[0]) },
 	} {
-		s := settings()
+		s := testSettings()
 		spoil(&s)
 		_, err := New(s, 1, 0, &recorder{})
 		if !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), field) {
@@ -42,16 +42,16 @@
 		}
 	}
 	for _, f := range []float64{math.NaN(), math.Inf(1), -1, 0} {
-		s := settings()
+		s := testSettings()
 		if s.Obligations.OverloadMultiple = f; s.Validate() == nil {
 			t.Errorf("OverloadMultiple %v is taken", f)
 		}
-		s = settings()
+		s = testSettings()
 		if s.Obligations.SlowStartFrom = f; s.Validate() == nil {
 			t.Errorf("SlowStartFrom %v is taken", f)
 		}
 	}
-	if _, err := New(settings(), 1, 0, nil); !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), "Effects") {
+	if _, err := New(testSettings(), 1, 0, nil); !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), "Effects") {
 		t.Errorf("no effects: error %v", err)
 	}
 }
