--- a/balancer/limit_test.go
+++ b/balancer/limit_test.go
@@ -1,273 +1,306 @@
 package balancer
 
 import (
-	"math"
 	"testing"
 	"time"
 )
 
 func TestLimitOfSaturatedEndpointIsReducedAndRecovers(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(1))
-	e, now := b.endpoints[0], time.Hour
-	answer := func(id RequestID, lat time.Duration) {
+	e := b.endpoints[0]
+	now := time.Hour
+	serve := func(id RequestID, latency time.Duration) {
 		now += time.Second
 		b.OnRequest(now, Request{ID: id, Class: "write", Timeout: time.Second})
-		if r := b.requests[id]; r != nil && r.inFlight == 1 {
-			now += lat
-			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: e.ID, Latency: lat, Status: OK, RequestClosed: true})
+		r := b.requests[id]
+		if r != nil && r.inFlight == 1 {
+			now += latency
+			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: e.ID, Latency: latency, Status: OK, RequestClosed: true})
 		}
 	}
 	for i := range 30 {
-		answer(RequestID(i+1), 80*ms)
+		serve(RequestID(i+1), 80*ms)
 	}
 	healthy := e.limit.current
 	for i := range 20 {
-		answer(RequestID(i+100), 290*ms)
+		serve(RequestID(i+100), 290*ms)
 	}
 	if e.limit.current > healthy/4 {
-		t.Errorf("bound %v after late answers, %v before", e.limit.current, healthy)
+		t.Errorf("limit %v after slow responses, %v before", e.limit.current, healthy)
 	}
 	e.limit.pausedUntil = now
-	answer(500, 80*ms)
+	serve(500, 80*ms)
 	if e.limit.current < b.initialLimit {
-		t.Error("the bound does not come back with a good answer")
+		t.Errorf("limit %v after a fast response, want %v at least", e.limit.current, b.initialLimit)
 	}
 }
 
-// With many balancers the trickle of all together once kept a choked server from the rest it needs.
+// Regression: with many balancers the minimal limits of all together kept a saturated endpoint from recovering.
 func TestMinLimitIsSharedByAllBalancers(t *testing.T) {
-	for _, n := range []int{2, 24} {
-		s := testSettings()
-		s.Balancers = n
-		b, _ := newTestBalancer(t, s, fleet(1))
+	for _, balancers := range []int{2, 24} {
+		settings := testSettings()
+		settings.Balancers = balancers
+		b, _ := newTestBalancer(t, settings, fleet(1))
+		e := b.endpoints[0]
 		for i := range 60 {
-			b.reduceLimit(b.endpoints[0], time.Hour+time.Duration(i)*time.Second, limitReduction)
+			b.reduceLimit(e, time.Hour+time.Duration(i)*time.Second, limitReduction)
 		}
-		if total := b.endpoints[0].limit.current * float64(n); math.Abs(total-minFleetLimit) > 1e-9 {
-			t.Errorf("%d balancers: %v attempts over all, want %v", n, total, minFleetLimit)
+		total := e.limit.current * float64(balancers)
+		if !approximately(total, minFleetLimit) {
+			t.Errorf("%d balancers: their limits sum to %v, want %v", balancers, total, minFleetLimit)
 		}
 	}
 }
 
-// A balancer that started while a server was choked once took its slow answers for usual.
+// Regression: a balancer that started while an endpoint was saturated took its slow responses for the baseline.
 func TestEndpointSaturatedFromTheStartIsJudgedByFleetBaseline(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(8))
 	for _, e := range b.endpoints {
-		e.utilization.readings, e.utilization.mean, e.latency.baseline = 1, 0.9, float64(60*ms)
+		setUtilization(e, 1, 0.9)
+		e.latency.baseline = float64(60 * ms)
 	}
 	e := b.endpoints[3]
 	e.latency.baseline = 0
 	b.closePeriod(time.Hour + bandPeriod)
-	a := &attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: e}
-	b.observeResult(a, AttemptResult{Latency: 200 * ms, Status: OK}, time.Hour+2*bandPeriod)
+	observeWrite(b, e, OK, 200*ms, time.Hour+2*bandPeriod)
 	if e.limit.current >= b.initialLimit {
-		t.Errorf("bound %v after an answer three times as slow as the fleet's calm", e.limit.current)
+		t.Errorf("limit %v after a response three times as slow as the fleet's baseline", e.limit.current)
 	}
 }
 
-// Many balancers that started together once sent to every server at once and choked the fleet.
+// Regression: many balancers that started together sent to every endpoint at once and overloaded the fleet.
 func TestInitialLimitIsSharedByAllBalancers(t *testing.T) {
-	for _, n := range []int{2, 8, 24} { // of 24 each uses some of the upstreams, or else all
-		got := map[EndpointID]int{}
-		for rank := range n {
-			s := testSettings()
-			s.Balancers, s.Rank = n, rank
-			b, err := New(s, uint64(rank), time.Hour, &recorder{})
+	for _, balancers := range []int{2, 8, 24} { // of 24 each uses a subset of the endpoints, else all
+		attempts := map[EndpointID]int{}
+		for rank := range balancers {
+			settings := testSettings()
+			settings.Balancers = balancers
+			settings.Rank = rank
+			b, err := New(settings, uint64(rank), time.Hour, &recorder{})
 			if err != nil {
 				t.Fatal(err)
 			}
 			b.OnEndpointUpdate(time.Hour, UpdateCached, fleet(20))
-			for i := range 200 { // more than it may have out at once
+			for i := range 200 { // more than its limits allow
 				b.OnRequest(time.Hour, Request{ID: RequestID(i + 1), Class: "write", Timeout: time.Second})
 			}
 			for _, e := range b.endpoints {
-				got[e.ID] += len(e.attempts)
+				attempts[e.ID] += len(e.attempts)
 			}
 		}
-		for id, sent := range got {
-			if sent > initialFleetLimit {
-				t.Errorf("upstream %d was sent %d at once by %d balancers", id, sent, n)
+		for id, n := range attempts {
+			if n > initialFleetLimit {
+				t.Errorf("endpoint %d got %d attempts at once from %d balancers", id, n, balancers)
 			}
 		}
-		if n == 2 && got[1] != initialFleetLimit { // at three, a fifth of the requests was refused until bounds had grown
-			t.Errorf("an upstream was sent %d at first by 2 balancers, want %v", got[1], initialFleetLimit)
+		// With 3 in place of initialFleetLimit a fifth of the requests was rejected until limits had grown.
+		if balancers == 2 && attempts[1] != initialFleetLimit {
+			t.Errorf("endpoint 1 got %d attempts at once from 2 balancers, want %v", attempts[1], initialFleetLimit)
 		}
 	}
 }
 
-// Balancers that began in overload once let bounds grow at servers that were busy already.
+// Regression: balancers that started in overload let limits grow at endpoints that were fully utilised already.
 func TestLimitDoesNotGrowAtFullUtilization(t *testing.T) {
-	for _, c := range []struct {
-		use   float64
-		grows bool
+	for _, test := range []struct {
+		utilization float64
+		wantGrowth  bool
 	}{{0.5, true}, {0.97, false}} {
 		b, _ := newTestBalancer(t, testSettings(), fleet(1))
+		b.saturatedAt = time.Hour
 		e := b.endpoints[0]
-		e.utilization.mean, e.utilization.readings, b.saturatedAt = c.use, bandReadings, time.Hour
+		setUtilization(e, bandReadings, test.utilization)
 		before := e.limit.current
-		b.observeResult(&attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: e}, AttemptResult{Latency: 50 * ms, Status: OK}, time.Hour)
-		if (e.limit.current > before) != c.grows {
-			t.Errorf("use %v: bound %v, then %v", c.use, before, e.limit.current)
+		observeWrite(b, e, OK, 50*ms, time.Hour)
+		if (e.limit.current > before) != test.wantGrowth {
+			t.Errorf("utilization %v: limit %v, then %v", test.utilization, before, e.limit.current)
 		}
 	}
 }
 
-// One balancer of four was left for ten seconds, and refused most of its requests beside idle servers: live
-// weights rise with idleness, and a server of weight 3 was judged against a third of the fleet's latency.
+// Regression: live weights rise with idleness, and an endpoint of weight 3 was compared with a third of the fleet's latency.
+// One balancer of four rejected most of its requests for ten seconds beside idle endpoints.
 func TestIdleEndpointOfHighWeightIsNotTakenForSaturated(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(4))
 	for _, e := range b.endpoints {
-		e.utilization.mean, e.utilization.readings, e.latency.workUnits, e.latency.mean = 0.2, bandReadings, 1, float64(50*ms)
+		setUtilization(e, bandReadings, 0.2)
+		e.latency.workUnits = 1
+		e.latency.mean = float64(50 * ms)
 	}
 	b.closePeriod(time.Hour)
+	b.saturatedAt = time.Hour
 	e := b.endpoints[0]
-	e.weight, e.limit.current, b.saturatedAt = 3, 2, time.Hour
-	b.observeResult(&attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: e}, AttemptResult{Latency: 55 * ms, Status: OK}, time.Hour)
+	e.weight = 3
+	e.limit.current = 2
+	observeWrite(b, e, OK, 55*ms, time.Hour)
 	if e.limit.current <= 2 {
-		t.Errorf("bound %v, want more than 2", e.limit.current)
+		t.Errorf("limit %v, want more than 2", e.limit.current)
 	}
 }
 
-// Where many balancers see few answers each, a server whose latency merely varies was cut again and again.
+// Regression: where each of many balancers sees few responses, the limit of an endpoint whose latency merely varies was
+// reduced again and again.
 func TestVaryingLatencyIsNotSaturation(t *testing.T) {
-	set := testSettings()
-	set.Balancers = 8
-	b, _ := newTestBalancer(t, set, fleet(4))
+	settings := testSettings()
+	settings.Balancers = 8
+	b, _ := newTestBalancer(t, settings, fleet(4))
 	e := b.endpoints[0]
 	for i := range 30 {
-		lat := []time.Duration{190, 60, 60, 60}[i%4] * ms
-		now := 2*time.Hour + time.Duration(i)*time.Second
-		b.observeResult(&attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: e}, AttemptResult{Latency: lat, Status: OK}, now)
+		latency := []time.Duration{190, 60, 60, 60}[i%4] * ms
+		observeWrite(b, e, OK, latency, 2*time.Hour+time.Duration(i)*time.Second)
 		if i > 8 && e.limit.current < b.initialLimit {
-			t.Fatalf("answer %d after %v: bound %v, want %v", i, lat, e.limit.current, b.initialLimit)
+			t.Fatalf("response %d after %v: limit %v, want %v", i, latency, e.limit.current, b.initialLimit)
 		}
 	}
 }
 
-// Bounds once doubled each round trip: many balancers choked a fleet before the first reading told of full use.
+// Regression: limits doubled in each round trip, and many balancers overloaded a fleet before the first reading showed full
+// utilisation.
 func TestLimitAtMostDoublesInAPeriod(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(1))
 	e := b.endpoints[0]
-	e.utilization.readings, e.utilization.mean = 1, 0.5
-	answers := func(now time.Duration) {
+	setUtilization(e, 1, 0.5)
+	respond := func(now time.Duration) {
 		for range 50 {
 			b.saturatedAt = now
-			b.observeResult(&attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: e}, AttemptResult{Latency: 10 * ms, Status: OK}, now)
+			observeWrite(b, e, OK, 10*ms, now)
 		}
 	}
-	answers(time.Hour)
+	respond(time.Hour)
 	if e.limit.current != initialFleetLimit {
-		t.Errorf("bound %v before the first period has passed, want %v", e.limit.current, initialFleetLimit)
+		t.Errorf("limit %v in the first period, want %v", e.limit.current, initialFleetLimit)
 	}
 	b.closePeriod(time.Hour + bandPeriod)
-	answers(time.Hour + bandPeriod)
+	respond(time.Hour + bandPeriod)
 	if e.limit.current != 2*initialFleetLimit {
-		t.Errorf("bound %v in the next period, want %v", e.limit.current, 2*initialFleetLimit)
+		t.Errorf("limit %v in the next period, want %v", e.limit.current, 2*initialFleetLimit)
 	}
 }
 
-// Single late answers are chance where latency varies; each once cut the bound, and turns were refused.
+// Regression: single slow responses, which come by chance where latency varies, each reduced the limit.
 func TestOnlySaturationReducesLimit(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		lat   time.Duration
-		calm  time.Duration
-		short bool
+	for _, test := range []struct {
+		name        string
+		latency     time.Duration
+		baseline    time.Duration
+		wantReduced bool
 	}{
-		{"usual latency near the aim", 280 * ms, 200 * ms, false},
-		{"twice the calm latency, a third of the aim", 100 * ms, 50 * ms, false},
-		{"twice the calm latency, most of the aim", 240 * ms, 120 * ms, true},
+		{"usual latency near the objective", 280 * ms, 200 * ms, false},
+		{"twice the baseline, a third of the objective", 100 * ms, 50 * ms, false},
+		{"twice the baseline, most of the objective", 240 * ms, 120 * ms, true},
 	} {
-		b, _ := newTestBalancer(t, testSettings(), fleet(1))
-		e := b.endpoints[0]
-		e.latency.mean, e.latency.workUnits, e.latency.smoothed, e.latency.baseline = float64(c.lat), 1, float64(c.calm), float64(c.calm)
-		b.observeResult(&attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: e}, AttemptResult{Latency: c.lat, Status: OK}, 2*time.Hour)
-		if (e.limit.current < b.initialLimit) != c.short {
-			t.Errorf("%s: bound %v, at first %v", c.name, e.limit.current, b.initialLimit)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			b, _ := newTestBalancer(t, testSettings(), fleet(1))
+			e := b.endpoints[0]
+			e.latency.mean = float64(test.latency)
+			e.latency.workUnits = 1
+			e.latency.smoothed = float64(test.baseline)
+			e.latency.baseline = float64(test.baseline)
+			observeWrite(b, e, OK, test.latency, 2*time.Hour)
+			if (e.limit.current < b.initialLimit) != test.wantReduced {
+				t.Errorf("limit %v, initially %v", e.limit.current, b.initialLimit)
+			}
+		})
 	}
 }
 
-// Where work and waits on others vary, an answer is often slow beside an idle server. Such answers alone once held
-// the bound at its start, and four requests in five were refused while readings told of a quarter of full use.
+// Where work and waits for other services vary, responses of an idle endpoint are often slow. Regression: these alone kept
+// the limit at its start, and four requests of five were rejected while readings showed a quarter of full utilisation.
 func TestSlowResponsesWithHeadroomDoNotReduceLimit(t *testing.T) {
-	for _, c := range []struct {
-		balancers  int
-		use, queue float64
-		grows      bool
-	}{{2, 0.25, 0, true}, {8, 0.25, 0, true}, {2, 0.95, 0, false}, {8, 0.95, 0, false}, {2, 0.5, 3, false}} {
-		s := testSettings()
-		s.Balancers = c.balancers
-		b, _ := newTestBalancer(t, s, fleet(1))
-		e, now := b.endpoints[0], 2*time.Hour
+	for _, test := range []struct {
+		balancers   int
+		utilization float64
+		queue       float64
+		wantGrowth  bool
+	}{
+		{2, 0.25, 0, true},
+		{8, 0.25, 0, true},
+		{2, 0.95, 0, false},
+		{8, 0.95, 0, false},
+		{2, 0.5, 3, false},
+	} {
+		settings := testSettings()
+		settings.Balancers = test.balancers
+		b, _ := newTestBalancer(t, settings, fleet(1))
+		e := b.endpoints[0]
+		now := 2 * time.Hour
 		for i := range 20 {
 			now += time.Second
 			b.saturatedAt = now
-			e.utilization.readings, e.utilization.mean, e.utilization.lastReport.Queue = 1, c.use, c.queue
-			lat := []time.Duration{90, 250}[i%2] * ms
-			b.observeResult(&attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: e}, AttemptResult{Latency: lat, Status: OK}, now)
+			setUtilization(e, 1, test.utilization)
+			e.utilization.lastReport.Queue = test.queue
+			latency := []time.Duration{90, 250}[i%2] * ms
+			observeWrite(b, e, OK, latency, now)
 		}
-		if grew := e.limit.current >= min(2*b.initialLimit, e.limit.ceiling); grew != c.grows {
-			t.Errorf("%+v: bound %v, at first %v", c, e.limit.current, b.initialLimit)
+		grown := e.limit.current >= min(2*b.initialLimit, e.limit.ceiling)
+		if grown != test.wantGrowth {
+			t.Errorf("%+v: limit %v, initially %v", test, e.limit.current, b.initialLimit)
 		}
 	}
 }
 
-// Requests come by chance. Spaced evenly by its pause, a thin flow left turns unused and refused at others.
+// Requests arrive at random. Regression: with pauses of equal length between attempts, few requests left turns unused at
+// some times and were rejected at others.
 func TestIdleEndpointMayTakeOneAttemptBeforePausing(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(1))
 	e := b.endpoints[0]
-	e.limit.current, e.latency.mean = 0.2, float64(100*ms)
-	answer := func(sent time.Duration) {
+	e.latency.mean = float64(100 * ms)
+	endAttempt := func(sentAt time.Duration) {
 		e.limit.current = 0.2
-		a := &attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: e, sentAt: sent}
-		b.observeResult(a, AttemptResult{Latency: 100 * ms, Status: Error}, sent+100*ms)
+		a := &attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: e, sentAt: sentAt}
+		b.observeResult(a, AttemptResult{Latency: 100 * ms, Status: Error}, sentAt+100*ms)
 	}
-	now := 2 * time.Hour // idle for long
-	if answer(now); e.limit.pausedUntil > now+100*ms {
-		t.Errorf("after one attempt: free after %v", e.limit.pausedUntil-now)
+	now := 2 * time.Hour // the endpoint was idle for long
+	endAttempt(now)
+	if e.limit.pausedUntil > now+100*ms {
+		t.Errorf("paused for %v after one attempt", e.limit.pausedUntil-now)
 	}
-	if answer(now + 100*ms); e.limit.pausedUntil < now+500*ms {
-		t.Errorf("after two in a row: free after %v", e.limit.pausedUntil-now)
+	endAttempt(now + 100*ms)
+	if e.limit.pausedUntil < now+500*ms {
+		t.Errorf("paused for %v after two attempts in a row", e.limit.pausedUntil-now)
 	}
 }
 
-// Attempts whose answers are lost time out at idle servers as at full ones. They once cut the bounds of all, and a
-// fleet that idled was refused to clients.
+// Attempts whose responses are lost time out at idle endpoints as well as at saturated ones. Regression: they reduced the
+// limits of all endpoints, and requests were rejected beside an idle fleet.
 func TestTimeoutWithHeadroomDoesNotReduceLimit(t *testing.T) {
-	for _, c := range []struct {
-		readings int
-		use      float64
-		cut      bool
+	for _, test := range []struct {
+		readings    int
+		utilization float64
+		wantReduced bool
 	}{{bandReadings, 0.2, false}, {bandReadings, 0.95, true}, {0, 0, true}} {
 		b, _ := newTestBalancer(t, testSettings(), fleet(1))
 		e := b.endpoints[0]
-		e.utilization.readings, e.utilization.mean, e.limit.current = c.readings, c.use, 8
-		b.observeResult(&attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: e}, AttemptResult{Latency: time.Second, Status: Timeout}, 2*time.Hour)
-		if (e.limit.current < 8) != c.cut {
-			t.Errorf("%+v: bound %v, 8 before", c, e.limit.current)
+		setUtilization(e, test.readings, test.utilization)
+		e.limit.current = 8
+		observeWrite(b, e, Timeout, time.Second, 2*time.Hour)
+		if (e.limit.current < 8) != test.wantReduced {
+			t.Errorf("%+v: limit %v, 8 before", test, e.limit.current)
 		}
 	}
 }
 
-// Where a class's latency is near half its aim, a request that finds no turn can't be held and is refused at once. Only
-// held ones once counted as short turns, so bounds stayed low beside such refusals and idle servers.
+// Where the latency of a class is near half of its objective, a request that finds no endpoint can't be queued and is
+// rejected immediately. Regression: only queued requests counted as saturation, so limits stayed low beside such rejections
+// and idle endpoints.
 func TestImmediateRejectionCountsAsSaturation(t *testing.T) {
-	s := testSettings()
-	s.Balancers = 8 // one attempt at once for each
-	b, effects := newTestBalancer(t, s, fleet(1))
-	e, now := b.endpoints[0], 2*time.Hour
+	settings := testSettings()
+	settings.Balancers = 8 // each may have one attempt in flight
+	b, effects := newTestBalancer(t, settings, fleet(1))
+	e := b.endpoints[0]
+	now := 2 * time.Hour
 	b.classes["read"].latency = float64(200 * ms)
 	e.limit.pausedUntil = 0
 	for id := range RequestID(2) {
 		b.OnRequest(now, Request{ID: id + 1, Class: "read", Timeout: time.Second})
 	}
 	if effects.count("send") != 1 || effects.count("refuse") != 1 {
-		t.Fatalf("want one sent and one refused: %v", effects.calls)
+		t.Fatalf("want one request sent and one rejected: %v", effects.calls)
 	}
-	e.utilization.readings, e.utilization.mean = 1, 0.3
+	setUtilization(e, 1, 0.3)
 	b.OnAttemptResult(now+50*ms, AttemptResult{ID: 1, Endpoint: e.ID, Latency: 50 * ms, Status: OK, RequestClosed: true})
-	if e.limit.current != b.initialLimit+limitGrowth {
-		t.Errorf("bound %v after an answer beside a refusal, want %v", e.limit.current, b.initialLimit+limitGrowth)
+	want := b.initialLimit + limitGrowth
+	if e.limit.current != want {
+		t.Errorf("limit %v after a response and a rejection, want %v", e.limit.current, want)
 	}
 }
--- a/balancer/locality_test.go
+++ b/balancer/locality_test.go
@@ -8,173 +8,194 @@
 	"pgregory.net/rapid"
 )
 
-// homePart sends n requests and tells which part of them went to each zone.
+// shareByZone sends n requests and returns the fraction of them that went to each zone.
 func shareByZone(t *testing.T, b *Balancer, now time.Duration, n int) map[string]float64 {
 	t.Helper()
-	parts := map[string]float64{}
+	shares := map[string]float64{}
 	for i := range n {
 		e := serveRequest(t, b, now+time.Duration(i)*ms, RequestID(1e6+int(now/ms)+i))
-		parts[e.Zone] += 1 / float64(n)
+		shares[e.Zone] += 1 / float64(n)
 	}
-	return parts
+	return shares
 }
 
-// Three picks of four once crossed a zone on a fleet with four. With use to spare most stay home, and somebody is
-// always asked elsewhere, or nothing would be known of them.
+// Regression: with four zones three requests of four went to another zone. While the local zone has headroom most stay
+// there, and some always go elsewhere, so that the other zones remain measured.
 func TestTrafficStaysLocalWhileLocalZoneHasHeadroom(t *testing.T) {
-	b, _ := newTestBalancer(t, testSettings(), endpointsInZones(map[string]int{"near": 4, "b": 4, "c": 4, "d": 4}, "near", "b", "c", "d"))
+	b, _ := newTestBalancer(t, testSettings(), fourZones(4))
 	now := runPeriods(b, time.Hour, 30, map[string]float64{"near": 0.3, "b": 0.3, "c": 0.3, "d": 0.3})
-	if p := shareByZone(t, b, now, 1000)["near"]; p < 0.85 || p > 0.95 {
-		t.Errorf("%.2f of the traffic stays home", p)
+	local := shareByZone(t, b, now, 1000)["near"]
+	if local < 0.85 || local > 0.95 {
+		t.Errorf("%.2f of the traffic stays local", local)
 	}
 }
 
-// A home used beyond the fleet's use lets traffic out by degrees, no faster than its reports can tell of it, down to
-// half of an even part and no further; and takes it back as it cools.
+// A local zone with more utilisation than the fleet spills traffic over gradually, no faster than its reports can follow,
+// down to half of an even share; as its utilisation falls the traffic comes back.
 func TestSaturatedLocalZoneSpillsOverGradually(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), endpointsInZones(map[string]int{"near": 4, "b": 4}, "near", "b"))
-	hot, cool := map[string]float64{"near": 0.9, "b": 0.3}, map[string]float64{"near": 0.3, "b": 0.3}
-	now := runPeriods(b, time.Hour, 20, cool)
+	saturated := map[string]float64{"near": 0.9, "b": 0.3}
+	idle := map[string]float64{"near": 0.3, "b": 0.3}
+	now := runPeriods(b, time.Hour, 20, idle)
 	before := b.locality.localShare
 	for range 30 {
-		now = runPeriods(b, now, 1, hot)
-		if before-b.locality.localShare > maxLocalShareStep+1e-9 {
-			t.Fatalf("from %.2f to %.2f in a period", before, b.locality.localShare)
+		now = runPeriods(b, now, 1, saturated)
+		if before-b.locality.localShare > maxLocalShareStep+tolerance {
+			t.Fatalf("local share %.2f, a period later %.2f", before, b.locality.localShare)
 		}
 		before = b.locality.localShare
 	}
-	if p := shareByZone(t, b, now, 1000)["near"]; math.Abs(p-0.25) > 0.05 {
-		t.Errorf("%.2f of the traffic stays at a full home, an even part is 0.5", p)
+	local := shareByZone(t, b, now, 1000)["near"]
+	if math.Abs(local-0.25) > 0.05 {
+		t.Errorf("%.2f of the traffic stays in a saturated local zone, want half of the even share of 0.5", local)
 	}
-	now = runPeriods(b, now, 30, cool)
-	if p := shareByZone(t, b, now, 1000)["near"]; p < 0.85 {
-		t.Errorf("only %.2f of it comes back", p)
+	now = runPeriods(b, now, 30, idle)
+	local = shareByZone(t, b, now, 1000)["near"]
+	if local < 0.85 {
+		t.Errorf("only %.2f of the traffic is local again", local)
 	}
 }
 
-// Where the whole fleet is full, no turn is lost for being elsewhere: shares alone decide.
+// Where the whole fleet is saturated each endpoint's turns are needed, wherever it is: traffic shares alone decide.
 func TestSaturatedFleetIsSharedEvenly(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), endpointsInZones(map[string]int{"near": 4, "b": 4}, "near", "b"))
 	now := runPeriods(b, time.Hour, 40, map[string]float64{"near": 0.95, "b": 0.95})
-	if p := shareByZone(t, b, now, 1000)["near"]; math.Abs(p-0.5) > 0.05 {
-		t.Errorf("%.2f of the traffic stays home on a full fleet", p)
+	local := shareByZone(t, b, now, 1000)["near"]
+	if math.Abs(local-0.5) > 0.05 {
+		t.Errorf("%.2f of the traffic stays local in a saturated fleet", local)
 	}
 }
 
-// What leaves a zone goes to its region first; another region gets the trickle that keeps it known.
+// Spillover goes to the own region first; another region gets as much as keeps it measured.
 func TestSpilloverPrefersOwnRegion(t *testing.T) {
-	s := testSettings()
-	s.Zone = "west/1"
-	b, _ := newTestBalancer(t, s, endpointsInZones(map[string]int{"west/1": 3, "west/2": 3, "east/1": 6}, "west/1", "west/2", "east/1"))
+	settings := testSettings()
+	settings.Zone = "west/1"
+	list := endpointsInZones(map[string]int{"west/1": 3, "west/2": 3, "east/1": 6}, "west/1", "west/2", "east/1")
+	b, _ := newTestBalancer(t, settings, list)
 	now := runPeriods(b, time.Hour, 30, map[string]float64{"west/1": 0.65, "west/2": 0.35, "east/1": 0.45})
-	p := shareByZone(t, b, now, 2000)
-	if p["west/2"] < 2*p["east/1"] || p["east/1"] == 0 || p["east/1"] > 0.12 {
-		t.Errorf("a hot zone's traffic goes %v", p)
+	shares := shareByZone(t, b, now, 2000)
+	if shares["west/2"] < 2*shares["east/1"] || shares["east/1"] == 0 || shares["east/1"] > 0.12 {
+		t.Errorf("with a saturated local zone the traffic goes to %v", shares)
 	}
 }
 
-// What can't be back in time from another region is not sent there; what can is, when home takes no more.
+// A request goes to another region only if the usual latency fits its timeout.
 func TestRemoteRegionNeedsTimeToAnswer(t *testing.T) {
-	s := testSettings()
-	s.Zone = "west/1"
-	b, _ := newTestBalancer(t, s, endpointsInZones(map[string]int{"west/1": 1, "west/2": 1, "east/1": 1}, "west/1", "west/2", "east/1"))
+	settings := testSettings()
+	settings.Zone = "west/1"
+	list := endpointsInZones(map[string]int{"west/1": 1, "west/2": 1, "east/1": 1}, "west/1", "west/2", "east/1")
+	b, _ := newTestBalancer(t, settings, list)
 	for _, e := range b.endpoints {
-		e.latency.mean, e.latency.workUnits = float64(200*ms), 1
+		e.latency.mean = float64(200 * ms)
+		e.latency.workUnits = 1
 	}
-	r := &request{class: b.classes["read"], workUnits: 1, deadline: time.Hour + 150*ms}
+	deadline := time.Hour + 150*ms
+	wholeRequest := &request{class: b.classes["read"], workUnits: 1, deadline: deadline}
+	halfRequest := &request{class: b.classes["read"], workUnits: 0.5, deadline: deadline}
 	for _, e := range b.endpoints {
-		if got, want := b.isEligible(e, r, time.Hour), e.Zone != "east/1"; got != want {
-			t.Errorf("%s, 150 ms left of the usual 200: eligible %v, want %v", e.Zone, got, want)
+		got, want := b.isEligible(e, wholeRequest, time.Hour), e.Zone != "east/1"
+		if got != want {
+			t.Errorf("%s, with 150 ms left of the usual 200: eligible %v, want %v", e.Zone, got, want)
 		}
-		if r.workUnits = 0.5; !b.isEligible(e, r, time.Hour) {
-			t.Errorf("%s: half of the work has the time", e.Zone)
+		if !b.isEligible(e, halfRequest, time.Hour) {
+			t.Errorf("%s: not eligible for half of the work, which has the time", e.Zone)
 		}
-		r.workUnits = 1
 	}
 }
 
-// Without zones, with one, or with none of its own listed, a balancer does what shares alone say.
+// Without zones, with a single one, or with no endpoint in the own zone, traffic shares alone decide.
 func TestNoLocalityWeightsWithoutZones(t *testing.T) {
-	for _, c := range []struct{ own, of string }{{"", ""}, {"near", "near"}, {"elsewhere", "near"}} {
-		s := testSettings()
-		s.Zone = c.own
+	for _, test := range []struct{ balancerZone, endpointZone string }{{"", ""}, {"near", "near"}, {"elsewhere", "near"}} {
+		settings := testSettings()
+		settings.Zone = test.balancerZone
 		list := fleet(6)
 		for i := range list {
-			list[i].Zone = c.of
+			list[i].Zone = test.endpointZone
 		}
-		b, _ := newTestBalancer(t, s, list)
-		runPeriods(b, time.Hour, 10, map[string]float64{c.of: 0.4})
+		b, _ := newTestBalancer(t, settings, list)
+		runPeriods(b, time.Hour, 10, map[string]float64{test.endpointZone: 0.4})
 		for _, z := range b.zones {
 			if z.localityWeight != 1 {
-				t.Errorf("%+v: zone %q has a tilt of %v", c, z.name, z.localityWeight)
+				t.Errorf("%+v: zone %q has locality weight %v, want 1", test, z.name, z.localityWeight)
 			}
 		}
 	}
 }
 
-// A balancer that uses few of many upstreams has one or two at home. Nine parts in ten of its traffic went there, and where
-// one of them drained or was cold all of that waited on the other. Such a balancer goes by shares alone; one that uses all
-// of its upstreams, or enough, leans to its zone.
+// Regression: a balancer that uses few of many endpoints has one or two local ones. These got nine tenths of its traffic,
+// and while one of them drained or warmed up all of that depended on the other. Such a balancer goes by traffic shares
+// alone; one that uses all endpoints, or enough of them, prefers its own zone.
 func TestSmallSubsetDisablesLocality(t *testing.T) {
-	for _, x := range []struct {
-		upstreams, balancers int
-		leans                bool
+	for _, test := range []struct {
+		endpoints, balancers int
+		wantLocality         bool
 	}{{4, 1, true}, {200, 300, false}, {200, 60, true}} {
-		s := testSettings()
-		s.Zone, s.Balancers = "a", x.balancers
-		list := fleet(x.upstreams)
+		settings := testSettings()
+		settings.Zone = "a"
+		settings.Balancers = test.balancers
+		list := fleet(test.endpoints)
 		for i := range list {
 			list[i].Zone = []string{"a", "b", "c", "d"}[i%4]
 		}
-		b, _ := newTestBalancer(t, s, list)
-		home, used := 0, 0
+		b, _ := newTestBalancer(t, settings, list)
+		local := 0
 		for _, e := range b.subset {
-			if used++; e.Zone == "a" {
-				home++
+			if e.Zone == "a" {
+				local++
 			}
 		}
-		if leans := b.locality.localShare > 0; leans != x.leans || used == 0 {
-			t.Errorf("%d balancers of %d upstreams: uses %d, %d at home, %.2f stay, want leaning %v", x.balancers, x.upstreams, used, home, b.locality.localShare, x.leans)
+		locality := b.locality.localShare > 0
+		if locality != test.wantLocality || len(b.subset) == 0 {
+			t.Errorf("%+v: %d endpoints in use, %d of them local, local share %.2f",
+				test, len(b.subset), local, b.locality.localShare)
 		}
 	}
 }
 
-// Whatever readings say, the parts keep their bounds, every tilt is a figure over 0, and zones that nobody is in any more
-// are forgotten.
+// Whatever load reports say, local and region shares stay within their bounds, every locality weight is positive and finite,
+// and zones without endpoints are forgotten.
 func TestLocalityWeightsStayWithinBounds(t *testing.T) {
 	names := []string{"near", "b", "x/c", "x/d", "y/e"}
 	rapid.Check(t, func(rt *rapid.T) {
-		s := testSettings()
-		s.Zone = rapid.SampledFrom(names).Draw(rt, "own")
-		b, _ := newTestBalancer(t, s, nil)
+		settings := testSettings()
+		settings.Zone = rapid.SampledFrom(names).Draw(rt, "own zone")
+		b, _ := newTestBalancer(t, settings, nil)
 		now := time.Hour
 		for range rapid.IntRange(1, 20).Draw(rt, "events") {
-			count, use := map[string]int{}, map[string]float64{}
-			for _, z := range names {
-				count[z] = rapid.IntRange(0, 4).Draw(rt, "upstreams of "+z)
-				use[z] = rapid.Float64Range(0, 1).Draw(rt, "use of "+z)
+			counts := map[string]int{}
+			utilization := map[string]float64{}
+			for _, name := range names {
+				counts[name] = rapid.IntRange(0, 4).Draw(rt, "endpoints of "+name)
+				utilization[name] = rapid.Float64Range(0, 1).Draw(rt, "utilization of "+name)
 			}
-			list := endpointsInZones(count, names...)
-			for i := range list { // zones are renamed and upstreams move between them
+			list := endpointsInZones(counts, names...) // an id may be in another zone than before
+			for i := range list {
 				list[i].Weight = rapid.Float64Range(0.1, 10).Draw(rt, "weight")
 			}
 			b.OnEndpointUpdate(now, UpdateComplete, list)
-			now = runPeriods(b, now, rapid.IntRange(1, 4).Draw(rt, "periods"), use)
-			listed := map[string]bool{s.Zone: true}
-			for _, e := range b.endpoints {
-				listed[e.Zone] = true
-			}
-			for _, z := range b.zones {
-				if !(z.localityWeight > 0) || math.IsInf(z.localityWeight, 1) {
-					rt.Fatalf("zone %s has a tilt of %v", z.name, z.localityWeight)
-				}
-				if !listed[z.name] {
-					rt.Fatalf("zone %s is kept though nobody is in it", z.name)
-				}
-			}
-			if b.locality.localShare < 0 || b.locality.localShare > 1 || (b.locality.localShare > 0 && b.locality.regionShare < b.locality.localShare) {
-				rt.Fatalf("stay %v, keep %v", b.locality.localShare, b.locality.regionShare)
-			}
+			now = runPeriods(b, now, rapid.IntRange(1, 4).Draw(rt, "periods"), utilization)
+			checkLocality(rt, b)
 		}
 	})
 }
+
+// checkLocality checks the bounds of locality weights and shares, and that every zone is listed or the balancer's own.
+func checkLocality(rt *rapid.T, b *Balancer) {
+	rt.Helper()
+	listed := map[string]bool{b.settings.Zone: true}
+	for _, e := range b.endpoints {
+		listed[e.Zone] = true
+	}
+	for _, z := range b.zones {
+		if !(z.localityWeight > 0) || math.IsInf(z.localityWeight, 1) {
+			rt.Fatalf("zone %s has locality weight %v", z.name, z.localityWeight)
+		}
+		if !listed[z.name] {
+			rt.Fatalf("zone %s is kept without endpoints", z.name)
+		}
+	}
+	local, region := b.locality.localShare, b.locality.regionShare
+	if local < 0 || local > 1 || (local > 0 && region < local) {
+		rt.Fatalf("local share %v, region share %v", local, region)
+	}
+}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -6,159 +6,204 @@
 	"time"
 )
 
-// Many requests of small hinted cost once pushed a cold upstream over.
+// Regression: many requests with a small cost hint overloaded an endpoint that was warming up.
 func TestSlowStartBudgetCountsSmallRequestsInFull(t *testing.T) {
 	b, effects := newTestBalancer(t, testSettings(), oneZone(fleet(4)))
 	now := time.Hour
-	for i := range 4000 { // warm ones carry work for a while
+	for i := range 4000 { // warm endpoints serve for a while
 		now += 5 * ms
 		serveRequest(t, b, now, RequestID(i+1))
 		if i%4 == 0 {
 			b.OnTimer(now, tickToken)
 		}
 	}
-	cold := Endpoint{ID: 9, Zone: "near", Weight: 1, StartedAt: now}
-	b.OnEndpointUpdate(now, UpdateDelta, []Endpoint{cold})
+	warming := Endpoint{ID: 9, Zone: "near", Weight: 1, StartedAt: now}
+	b.OnEndpointUpdate(now, UpdateDelta, []Endpoint{warming})
 	before := effects.count("send")
-	for i := range 300 { // one window
+	for i := range 300 { // one overload window
 		now += 5 * ms
 		id := RequestID(10000 + i)
 		b.OnRequest(now, Request{ID: id, Class: "write", Timeout: time.Second, CostHint: ms})
 		if r := b.requests[id]; r != nil && r.inFlight == 1 {
-			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: r.attempts[0].endpoint.ID, Latency: 20 * ms, Status: OK, RequestClosed: true})
+			b.OnAttemptResult(now, AttemptResult{
+				ID: id, Endpoint: r.attempts[0].endpoint.ID, Latency: 20 * ms, Status: OK, RequestClosed: true,
+			})
 		}
 	}
-	toCold := 0
-	for _, l := range effects.calls {
-		if strings.Contains(l, " up=9 ") {
-			toCold++
+	toWarming := 0
+	for _, call := range effects.calls {
+		if strings.Contains(call, " up=9 ") {
+			toWarming++
 		}
 	}
-	// A warm one carries 75 in the window at most; a cold one may get the margin of its rule's multiple.
-	most := 40 // 75 x tipMargin x 3 x the share of capacity reached, 0.45
-	if toCold == 0 || toCold > most || effects.count("send")-before < 250 {
-		t.Errorf("a cold upstream got %d of %d sends, at most %d fit", toCold, effects.count("send")-before, most)
+	// A warm endpoint gets 75 in the window at most. Rule 4 allows the warming one about 100: 75 x OverloadMultiple x the
+	// fraction of its capacity that it has reached, 0.45. The budget has to stay well below that.
+	const most = 40
+	sent := effects.count("send") - before
+	if toWarming == 0 || toWarming > most || sent < 250 {
+		t.Errorf("the warming endpoint got %d of %d sends, at most %d are allowed", toWarming, sent, most)
 	}
 }
 
-// At full size a balancer's part of a cold upstream's budget is under one request: none was sent until the ramp
-// had ended, and then all balancers sent their full share at once. Over many balancers it must come to the part.
+// Regression: with many balancers each one's part of a warming endpoint's budget is under one request. None was sent before
+// the slow start ended, and then all balancers sent their full traffic share at once. All together have to send some.
 func TestSlowStartBudgetHoldsOverManyBalancers(t *testing.T) {
-	const balancers, window = 200, 1500 * ms
-	s, sent := testSettings(), 0
-	s.Balancers, s.Obligations.OverloadWindow = balancers, window
-	for s.Rank = range balancers {
-		effects := &recorder{}
-		b, err := New(s, uint64(s.Rank), time.Hour, effects)
-		if err != nil {
-			t.Fatal(err)
+	const (
+		balancers = 200
+		window    = 1500 * ms
+		warmRate  = 0.2 // requests a second that a warm endpoint gets from each balancer
+	)
+	settings := testSettings()
+	settings.Balancers = balancers
+	settings.Obligations.OverloadWindow = window
+	sent := 0
+	for rank := range balancers {
+		settings.Rank = rank
+		sent += sendToWarmingEndpoint(t, settings, warmRate)
+	}
+	// What a warm endpoint gets in the window from all balancers, times the overload multiple and the fraction of its
+	// capacity that the warming one has reached by then.
+	most := warmRate * balancers * 3 * 0.4 * window.Seconds()
+	if sent == 0 || float64(sent) > most {
+		t.Errorf("%d sent to a warming endpoint, want 1 to %v", sent, most)
+	}
+}
+
+// sendToWarmingEndpoint has a new balancer send all its traffic of 1.5 s to an endpoint that warms up, as far as it may, and
+// returns how many attempts that were.
+func sendToWarmingEndpoint(t *testing.T, settings Settings, warmRate float64) int {
+	t.Helper()
+	effects := &recorder{}
+	b, err := New(settings, uint64(settings.Rank), time.Hour, effects)
+	if err != nil {
+		t.Fatal(err)
+	}
+	list := fleet(3)
+	list[2].StartedAt = time.Hour
+	b.OnEndpointUpdate(time.Hour, UpdateCached, list)
+	b.fleet.workPerWeight = warmRate
+	b.fleet.maxWorkPerWeight = warmRate
+	for i := range 150 {
+		for _, warm := range b.endpoints[:2] {
+			warm.limit.pausedUntil = 2 * time.Hour
 		}
-		list := fleet(3)
-		list[2].StartedAt = time.Hour
-		b.OnEndpointUpdate(time.Hour, UpdateCached, list)
-		b.fleet.workPerWeight, b.fleet.maxWorkPerWeight = 0.2, 0.2 // requests a second that a warm upstream takes from this balancer
-		for i := range 150 {
-			for _, e := range b.endpoints[:2] {
-				e.limit.pausedUntil = 2 * time.Hour // all the traffic asks for the cold one
-			}
-			now := time.Hour + time.Duration(i)*10*ms
-			b.OnRequest(now, Request{ID: RequestID(i + 1), Class: "read", Timeout: time.Second})
-			if r := b.requests[RequestID(i+1)]; r != nil && r.inFlight > 0 {
-				b.OnAttemptResult(now, AttemptResult{ID: r.ID, Endpoint: 3, Latency: 5 * ms, Status: OK, RequestClosed: true})
-			}
+		now := time.Hour + time.Duration(i)*10*ms
+		id := RequestID(i + 1)
+		b.OnRequest(now, Request{ID: id, Class: "read", Timeout: time.Second})
+		if r := b.requests[id]; r != nil && r.inFlight > 0 {
+			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: 3, Latency: 5 * ms, Status: OK, RequestClosed: true})
 		}
-		sent += effects.count("send")
 	}
-	// All together may send what a warm one takes times the multiple and the ramp, at most.
-	if most := 0.2 * balancers * 3 * 0.4 * window.Seconds(); sent == 0 || float64(sent) > most {
-		t.Errorf("%d sent to a cold upstream, 1 to %v fit", sent, most)
+	return effects.count("send")
+}
+
+// restartingBalancer is a Balancer that serves a request every 10 ms, and can be restarted from its snapshot. It notes what
+// is sent to the first endpoint while that warms up.
+type restartingBalancer struct {
+	t        *testing.T
+	balancer *Balancer
+	settings Settings
+	list     []Endpoint
+	now      time.Duration
+	lastID   RequestID
+	sentAt   []time.Duration
+}
+
+func (r *restartingBalancer) serve() {
+	r.now += 10 * ms
+	r.lastID++
+	r.balancer.OnRequest(r.now, Request{ID: r.lastID, Class: "read", Timeout: time.Second})
+	entry := r.balancer.requests[r.lastID]
+	if entry == nil || entry.inFlight == 0 {
+		return
+	}
+	e := entry.attempts[0].endpoint
+	if e.ID == r.list[0].ID && e.slowStart.active {
+		r.sentAt = append(r.sentAt, r.now)
 	}
+	r.balancer.OnAttemptResult(r.now, AttemptResult{
+		ID: r.lastID, Endpoint: e.ID, Latency: 40 * ms, Status: OK, RequestClosed: true,
+		Load: LoadReport{Fields: HasUtilization, Utilization: 0.5},
+	})
+	r.balancer.OnTimer(r.now, tickToken)
 }
 
-// Rule 4 holds across restarts: what was sent before one counts, though nobody knows how much it was.
+func (r *restartingBalancer) restart(seed uint64) {
+	r.t.Helper()
+	snapshot := r.balancer.TakeSnapshot(r.now)
+	b, err := New(r.settings, seed, r.now, &recorder{})
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	b.OnEndpointUpdate(r.now, UpdateCached, r.list)
+	b.Restore(r.now, snapshot)
+	r.balancer = b
+	r.lastID += 1000
+}
+
+// Rule 4 holds across restarts: what was sent before one counts, though no balancer knows how much it was.
 func TestSlowStartBudgetHoldsAcrossRestarts(t *testing.T) {
-	most := func() (worst float64) {
-		s := testSettings()
-		list := fleet(4)
-		b, _ := newTestBalancer(t, s, list)
-		now := time.Hour
-		var id RequestID
-		var sent []time.Duration
-		serveOne := func() {
-			now += 10 * ms
-			id++
-			b.OnRequest(now, Request{ID: id, Class: "read", Timeout: time.Second})
-			r := b.requests[id]
-			if r == nil || r.inFlight == 0 {
-				return
-			}
-			e := r.attempts[0].endpoint
-			if e.ID == list[0].ID && e.slowStart.active {
-				sent = append(sent, now)
-			}
-			b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: e.ID, Latency: 40 * ms, Status: OK, RequestClosed: true, Load: LoadReport{Fields: HasUtilization, Utilization: 0.5}})
-			b.OnTimer(now, tickToken)
-		}
-		for range 800 {
-			serveOne()
-		}
-		warm := 800.0 / 4 / 8 // requests a second that a warm one carries at half of its use: 25
-		list[0].StartedAt = now
-		b.OnEndpointUpdate(now, UpdateDelta, list[:1])
-		began := now
-		for i := range 300 {
-			if i%10 == 9 { // started anew every 100 ms
-				k := b.TakeSnapshot(now)
-				x, err := New(s, uint64(i), now, &recorder{})
-				if err != nil {
-					t.Fatal(err)
-				}
-				x.OnEndpointUpdate(now, UpdateCached, list)
-				x.Restore(now, k)
-				b, id = x, id+1000
-			}
-			serveOne()
+	settings := testSettings()
+	list := fleet(4)
+	b, _ := newTestBalancer(t, settings, list)
+	r := &restartingBalancer{t: t, balancer: b, settings: settings, list: list, now: time.Hour}
+	for range 800 {
+		r.serve()
+	}
+	const warmRate = 800.0 / 4 / 8 // requests a second that a warm endpoint serves at half of its capacity: 25
+	startedAt := r.now
+	list[0].StartedAt = startedAt
+	r.balancer.OnEndpointUpdate(r.now, UpdateDelta, list[:1])
+	for i := range 300 {
+		if i%10 == 9 { // every 100 ms
+			r.restart(uint64(i))
 		}
-		for _, from := range sent {
-			n := 0.0
-			for _, at := range sent {
-				if at >= from && at < from+s.Obligations.OverloadWindow {
-					n++
-				}
+		r.serve()
+	}
+	worst := 0.0 // sends in any overload window, in parts of the budget
+	rules := settings.Obligations
+	for _, from := range r.sentAt {
+		sends := 0.0
+		for _, at := range r.sentAt {
+			if at >= from && at < from+rules.OverloadWindow {
+				sends++
 			}
-			can := s.Obligations.SlowStartFrom + (1-s.Obligations.SlowStartFrom)*float64(from-began)/float64(s.Obligations.SlowStartWindow)
-			worst = max(worst, n/(s.Obligations.OverloadMultiple*can*2*warm*s.Obligations.OverloadWindow.Seconds()))
 		}
-		return worst
+		capacity := rules.SlowStartFrom + (1-rules.SlowStartFrom)*float64(from-startedAt)/float64(rules.SlowStartWindow)
+		budget := rules.OverloadMultiple * capacity * 2 * warmRate * rules.OverloadWindow.Seconds()
+		worst = max(worst, sends/budget)
 	}
-	if with := most(); with > 1 || with < 0.1 {
-		t.Errorf("%.2f times the budget of a cold upstream is sent across restarts", with)
+	if worst > 1 || worst < 0.1 {
+		t.Errorf("%.2f times the budget of a warming endpoint was sent across restarts", worst)
 	}
 }
 
-// What a cold upstream was sent since the last snapshot is not known, so a window has to pass; one that is older than a
-// window holds nothing that counts.
+// What was sent to a warming endpoint since the last snapshot is not known, so an overload window has to pass first. A
+// snapshot that is older than a window leaves nothing unknown that still counts.
 func TestWarmingEndpointWaitsOverloadWindowAfterRestart(t *testing.T) {
 	b, now := trainedBalancer(t)
 	list := fourZones(3)
 	list[0].StartedAt = now
 	b.OnEndpointUpdate(now, UpdateDelta, list[:1])
-	k := b.TakeSnapshot(now)
-	for _, c := range []struct {
+	snapshot := b.TakeSnapshot(now)
+	window := testSettings().Obligations.OverloadWindow
+	for _, test := range []struct {
 		age  time.Duration
 		want bool
-	}{{100 * ms, false}, {testSettings().Obligations.OverloadWindow + ms, true}} {
-		x := restoredBalancer(t, now+c.age, list, k)
-		e := x.byID[list[0].ID]
-		r := &request{class: x.classes["read"], workUnits: 1}
+	}{{100 * ms, false}, {window + ms, true}} {
+		restartedAt := now + test.age
+		restored := restoredBalancer(t, restartedAt, list, snapshot)
+		e := restored.byID[list[0].ID]
+		r := &request{class: restored.classes["read"], workUnits: 1}
 		if !e.slowStart.active {
-			t.Fatal("it is not cold")
+			t.Fatal("the endpoint is not warming up")
 		}
-		if got := x.fitsSlowStart(e, r, now+c.age); got != c.want {
-			t.Errorf("restarted %v after the snapshot: room %v, want %v", c.age, got, c.want)
+		fits := restored.fitsSlowStart(e, r, restartedAt)
+		if fits != test.want {
+			t.Errorf("restarted %v after the snapshot: fits %v, want %v", test.age, fits, test.want)
 		}
-		if later := now + c.age + testSettings().Obligations.OverloadWindow; !x.fitsSlowStart(e, r, later) {
-			t.Errorf("restarted %v after the snapshot: no room a window later", c.age)
+		if !restored.fitsSlowStart(e, r, restartedAt+window) {
+			t.Errorf("restarted %v after the snapshot: does not fit a window later", test.age)
 		}
 	}
 }
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -2,50 +2,80 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"math"
 	"reflect"
+	"strconv"
 	"testing"
 	"time"
 )
 
-// What is read back is what was written, and senseless figures poison nothing.
 func TestSnapshotSurvivesJSON(t *testing.T) {
 	b, now := trainedBalancer(t)
-	k := b.TakeSnapshot(now)
-	text, err := json.Marshal(k)
+	snapshot := b.TakeSnapshot(now)
+	text, err := json.Marshal(snapshot)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var back Snapshot
-	if err := json.Unmarshal(text, &back); err != nil || !reflect.DeepEqual(k, back) {
-		t.Errorf("%v: %+v reads back as %+v", err, k, back)
+	var decoded Snapshot
+	if err := json.Unmarshal(text, &decoded); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(snapshot, decoded) {
+		t.Errorf("%+v is decoded as %+v", snapshot, decoded)
 	}
-	for _, bad := range []float64{-1, math.NaN(), math.Inf(1), 1e300} {
-		k := b.TakeSnapshot(now)
-		k.Latency, k.MeanCost, k.WorkPerWeight, k.MaxWorkPerWeight, k.LocalShare, k.RegionShare = bad, bad, bad, bad, bad, bad
-		for i := range k.Endpoints {
-			e := &k.Endpoints[i]
-			e.ShareFactor, e.ConcurrencyLimit, e.Latency, e.LatencyDeviation, e.WorkUnits, e.ErrorRate, e.LatencyEWMA, e.BaselineLatency, e.WorkRate = bad, bad, bad, bad, bad, bad, bad, bad, bad
-		}
-		x := restoredBalancer(t, now, fourZones(3), k)
-		for i := range 100 {
-			serveRequest(t, x, now+time.Duration(i)*ms, RequestID(i+1))
-		}
-		for _, e := range x.endpoints {
-			if s := x.trafficShare(e, now); math.IsNaN(s) || math.IsInf(s, 0) || s < 0 || math.IsNaN(e.limit.current) {
-				t.Errorf("%v: upstream %d has share %v and bound %v", bad, e.ID, s, e.limit.current)
+}
+
+// Invalid values of a snapshot do not spread to what a balancer computes from it.
+func TestInvalidSnapshotValuesAreIgnored(t *testing.T) {
+	before, now := trainedBalancer(t)
+	for _, invalid := range []float64{-1, math.NaN(), math.Inf(1), 1e300} {
+		t.Run(fmt.Sprint(invalid), func(t *testing.T) {
+			snapshot := before.TakeSnapshot(now)
+			setAllFigures(&snapshot, invalid)
+			b := restoredBalancer(t, now, fourZones(3), snapshot)
+			for i := range 100 {
+				serveRequest(t, b, now+time.Duration(i)*ms, RequestID(i+1))
+			}
+			for _, e := range b.endpoints {
+				share := b.trafficShare(e, now)
+				if math.IsNaN(share) || math.IsInf(share, 0) || share < 0 || math.IsNaN(e.limit.current) {
+					t.Errorf("endpoint %d has traffic share %v and limit %v", e.ID, share, e.limit.current)
+				}
 			}
-		}
+		})
+	}
+}
+
+// setAllFigures sets the figures of a snapshot and of its endpoints to a value.
+func setAllFigures(snapshot *Snapshot, value float64) {
+	snapshot.Latency = value
+	snapshot.MeanCost = value
+	snapshot.WorkPerWeight = value
+	snapshot.MaxWorkPerWeight = value
+	snapshot.LocalShare = value
+	snapshot.RegionShare = value
+	for i := range snapshot.Endpoints {
+		e := &snapshot.Endpoints[i]
+		e.ShareFactor = value
+		e.ConcurrencyLimit = value
+		e.Latency = value
+		e.LatencyDeviation = value
+		e.WorkUnits = value
+		e.ErrorRate = value
+		e.LatencyEWMA = value
+		e.BaselineLatency = value
+		e.WorkRate = value
 	}
 }
 
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{12, 2000} {
-		x, now := benchmarkBalancer(b, n)
-		b.Run(name(n), func(b *testing.B) {
+		balancer, now := benchmarkBalancer(b, n)
+		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				x.TakeSnapshot(now)
+				balancer.TakeSnapshot(now)
 			}
 		})
 	}
@@ -53,25 +83,24 @@
 
 func BenchmarkRestore(b *testing.B) {
 	for _, n := range []int{12, 2000} {
-		x, now := benchmarkBalancer(b, n)
-		k := x.TakeSnapshot(now)
-		b.Run(name(n), func(b *testing.B) {
+		balancer, now := benchmarkBalancer(b, n)
+		snapshot := balancer.TakeSnapshot(now)
+		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				x.Restore(now, k)
+				balancer.Restore(now, snapshot)
 			}
 		})
 	}
 }
 
-func name(n int) string { return map[int]string{12: "12", 2000: "2000"}[n] }
-
+// benchmarkBalancer returns a balancer with n endpoints in four zones.
 func benchmarkBalancer(b *testing.B, n int) (*Balancer, time.Duration) {
 	b.Helper()
-	x, err := New(testSettings(), 1, time.Hour, &recorder{})
+	balancer, err := New(testSettings(), 1, time.Hour, &recorder{})
 	if err != nil {
 		b.Fatal(err)
 	}
-	x.OnEndpointUpdate(time.Hour, UpdateComplete, fourZones(n/4))
-	return x, time.Hour
+	balancer.OnEndpointUpdate(time.Hour, UpdateComplete, fourZones(n/4))
+	return balancer, time.Hour
 }
--- a/balancer/validate_test.go
+++ b/balancer/validate_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
+// Each invalid value gives an ErrSettings whose text names it.
 func TestInvalidSettingsAreRejected(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+	for message, invalidate := range map[string]func(*Settings){
 		"Classes":                      func(s *Settings) { s.Classes = nil },
 		"Balancers":                    func(s *Settings) { s.Balancers = 0 },
 		"Limits.MaxAttempts":           func(s *Settings) { s.Limits.MaxAttempts = 0 },
@@ -16,7 +17,7 @@
 		"Obligations.SlowStartWindow":  func(s *Settings) { s.Obligations.SlowStartWindow = 0 },
 		"Obligations.OverloadMultiple": func(s *Settings) { s.Obligations.OverloadMultiple = 0 },
 		"Obligations.SlowStartFrom":    func(s *Settings) { s.Obligations.SlowStartFrom = 0 },
-		"Obligations.PollInterval":     func(s *Settings) { s.PollDiscovery, s.Obligations.PollInterval = true, 0 },
+		"Obligations.PollInterval":     func(s *Settings) { s.PollDiscovery = true; s.Obligations.PollInterval = 0 },
 		"LatencyObjective":             func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
 		"Deadline":                     func(s *Settings) { s.Classes[0].Deadline = ms },
 		"IdempotencyWindow":            func(s *Settings) { s.Classes[1].IdempotencyWindow = 0 },
@@ -34,24 +35,29 @@
 		"\"small\" is set twice or has a quota_rps (Quota)": func(s *Settings) { s.Tenants[1].Quota = math.NaN() },
 		"\"big\" is set twice":                              func(s *Settings) { s.Tenants = append(s.Tenants, s.Tenants[0]) },
 	} {
-		s := testSettings()
-		spoil(&s)
-		_, err := New(s, 1, 0, &recorder{})
-		if !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error %v", field, err)
-		}
+		t.Run(message, func(t *testing.T) {
+			settings := testSettings()
+			invalidate(&settings)
+			_, err := New(settings, 1, 0, &recorder{})
+			if !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), message) {
+				t.Errorf("error %v", err)
+			}
+		})
 	}
-	for _, f := range []float64{math.NaN(), math.Inf(1), -1, 0} {
-		s := testSettings()
-		if s.Obligations.OverloadMultiple = f; s.Validate() == nil {
-			t.Errorf("OverloadMultiple %v is taken", f)
+	for _, value := range []float64{math.NaN(), math.Inf(1), -1, 0} {
+		settings := testSettings()
+		settings.Obligations.OverloadMultiple = value
+		if settings.Validate() == nil {
+			t.Errorf("OverloadMultiple %v is accepted", value)
 		}
-		s = testSettings()
-		if s.Obligations.SlowStartFrom = f; s.Validate() == nil {
-			t.Errorf("SlowStartFrom %v is taken", f)
+		settings = testSettings()
+		settings.Obligations.SlowStartFrom = value
+		if settings.Validate() == nil {
+			t.Errorf("SlowStartFrom %v is accepted", value)
 		}
 	}
-	if _, err := New(testSettings(), 1, 0, nil); !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), "Effects") {
-		t.Errorf("no effects: error %v", err)
+	_, err := New(testSettings(), 1, 0, nil)
+	if !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), "Effects") {
+		t.Errorf("without Effects: error %v", err)
 	}
 }
