--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	const (
-		maxLines      = 1200 // the operators run no longer module
+		maxLines      = 1200 // the operators do not accept a longer one
 		maxLineLength = 125  // bytes
 	)
 	lines := 0
--- a/balancer/fixtures_test.go
+++ b/balancer/fixtures_test.go
@@ -8,7 +8,7 @@
 
 const (
 	ms        = time.Millisecond
-	tolerance = 1e-9 // of figures that are compared with a computed value
+	tolerance = 1e-9 // of values that are compared with a computed one
 )
 
 // testSettings returns valid settings with one class of each kind of idempotency.
@@ -138,9 +138,10 @@
 	return e
 }
 
-// sendReads sends n reads and ends every attempt with the status of its zone. It returns how many attempts each zone got.
-func sendReads(b *Balancer, now time.Duration, first RequestID, n int, statuses map[string]Status) (end time.Duration, attempts map[string]int) {
-	attempts = map[string]int{}
+// sendReads sends n reads and ends every attempt with the status of its zone. It returns the time afterwards, and how many
+// attempts each zone got.
+func sendReads(b *Balancer, now time.Duration, first RequestID, n int, statuses map[string]Status) (time.Duration, map[string]int) {
+	attempts := map[string]int{}
 	for i := range n {
 		id := first + RequestID(i)
 		now += 20 * ms
@@ -202,5 +203,5 @@
 	return now
 }
 
-// approximately tells whether two figures are equal but for rounding.
+// approximately reports whether two values are equal but for rounding.
 func approximately(got, want float64) bool { return math.Abs(got-want) <= tolerance }
--- a/balancer/limit_test.go
+++ b/balancer/limit_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// Regression: with many balancers the minimal limits of all together kept a saturated endpoint from recovering.
+// Regression: with many balancers the minimal limits of all together prevented a saturated endpoint from recovering.
 func TestMinLimitIsSharedByAllBalancers(t *testing.T) {
 	for _, balancers := range []int{2, 24} {
 		settings := testSettings()
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -64,15 +64,15 @@
 	c.violations = append(c.violations, fmt.Sprintf("%v: ", c.now)+fmt.Sprintf(format, args...))
 }
 
-// mayHaveExecuted tells whether an attempt may have been executed, or may be still.
+// mayHaveExecuted reports whether an attempt may have been executed, or may be still.
 func (a *checkedAttempt) mayHaveExecuted() bool {
 	return !a.ended || !slices.Contains([]Status{Rejected, ConnectFailed, NotSent}, a.status)
 }
 
-// isOpen tells whether a request still needs an answer.
+// isOpen reports whether a request still needs an answer.
 func (r *checkedRequest) isOpen() bool { return r.finalAnswers == 0 && r.closedAt == 0 }
 
-// closedBefore tells whether the balancer learnt before now that a request needs no answer.
+// closedBefore reports whether the balancer was informed before now that a request needs no answer.
 func (r *checkedRequest) closedBefore(now time.Duration) bool {
 	return r.closedAt > 0 && r.closedAt < now
 }
@@ -164,7 +164,7 @@
 	}
 }
 
-// inScope tells whether two endpoints deduplicate requests of a scope together.
+// inScope reports whether two endpoints deduplicate requests of a scope together.
 func inScope(scope IdempotencyScope, x, y Endpoint) bool {
 	switch scope {
 	case ScopeZone:
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -32,7 +32,7 @@
 	for _, invalid := range []float64{-1, math.NaN(), math.Inf(1), 1e300} {
 		t.Run(fmt.Sprint(invalid), func(t *testing.T) {
 			snapshot := before.TakeSnapshot(now)
-			setAllFigures(&snapshot, invalid)
+			setAllNumbers(&snapshot, invalid)
 			b := restoredBalancer(t, now, fourZones(3), snapshot)
 			for i := range 100 {
 				serveRequest(t, b, now+time.Duration(i)*ms, RequestID(i+1))
@@ -47,8 +47,8 @@
 	}
 }
 
-// setAllFigures sets the figures of a snapshot and of its endpoints to a value.
-func setAllFigures(snapshot *Snapshot, value float64) {
+// setAllNumbers sets the numbers of a snapshot and of its endpoints to a value.
+func setAllNumbers(snapshot *Snapshot, value float64) {
 	snapshot.Latency = value
 	snapshot.MeanCost = value
 	snapshot.WorkPerWeight = value
