--- /dev/null
+++ b/internal/proxy/answer.go
@@ -0,0 +1,104 @@
+package proxy
+
+import (
+	"bufio"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"sprucehill/balancer"
+	"sprucehill/internal/wire"
+)
+
+const (
+	// maxAnswerLength is the greatest length, in bytes, that an answer may have: twice the longest that the platform's pages
+	// say occurs. An answer that announces more is broken, and would break off once its beginning had been passed on.
+	maxAnswerLength = 64 << 20
+	// unsizedAnswerHoldTime is how long an answer of unknown length is buffered before what has come is passed on. Until it is
+	// complete it might be one that can be asked for again, but holding back a long one costs its client time.
+	unsizedAnswerHoldTime = 200 * time.Millisecond
+)
+
+// readAnswer reads an upstream's answer. The body of a long or slow one is left to be streamed. Of an answer that is not
+// successful, the body is discarded.
+func (d dialer) readAnswer(c *conn) result {
+	c.limit.N = maxAnswer
+	resp, err := readFinalResponse(c.reader)
+	if err != nil || resp.ContentLength > maxAnswerLength {
+		c.Close()
+		return result{status: balancer.Reset}
+	}
+	r := result{status: statusOf(resp), load: parseLoadReport(resp.Header.Get("X-Load"))}
+	body, complete, err := d.readAnswerBody(c, resp)
+	if err == nil && r.status == balancer.OK {
+		r.body = body
+		r.kind = resp.Header.Get("Content-Type")
+	} else {
+		d.held.give(cap(body))
+	}
+	switch {
+	case err != nil:
+		c.Close()
+		return result{status: balancer.Reset}
+	case !complete && r.status == balancer.OK:
+		r.more = &stream{resp: resp, conn: c}
+	case !complete || resp.Close: // the rest of an error's body is of no use
+		c.Close()
+	default:
+		r.conn = c
+	}
+	return r
+}
+
+// readFinalResponse reads the head of an answer, and passes over the interim ones (1xx) before it.
+func readFinalResponse(in *bufio.Reader) (*http.Response, error) {
+	for {
+		resp, err := http.ReadResponse(in, nil)
+		if err != nil || resp.StatusCode >= http.StatusOK {
+			return resp, err
+		}
+	}
+}
+
+// statusOf is the outcome that an answer's head stands for.
+func statusOf(resp *http.Response) balancer.Status {
+	switch resp.StatusCode {
+	case http.StatusOK:
+		return balancer.OK
+	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
+		if resp.Header.Get("X-Not-Run") == "1" { // without that mark the request may have been executed
+			return balancer.Rejected
+		}
+	}
+	return balancer.Error
+}
+
+// readAnswerBody buffers an answer's body, or the beginning of one that is to be streamed.
+func (d dialer) readAnswerBody(c *conn, resp *http.Response) (body []byte, complete bool, err error) {
+	began := time.Now()
+	body, complete, err = d.held.readBody(resp.Body, resp.ContentLength, func() bool {
+		if resp.ContentLength < 0 {
+			return time.Since(began) > unsizedAnswerHoldTime
+		}
+		return resp.ContentLength > maxBody
+	})
+	if err == nil && complete && c.limit.N <= 0 { // the limit has ended it, not the upstream
+		err = io.ErrUnexpectedEOF
+	}
+	return body, complete, err
+}
+
+// parseLoadReport parses a load report: comma-separated name=value pairs. What can't be parsed is ignored.
+func parseLoadReport(text string) balancer.LoadReport {
+	var report balancer.LoadReport
+	for pair := range strings.SplitSeq(text, ",") {
+		name, valueText, _ := strings.Cut(pair, "=")
+		value, err := strconv.ParseFloat(strings.TrimSpace(valueText), 64)
+		if err == nil {
+			wire.SetLoad(&report, strings.TrimSpace(name), value)
+		}
+	}
+	return report
+}
--- /dev/null
+++ b/internal/proxy/attempt.go
@@ -0,0 +1,114 @@
+package proxy
+
+import (
+	"math"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"sprucehill/balancer"
+)
+
+// The stages of an attempt. The loop may drop an attempt that waits for its connection; one that has been claimed for
+// writing counts as sent.
+const (
+	waiting int32 = iota
+	claimed
+	dropped
+)
+
+// noDeadline is the deadline of an attempt or request whose time has not begun.
+const noDeadline time.Duration = math.MaxInt64
+
+// attempt is one send of a request to one upstream. The loop makes it; a goroutine of its own runs it on a connection.
+type attempt struct {
+	req     *request
+	message message // a copy of the request's, which the loop drops once the request is closed
+	n       int     // index among the request's attempts
+	peer    *peer
+	sentAt  time.Duration // on the loop's clock
+	address string        // host:port of the upstream
+	// deadline is when the balancer stops waiting for the attempt, on the loop's clock. It is noDeadline for an upload without
+	// a time-out of its own, whose time begins with its last byte.
+	deadline time.Duration
+	head     []byte       // what goes on the wire before the body; rendered once the attempt is claimed
+	stage    atomic.Int32 // waiting, claimed or dropped
+	given    atomic.Bool  // the loop has given it up: its connection has to be closed
+	written  func()       // of an upload: called when its last byte has been written
+	conn     *conn        // the loop may use it only once the attempt is claimed
+	told     bool         // belongs to the loop: the decision module has had the outcome
+}
+
+// remaining is for how long after now, on the loop's clock, the balancer will wait for the attempt's answer. For an upload
+// that is the request's complete timeout until the last byte has been written, unless the attempt's own time-out or the
+// end of the process comes first.
+func (a *attempt) remaining(now time.Duration) time.Duration {
+	remaining := a.deadline - now
+	if a.req.Upload {
+		remaining = min(remaining, a.req.within(now, a.req.Timeout))
+	}
+	return remaining
+}
+
+// drop keeps an attempt from being sent if writing it has not begun.
+func (a *attempt) drop() bool { return a.stage.CompareAndSwap(waiting, dropped) }
+
+// claim takes the attempt for writing at the time now, and returns how long its upstream has for it. It fails if the
+// attempt has been dropped, and drops it if its connection came up too late: no time remains for it, or it would be a retry
+// that upstreams no longer recognize as one.
+func (a *attempt) claim(now time.Duration) (remaining time.Duration, ok bool) {
+	w := &a.req.window
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	remaining = a.remaining(now)
+	if remaining <= 0 || w.isOver(now) {
+		a.drop()
+	}
+	if !a.stage.CompareAndSwap(waiting, claimed) {
+		return 0, false
+	}
+	if w.duration > 0 {
+		w.executions = append(w.executions, possibleExecution{attempt: a, startedAt: now})
+	}
+	return remaining, true
+}
+
+// window is the time within which upstreams recognize the retries of an idempotent request. The decision module checks it
+// when it asks for an attempt, but an attempt may wait for its connection until after the window's end. Its zero value
+// bounds nothing.
+type window struct {
+	duration   time.Duration // from the first attempt that may have been executed; 0: no bound
+	mu         sync.Mutex    // guards executions
+	executions []possibleExecution
+}
+
+// possibleExecution is an attempt that may have been executed, and when its first byte was about to be written, on the
+// loop's clock.
+type possibleExecution struct {
+	attempt   *attempt
+	startedAt time.Duration
+}
+
+// isOver reports whether the window of an earlier attempt has ended. The lock is held.
+func (w *window) isOver(now time.Duration) bool {
+	return slices.ContainsFunc(w.executions, func(x possibleExecution) bool { return now-x.startedAt >= w.duration })
+}
+
+// never removes an attempt that has certainly not been executed: it bounds no other.
+func (w *window) never(a *attempt) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.executions = slices.DeleteFunc(w.executions, func(x possibleExecution) bool { return x.attempt == a })
+}
+
+// result is how an attempt or a health check ended.
+type result struct {
+	status balancer.Status
+	load   balancer.LoadReport
+	body   []byte  // of a successful answer; reserved in the body budget
+	kind   string  // the body's Content-Type
+	conn   *conn   // the connection if it can be used again; nil: it has been closed, or belongs to more
+	spent  bool    // of an upload: a part of its body has been consumed, so it can't be sent again
+	more   *stream // the rest of an answer that is streamed
+}
--- /dev/null
+++ b/internal/proxy/clientconns.go
@@ -0,0 +1,93 @@
+package proxy
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"time"
+)
+
+// evictionMinIdle is how long a connection must have been idle before it may be closed to make room for a new one.
+const evictionMinIdle = 2 * time.Second
+
+// connStatus is the state of a client connection and when it was entered, on the loop's clock.
+type connStatus struct {
+	state http.ConnState
+	since time.Duration
+}
+
+// trackConn records a connection's change of state; it is the server's ConnState hook. A connection over the limit makes
+// room by closing the one that has been idle for longest, or is closed itself: file descriptors must not run out.
+func (f *frontend) trackConn(netConn net.Conn, state http.ConnState) {
+	conn := netConn.(*framingConn) // all come from a framingListener
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if state == http.StateClosed || state == http.StateHijacked {
+		delete(f.conns, conn)
+		return
+	}
+	f.conns[conn] = connStatus{state: state, since: f.now()}
+	if state == http.StateIdle {
+		conn.onAnswered()
+	}
+	if state == http.StateNew && len(f.conns) > f.maxConns {
+		f.evict(conn)
+	}
+}
+
+// evict closes the connection that has been idle for longest, or newcomer if there is none. The lock is held.
+func (f *frontend) evict(newcomer *framingConn) {
+	victim := newcomer
+	since := f.now() - evictionMinIdle
+	for conn, status := range f.conns {
+		if status.since <= since && conn.isIdle() {
+			victim = conn
+			since = status.since
+		}
+	}
+	if !victim.closeIfIdle() { // a request has just begun on it
+		victim = newcomer
+		newcomer.Close()
+	}
+	delete(f.conns, victim) // net/http reports it as closed only once its goroutine has noticed
+}
+
+// nearConnLimit reports whether connections are so many that each should close after its answer.
+func (f *frontend) nearConnLimit() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return len(f.conns) > f.maxConns*7/8
+}
+
+// closeIdleConns closes the connections between two requests, and those that have been in their state for minSilence
+// without beginning a request.
+func (f *frontend) closeIdleConns(minSilence time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	now := f.now()
+	for conn, status := range f.conns {
+		if status.state == http.StateIdle || now-status.since >= minSilence {
+			conn.closeIfIdle()
+		}
+	}
+}
+
+// openConns is the number of client connections.
+func (f *frontend) openConns() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return len(f.conns)
+}
+
+// connKey is the context key of a request's connection.
+type connKey struct{}
+
+// withConn is the server's ConnContext hook.
+func withConn(ctx context.Context, c net.Conn) context.Context {
+	return context.WithValue(ctx, connKey{}, c)
+}
+
+// connOf returns the connection of a request; all come from a framingListener.
+func connOf(r *http.Request) *framingConn {
+	return r.Context().Value(connKey{}).(*framingConn)
+}
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -1,6 +1,13 @@
-// Package proxy is the real balancer round the decision module: clients, upstreams
-// and discovery on TCP sockets. It decides nothing; what is sent where, again or
-// not at all is the module's to say.
+// Package proxy is the real balancer around the decision module: clients, upstreams and discovery on TCP sockets. It
+// decides nothing; what is forwarded where, retried or rejected is decided by package balancer.
+//
+// Three kinds of goroutines share the work. The event loop (loop) owns the decision module, all requests and all idle
+// upstream connections, and never waits for the network. The frontend owns the client connections: it parses requests, posts
+// them to the loop and writes the answers. Each attempt at an upstream runs in a goroutine of its own (dialer) and owns its
+// connection until the loop has its result.
+//
+// The package promises that an attempt is written to the wire at most once, that every accepted request gets at most one
+// answer, and that a request whose end on the wire is in doubt is never forwarded. It does not retry by itself.
 package proxy
 
 import (
@@ -16,80 +23,113 @@
 	"sprucehill/internal/wire"
 )
 
-// Config is what a balancer is told at its start.
+const (
+	// minMemoryMB is the least memory limit, in MiB, with which a balancer starts.
+	minMemoryMB = 16
+	// minSockets is the least limit on descriptors with which a balancer starts.
+	minSockets = 64
+)
+
+// Config is the configuration with which a balancer starts.
 type Config struct {
-	Name      string
-	Listen    string // host:port for clients
-	Discovery string // host:port of discovery
-	// Management is the host:port for the operators' calls. Empty: there is none.
+	// Name is the balancer's name in the fleet.
+	Name string
+	// Listen is the host:port for clients.
+	Listen string
+	// Discovery is the host:port of the discovery service.
+	Discovery string
+	// Management is the host:port for operators' calls. Empty: there is none.
 	Management string
-	ListenFD   int // the clients' listener, if the platform hands one down; else 0
-	Seed       uint64
-	MemoryMB   int
-	Sockets    int
-	Known      listing // the upstreams as last held, maybe stale
-	Settings   balancer.Settings
-	Links      wire.Links
-	// Keeper keeps what has to outlive the process; nil: nothing does.
+	// ListenFD is the descriptor of the clients' listener if the platform hands one down, or else 0.
+	ListenFD int
+	// Seed is for all random choices.
+	Seed uint64
+	// MemoryMB is the memory limit of the process, in MiB.
+	MemoryMB int
+	// Sockets is the limit on open sockets of the process.
+	Sockets int
+	// Known is the endpoint list as last known, maybe stale.
+	Known listing
+	// Settings are for the decision module.
+	Settings balancer.Settings
+	// Links are the settings of connections to upstreams.
+	Links wire.Links
+	// Keeper saves the state that has to outlive the process. It may be nil: nothing is saved.
 	Keeper Keeper
-	// Localities gives zones that discovery and settings name without a region the form region/zone. It may be nil.
+	// Localities maps zones that discovery and settings name without a region to region/zone. It may be nil.
 	Localities map[string]string
-	open       opener // of connections to upstreams; nil: net.DialTimeout
+
+	open opener // opens connections to upstreams; nil: net.DialTimeout
 }
 
-// Locate takes a map from zones to region/zone for all that is named from then on. It belongs before New.
+// Locate sets the map from zones to region/zone. It has to be called before New.
 func (c *Config) Locate(localities map[string]string) {
 	c.Localities = localities
 	c.Settings.Zone = located(localities, c.Settings.Zone)
 }
 
-// located is a zone with its region, where one is known.
+// located returns a zone with its region if that is known.
 func located(localities map[string]string, zone string) string {
-	if full, ok := localities[zone]; ok {
-		return full
+	if qualified, ok := localities[zone]; ok {
+		return qualified
 	}
 	return zone
 }
 
-// file is the configuration file's form.
+// longestDeadline is the longest time that a client waits.
+func (c *Config) longestDeadline() time.Duration {
+	var longest time.Duration
+	for _, class := range c.Settings.Classes {
+		longest = max(longest, class.Deadline)
+	}
+	return longest
+}
+
+// file is the form of the configuration file.
 type file struct {
-	Name       string `json:"name"`
-	Listen     string `json:"listen"`
-	Discovery  string `json:"discovery"`
-	Management string `json:"management"`
-	Seed       string `json:"seed"`
-	Limits     struct {
-		MemoryMB int `json:"memory_mb"`
-		Sockets  int `json:"sockets"`
-	} `json:"limits"`
-	Known    listing         `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	Name       string          `json:"name"`
+	Listen     string          `json:"listen"`
+	Discovery  string          `json:"discovery"`
+	Management string          `json:"management"`
+	Seed       string          `json:"seed"` // hexadecimal
+	Limits     fileLimits      `json:"limits"`
+	Known      listing         `json:"known"`
+	Settings   json.RawMessage `json:"settings"`
+}
+
+// fileLimits are the limits of the process in the configuration file.
+type fileLimits struct {
+	MemoryMB int `json:"memory_mb"`
+	Sockets  int `json:"sockets"`
 }
 
-// LoadConfig reads the file that RELAY_CONFIG names. The other RELAY_ variables go before what it says.
+// LoadConfig reads the file that the environment variable RELAY_CONFIG names. The other RELAY_ variables override it.
 func LoadConfig(getenv func(string) string) (Config, error) {
-	f, path, err := read(getenv)
+	path, err := configPath(getenv)
 	if err != nil {
 		return Config{}, err
 	}
-	for name, to := range map[string]*string{"RELAY_NAME": &f.Name, "RELAY_LISTEN": &f.Listen, "RELAY_DISCOVERY": &f.Discovery,
-		"RELAY_MANAGEMENT": &f.Management} {
-		if v := getenv(name); v != "" {
-			*to = v
-		}
+	f, err := readConfigFile(path)
+	if err != nil {
+		return Config{}, err
 	}
+	f.override(getenv)
 	c, err := f.config()
 	if err != nil {
 		return Config{}, fmt.Errorf("%s: %w", path, err)
 	}
-	c.ListenFD, err = listenFD(getenv("RELAY_FD"))
+	c.ListenFD, err = parseListenerFD(getenv("RELAY_FD"))
 	return c, err
 }
 
-// LoadDiscovery reads the address of discovery anew from the file that RELAY_CONFIG names. What RELAY_DISCOVERY said at
-// the start no longer counts.
+// LoadDiscovery reads the address of discovery again from the file that RELAY_CONFIG names. It ignores RELAY_DISCOVERY,
+// which counts only at the start.
 func LoadDiscovery(getenv func(string) string) (string, error) {
-	f, path, err := read(getenv)
+	path, err := configPath(getenv)
+	if err != nil {
+		return "", err
+	}
+	f, err := readConfigFile(path)
 	if err != nil {
 		return "", err
 	}
@@ -99,58 +139,69 @@
 	return f.Discovery, nil
 }
 
-// read reads the file that RELAY_CONFIG names.
-func read(getenv func(string) string) (f file, path string, err error) {
-	if path = getenv("RELAY_CONFIG"); path == "" {
-		return f, path, errors.New("RELAY_CONFIG is not set")
+// configPath is the path that RELAY_CONFIG names.
+func configPath(getenv func(string) string) (string, error) {
+	path := getenv("RELAY_CONFIG")
+	if path == "" {
+		return "", errors.New("RELAY_CONFIG is not set")
 	}
+	return path, nil
+}
+
+func readConfigFile(path string) (*file, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return f, path, fmt.Errorf("RELAY_CONFIG: %w", err)
+		return nil, fmt.Errorf("RELAY_CONFIG: %w", err)
 	}
+	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
-		return f, path, fmt.Errorf("%s: %w", path, err)
+		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return f, path, nil
+	return &f, nil
 }
 
-// config checks what was read.
-func (f *file) config() (Config, error) {
-	c := Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Management: f.Management, Known: f.Known,
-		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets}
-	var err error
-	if _, err = netip.ParseAddrPort(c.Listen); err != nil {
-		return c, fmt.Errorf("listen: %w", err)
-	}
-	if _, err = netip.ParseAddrPort(c.Discovery); err != nil {
-		return c, fmt.Errorf("discovery: %w", err)
-	}
-	if c.Management != "" {
-		if _, err = netip.ParseAddrPort(c.Management); err != nil {
-			return c, fmt.Errorf("management: %w", err)
+// override replaces what the environment sets.
+func (f *file) override(getenv func(string) string) {
+	for name, field := range map[string]*string{
+		"RELAY_NAME":       &f.Name,
+		"RELAY_LISTEN":     &f.Listen,
+		"RELAY_DISCOVERY":  &f.Discovery,
+		"RELAY_MANAGEMENT": &f.Management,
+	} {
+		if value := getenv(name); value != "" {
+			*field = value
 		}
 	}
-	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return c, fmt.Errorf("seed: %w", err)
+}
+
+// config checks the file and converts it.
+func (f *file) config() (Config, error) {
+	c := Config{
+		Name:       f.Name,
+		Listen:     f.Listen,
+		Discovery:  f.Discovery,
+		Management: f.Management,
+		Known:      f.Known,
+		MemoryMB:   f.Limits.MemoryMB,
+		Sockets:    f.Limits.Sockets,
+	}
+	if err := c.checkAddresses(); err != nil {
+		return c, err
 	}
-	if c.MemoryMB < 16 {
-		return c, fmt.Errorf("limits: memory_mb is %d; at least 16 is needed", c.MemoryMB)
+	var err error
+	c.Seed, err = strconv.ParseUint(f.Seed, 16, 64)
+	if err != nil {
+		return c, fmt.Errorf("seed: %w", err)
 	}
-	if c.Sockets < 64 {
-		return c, fmt.Errorf("limits: sockets is %d; at least 64 are needed", c.Sockets)
+	if c.MemoryMB < minMemoryMB {
+		return c, fmt.Errorf("limits: memory_mb is %d; at least %d is needed", c.MemoryMB, minMemoryMB)
 	}
-	if len(f.Settings) == 0 {
-		return c, errors.New("settings are missing")
+	if c.Sockets < minSockets {
+		return c, fmt.Errorf("limits: sockets is %d; at least %d are needed", c.Sockets, minSockets)
 	}
-	if c.Settings, c.Links, err = wire.DecodeSettings(f.Settings); err != nil {
+	if err := c.decodeSettings(f.Settings); err != nil {
 		return c, err
 	}
-	if err := c.Settings.Validate(); err != nil { // here, where the file is known
-		return c, fmt.Errorf("settings: %w", err)
-	}
-	if c.Links.KeepAlive <= 0 || c.Links.ConnectTimeout <= 0 {
-		return c, errors.New("settings: limits: keepalive_us and connect_timeout_us must be over zero")
-	}
 	for _, m := range c.Known.Members {
 		if err := m.check(); err != nil {
 			return c, fmt.Errorf("known: %w", err)
@@ -159,11 +210,37 @@
 	return c, nil
 }
 
-// longest is the longest time that a client waits.
-func (c *Config) longest() time.Duration {
-	var d time.Duration
-	for _, class := range c.Settings.Classes {
-		d = max(d, class.Deadline)
+func (c *Config) checkAddresses() error {
+	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	if _, err := netip.ParseAddrPort(c.Discovery); err != nil {
+		return fmt.Errorf("discovery: %w", err)
+	}
+	if c.Management == "" {
+		return nil
+	}
+	if _, err := netip.ParseAddrPort(c.Management); err != nil {
+		return fmt.Errorf("management: %w", err)
+	}
+	return nil
+}
+
+// decodeSettings decodes and checks the settings, so that an error names the file.
+func (c *Config) decodeSettings(text json.RawMessage) error {
+	if len(text) == 0 {
+		return errors.New("settings are missing")
+	}
+	var err error
+	c.Settings, c.Links, err = wire.DecodeSettings(text)
+	if err != nil {
+		return err
+	}
+	if err := c.Settings.Validate(); err != nil {
+		return fmt.Errorf("settings: %w", err)
+	}
+	if c.Links.KeepAlive <= 0 || c.Links.ConnectTimeout <= 0 {
+		return errors.New("settings: limits: keepalive_us and connect_timeout_us must be over zero")
 	}
-	return d
+	return nil
 }
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -15,7 +15,7 @@
 "known":{"revision":41,"complete":true,"members":[{"id":"s-5be2a07c","host_port":"127.0.0.1:7","phase":"up","size":1.0,"up_since_ms":0}]},
 "settings":` + settingsText + `}`
 
-func load(t *testing.T, text string, env map[string]string) (Config, error) {
+func loadConfig(t *testing.T, text string, env map[string]string) (Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -30,7 +30,7 @@
 }
 
 func TestConfig(t *testing.T) {
-	c, err := load(t, configText, map[string]string{"RELAY_NAME": "n4"})
+	c, err := loadConfig(t, configText, map[string]string{"RELAY_NAME": "n4"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,13 +46,13 @@
 func TestManagementAddress(t *testing.T) {
 	text := strings.Replace(configText, `"name"`, `"management":"127.0.0.1:9000","name"`, 1)
 	for _, x := range []struct{ env, want string }{{"", "127.0.0.1:9000"}, {"127.0.0.1:9001", "127.0.0.1:9001"}} {
-		c, err := load(t, text, map[string]string{"RELAY_MANAGEMENT": x.env})
+		c, err := loadConfig(t, text, map[string]string{"RELAY_MANAGEMENT": x.env})
 		if err != nil {
 			t.Fatal(err)
 		}
 		want(t, "management", c.Management, x.want)
 	}
-	if _, err := load(t, configText, map[string]string{"RELAY_MANAGEMENT": "9000"}); err == nil || !strings.Contains(err.Error(), "management") {
+	if _, err := loadConfig(t, configText, map[string]string{"RELAY_MANAGEMENT": "9000"}); err == nil || !strings.Contains(err.Error(), "management") {
 		t.Errorf("a bad one: got %v", err)
 	}
 }
@@ -88,7 +88,7 @@
 		{`"balancers":1`, `"balancers":0`, "balancers"},
 		{`"127.0.0.1:7"`, `"here"`, "s-5be2a07c"},
 	} {
-		_, err := load(t, strings.Replace(configText, c.old, c.new, 1), nil)
+		_, err := loadConfig(t, strings.Replace(configText, c.old, c.new, 1), nil)
 		if err == nil || !strings.Contains(err.Error(), c.wants) || !strings.Contains(err.Error(), "config.json") {
 			t.Errorf("%s: got %v, want it to name the file and %s", c.new, err, c.wants)
 		}
@@ -113,7 +113,7 @@
 
 // An upstream that started before this process is as cold as it is at other balancers; one of long ago is not.
 func TestStartsAreOnTheLoopsClock(t *testing.T) {
-	c, err := load(t, configText, nil)
+	c, err := loadConfig(t, configText, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,15 +127,15 @@
 }
 
 func TestLoadReports(t *testing.T) {
-	l := loadOf("eps=0.5, util=0.61,latency_ms=14.5,other=3,inflight=x")
+	l := parseLoadReport("eps=0.5, util=0.61,latency_ms=14.5,other=3,inflight=x")
 	want(t, "load", l, balancer.LoadReport{Fields: balancer.HasErrors | balancer.HasUtilization | balancer.HasServiceTime,
 		Errors: 0.5, Utilization: 0.61, ServiceTime: 14.5})
-	want(t, "none", loadOf(""), balancer.LoadReport{})
+	want(t, "none", parseLoadReport(""), balancer.LoadReport{})
 }
 
 // With no connection left to open, an attempt could not connect: the module is told so, once, and nothing is owed.
 func TestNoConnectionLeft(t *testing.T) {
-	c, err := load(t, configText, nil)
+	c, err := loadConfig(t, configText, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -372,10 +372,10 @@
 			}
 			time.Sleep(wait)
 			close(up.up)
-			g.lift()
+			g.openAllNow()
 			in := bufio.NewReader(c)
 			for range 2 {
-				begun{Conn: c, in: in}.answer(t, http.StatusOK) // the upstream holds what it is told against the ledger
+				partialRequest{Conn: c, in: in}.answer(t, http.StatusOK) // the upstream holds what it is told against the ledger
 			}
 		})
 	}
--- /dev/null
+++ b/internal/proxy/dialer.go
@@ -0,0 +1,94 @@
+package proxy
+
+import (
+	"errors"
+	"net"
+	"time"
+
+	"sprucehill/balancer"
+	"sprucehill/internal/metrics"
+)
+
+// This file carries out one attempt on one connection. http.Transport is not used for it: it may write a request again by
+// itself when a kept connection breaks, it closes the connection of an attempt that is given up, and it does not report
+// whether the last byte was written. Answers are still parsed by net/http.
+
+// opener opens a connection to an address within timeout.
+type opener func(network, address string, timeout time.Duration) (net.Conn, error)
+
+// dialer runs attempts and health checks on connections to upstreams. It has no state of its own; each run is a blocking
+// call on a goroutine of the caller's.
+type dialer struct {
+	open    opener
+	timeout time.Duration        // for opening a connection, and for the answer to a health check
+	tries   *metrics.Counter     // attempts whose last byte has been written
+	held    *budget              // of buffered bodies
+	now     func() time.Duration // the loop's clock
+}
+
+// connect returns the idle connection if it can still be used, or else a new one. idle may be nil.
+func (d dialer) connect(idle *conn, address string) (*conn, error) {
+	if idle != nil {
+		if idle.checkIdle() == nil {
+			return idle, nil
+		}
+		idle.Close() // nothing was written to it: another connection serves as well
+	}
+	c, err := d.open("tcp", address, d.timeout)
+	if err != nil {
+		return nil, err
+	}
+	return newUpstreamConn(c), nil
+}
+
+// run makes the attempt: it is written at most once, whatever happens.
+func (d dialer) run(a *attempt) result {
+	c, err := d.connect(a.conn, a.address)
+	if err != nil {
+		return result{status: balancer.ConnectFailed}
+	}
+	a.conn = c
+	remaining, ok := a.claim(d.now()) // after the wait for the connection
+	if !ok {
+		return result{status: balancer.NotSent, conn: c}
+	}
+	a.head = a.message.renderHead(remaining)
+	sent, err := writeAttempt(a, c)
+	if !sent.complete {
+		return d.afterPartialWrite(a, c, sent, err)
+	}
+	d.tries.Add()
+	if a.written != nil {
+		a.written()
+	}
+	if err != nil {
+		c.Close()
+		return result{status: balancer.Reset, spent: sent.bodyConsumed}
+	}
+	r := d.readAnswer(c)
+	r.spent = sent.bodyConsumed
+	return r
+}
+
+// afterPartialWrite is the result of an attempt whose last byte was certainly not written, so that it has not been executed.
+func (d dialer) afterPartialWrite(a *attempt, c *conn, sent writeProgress, err error) result {
+	if errors.Is(err, errClientBody) {
+		c.Close()
+		return result{status: balancer.NotSent, spent: true}
+	}
+	if a.message.rest == nil {
+		c.Close()
+		return result{status: balancer.ConnectFailed}
+	}
+	// The upstream may have said why it takes no more of the upload.
+	c.SetReadDeadline(time.Now().Add(d.timeout))
+	r := d.readAnswer(c)
+	if r.status != balancer.Rejected {
+		c.Close()
+		return result{status: balancer.ConnectFailed, spent: sent.bodyConsumed}
+	}
+	if r.conn != nil {
+		r.conn.Close()
+	}
+	return result{status: r.status, load: r.load, spent: sent.bodyConsumed}
+}
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -25,23 +25,23 @@
 		{"long line", head("X: " + strings.Repeat("x", 5000) + "\r\n"), nil},
 		{"both", head("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n"), errBothLengths},
 		{"both, the other way", head("transfer-encoding:chunked\r\nCONTENT-LENGTH:3\r\n"), errBothLengths},
-		{"unequal lengths", head("Content-Length: 3\r\nContent-Length: 4\r\n"), errLengths},
-		{"lengths in a list", head("Content-Length: 3, 3\r\n"), errLengths},
-		{"signed length", head("Content-Length: +3\r\n"), errLengths},
-		{"negative length", head("Content-Length: -3\r\n"), errLengths},
-		{"no length", head("Content-Length:\r\n"), errLengths},
-		{"length too large", head("Content-Length: 99999999999999999999\r\n"), errLengths},
-		{"length beyond what is kept", head("Content-Length: " + strings.Repeat("0", 400) + "3\r\n"), errLengths},
-		{"space before the colon", head("Content-Length : 3\r\n"), errLengths},
-		{"other encoding", head("Transfer-Encoding: gzip, chunked\r\n"), errEncoding},
-		{"encoding twice", head("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n"), errEncoding},
-		{"odd encoding", head("Transfer-Encoding: \x0bchunked\r\n"), errEncoding},
-		{"space before that colon", head("Transfer-Encoding : chunked\r\n"), errEncoding},
-		{"folded", head("X: y\r\n Content-Length: 3\r\n"), errFolded},
-		{"chunk without a size", head("Transfer-Encoding: chunked\r\n") + ";x\r\n", errChunk},
-		{"chunk of no number", head("Transfer-Encoding: chunked\r\n") + "0x5\r\nhello\r\n", errChunk},
-		{"chunk longer than told", head("Transfer-Encoding: chunked\r\n") + "3\r\nhello\r\n0\r\n\r\n", errChunk},
-		{"chunk too large", head("Transfer-Encoding: chunked\r\n") + "ffffffffffffffff1\r\n", errChunk},
+		{"unequal lengths", head("Content-Length: 3\r\nContent-Length: 4\r\n"), errBadLength},
+		{"lengths in a list", head("Content-Length: 3, 3\r\n"), errBadLength},
+		{"signed length", head("Content-Length: +3\r\n"), errBadLength},
+		{"negative length", head("Content-Length: -3\r\n"), errBadLength},
+		{"no length", head("Content-Length:\r\n"), errBadLength},
+		{"length too large", head("Content-Length: 99999999999999999999\r\n"), errBadLength},
+		{"length beyond what is kept", head("Content-Length: " + strings.Repeat("0", 400) + "3\r\n"), errBadLength},
+		{"space before the colon", head("Content-Length : 3\r\n"), errBadLength},
+		{"other encoding", head("Transfer-Encoding: gzip, chunked\r\n"), errBadEncoding},
+		{"encoding twice", head("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n"), errBadEncoding},
+		{"odd encoding", head("Transfer-Encoding: \x0bchunked\r\n"), errBadEncoding},
+		{"space before that colon", head("Transfer-Encoding : chunked\r\n"), errBadEncoding},
+		{"folded", head("X: y\r\n Content-Length: 3\r\n"), errFoldedLine},
+		{"chunk without a size", head("Transfer-Encoding: chunked\r\n") + ";x\r\n", errBadChunk},
+		{"chunk of no number", head("Transfer-Encoding: chunked\r\n") + "0x5\r\nhello\r\n", errBadChunk},
+		{"chunk longer than told", head("Transfer-Encoding: chunked\r\n") + "3\r\nhello\r\n0\r\n\r\n", errBadChunk},
+		{"chunk too large", head("Transfer-Encoding: chunked\r\n") + "ffffffffffffffff1\r\n", errBadChunk},
 	} {
 		for _, before := range []string{"", twoRequests} {
 			text := before + c.text
@@ -49,7 +49,7 @@
 				if cut > 300 && c.err == nil {
 					break // long lines: more cuts show no more
 				}
-				var s scanner
+				var s requestScanner
 				good, err := s.feed([]byte(text[:cut]))
 				if err == nil {
 					var more int
@@ -62,11 +62,11 @@
 				if c.err != nil && (good <= len(before) || good >= len(text)) {
 					t.Fatalf("%s, cut at %d: passed on %d of %d bytes", c.name, cut, good, len(text))
 				}
-				if c.err == nil && (!s.fresh() || s.heads != 1+3*min(1, len(before))) {
-					t.Fatalf("%s, cut at %d: %d heads, fresh %v", c.name, cut, s.heads, s.fresh())
+				if c.err == nil && (!s.atRequestStart() || s.headCount != 1+3*min(1, len(before))) {
+					t.Fatalf("%s, cut at %d: %d heads, fresh %v", c.name, cut, s.headCount, s.atRequestStart())
 				}
 			}
-			var s scanner // byte by byte
+			var s requestScanner // byte by byte
 			var err error
 			for i := 0; i < len(text) && err == nil; i++ {
 				_, err = s.feed([]byte(text[i : i+1]))
--- /dev/null
+++ b/internal/proxy/framingconn.go
@@ -0,0 +1,186 @@
+package proxy
+
+import (
+	"errors"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+)
+
+// framingConn is a client connection whose requests are checked for framing errors: a head in doubt is not passed on
+// completely, its reader gets an error instead. It also knows what net/http does not tell: when each request came, and
+// whether a request has begun on a connection that net/http takes for idle.
+//
+// One goroutine reads it at a time; all other methods may be called from any goroutine.
+type framingConn struct {
+	net.Conn
+	now func() time.Duration // the loop's clock
+	// headAt is when the first byte of the present request came, or the connection where it is the first request. It
+	// belongs to the reader.
+	headAt time.Duration
+
+	mu       sync.Mutex // guards the fields below
+	scan     requestScanner
+	headBy   time.Time // when the head of the present request has to have come, unless it is the first
+	err      error     // the framing error that the reader has come to
+	shut     bool      // closed between two requests: what is read at that very moment goes no further
+	answered int       // requests that have been answered
+	// arrivals are when the last byte came of each complete request that is not answered, the present one first.
+	arrivals []time.Duration
+	readAhead
+}
+
+// onAnswered notes that the present request is answered.
+func (c *framingConn) onAnswered() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.answered++
+	c.closeUnnoticed = false
+	if len(c.arrivals) > 0 {
+		c.arrivals = c.arrivals[1:]
+	}
+}
+
+// arrivedAt is when the last byte of the present request came, on the loop's clock, or now if it has not come. A request
+// that was sent behind another may have come long before its turn.
+func (c *framingConn) arrivedAt() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.arrivals) > 0 {
+		return c.arrivals[0]
+	}
+	return c.now()
+}
+
+// isIdle reports whether the connection is between two requests: no byte has been read of one that is not answered.
+func (c *framingConn) isIdle() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.isIdleLocked()
+}
+
+func (c *framingConn) isIdleLocked() bool {
+	return c.scan.atRequestStart() && c.scan.requestCount == c.answered
+}
+
+// closeIfIdle closes the connection if it is between two requests, and reports whether it was. Its client then sends
+// again any request that crosses the close, so that request must not be forwarded as well: bytes that have been taken from
+// the network but not been scanned when the connection is closed are given to nobody.
+func (c *framingConn) closeIfIdle() bool {
+	c.mu.Lock()
+	c.shut = c.shut || c.isIdleLocked()
+	shut := c.shut
+	c.mu.Unlock()
+	if shut {
+		c.Close()
+	}
+	return shut
+}
+
+// hasFramingError reports whether reading has ended for a framing error, and not because the client disconnected.
+func (c *framingConn) hasFramingError() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.err != nil
+}
+
+// Read passes on what the client sends, up to the byte before one that shows a framing error.
+func (c *framingConn) Read(p []byte) (int, error) {
+	c.mu.Lock()
+	if err := c.err; err != nil {
+		c.mu.Unlock()
+		return 0, err
+	}
+	// With the present request complete, net/http only reads to notice a disconnect.
+	requestComplete := c.scan.requestCount > c.answered
+	n, found, err := c.take(p)
+	readAt := c.bufferedAt
+	c.mu.Unlock()
+	if !found {
+		n, err = c.Conn.Read(p)
+		readAt = c.now()
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.shut {
+		return 0, net.ErrClosed
+	}
+	if requestComplete && n > 0 {
+		c.closeUnnoticed = true
+	}
+	if c.closeUnnoticed {
+		c.startReadAhead()
+	}
+	good, framingErr := c.scanRead(p[:n], readAt)
+	if framingErr == nil {
+		return n, err
+	}
+	c.err = framingErr
+	if good > 0 {
+		return good, nil
+	}
+	return 0, framingErr
+}
+
+// scanRead scans what was read at a time on the loop's clock, and returns how much of it comes before a framing error. The
+// lock is held.
+func (c *framingConn) scanRead(p []byte, readAt time.Duration) (good int, framingErr error) {
+	atStart := c.scan.atRequestStart()
+	complete := c.scan.requestCount
+	if len(p) > 0 && atStart && c.scan.headCount > 0 {
+		c.headAt = c.now()
+	}
+	good, framingErr = c.scan.feed(p)
+	for range c.scan.requestCount - complete {
+		c.arrivals = append(c.arrivals, readAt)
+	}
+	nextBegan := !c.scan.atRequestStart() && (atStart || c.scan.requestCount > complete)
+	if nextBegan {
+		c.headBy = time.Now().Add(clientReadTimeout)
+		if c.inLaterHead() {
+			c.Conn.SetReadDeadline(c.headBy)
+		}
+	}
+	return good, framingErr
+}
+
+// SetReadDeadline sets until when a read may wait. net/http lets the first bytes of a later request wait for its fourth
+// byte for as long as a connection may be idle; here its head is due as soon as its first byte has come.
+func (c *framingConn) SetReadDeadline(t time.Time) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.inLaterHead() && (t.IsZero() || t.After(c.headBy)) {
+		t = c.headBy
+	}
+	return c.Conn.SetReadDeadline(t)
+}
+
+// inLaterHead reports whether a part of a head other than the first has come, and no request waits for its answer. The lock
+// is held.
+func (c *framingConn) inLaterHead() bool {
+	complete := c.scan.requestCount
+	return complete > 0 && complete == c.answered && complete == c.scan.headCount && !c.scan.atRequestStart()
+}
+
+// closedByClient reports, without waiting, whether the client has closed or reset the connection behind what has been read
+// of it. net/http notices that only with its next read, beside the request's way to an upstream.
+func (c *framingConn) closedByClient() bool {
+	socket, ok := c.Conn.(syscall.Conn)
+	if !ok {
+		return false
+	}
+	state, err := peekSocket(socket)
+	return err != nil || state == socketClosed
+}
+
+// halfCloser is a connection whose sending side can be closed alone.
+type halfCloser interface{ CloseWrite() error }
+
+// CloseWrite lets net/http close a connection without taking the last answer away from a client that is still sending.
+func (c *framingConn) CloseWrite() error {
+	if half, ok := c.Conn.(halfCloser); ok {
+		return half.CloseWrite()
+	}
+	return errors.ErrUnsupported
+}
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -12,8 +12,8 @@
 // A peer that is silent, or stops halfway, is owed an error or a close within 3 s of connecting. It had 5 s for the head
 // and 10 s for the rest, and each held a descriptor as long.
 func TestSlowPeersAreLetGo(t *testing.T) {
-	if slowClient >= 3*time.Second {
-		t.Errorf("peers have %v", slowClient)
+	if clientReadTimeout >= 3*time.Second {
+		t.Errorf("peers have %v", clientReadTimeout)
 	}
 	s := newServer(t, okAll)
 	b := newBalancer(t, up("s-00000001", s))
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(2 * slowClient)) // only a failure takes as long
+		c.SetDeadline(time.Now().Add(2 * clientReadTimeout)) // only a failure takes as long
 		if _, err := io.WriteString(c, sent); err != nil {
 			t.Fatal(err)
 		}
@@ -54,8 +54,8 @@
 	open := func(s http.ConnState) net.Conn {
 		c, peer := net.Pipe()
 		t.Cleanup(func() { c.Close(); peer.Close() })
-		framed := &framedConn{Conn: c, now: f.now}
-		f.count(framed, http.StateNew)
+		framed := &framingConn{Conn: c, now: f.now}
+		f.trackConn(framed, http.StateNew)
 		if s == http.StateNew {
 			return c
 		}
@@ -63,8 +63,8 @@
 		if _, err := io.ReadFull(framed, make([]byte, 18)); err != nil {
 			return c // it was closed itself
 		}
-		if f.count(framed, http.StateActive); s == http.StateIdle {
-			f.count(framed, s)
+		if f.trackConn(framed, http.StateActive); s == http.StateIdle {
+			f.trackConn(framed, s)
 		}
 		return c
 	}
@@ -74,7 +74,7 @@
 	idle := open(http.StateIdle)
 	now += time.Second
 	silent := open(http.StateNew)
-	now += restful
+	now += evictionMinIdle
 	first := open(http.StateActive) // one too many: idle has been so for longest
 	second := open(http.StateActive)
 	third := open(http.StateActive) // nobody is left to make room
--- /dev/null
+++ b/internal/proxy/healthcheck.go
@@ -0,0 +1,52 @@
+package proxy
+
+import (
+	"io"
+	"time"
+
+	"sprucehill/balancer"
+)
+
+// The paths of an upstream's health check and of its load report.
+const (
+	healthPath = "/healthz"
+	loadPath   = "/load"
+)
+
+// probe is one health check of an upstream.
+type probe struct {
+	peer    *peer
+	sentAt  time.Duration // on the loop's clock
+	address string        // host:port
+	load    bool          // ask for a load report, and not only whether it runs
+	conn    *conn         // an idle connection; nil: a new one is opened
+}
+
+// probe makes a health check.
+func (d dialer) probe(p *probe) result {
+	c, err := d.connect(p.conn, p.address)
+	if err != nil {
+		return result{status: balancer.ConnectFailed}
+	}
+	path := healthPath
+	if p.load {
+		path = loadPath
+	}
+	c.SetReadDeadline(time.Now().Add(d.timeout))
+	if _, err := io.WriteString(c, "GET "+path+" HTTP/1.1\r\nHost: "+p.address+"\r\n\r\n"); err != nil {
+		c.Close()
+		return result{status: balancer.ConnectFailed}
+	}
+	r := d.readAnswer(c)
+	d.held.give(cap(r.body))
+	if r.more != nil { // no report is that long
+		c.Close()
+		return result{status: balancer.Error}
+	}
+	if p.load && r.status == balancer.OK {
+		if report := parseLoadReport(string(r.body)); report.Fields != 0 {
+			r.load = report
+		}
+	}
+	return r
+}
--- a/internal/proxy/leave_test.go
+++ b/internal/proxy/leave_test.go
@@ -19,29 +19,29 @@
 )
 
 // gate holds connections to upstreams back, each until the test lets it up.
-type gate struct {
-	asked chan *dialing // each connection that is asked for
-	all   chan struct{} // closed: all come up
-	once  sync.Once
+type dialGate struct {
+	dials   chan *pendingDial // each connection that is asked for
+	openAll chan struct{}     // closed: all come up
+	once    sync.Once
 }
 
 // dialing is a connection that is asked for.
-type dialing struct {
+type pendingDial struct {
 	address string
 	up      chan struct{} // closed by the test: it comes up
 }
 
-func newGate(t *testing.T) *gate {
-	g := &gate{asked: make(chan *dialing, 1000), all: make(chan struct{})}
-	t.Cleanup(g.lift)
+func newGate(t *testing.T) *dialGate {
+	g := &dialGate{dials: make(chan *pendingDial, 1000), openAll: make(chan struct{})}
+	t.Cleanup(g.openAllNow)
 	return g
 }
 
 // next is the next connection that is asked for.
-func (g *gate) next(t *testing.T) *dialing {
+func (g *dialGate) next(t *testing.T) *pendingDial {
 	t.Helper()
 	select {
-	case d := <-g.asked:
+	case d := <-g.dials:
 		return d
 	case <-time.After(30 * time.Second):
 		t.Fatal("no connection was asked for")
@@ -50,11 +50,11 @@
 }
 
 // liftUntil lets up each connection that is asked for until something is so, and returns how many there were.
-func (g *gate) liftUntil(t *testing.T, is func() bool) (lifted int) {
+func (g *dialGate) openUntil(t *testing.T, is func() bool) (lifted int) {
 	t.Helper()
 	eventually(t, "the connections that are asked for have come up", func() bool {
 		select {
-		case d := <-g.asked:
+		case d := <-g.dials:
 			close(d.up)
 			lifted++
 		default:
@@ -75,14 +75,14 @@
 	return out
 }
 
-func (g *gate) lift() { g.once.Do(func() { close(g.all) }) }
+func (g *dialGate) openAllNow() { g.once.Do(func() { close(g.openAll) }) }
 
-func (g *gate) open(network, address string, timeout time.Duration) (net.Conn, error) {
-	d := &dialing{address, make(chan struct{})}
-	g.asked <- d
+func (g *dialGate) open(network, address string, timeout time.Duration) (net.Conn, error) {
+	d := &pendingDial{address, make(chan struct{})}
+	g.dials <- d
 	select {
 	case <-d.up:
-	case <-g.all:
+	case <-g.openAll:
 	}
 	return net.DialTimeout(network, address, timeout)
 }
@@ -148,7 +148,7 @@
 }
 
 // leaveTaken waits until nothing is owed any more: every client has its answer, or has been seen to leave.
-func (b *testBalancer) leaveTaken(t *testing.T) {
+func (b *testBalancer) awaitRequestsClosed(t *testing.T) {
 	t.Helper()
 	b.await(t, "every request is closed", func(l *loop) bool {
 		for _, r := range l.requests {
@@ -181,13 +181,13 @@
 	return c
 }
 
-var cancelling = map[string]string{"cancel": `"cancel":true`, "no cancel": `"cancel":false`}
+var cancelSettings = map[string]string{"cancel": `"cancel":true`, "no cancel": `"cancel":false`}
 
 // A client that leaves while its request waits for a connection takes it along, whatever its class and whether or not the
 // settings allow cancelling what has been sent: no byte of it reaches the upstream once the leave has been taken in. Where
 // they did not, it was sent on when the connection came up.
 func TestLeftDuringADialIsNotSent(t *testing.T) {
-	for name, cancel := range cancelling {
+	for name, cancel := range cancelSettings {
 		for _, class := range []string{"read", "pay", "checkin"} {
 			t.Run(name+" "+class, func(t *testing.T) {
 				s, g := newServer(t, okAll), newGate(t)
@@ -198,15 +198,15 @@
 				c := b.raw(t, class, "", "")
 				g.next(t)
 				c.Close()
-				b.leaveTaken(t)
+				b.awaitRequestsClosed(t)
 				var bounds map[balancer.EndpointID]balancer.EndpointStats
-				b.inLoop(t, func(l *loop) { bounds = learntOf(l) })
-				g.lift()
+				b.inLoop(t, func(l *loop) { bounds = endpointStatsOf(l) })
+				g.openAllNow()
 				b.settled(t)
 				want(t, "requests at the upstream", len(s.arrivals), 0)
 				b.inLoop(t, func(l *loop) {
 					want(t, "connections", l.conns, 1) // it serves the next
-					want(t, "figures of the upstream", fmt.Sprint(learntOf(l)), fmt.Sprint(bounds))
+					want(t, "figures of the upstream", fmt.Sprint(endpointStatsOf(l)), fmt.Sprint(bounds))
 				})
 				status, _ := b.do(t, b.ask(class, ""))
 				want(t, "status of the next", status, 200)
@@ -217,7 +217,7 @@
 }
 
 // learntOf is what the module has learnt of each upstream.
-func learntOf(l *loop) map[balancer.EndpointID]balancer.EndpointStats {
+func endpointStatsOf(l *loop) map[balancer.EndpointID]balancer.EndpointStats {
 	all := map[balancer.EndpointID]balancer.EndpointStats{}
 	for _, x := range l.balancer.TakeSnapshot(l.now()).Endpoints {
 		all[x.ID] = x
@@ -229,7 +229,7 @@
 // are served. What has not been claimed for writing when the leave has been taken in never reaches the upstream, and all
 // that was counted is back at the end.
 func TestLeavesAtAnyMoment(t *testing.T) {
-	for name, cancel := range cancelling {
+	for name, cancel := range cancelSettings {
 		t.Run(name, func(t *testing.T) {
 			const seed, clients = 17, 300
 			rng := rand.New(rand.NewPCG(seed, 0))
@@ -251,10 +251,10 @@
 				if phase == 0 { // its leave may be seen before a connection is asked for
 					c.Close()
 					eventually(t, "the request has been read", func() bool { return clientLedger.knows(id) })
-					b.closed(t)
-					b.leaveTaken(t)
+					b.awaitClientsClosed(t)
+					b.awaitRequestsClosed(t)
 					forbidden[id] = true
-					dialed += g.liftUntil(t, func() bool { return b.attemptsOut(t) == 0 })
+					dialed += g.openUntil(t, func() bool { return b.attemptsOut(t) == 0 })
 					b.settled(t)
 					b.inLoop(t, func(l *loop) { l.CloseIdle(1) })
 					continue
@@ -271,7 +271,7 @@
 					}
 				}
 				c.Close()
-				b.leaveTaken(t)
+				b.awaitRequestsClosed(t)
 				if phase == 1 {
 					forbidden[id] = true
 					close(d.up)
@@ -279,7 +279,7 @@
 				b.settled(t)
 				b.inLoop(t, func(l *loop) { l.CloseIdle(1) }) // the next needs one of its own
 			}
-			s.quiet(t, dialed)
+			s.awaitConnsEnded(t, dialed)
 			sent := 0
 			for len(s.arrivals) > 0 {
 				r := <-s.arrivals
@@ -316,23 +316,23 @@
 					t.Fatal(err)
 				}
 				c.Close()
-				b.leaveTaken(t)
+				b.awaitRequestsClosed(t)
 				for _, answers := range []string{"passed", "dropped", "bad_gateway"} {
 					want(t, answers, b.figure(t, "svc_"+answers+`{category="pay"}`), 0)
 				}
-				g.lift()
+				g.openAllNow()
 				b.settled(t)
 				want(t, "requests at the upstream", len(s.arrivals), 0)
-				b.closed(t)
+				b.awaitClientsClosed(t)
 			})
 		}
 	}
 }
 
 // closed waits until no client's connection is open any more.
-func (b *testBalancer) closed(t *testing.T) {
+func (b *testBalancer) awaitClientsClosed(t *testing.T) {
 	t.Helper()
-	eventually(t, "no client's connection is open", func() bool { return b.proxy.front.open() == 0 })
+	eventually(t, "no client's connection is open", func() bool { return b.proxy.front.openConns() == 0 })
 }
 
 // What comes behind a request that waits is neither lost nor looked at too soon: whole requests are answered in their turn,
@@ -350,7 +350,7 @@
 			}
 			return all.String()
 		}, 4},
-		{"too much", func(b *testBalancer) string { return strings.Repeat("x", 2*aheadKept) }, 1},
+		{"too much", func(b *testBalancer) string { return strings.Repeat("x", 2*readAheadBuffer) }, 1},
 		{"a length and chunks", func(b *testBalancer) string {
 			return "POST /pay/x HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"
 		}, 1},
@@ -368,15 +368,15 @@
 						t.Fatal(err)
 					}
 				}
-				g.lift()
+				g.openAllNow()
 				in := bufio.NewReader(c)
 				for range x.served {
-					begun{Conn: c, in: in}.answer(t, 200)
+					partialRequest{Conn: c, in: in}.answer(t, 200)
 				}
 				c.(*net.TCPConn).CloseWrite()
 				io.Copy(io.Discard, in) // its end
 				b.settled(t)
-				b.closed(t)
+				b.awaitClientsClosed(t)
 				want(t, "requests at the upstream", len(s.arrivals), x.served)
 			})
 		}
@@ -440,13 +440,15 @@
 	for _, never := range []bool{false, true} {
 		for _, after := range []time.Duration{span - 1, span} {
 			r := &request{}
-			r.window.span = span
+			r.window.duration = span
 			older, newer := &attempt{req: r, deadline: noDeadline}, &attempt{req: r, n: 1, deadline: noDeadline}
-			want(t, "the newer, first", newer.claim(time.Hour), true)
+			_, newerClaimed := newer.claim(time.Hour)
+			want(t, "the newer, first", newerClaimed, true)
 			if never {
 				r.window.never(newer)
 			}
-			want(t, "the older, later", older.claim(time.Hour+after), never || after < span)
+			_, olderClaimed := older.claim(time.Hour + after)
+			want(t, "the older, later", olderClaimed, never || after < span)
 			want(t, "dropped", older.stage.Load() == dropped, !never && after >= span)
 		}
 	}
@@ -463,7 +465,7 @@
 		for _, class := range []string{"read", "pay", "checkin"} {
 			t.Run(class+" "+name, func(t *testing.T) {
 				s := newServer(t, okAll)
-				l := &slowAccept{goOn: make(chan struct{}), toEnd: make(chan struct{})}
+				l := &pausedListener{resume: make(chan struct{}), ending: make(chan struct{})}
 				b := newBalancerOn(t, newRegistry(t), func(x net.Listener) net.Listener {
 					l.recordingListener = x.(recordingListener)
 					return l
@@ -474,10 +476,10 @@
 					c.Close()
 				}
 				last := b.raw(t, class, "", "") // behind all of them
-				close(l.goOn)
-				begun{Conn: last, in: bufio.NewReader(last)}.answer(t, http.StatusOK)
+				close(l.resume)
+				partialRequest{Conn: last, in: bufio.NewReader(last)}.answer(t, http.StatusOK)
 				last.Close()
-				b.closed(t)
+				b.awaitClientsClosed(t)
 				b.settled(t)
 				want(t, "requests at the upstream", len(s.arrivals), 1)
 			})
--- a/internal/proxy/listen_test.go
+++ b/internal/proxy/listen_test.go
@@ -12,7 +12,7 @@
 )
 
 // held is a listening socket as a platform holds it: each call of the result is a descriptor that a process inherits.
-func held(t *testing.T) (addr string, inherit func() int) {
+func listeningSocket(t *testing.T) (addr string, inherit func() int) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,7 +43,7 @@
 		}
 		return okAll(c, r)
 	})
-	addr, inherit := held(t)
+	addr, inherit := listeningSocket(t)
 	first := newBalancerAt(t, inherit(), up("s-00000001", s))
 	first.url = "http://" + addr
 	late := make(chan int, 1)
@@ -61,7 +61,7 @@
 	second.url = first.url
 	first.cancel()
 	for n := 0; ; n++ { // until the first has left the listener, either may answer; from then on only the second
-		status, _ := second.doOnce(t, second.ask("checkin", ""))
+		status, _ := second.doOnNewConn(t, second.ask("checkin", ""))
 		want(t, "status meanwhile", status, 200)
 		if second.figure(t, `svc_passed{category="checkin"}`) > 10 {
 			break
@@ -76,7 +76,7 @@
 	first.ended <- nil
 	before := second.figure(t, `svc_passed{category="checkin"}`)
 	for range 10 {
-		status, _ := second.doOnce(t, second.ask("checkin", ""))
+		status, _ := second.doOnNewConn(t, second.ask("checkin", ""))
 		want(t, "status after", status, 200)
 	}
 	want(t, "served by the second", second.figure(t, `svc_passed{category="checkin"}`)-before, 10)
@@ -84,7 +84,7 @@
 
 func TestBadListenerSaysWhy(t *testing.T) {
 	for _, text := range []string{"x", "-1", "0", "2", "3.5", "99999999999999999999"} {
-		if _, err := load(t, configText, map[string]string{"RELAY_FD": text}); err == nil || !strings.Contains(err.Error(), "RELAY_FD") {
+		if _, err := loadConfig(t, configText, map[string]string{"RELAY_FD": text}); err == nil || !strings.Contains(err.Error(), "RELAY_FD") {
 			t.Errorf("RELAY_FD=%s: got %v", text, err)
 		}
 	}
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	addr, _ := held(t)
+	addr, _ := listeningSocket(t)
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 		if dupErr != nil {
 			fd = 1 << 20
 		}
-		c, err := load(t, configText, map[string]string{"RELAY_FD": fmt.Sprint(fd)})
+		c, err := loadConfig(t, configText, map[string]string{"RELAY_FD": fmt.Sprint(fd)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -121,7 +121,7 @@
 
 // Two processes that overlap stay inside the limits of one.
 func TestOverlapSharesTheLimits(t *testing.T) {
-	c, err := load(t, configText, map[string]string{"RELAY_FD": "3"})
+	c, err := loadConfig(t, configText, map[string]string{"RELAY_FD": "3"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -93,7 +93,7 @@
 }
 
 // quiet waits until so many connections have come and ended: all that was written to them has been read.
-func (s *server) quiet(t *testing.T, conns int) {
+func (s *server) awaitConnsEnded(t *testing.T, conns int) {
 	t.Helper()
 	eventually(t, fmt.Sprintf("%d connections have come and ended", conns), func() bool {
 		s.mu.Lock()
@@ -216,21 +216,21 @@
 		}
 		b.ended <- nil
 		if balancers--; balancers == 0 && !t.Failed() {
-			nothingRuns(t)
+			assertNothingRuns(t)
 		}
 	})
 	return b
 }
 
 // nothingRuns waits until no goroutine of a balancer's is left.
-func nothingRuns(t testing.TB) {
+func assertNothingRuns(t testing.TB) {
 	t.Helper()
 	text := make([]byte, 1<<20)
 	for limit := time.Now().Add(30 * time.Second); ; time.Sleep(time.Millisecond) {
 		left := ""
 		for stack := range strings.SplitSeq(string(text[:runtime.Stack(text, true)]), "\n\n") {
-			for _, of := range []string{"(*loop)", "(*frontend)", "(*framedConn)", "(*discovery)", "(*state)", "dialer"} {
-				if strings.Contains(stack, "sprucehill/internal/proxy."+of) && !strings.Contains(stack, "proxy.nothingRuns") {
+			for _, of := range []string{"(*loop)", "(*frontend)", "(*framingConn)", "(*discovery)", "(*state)", "dialer"} {
+				if strings.Contains(stack, "sprucehill/internal/proxy."+of) && !strings.Contains(stack, "proxy.assertNothingRuns") {
 					left = stack
 				}
 			}
@@ -285,7 +285,7 @@
 }
 
 // doOnce sends a request on a connection of its own.
-func (b *testBalancer) doOnce(t *testing.T, r *http.Request) (int, string) {
+func (b *testBalancer) doOnNewConn(t *testing.T, r *http.Request) (int, string) {
 	t.Helper()
 	r.Close = true
 	return b.do(t, r)
@@ -388,7 +388,7 @@
 	r := run(c)
 	want(t, "first", r.status, balancer.OK)
 	<-closed
-	if _, err := r.conn.in.Peek(1); err == nil { // the end has come
+	if _, err := r.conn.reader.Peek(1); err == nil { // the end has come
 		t.Fatal("bytes on an idle connection")
 	}
 	want(t, "second", run(r.conn).status, balancer.OK)
@@ -450,7 +450,7 @@
 	want(t, "dropped", a.drop(), true)
 	r := d.run(a)
 	want(t, "status", r.status, balancer.NotSent)
-	want(t, "still of use", r.conn != nil && r.conn.fresh() == nil, true)
+	want(t, "still of use", r.conn != nil && r.conn.checkIdle() == nil, true)
 	want(t, "requests written", len(s.arrivals), 0)
 }
 
--- /dev/null
+++ b/internal/proxy/responsewriter.go
@@ -0,0 +1,98 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+// delivery is how writing an answer ended.
+type delivery uint8
+
+const (
+	brokenOff  delivery = iota // the upstream's answer broke off in the middle
+	clientGone                 // the client disconnected
+	delivered                  // the answer was written completely
+)
+
+// write writes an answer to the client. Only a streamed one can end other than delivered.
+func (x *exchange) write(a answer) delivery {
+	header := x.writer.Header()
+	if x.frontend.leaving.Load() { // the shutdown may have begun since the request came
+		closeAfterAnswer(x.writer)
+	}
+	if a.kind != "" {
+		header.Set("Content-Type", a.kind)
+	} else {
+		header["Content-Type"] = nil // keeps net/http from guessing one
+	}
+	if a.retryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
+	}
+	control := http.NewResponseController(x.writer)
+	extendWriteDeadline(control)
+	if a.more != nil {
+		return x.writeStream(control, a)
+	}
+	header.Set("Content-Length", strconv.Itoa(len(a.body)))
+	x.writer.WriteHeader(a.status)
+	_, _ = x.writer.Write(a.body) // a client that has gone can tell that the answer is not complete
+	return delivered
+}
+
+// writeStream writes a streamed answer and gives its upstream connection back to the loop.
+func (x *exchange) writeStream(control *http.ResponseController, a answer) (result delivery) {
+	upstream := a.more
+	stopWatching := context.AfterFunc(x.httpRequest.Context(), func() {
+		if !connOf(x.httpRequest).hasFramingError() {
+			upstream.conn.SetReadDeadline(expiredDeadline)
+		}
+	})
+	defer func() {
+		stopWatching()
+		x.frontend.post(passed{upstream.peer, upstream.finish(result == delivered)})
+	}()
+	if n := upstream.resp.ContentLength; n >= 0 {
+		x.writer.Header().Set("Content-Length", strconv.FormatInt(n, 10))
+	}
+	x.writer.WriteHeader(a.status)
+	return x.copyStream(control, a.body, upstream)
+}
+
+// copyStream writes beginning and then what the upstream sends, each part as soon as it has come.
+func (x *exchange) copyStream(control *http.ResponseController, beginning []byte, upstream *stream) delivery {
+	buf := copyBuffers.Get().(*[copyBufferSize]byte)
+	defer copyBuffers.Put(buf)
+	part := beginning
+	for {
+		extendWriteDeadline(control)
+		if _, err := x.writer.Write(part); err != nil {
+			return clientGone
+		}
+		if err := control.Flush(); err != nil {
+			return clientGone
+		}
+		n, err := upstream.read(buf[:])
+		part = buf[:n]
+		switch {
+		case errors.Is(err, io.EOF):
+			if _, err := x.writer.Write(part); err != nil {
+				return clientGone
+			}
+			return delivered
+		case err != nil && x.httpRequest.Context().Err() != nil:
+			return clientGone
+		case err != nil:
+			return brokenOff
+		}
+	}
+}
+
+// extendWriteDeadline gives the client another clientWriteTimeout for reading. That fails only on a closed connection,
+// which the next write shows.
+func extendWriteDeadline(control *http.ResponseController) {
+	_ = control.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
+}
--- a/internal/proxy/second_answer_test.go
+++ b/internal/proxy/second_answer_test.go
@@ -41,7 +41,7 @@
 				want(t, "status", status, 200)
 				want(t, "answer", answer, x.answers[i])
 				b.settled(t)
-				b.unreadBytesHaveCome(t, i == 0 && x.atRest || i == 1 && !x.atRest)
+				b.awaitUnreadBytes(t, i == 0 && x.atRest || i == 1 && !x.atRest)
 			}
 			want(t, "connections", s.opened(), x.connected)
 		})
@@ -49,7 +49,7 @@
 }
 
 // unreadBytesHaveCome waits, where bytes are due on the one idle connection, until they are there.
-func (b *testBalancer) unreadBytesHaveCome(t *testing.T, due bool) {
+func (b *testBalancer) awaitUnreadBytes(t *testing.T, due bool) {
 	t.Helper()
 	if !due {
 		return
@@ -59,7 +59,7 @@
 		if len(idle) != 1 {
 			return false
 		}
-		_, err := idle[0].in.Peek(1)
+		_, err := idle[0].reader.Peek(1)
 		return err == nil
 	})
 }
--- /dev/null
+++ b/internal/proxy/shutdown.go
@@ -0,0 +1,113 @@
+package proxy
+
+import (
+	"context"
+	"log/slog"
+	"time"
+)
+
+const (
+	// shutdownAcceptPeriod is how long connections are still accepted after SIGTERM: they keep coming for up to 0.4 s.
+	shutdownAcceptPeriod = 450 * time.Millisecond
+	// shutdownFirstByteTimeout is how long the last connection accepted then has for beginning its request.
+	shutdownFirstByteTimeout = 50 * time.Millisecond
+	// shutdownSweepInterval is the time between two looks for idle connections during a shutdown.
+	shutdownSweepInterval = 10 * time.Millisecond
+
+	// The platform sends SIGKILL after SIGTERM no sooner than the longest deadline, which counts as killDeadlineCap where
+	// it is longer, plus killDelay. A request that comes later than killDelay after SIGTERM has to be answered by then; it
+	// is answered killMargin sooner.
+	killDelay       = 700 * time.Millisecond
+	killDeadlineCap = 3 * time.Second
+	killMargin      = 100 * time.Millisecond
+
+	// drainIdleGrace is how long idle connections stay open after a drain has begun: health checks come every 0.1 s, and
+	// new connections for 0.2 s more, so a connection closed sooner would come back here.
+	drainIdleGrace = 500 * time.Millisecond
+	// drainSweepInterval is the time between two looks for idle connections during a drain.
+	drainSweepInterval = 100 * time.Millisecond
+)
+
+// drain sends clients away, or welcomes them again. While draining, health checks fail, answers close their connections,
+// and idle connections are closed once no more clients are expected. The listener stays open for those that come anyway.
+func (f *frontend) drain(on bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if on == (f.cancelDrain != nil) {
+		return
+	}
+	f.draining.Store(on)
+	if !on {
+		f.cancelDrain()
+		f.cancelDrain = nil
+		return
+	}
+	ctx, cancel := context.WithCancel(f.ctx)
+	f.cancelDrain = cancel
+	go f.closeIdleWhileDraining(ctx)
+}
+
+// closeIdleWhileDraining closes idle connections, after drainIdleGrace, until ctx ends.
+func (f *frontend) closeIdleWhileDraining(ctx context.Context) {
+	grace := time.After(drainIdleGrace)
+	sweep := time.NewTicker(drainSweepInterval)
+	defer sweep.Stop()
+	select {
+	case <-grace:
+	case <-ctx.Done():
+	}
+	for ctx.Err() == nil {
+		f.closeIdleConns(drainIdleGrace)
+		select {
+		case <-sweep.C:
+		case <-ctx.Done():
+		}
+	}
+}
+
+// stop shuts the frontend down without losing a request: it accepts the connections that are still on their way, closes
+// the listener and idle connections, and returns once every accepted request has been answered. An inherited listener is
+// closed at once: the connections in its queue, and those still to come, belong to the successor process.
+func (f *frontend) stop() {
+	f.shutdownAt.Store(int64(f.now()))
+	f.leaving.Store(true)
+	if f.inherited {
+		f.listener.Close()
+		f.post(leave{})
+	}
+	time.Sleep(shutdownAcceptPeriod)
+	if !f.inherited {
+		f.listener.closeWhenDrained()
+	}
+	<-f.acceptEnded // from here on the last accepted connection counts among the open ones
+	f.awaitClients()
+}
+
+// awaitClients closes idle connections until none is open, or until the time limit closes the rest.
+func (f *frontend) awaitClients() {
+	// http.Server.Shutdown is no substitute: it also closes a kept connection whose next request has come in part.
+	limit := time.After(f.longestDeadline + clientWriteTimeout)
+	sweep := time.NewTicker(shutdownSweepInterval)
+	defer sweep.Stop()
+	for f.openConns() > 0 {
+		f.closeIdleConns(shutdownFirstByteTimeout)
+		select {
+		case <-sweep.C:
+		case <-limit:
+			slog.Warn("closing client connections", "open", f.openConns())
+			f.server.Close()
+			return
+		}
+	}
+}
+
+// timeBeforeKill is how much of timeout is left, before SIGKILL, to a request that came at the given time on the loop's
+// clock. It is all of timeout unless a shutdown has begun and the request came too long after that.
+func (f *frontend) timeBeforeKill(at, timeout time.Duration) time.Duration {
+	shutdownAt := time.Duration(f.shutdownAt.Load())
+	if !f.leaving.Load() || at < shutdownAt+killDelay-killMargin {
+		return timeout
+	}
+	killAt := shutdownAt + min(f.longestDeadline, killDeadlineCap) + killDelay
+	return max(0, killAt-killMargin-at)
+}
--- a/internal/proxy/stop_test.go
+++ b/internal/proxy/stop_test.go
@@ -14,15 +14,15 @@
 )
 
 // begun is a client's connection on which one request has been answered and the next one's head has come in part.
-type begun struct {
+type partialRequest struct {
 	net.Conn
 	in   *bufio.Reader
 	rest string
 }
 
-func (b *testBalancer) begin(t *testing.T) begun {
+func (b *testBalancer) sendPartialRequest(t *testing.T) partialRequest {
 	t.Helper()
-	x := begun{Conn: b.raw(t, "checkin", "", "")}
+	x := partialRequest{Conn: b.raw(t, "checkin", "", "")}
 	x.in = bufio.NewReader(x)
 	x.answer(t, 200)
 	var text strings.Builder
@@ -34,23 +34,23 @@
 		t.Fatal(err)
 	}
 	x.rest = text.String()[half:]
-	eventually(t, "the head has been read in part", b.proxy.front.midway)
+	eventually(t, "the head has been read in part", b.proxy.front.anyPartialRequest)
 	return x
 }
 
 // midway tells whether a request has come in part on some connection.
-func (f *frontend) midway() bool {
+func (f *frontend) anyPartialRequest() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c, is := range f.conns {
-		if is.state == http.StateIdle && !c.rests() {
+		if is.state == http.StateIdle && !c.isIdle() {
 			return true
 		}
 	}
 	return false
 }
 
-func (x begun) answer(t *testing.T, status int) {
+func (x partialRequest) answer(t *testing.T, status int) {
 	t.Helper()
 	resp, err := http.ReadResponse(x.in, nil)
 	if err != nil {
@@ -61,7 +61,7 @@
 }
 
 // end sends the rest of the request.
-func (x begun) end(t *testing.T) {
+func (x partialRequest) end(t *testing.T) {
 	t.Helper()
 	if _, err := io.WriteString(x, x.rest); err != nil {
 		t.Fatal(err)
@@ -73,11 +73,11 @@
 func TestStopWaitsForARequestThatHasBegun(t *testing.T) {
 	s := newServer(t, okAll)
 	b := newBalancer(t, up("s-00000001", s))
-	x := b.begin(t)
+	x := b.sendPartialRequest(t)
 	b.cancel()
-	<-b.proxy.front.ended // the listener is closed, and what idles goes
+	<-b.proxy.front.acceptEnded // the listener is closed, and what idles goes
 	for range 3 {
-		b.proxy.front.closeIdle(0)
+		b.proxy.front.closeIdleConns(0)
 	}
 	x.end(t)
 	x.answer(t, 200)
@@ -85,7 +85,7 @@
 		t.Error(err)
 	}
 	b.ended <- nil
-	want(t, "open connections", b.proxy.front.open(), 0)
+	want(t, "open connections", b.proxy.front.openConns(), 0)
 }
 
 // The same while clients are sent away, and where a connection has to make room.
@@ -93,24 +93,24 @@
 	s := newServer(t, okAll)
 	b := newBalancer(t, up("s-00000001", s))
 	f := b.proxy.front
-	x := b.begin(t)
-	f.closeIdle(0)
+	x := b.sendPartialRequest(t)
+	f.closeIdleConns(0)
 	f.mu.Lock()
 	for c, is := range f.conns { // it has long been so
-		is.since -= 2 * restful
+		is.since -= 2 * evictionMinIdle
 		f.conns[c] = is
 	}
-	f.maxOpen = len(f.conns)
+	f.maxConns = len(f.conns)
 	f.mu.Unlock()
 	other, peer := net.Pipe()
 	defer other.Close()
 	defer peer.Close()
-	f.count(&framedConn{Conn: other, now: f.now}, http.StateNew) // one too many: it is closed itself
+	f.trackConn(&framingConn{Conn: other, now: f.now}, http.StateNew) // one too many: it is closed itself
 	if _, err := peer.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the new connection: %v, want its end", err)
 	}
 	f.mu.Lock()
-	f.maxOpen = 100
+	f.maxConns = 100
 	f.mu.Unlock()
 	x.end(t)
 	x.answer(t, 200)
@@ -122,20 +122,20 @@
 	b := newBalancer(t)
 	f := b.proxy.front
 	const told, most = time.Hour, 9 * time.Second
-	f.toldAt.Store(int64(told))
-	want(t, "while it serves", f.beforeKill(told+2*time.Second, most), most)
+	f.shutdownAt.Store(int64(told))
+	want(t, "while it serves", f.timeBeforeKill(told+2*time.Second, most), most)
 	f.leaving.Store(true)
 	for _, x := range []struct{ longest, since, want time.Duration }{
-		{4 * time.Second, killed - killMargin - 1, most},
-		{4 * time.Second, killed - killMargin, killCounts},
+		{4 * time.Second, killDelay - killMargin - 1, most},
+		{4 * time.Second, killDelay - killMargin, killDeadlineCap},
 		{4 * time.Second, 2 * time.Second, 1600 * time.Millisecond},
 		{time.Second, 2 * time.Second, 0},
 		{time.Second, time.Second, 600 * time.Millisecond},
 	} {
-		f.longest = x.longest
-		want(t, x.since.String()+" after SIGTERM", f.beforeKill(told+x.since, most), x.want)
+		f.longestDeadline = x.longest
+		want(t, x.since.String()+" after SIGTERM", f.timeBeforeKill(told+x.since, most), x.want)
 	}
-	f.toldAt.Store(int64(f.now() - 4*time.Second))
+	f.shutdownAt.Store(int64(f.now() - 4*time.Second))
 	resp, err := http.ReadResponse(bufio.NewReader(b.raw(t, "checkin", "", "")), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -168,7 +168,7 @@
 		}
 		return false
 	})
-	f.toldAt.Store(int64(f.now() - time.Second)) // it has been told to end meanwhile
+	f.shutdownAt.Store(int64(f.now() - time.Second)) // it has been told to end meanwhile
 	f.leaving.Store(true)
 	if _, err := client.Write([]byte{0}); err != nil {
 		t.Fatal(err)
@@ -177,7 +177,7 @@
 	<-s.arrivals
 	b.await(t, "its time has begun", func(l *loop) bool { return q.deadline != noDeadline })
 	b.inLoop(t, func(*loop) {
-		kill := time.Duration(f.toldAt.Load()) + min(f.longest, killCounts) + killed
+		kill := time.Duration(f.shutdownAt.Load()) + min(f.longestDeadline, killDeadlineCap) + killDelay
 		if q.deadline >= kill {
 			t.Errorf("it has until %v after the kill", q.deadline-kill)
 		}
@@ -187,24 +187,24 @@
 }
 
 // reads is a listener of whose connections one read can be held back after its bytes have been taken from the network.
-type reads struct {
+type heldReadListener struct {
 	net.Listener
 	armed atomic.Bool
 	taken chan struct{} // the bytes have been taken
 	back  chan struct{} // closed: the reader gets them
 }
 
-func (r *reads) Accept() (net.Conn, error) {
+func (r *heldReadListener) Accept() (net.Conn, error) {
 	c, err := r.Listener.Accept()
-	return &readsConn{c, r}, err
+	return &heldReadConn{c, r}, err
 }
 
-type readsConn struct {
+type heldReadConn struct {
 	net.Conn
-	*reads
+	*heldReadListener
 }
 
-func (c *readsConn) Read(p []byte) (int, error) {
+func (c *heldReadConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 && c.armed.CompareAndSwap(true, false) {
 		c.taken <- struct{}{}
@@ -214,11 +214,11 @@
 }
 
 // allRest tells whether there is a connection, and every one is between requests.
-func (f *frontend) allRest() bool {
+func (f *frontend) allIdle() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
-		if !c.rests() {
+		if !c.isIdle() {
 			return false
 		}
 	}
@@ -233,7 +233,7 @@
 		for _, fresh := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s first, new connection %v", first, fresh), func(t *testing.T) {
 				s := newServer(t, okAll)
-				r := &reads{taken: make(chan struct{}), back: make(chan struct{})}
+				r := &heldReadListener{taken: make(chan struct{}), back: make(chan struct{})}
 				b := newBalancerOn(t, newRegistry(t), func(l net.Listener) net.Listener { r.Listener = l; return r },
 					func(*Config) {}, up("s-00000001", s))
 				c, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
@@ -251,16 +251,16 @@
 				sent := 0
 				if !fresh {
 					ask()
-					begun{Conn: c, in: in}.answer(t, 200)
+					partialRequest{Conn: c, in: in}.answer(t, 200)
 					sent++
 				}
 				f := b.proxy.front
-				eventually(t, "the connection rests", f.allRest)
+				eventually(t, "the connection rests", f.allIdle)
 				r.armed.Store(true)
 				ask()
 				<-r.taken
 				if first == "close" {
-					f.closeIdle(0)
+					f.closeIdleConns(0)
 				}
 				close(r.back)
 				if first == "close" {
@@ -268,12 +268,12 @@
 						t.Error("an answer on a connection that was closed")
 					}
 				} else {
-					begun{Conn: c, in: in}.answer(t, 200)
+					partialRequest{Conn: c, in: in}.answer(t, 200)
 					sent++
 				}
 				eventually(t, "the connection is closed", func() bool {
-					f.closeIdle(0)
-					return f.open() == 0
+					f.closeIdleConns(0)
+					return f.openConns() == 0
 				})
 				b.settled(t)
 				want(t, "requests at the upstream", len(s.arrivals), sent)
@@ -283,25 +283,25 @@
 }
 
 // slowAccept is a listener whose accepting stops until the test lets it go on. It tells that it has been told to end.
-type slowAccept struct {
+type pausedListener struct {
 	recordingListener
-	goOn   chan struct{}
-	toEnd  chan struct{}
-	ending sync.Once
+	resume  chan struct{}
+	ending  chan struct{}
+	endOnce sync.Once
 }
 
-func (l *slowAccept) Accept() (net.Conn, error) {
-	<-l.goOn
+func (l *pausedListener) Accept() (net.Conn, error) {
+	<-l.resume
 	return l.recordingListener.Accept()
 }
 
-func (l *slowAccept) SetDeadline(t time.Time) error {
-	l.ending.Do(func() { close(l.toEnd) })
+func (l *pausedListener) SetDeadline(t time.Time) error {
+	l.endOnce.Do(func() { close(l.ending) })
 	return l.TCPListener.SetDeadline(t)
 }
 
-func (l *slowAccept) Close() error {
-	l.ending.Do(func() { close(l.toEnd) })
+func (l *pausedListener) Close() error {
+	l.endOnce.Do(func() { close(l.ending) })
 	return l.TCPListener.Close()
 }
 
@@ -309,7 +309,7 @@
 // what they bring. They were reset as the listener closed.
 func TestStopTakesWhatWaitsToBeAccepted(t *testing.T) {
 	s := newServer(t, okAll)
-	l := &slowAccept{goOn: make(chan struct{}), toEnd: make(chan struct{})}
+	l := &pausedListener{resume: make(chan struct{}), ending: make(chan struct{})}
 	b := newBalancerOn(t, newRegistry(t), func(x net.Listener) net.Listener { l.recordingListener = x.(recordingListener); return l },
 		func(*Config) {}, up("s-00000001", s))
 	var waiting []net.Conn
@@ -317,10 +317,10 @@
 		waiting = append(waiting, b.raw(t, "checkin", "", ""))
 	}
 	b.cancel()
-	<-l.toEnd
-	close(l.goOn)
+	<-l.ending
+	close(l.resume)
 	for _, c := range waiting {
-		begun{Conn: c, in: bufio.NewReader(c)}.answer(t, 200)
+		partialRequest{Conn: c, in: bufio.NewReader(c)}.answer(t, 200)
 	}
 	if err := <-b.ended; err != nil {
 		t.Error(err)
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -17,11 +17,11 @@
 )
 
 // noise is a reader of n bytes that don't repeat.
-func noise(n int64) io.Reader { return io.LimitReader(&counting{}, n) }
+func patternReader(n int64) io.Reader { return io.LimitReader(&patternSource{}, n) }
 
-type counting struct{ n byte }
+type patternSource struct{ n byte }
 
-func (c *counting) Read(p []byte) (int, error) {
+func (c *patternSource) Read(p []byte) (int, error) {
 	for i := range p {
 		c.n = c.n*31 + 7
 		p[i] = c.n
@@ -53,11 +53,11 @@
 		switch r.Header.Get("X-Form") {
 		case "length":
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
-			io.Copy(c, noise(size))
+			io.Copy(c, patternReader(size))
 			return true
 		case "chunks":
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-			for in := noise(size); ; {
+			for in := patternReader(size); ; {
 				p := make([]byte, 70_001)
 				n, _ := io.ReadFull(in, p)
 				if n == 0 {
@@ -69,14 +69,14 @@
 			return true
 		}
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n") // ends with its connection
-		io.Copy(c, noise(size))
+		io.Copy(c, patternReader(size))
 		return false
 	})
 	b := newBalancer(t, up("s-00000001", s))
 	for _, form := range []string{"length", "chunks", "close"} {
 		for _, length := range []int64{size, -1} {
 			r := b.ask("checkin", "", "X-Form", form)
-			r.Body, r.ContentLength = io.NopCloser(noise(size)), length
+			r.Body, r.ContentLength = io.NopCloser(patternReader(size)), length
 			resp, err := b.client.Do(r)
 			if err != nil {
 				t.Fatal(err)
@@ -86,7 +86,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			whole, _ := io.ReadAll(noise(size))
+			whole, _ := io.ReadAll(patternReader(size))
 			want(t, form+": the answer is the upstream's", bytes.Equal(answer, whole), true)
 			want(t, form+": the body is the client's", <-sums, sha256.Sum256(whole))
 			want(t, form+": known length", resp.ContentLength == size, form == "length")
@@ -103,7 +103,7 @@
 	s := newServer(t, func(c net.Conn, _ *http.Request) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nfirst", 1<<20)
 		<-more
-		_, err := io.Copy(c, noise(1<<20-5))
+		_, err := io.Copy(c, patternReader(1<<20-5))
 		return err == nil
 	})
 	b := newBalancer(t, up("s-00000001", s))
@@ -129,7 +129,7 @@
 	for _, head := range []string{"Content-Length: 1000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n20000\r\n"} {
 		s := newServer(t, func(c net.Conn, _ *http.Request) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head)
-			io.Copy(c, noise(100_000))
+			io.Copy(c, patternReader(100_000))
 			return false
 		})
 		b := newBalancer(t, up("s-00000001", s))
@@ -155,7 +155,7 @@
 				return okAll(c, r)
 			}
 			first = false
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nbeginning", longestAnswer+1)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nbeginning", maxAnswerLength+1)
 			return false
 		})
 		b := newBalancer(t, up("s-00000001", s))
@@ -170,7 +170,7 @@
 func TestBoundIsNoEndOfAnAnswer(t *testing.T) {
 	s := newServer(t, func(c net.Conn, r *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Long: "+strings.Repeat("x", maxAnswer-10_000)+"\r\n\r\n")
-		io.Copy(c, noise(50_000))
+		io.Copy(c, patternReader(50_000))
 		return false
 	})
 	b := newBalancer(t, up("s-00000001", s))
@@ -206,13 +206,13 @@
 	b := newBalancer(t, up("s-00000001", &server{addr: l.Addr().String()}))
 	c, in := b.dial(t)
 	fmt.Fprintf(c, "%sX-Deadline-Ms: 50\r\nContent-Length: %d\r\n\r\n", strings.Replace(checkinHead, "X-Deadline-Ms: 4000\r\n", "", 1), 2*maxBody)
-	if _, err := io.CopyN(c, noise(maxBody+1), maxBody+1); err != nil {
+	if _, err := io.CopyN(c, patternReader(maxBody+1), maxBody+1); err != nil {
 		t.Fatal(err)
 	}
 	<-began // the upstream has it while the client still sends
 	want(t, "in progress before it was taken", b.figure(t, "svc_in_progress"), 0)
 	time.Sleep(100 * time.Millisecond) // past the deadline
-	if _, err := io.CopyN(c, noise(maxBody-1), maxBody-1); err != nil {
+	if _, err := io.CopyN(c, patternReader(maxBody-1), maxBody-1); err != nil {
 		t.Fatal(err)
 	}
 	resp, err := http.ReadResponse(in, nil)
@@ -228,7 +228,7 @@
 	b := newBalancer(t, up("s-00000001", s))
 	c, in := b.dial(t)
 	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", checkinHead, 4*maxBody)
-	io.CopyN(c, noise(2*maxBody), 2*maxBody)
+	io.CopyN(c, patternReader(2*maxBody), 2*maxBody)
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -253,7 +253,7 @@
 	b := newBalancer(t, up("s-00000001", s), up("s-00000002", &server{addr: dead.Addr().String()}))
 	for range 3 { // the refused connection costs it nothing; the error does
 		r := b.ask("checkin", "")
-		r.Body, r.ContentLength = io.NopCloser(noise(4*maxBody)), -1
+		r.Body, r.ContentLength = io.NopCloser(patternReader(4*maxBody)), -1
 		status, _ := b.do(t, r)
 		want(t, "status", status, http.StatusBadGateway)
 	}
@@ -304,7 +304,7 @@
 		next++
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 64<<20)
 		c.SetWriteDeadline(time.Now().Add(time.Second)) // nothing moves by then
-		wrote[i], _ = io.Copy(c, noise(64<<20))
+		wrote[i], _ = io.Copy(c, patternReader(64<<20))
 		done <- i
 		return false
 	})
@@ -328,19 +328,19 @@
 		whole        bool
 	}{{0, 0, 0, true}, {300, 300, 300, true}, {300, -1, 300, true}, {16 << 10, 16 << 10, 16 << 10, true},
 		{40 << 10, 40 << 10, 16 << 10, false}, {1 << 20, -1, 16 << 10, false}} {
-		body, whole, err := b.hold(noise(c.size), c.length, func() bool { return false })
+		body, whole, err := b.readBody(patternReader(c.size), c.length, func() bool { return false })
 		if err != nil || len(body) != c.held || whole != c.whole {
 			t.Errorf("%d bytes of length %d: %d held, whole %v, %v", c.size, c.length, len(body), whole, err)
 		}
 		b.give(cap(body))
 	}
-	if _, _, err := b.hold(noise(10), 20, func() bool { return false }); err != io.ErrUnexpectedEOF {
+	if _, _, err := b.readBody(patternReader(10), 20, func() bool { return false }); err != io.ErrUnexpectedEOF {
 		t.Errorf("a short one: %v", err)
 	}
 
 	s := newServer(t, func(c net.Conn, r *http.Request) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 60<<10)
-		_, err := io.Copy(c, noise(60<<10))
+		_, err := io.Copy(c, patternReader(60<<10))
 		return err == nil
 	})
 	p := newBalancer(t, up("s-00000001", s))
@@ -349,7 +349,7 @@
 	for _, room := range []int64{whole, 8 << 10} {
 		held.free.Store(room)
 		r := p.ask("checkin", "")
-		r.Body, r.ContentLength = io.NopCloser(noise(60<<10)), 60<<10
+		r.Body, r.ContentLength = io.NopCloser(patternReader(60<<10)), 60<<10
 		status, body := p.do(t, r)
 		want(t, "status", status, 200)
 		want(t, "answer", len(body), 60<<10)
@@ -386,7 +386,7 @@
 				}
 				first = false
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
-				io.Copy(c, noise(x.size))
+				io.Copy(c, patternReader(x.size))
 				if x.status == 0 {
 					<-proceed // its client has the beginning; a reset throws away what has not been read
 				}
@@ -439,7 +439,7 @@
 			s := newServer(t, func(c net.Conn, _ *http.Request) bool {
 				io.WriteString(c, x.beginning)
 				if x.endless {
-					io.Copy(c, &counting{}) // until the connection is closed
+					io.Copy(c, &patternSource{}) // until the connection is closed
 				} else {
 					<-release
 				}
@@ -457,8 +457,8 @@
 				want(t, "status", resp.StatusCode, x.status)
 				return
 			}
-			if err == nil || n < longestAnswer {
-				t.Errorf("%d bytes were passed on, then %v; want a break behind %d", n, err, longestAnswer)
+			if err == nil || n < maxAnswerLength {
+				t.Errorf("%d bytes were passed on, then %v; want a break behind %d", n, err, maxAnswerLength)
 			}
 		})
 	}
