--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -29,20 +29,20 @@
 	peer    *peer
 	sentAt  time.Duration // on the loop's clock
 	address string        // host:port of the upstream
-	// deadline is when the balancer stops waiting for the attempt, on the loop's clock. It is noDeadline for an upload without
-	// a time-out of its own, whose time begins with its last byte.
+	// deadline is when the balancer stops waiting for the attempt, on the loop's clock. It is noDeadline for an upload
+	// without a time-out of its own, whose time begins with its last byte.
 	deadline time.Duration
 	head     []byte       // what goes on the wire before the body; rendered once the attempt is claimed
-	stage    atomic.Int32 // waiting, claimed or dropped
-	given    atomic.Bool  // the loop has given it up: its connection has to be closed
+	stage    atomic.Int32 // one of the stages above
+	given    atomic.Bool  // the loop has abandoned it: its connection has to be closed
 	written  func()       // of an upload: called when its last byte has been written
 	conn     *conn        // the loop may use it only once the attempt is claimed
 	told     bool         // belongs to the loop: the decision module has had the outcome
 }
 
-// remaining is for how long after now, on the loop's clock, the balancer will wait for the attempt's answer. For an upload
-// that is the request's complete timeout until the last byte has been written, unless the attempt's own time-out or the
-// end of the process comes first.
+// remaining is for how long after now, on the loop's clock, the balancer will wait for the attempt's response. For an
+// upload that is the request's complete timeout until the last byte has been written, unless the attempt's own time-out or
+// the end of the process comes first.
 func (a *attempt) remaining(now time.Duration) time.Duration {
 	remaining := a.deadline - now
 	if a.req.Upload {
@@ -74,9 +74,9 @@
 	return remaining, true
 }
 
-// window is the time within which upstreams recognize the retries of an idempotent request. The decision module checks it
-// when it asks for an attempt, but an attempt may wait for its connection until after the window's end. Its zero value
-// bounds nothing.
+// idempotencyWindow is the time within which upstreams recognize the retries of an idempotent request. The decision module
+// checks it when it asks for an attempt, but an attempt may wait for its connection until after the window's end. Its zero
+// value bounds nothing.
 type window struct {
 	duration   time.Duration // from the first attempt that may have been executed; 0: no bound
 	mu         sync.Mutex    // guards executions
@@ -95,20 +95,20 @@
 	return slices.ContainsFunc(w.executions, func(x possibleExecution) bool { return now-x.startedAt >= w.duration })
 }
 
-// never removes an attempt that has certainly not been executed: it bounds no other.
+// exclude removes an attempt that has certainly not been executed: it bounds no other.
 func (w *window) never(a *attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.executions = slices.DeleteFunc(w.executions, func(x possibleExecution) bool { return x.attempt == a })
 }
 
-// result is how an attempt or a health check ended.
+// attemptResult is how an attempt or a health check ended.
 type result struct {
 	status balancer.Status
 	load   balancer.LoadReport
-	body   []byte  // of a successful answer; reserved in the body budget
+	body   []byte  // of a successful response; reserved in the body budget
 	kind   string  // the body's Content-Type
-	conn   *conn   // the connection if it can be used again; nil: it has been closed, or belongs to more
+	conn   *conn   // the connection if it can be used again; nil: it has been closed, or belongs to stream
 	spent  bool    // of an upload: a part of its body has been consumed, so it can't be sent again
-	more   *stream // the rest of an answer that is streamed
+	more   *stream // the rest of a response that is streamed
 }
--- a/internal/proxy/attemptwriter.go
+++ b/internal/proxy/attemptwriter.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// upstreamStallTimeout is how long an upstream may take nothing of an upload, or send nothing of a streamed answer.
+	// upstreamStallTimeout is how long an upstream may take nothing of an upload, or send nothing of a streamed response.
 	upstreamStallTimeout = 5 * time.Second
 	// copyBufferSize is the size of the buffers through which bodies are streamed.
 	copyBufferSize = 16 << 10
@@ -58,7 +58,7 @@
 		if err := c.SetWriteDeadline(time.Now().Add(upstreamStallTimeout)); err != nil {
 			return progress, err
 		}
-		if a.given.Load() { // given up in the meantime: its expired deadline has just been replaced
+		if a.given.Load() { // abandoned in the meantime: its expired deadline has just been replaced
 			return progress, os.ErrDeadlineExceeded
 		}
 		if _, err := part.WriteTo(c); err != nil {
--- a/internal/proxy/bodybudget.go
+++ b/internal/proxy/bodybudget.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// maxBody is how many bytes are buffered of one body at most, of a request or an answer: what is buffered completely can
-	// be sent or asked for again. A longer body is streamed.
+	// maxBody is how many bytes are buffered of one body at most, of a request or a response: what is buffered completely
+	// can be sent or asked for again. A longer body is streamed.
 	maxBody = 64 << 10
 	// minBodyBuffer is how many bytes of a body are buffered even when the budget is spent.
 	minBodyBuffer = 4 << 10
@@ -15,7 +15,7 @@
 	bodyBufferGrowth = 4
 )
 
-// budget bounds the bytes that are buffered of all bodies together. Where it is spent, bodies are streamed before they
+// byteBudget bounds the bytes that are buffered of all bodies together. Where it is spent, bodies are streamed before they
 // reach maxBody, through buffers whose number the limit on connections bounds. It may be used from any goroutine.
 type budget struct{ free atomic.Int64 }
 
@@ -25,7 +25,7 @@
 	return b
 }
 
-// take reserves n bytes if as many are free.
+// reserve takes n bytes out of the budget if as many are available.
 func (b *budget) take(n int) bool {
 	if b.free.Add(int64(-n)) >= 0 {
 		return true
@@ -34,12 +34,12 @@
 	return false
 }
 
-// give releases n bytes. What readBody reserves for a body is the body's capacity.
+// release returns n bytes to the budget. What readBody reserves for a body is the body's capacity.
 func (b *budget) give(n int) { b.free.Add(int64(n)) }
 
 // readBody buffers a body, of the given length or of unknown length (-1), until it is complete, maxBody is reached, the
-// budget is spent, or stop returns true once some of it has come. The capacity of the returned body is reserved and has to be
-// released, also beside an error.
+// budget is spent, or stop returns true once some of it has come. The capacity of the returned body is reserved and has to
+// be released, also beside an error.
 func (b *budget) readBody(r io.Reader, length int64, stop func() bool) (body []byte, complete bool, err error) {
 	limit := maxBody
 	if length >= 0 && length < maxBody {
--- a/internal/proxy/clientconns.go
+++ b/internal/proxy/clientconns.go
@@ -52,7 +52,7 @@
 	delete(f.conns, victim) // net/http reports it as closed only once its goroutine has noticed
 }
 
-// nearConnLimit reports whether connections are so many that each should close after its answer.
+// nearConnLimit reports whether connections are so many that each should close after its response.
 func (f *frontend) nearConnLimit() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -2,12 +2,12 @@
 // decides nothing; what is forwarded where, retried or rejected is decided by package balancer.
 //
 // Three kinds of goroutines share the work. The event loop (loop) owns the decision module, all requests and all idle
-// upstream connections, and never waits for the network. The frontend owns the client connections: it parses requests, posts
-// them to the loop and writes the answers. Each attempt at an upstream runs in a goroutine of its own (dialer) and owns its
-// connection until the loop has its result.
+// upstream connections, and never waits for the network. The frontend owns the client connections: it parses requests,
+// posts them to the loop and writes the responses. Each attempt at an upstream runs in a goroutine of its own (dialer) and
+// owns its connection until the loop has its result.
 //
 // The package promises that an attempt is written to the wire at most once, that every accepted request gets at most one
-// answer, and that a request whose end on the wire is in doubt is never forwarded. It does not retry by itself.
+// response, and that a request whose end on the wire is in doubt is never forwarded. It does not retry by itself.
 package proxy
 
 import (
@@ -59,16 +59,16 @@
 	// Localities maps zones that discovery and settings name without a region to region/zone. It may be nil.
 	Localities map[string]string
 
-	open opener // opens connections to upstreams; nil: net.DialTimeout
+	open dialFunc // opens connections to upstreams; nil: net.DialTimeout
 }
 
-// Locate sets the map from zones to region/zone. It has to be called before New.
+// SetLocalities sets the map from zones to region/zone. It has to be called before New.
 func (c *Config) Locate(localities map[string]string) {
 	c.Localities = localities
 	c.Settings.Zone = located(localities, c.Settings.Zone)
 }
 
-// located returns a zone with its region if that is known.
+// qualifyZone returns a zone with its region if that is known.
 func located(localities map[string]string, zone string) string {
 	if qualified, ok := localities[zone]; ok {
 		return qualified
@@ -85,7 +85,7 @@
 	return longest
 }
 
-// file is the form of the configuration file.
+// configFile is the form of the configuration file.
 type file struct {
 	Name       string          `json:"name"`
 	Listen     string          `json:"listen"`
@@ -174,7 +174,7 @@
 	}
 }
 
-// config checks the file and converts it.
+// toConfig checks the file and converts it.
 func (f *file) config() (Config, error) {
 	c := Config{
 		Name:       f.Name,
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -116,7 +116,7 @@
 }
 
 // recordingOpener opens connections to upstreams that note when each attempt is written.
-func recordingOpener(open opener) opener {
+func recordingOpener(open dialFunc) dialFunc {
 	if open == nil {
 		open = net.DialTimeout
 	}
@@ -338,7 +338,7 @@
 // uploadOf makes a request one whose body is still coming.
 func (r *request) uploadOf(rest io.Reader, length int64) {
 	r.Upload, r.deadline = true, noDeadline
-	r.message.rest, r.message.length = rest, length
+	r.message.rest, r.message.contentLength = rest, length
 	r.within = func(_, most time.Duration) time.Duration { return most }
 	clientLedger.put(r.message.header.Get("X-Request-Id"), &clientRequest{budget: r.Timeout})
 }
--- a/internal/proxy/dialer.go
+++ b/internal/proxy/dialer.go
@@ -10,17 +10,17 @@
 )
 
 // This file carries out one attempt on one connection. http.Transport is not used for it: it may write a request again by
-// itself when a kept connection breaks, it closes the connection of an attempt that is given up, and it does not report
-// whether the last byte was written. Answers are still parsed by net/http.
+// itself when a kept connection breaks, it closes the connection of an attempt that is abandoned, and it does not report
+// whether the last byte was written. Responses are still parsed by net/http.
 
-// opener opens a connection to an address within timeout.
-type opener func(network, address string, timeout time.Duration) (net.Conn, error)
+// dialFunc opens a connection to an address within timeout.
+type dialFunc func(network, address string, timeout time.Duration) (net.Conn, error)
 
 // dialer runs attempts and health checks on connections to upstreams. It has no state of its own; each run is a blocking
 // call on a goroutine of the caller's.
 type dialer struct {
-	open    opener
-	timeout time.Duration        // for opening a connection, and for the answer to a health check
+	open    dialFunc
+	timeout time.Duration        // for opening a connection, and for the response to a health check
 	tries   *metrics.Counter     // attempts whose last byte has been written
 	held    *budget              // of buffered bodies
 	now     func() time.Duration // the loop's clock
@@ -41,7 +41,7 @@
 	return newUpstreamConn(c), nil
 }
 
-// run makes the attempt: it is written at most once, whatever happens.
+// runAttempt makes the attempt: it is written at most once, whatever happens.
 func (d dialer) run(a *attempt) result {
 	c, err := d.connect(a.conn, a.address)
 	if err != nil {
@@ -65,12 +65,13 @@
 		c.Close()
 		return result{status: balancer.Reset, spent: sent.bodyConsumed}
 	}
-	r := d.readAnswer(c)
+	r := d.readResponse(c)
 	r.spent = sent.bodyConsumed
 	return r
 }
 
-// afterPartialWrite is the result of an attempt whose last byte was certainly not written, so that it has not been executed.
+// afterPartialWrite is the result of an attempt whose last byte was certainly not written, so that it has not been
+// executed.
 func (d dialer) afterPartialWrite(a *attempt, c *conn, sent writeProgress, err error) result {
 	if errors.Is(err, errClientBody) {
 		c.Close()
@@ -82,7 +83,7 @@
 	}
 	// The upstream may have said why it takes no more of the upload.
 	c.SetReadDeadline(time.Now().Add(d.timeout))
-	r := d.readAnswer(c)
+	r := d.readResponse(c)
 	if r.status != balancer.Rejected {
 		c.Close()
 		return result{status: balancer.ConnectFailed, spent: sent.bodyConsumed}
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -4,7 +4,7 @@
 	"net/http"
 )
 
-// exchange is one client request from the moment it has been parsed until its answer is written.
+// exchange is one client request from the moment it has been parsed until its response is written.
 type exchange struct {
 	frontend    *frontend
 	writer      http.ResponseWriter
@@ -13,7 +13,7 @@
 	body        *requestBody
 }
 
-// serve posts the request to the loop and writes the loop's answer, unless the client disconnects first.
+// serve posts the request to the loop and writes the loop's response, unless the client disconnects first.
 func (x *exchange) serve() {
 	conn := connOf(x.httpRequest)
 	if conn.closedByClient() {
@@ -32,12 +32,12 @@
 	disconnected := conn.watchDisconnect()
 	defer conn.stopWatchingDisconnect()
 	x.frontend.post(arrived{x.request})
-	x.awaitAnswer(conn, disconnected)
+	x.awaitResponse(conn, disconnected)
 }
 
-// awaitAnswer waits for the loop's answer and writes it, or abandons the request if its client disconnects or its body
+// awaitResponse waits for the loop's response and writes it, or abandons the request if its client disconnects or its body
 // breaks off. disconnected tells of a disconnect that net/http can't see.
-func (x *exchange) awaitAnswer(conn *framingConn, disconnected <-chan struct{}) {
+func (x *exchange) awaitResponse(conn *framingConn, disconnected <-chan struct{}) {
 	contextDone := x.httpRequest.Context().Done() // also where the body breaks off
 	for {
 		select {
@@ -65,11 +65,11 @@
 	return !x.request.Upload || x.body.complete.Load()
 }
 
-// reply writes the loop's answer and counts it.
+// reply writes the loop's response and counts it.
 func (x *exchange) reply(a answer) {
-	defer x.frontend.held.give(cap(a.body))
+	defer x.frontend.bodyBudget.give(cap(a.body))
 	if !x.received() { // the rest of its body is not read
-		closeAfterAnswer(x.writer)
+		closeAfterResponse(x.writer)
 	}
 	result := x.write(a)
 	if result != clientGone {
@@ -86,13 +86,13 @@
 	x.abort()
 }
 
-// abort ends a request that gets no answer from the loop.
+// abort ends a request that gets no response from the loop.
 func (x *exchange) abort() {
 	if x.received() {
 		// Returning would make net/http answer 200, and the client may only have closed its sending side.
 		panic(http.ErrAbortHandler)
 	}
 	extendWriteDeadline(x.body.control)
-	closeAfterAnswer(x.writer)
+	closeAfterResponse(x.writer)
 	http.Error(x.writer, "the body did not come whole", http.StatusRequestTimeout)
 }
--- a/internal/proxy/framingconn.go
+++ b/internal/proxy/framingconn.go
@@ -156,8 +156,8 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// inLaterHead reports whether a part of a head other than the first has come, and no request waits for its answer. The lock
-// is held.
+// inLaterHead reports whether a part of a head other than the first has come, and no request waits for its response. The
+// lock is held.
 func (c *framingConn) inLaterHead() bool {
 	complete := c.scan.requestCount
 	return complete > 0 && complete == c.answered && complete == c.scan.headCount && !c.scan.atRequestStart()
@@ -177,7 +177,7 @@
 // halfCloser is a connection whose sending side can be closed alone.
 type halfCloser interface{ CloseWrite() error }
 
-// CloseWrite lets net/http close a connection without taking the last answer away from a client that is still sending.
+// CloseWrite lets net/http close a connection without taking the last response away from a client that is still sending.
 func (c *framingConn) CloseWrite() error {
 	if half, ok := c.Conn.(halfCloser); ok {
 		return half.CloseWrite()
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -18,7 +18,7 @@
 	// clientReadTimeout bounds how long a client may take to send a request, including the silence before the first one:
 	// a client that sends nothing has to be disconnected within 3 s of connecting.
 	clientReadTimeout = 2500 * time.Millisecond
-	// clientWriteTimeout bounds how long a client may take to read its answer, or each part of a streamed one.
+	// clientWriteTimeout bounds how long a client may take to read its response, or each part of a streamed one.
 	clientWriteTimeout = 10 * time.Second
 	// clientIdleTimeout is how long a client connection may stay idle between two requests.
 	clientIdleTimeout = 2 * time.Minute
@@ -26,30 +26,31 @@
 	maxHeaderBytes = 16 << 10
 )
 
-// answer is the one answer that a client gets to its request. Its body counts against the body budget until it is written.
+// response is the one response that a client gets to its request. Its body counts against the body budget until it is
+// written.
 type answer struct {
 	status     int
-	body       []byte // the complete body, or the part of it before more
+	body       []byte // the complete body, or the part of it before stream
 	kind       string // the Content-Type; empty: none is sent
 	retryAfter time.Duration
 	more       *stream // the rest of a streamed body; nil: body is complete
 }
 
-// frontend accepts client connections, parses requests, posts them to the event loop and writes the loop's answers.
+// frontend accepts client connections, parses requests, posts them to the event loop and writes the loop's responses.
 //
 // It owns the client connections. A request belongs to the loop once it has been posted; the frontend then only waits for
 // the reply, or for the client to disconnect.
 type frontend struct {
-	ctx       context.Context // ends the goroutines that the frontend starts
-	figures   *figures
-	held      *budget // of buffered bodies, shared with the loop
-	classes   map[string]balancer.Class
-	post      func(event)          // posts to the loop; may wait
-	inherited bool                 // the listener was handed down by the platform
-	maxConns  int                  // bound on client connections
-	now       func() time.Duration // the loop's clock
-	server    http.Server
-	listener  *framingListener
+	ctx        context.Context // ends the goroutines that the frontend starts
+	figures    *figures
+	bodyBudget *budget // of buffered bodies, shared with the loop
+	classes    map[string]balancer.Class
+	post       func(event)          // posts to the loop; may wait
+	inherited  bool                 // the listener was handed down by the platform
+	maxConns   int                  // bound on client connections
+	now        func() time.Duration // the loop's clock
+	server     http.Server
+	listener   *framingListener
 	// longestDeadline is the longest deadline of all classes.
 	longestDeadline time.Duration
 
@@ -67,7 +68,7 @@
 	f := &frontend{
 		ctx:             to.ctx,
 		figures:         to.figures,
-		held:            to.dial.held,
+		bodyBudget:      to.dial.held,
 		classes:         make(map[string]balancer.Class, len(c.Settings.Classes)),
 		post:            to.post,
 		inherited:       c.inheritsListener(),
@@ -105,13 +106,13 @@
 
 // ServeHTTP answers one request.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// A connection that closes after its answer can't be in use when the listener closes; and near the connection limit,
+	// A connection that closes after its response can't be in use when the listener closes; and near the connection limit,
 	// new clients need its descriptor.
 	if f.leaving.Load() || f.draining.Load() || f.nearConnLimit() {
-		closeAfterAnswer(w)
+		closeAfterResponse(w)
 	}
 	if err := checkFraming(r); err != nil {
-		closeAfterAnswer(w) // nothing behind this request on its connection can be trusted
+		closeAfterResponse(w) // nothing behind this request on its connection can be trusted
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -122,19 +123,19 @@
 	request, body, err := f.parseRequest(w, r)
 	if err != nil {
 		if r.ContentLength != 0 { // the rest of its body is not read
-			closeAfterAnswer(w)
+			closeAfterResponse(w)
 		}
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	// The size is taken now: the loop drops the request's body once the request is closed.
-	defer f.held.give(cap(request.message.body))
+	defer f.bodyBudget.give(cap(request.message.body))
 	x := exchange{frontend: f, writer: w, httpRequest: r, request: request, body: body}
 	x.serve()
 }
 
-// closeAfterAnswer makes net/http close the connection once the present request is answered.
-func closeAfterAnswer(w http.ResponseWriter) {
+// closeAfterResponse makes net/http close the connection once the present request is answered.
+func closeAfterResponse(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 }
 
@@ -167,7 +168,7 @@
 	reached := make(barrier)
 	f.post(reached)
 	<-reached
-	_, _ = io.WriteString(w, "ok\n") // a client that has gone needs no answer
+	_, _ = io.WriteString(w, "ok\n") // a client that has gone needs no response
 }
 
 // barrier is an event that is closed when the loop reaches it.
--- a/internal/proxy/healthcheck.go
+++ b/internal/proxy/healthcheck.go
@@ -13,7 +13,7 @@
 	loadPath   = "/load"
 )
 
-// probe is one health check of an upstream.
+// healthCheck is one health check of an upstream.
 type probe struct {
 	peer    *peer
 	sentAt  time.Duration // on the loop's clock
@@ -22,7 +22,7 @@
 	conn    *conn         // an idle connection; nil: a new one is opened
 }
 
-// probe makes a health check.
+// checkHealth makes a health check.
 func (d dialer) probe(p *probe) result {
 	c, err := d.connect(p.conn, p.address)
 	if err != nil {
@@ -37,7 +37,7 @@
 		c.Close()
 		return result{status: balancer.ConnectFailed}
 	}
-	r := d.readAnswer(c)
+	r := d.readResponse(c)
 	d.held.give(cap(r.body))
 	if r.more != nil { // no report is that long
 		c.Close()
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -1,8 +1,8 @@
 package proxy
 
-// upstreamConns bounds the connections to upstreams, and with them the attempts in flight. Where two processes may overlap,
-// each has a fixed part. Clients hold a third of the descriptors at both processes together, one for each request: if the
-// process that shuts down had more than half of those in flight, its successor's clients would find none.
+// maxUpstreamConns bounds the connections to upstreams, and with them the attempts in flight. Where two processes may
+// overlap, each has a fixed part. Clients hold a third of the descriptors at both processes together, one for each request:
+// if the process that shuts down had more than half of those in flight, its successor's clients would find none.
 func (c *Config) upstreamConns() int {
 	if c.inheritsListener() {
 		return c.Sockets / 6
@@ -28,5 +28,5 @@
 	return total
 }
 
-// heldBytes bounds the bytes that are buffered of all bodies at once.
+// bodyBudgetBytes bounds the bytes that are buffered of all bodies at once.
 func (c *Config) heldBytes() int64 { return c.SoftMemory() / 5 }
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -13,7 +13,7 @@
 // inheritedAcceptTimeout bounds an accept call on an inherited listener that another process has made blocking.
 const inheritedAcceptTimeout = 50 * time.Millisecond
 
-// Open returns the listener for clients: the one that the platform hands down if there is one, or else a new one.
+// OpenListener returns the listener for clients: the one that the platform hands down if there is one, or else a new one.
 func (c *Config) Open() (net.Listener, error) {
 	if c.inheritsListener() {
 		return inheritListener(c.ListenFD)
@@ -48,8 +48,8 @@
 	if listening == 0 {
 		return errors.New("it does not listen")
 	}
-	// Whether the socket blocks is one flag for all processes that hold it. One that clears it, as os/exec does for a child,
-	// would leave an accept call here waiting for the next client, and closing the listener waits for that call.
+	// Whether the socket blocks is one flag for all processes that hold it. One that clears it, as os/exec does for a
+	// child, would leave an accept call here waiting for the next client, and closing the listener waits for that call.
 	timeout := syscall.NsecToTimeval(inheritedAcceptTimeout.Nanoseconds())
 	return syscall.SetsockoptTimeval(fd, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &timeout)
 }
--- a/internal/proxy/message.go
+++ b/internal/proxy/message.go
@@ -32,18 +32,18 @@
 
 // message is a client's request as it is forwarded: method, target, end-to-end header fields and body are unchanged.
 type message struct {
-	line   string // method and target
-	header http.Header
-	host   string
-	body   []byte    // the complete body, or the buffered part of an upload
-	rest   io.Reader // of an upload: what follows body; nil: body is complete
-	length int64     // of an upload: its Content-Length; -1: unknown
+	line          string // method and target
+	header        http.Header
+	host          string
+	body          []byte    // the complete body, or the buffered part of an upload
+	rest          io.Reader // of an upload: what follows body; nil: body is complete
+	contentLength int64     // of an upload: its Content-Length; -1: unknown
 }
 
 // isChunked reports whether the message is an upload of unknown length.
-func (m *message) isChunked() bool { return m.rest != nil && m.length < 0 }
+func (m *message) isChunked() bool { return m.rest != nil && m.contentLength < 0 }
 
-// renderHead renders the message without its body, for an attempt whose answer the balancer waits for that long.
+// renderHead renders the message without its body, for an attempt whose response the balancer waits for that long.
 func (m *message) renderHead(remaining time.Duration) []byte {
 	b := headBuffers.Get().(*bytes.Buffer)
 	defer headBuffers.Put(b)
@@ -59,7 +59,7 @@
 	case m.isChunked():
 		b.WriteString("Transfer-Encoding: chunked\r\n")
 	case m.rest != nil:
-		writeContentLength(b, m.length)
+		writeContentLength(b, m.contentLength)
 	case len(m.body) > 0 || strings.HasPrefix(m.line, http.MethodPost):
 		writeContentLength(b, int64(len(m.body)))
 	}
--- a/internal/proxy/readahead.go
+++ b/internal/proxy/readahead.go
@@ -7,7 +7,7 @@
 
 // net/http notices that a client disconnects by reading one byte behind the request, and stops looking once it has got
 // one. A client that sends more behind its request and then disconnects would be waited for, and its request forwarded.
-// Instead, a framingConn reads ahead while the request waits for its answer.
+// Instead, a framingConn reads ahead while the request waits for its response.
 
 const (
 	// readAheadBuffer is how many bytes are buffered of what comes behind a request that is not answered. Clients send one
--- a/internal/proxy/requestparse.go
+++ b/internal/proxy/requestparse.go
@@ -11,11 +11,11 @@
 	"sprucehill/balancer"
 )
 
-// answerMargin is taken off the client's deadline, which counts from its sending: it covers the way here and back, and one
-// turn of the event loop.
-const answerMargin = 4 * time.Millisecond
+// responseMargin is taken off the client's deadline, which counts from its sending: it covers the way here and back, and
+// one turn of the event loop.
+const responseMargin = 4 * time.Millisecond
 
-// Why a request is malformed. The texts are part of the answer to the client.
+// Why a request is malformed. The texts are part of the response to the client.
 var (
 	errUnknownClass   = errors.New("X-Class names no known class")
 	errPathClass      = errors.New("the path does not begin with the class")
@@ -40,15 +40,15 @@
 	complete := true
 	if r.ContentLength != 0 {
 		body.allowFirstByte(arrivedAt - conn.headAt)
-		buffered, complete, err = f.held.readBody(body, r.ContentLength, func() bool { return false })
+		buffered, complete, err = f.bodyBudget.readBody(body, r.ContentLength, func() bool { return false })
 		if err != nil {
-			f.held.give(cap(buffered))
+			f.bodyBudget.give(cap(buffered))
 			return nil, nil, fmt.Errorf("body: %w", err)
 		}
 		arrivedAt = conn.arrivedAt() // the deadline counts from the last byte
 	}
 	if class.Idempotency == balancer.Idempotent && len(buffered) > 0 {
-		f.held.give(cap(buffered))
+		f.bodyBudget.give(cap(buffered))
 		return nil, nil, errGetWithBody
 	}
 	removeHopByHopFields(r.Header)
@@ -64,7 +64,7 @@
 	}
 	if !complete {
 		if err := body.control.EnableFullDuplex(); err != nil {
-			f.held.give(cap(buffered))
+			f.bodyBudget.give(cap(buffered))
 			return nil, nil, fmt.Errorf("body: %w", err)
 		}
 		f.makeUpload(parsed, body, r.ContentLength)
@@ -115,7 +115,7 @@
 	q.Upload = true
 	q.within = f.timeBeforeKill
 	q.message.rest = body
-	q.message.length = contentLength
+	q.message.contentLength = contentLength
 	body.onComplete = func() { f.figures.inProgress.Add(1) }
 }
 
@@ -128,7 +128,7 @@
 	q.Tenant = r.Header.Get("X-Tenant")
 	q.Retry = r.Header.Get("X-Retry") == "1"
 	timeout := min(class.Deadline, deadlineOf(r, class.Deadline))
-	q.Timeout = max(0, min(timeout-answerMargin, f.timeBeforeKill(q.at, timeout)))
+	q.Timeout = max(0, min(timeout-responseMargin, f.timeBeforeKill(q.at, timeout)))
 	costMicroseconds, err := strconv.ParseInt(r.Header.Get("X-Cost-Hint"), 10, 32)
 	if err == nil && costMicroseconds > 0 {
 		q.CostHint = time.Duration(costMicroseconds) * time.Microsecond
--- a/internal/proxy/answer.go
+++ b/internal/proxy/response.go
@@ -13,25 +13,26 @@
 )
 
 const (
-	// maxAnswerLength is the greatest length, in bytes, that an answer may have: twice the longest that the platform's pages
-	// say occurs. An answer that announces more is broken, and would break off once its beginning had been passed on.
-	maxAnswerLength = 64 << 20
-	// unsizedAnswerHoldTime is how long an answer of unknown length is buffered before what has come is passed on. Until it is
-	// complete it might be one that can be asked for again, but holding back a long one costs its client time.
-	unsizedAnswerHoldTime = 200 * time.Millisecond
+	// maxResponseLength is the greatest length, in bytes, that a response may have: twice the longest that the platform's
+	// pages say occurs. A response that announces more is broken, and would break off once its beginning had been passed
+	// on.
+	maxResponseLength = 64 << 20
+	// unsizedResponseHoldTime is how long a response of unknown length is buffered before what has come is passed on. Until
+	// it is complete it might be one that can be asked for again, but holding back a long one costs its client time.
+	unsizedResponseHoldTime = 200 * time.Millisecond
 )
 
-// readAnswer reads an upstream's answer. The body of a long or slow one is left to be streamed. Of an answer that is not
-// successful, the body is discarded.
-func (d dialer) readAnswer(c *conn) result {
-	c.limit.N = maxAnswer
-	resp, err := readFinalResponse(c.reader)
-	if err != nil || resp.ContentLength > maxAnswerLength {
+// readResponse reads an upstream's response. The body of a long or slow one is left to be streamed. Of a response that is
+// not successful, the body is discarded.
+func (d dialer) readResponse(c *conn) result {
+	c.readLimit.N = maxResponseRead
+	resp, err := readFinalHead(c.reader)
+	if err != nil || resp.ContentLength > maxResponseLength {
 		c.Close()
 		return result{status: balancer.Reset}
 	}
 	r := result{status: statusOf(resp), load: parseLoadReport(resp.Header.Get("X-Load"))}
-	body, complete, err := d.readAnswerBody(c, resp)
+	body, complete, err := d.readResponseBody(c, resp)
 	if err == nil && r.status == balancer.OK {
 		r.body = body
 		r.kind = resp.Header.Get("Content-Type")
@@ -52,8 +53,8 @@
 	return r
 }
 
-// readFinalResponse reads the head of an answer, and passes over the interim ones (1xx) before it.
-func readFinalResponse(in *bufio.Reader) (*http.Response, error) {
+// readFinalHead reads the head of a response, and passes over the interim ones (1xx) before it.
+func readFinalHead(in *bufio.Reader) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode >= http.StatusOK {
@@ -62,7 +63,7 @@
 	}
 }
 
-// statusOf is the outcome that an answer's head stands for.
+// statusOf is the outcome that a response's head stands for.
 func statusOf(resp *http.Response) balancer.Status {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -75,16 +76,16 @@
 	return balancer.Error
 }
 
-// readAnswerBody buffers an answer's body, or the beginning of one that is to be streamed.
-func (d dialer) readAnswerBody(c *conn, resp *http.Response) (body []byte, complete bool, err error) {
+// readResponseBody buffers a response's body, or the beginning of one that is to be streamed.
+func (d dialer) readResponseBody(c *conn, resp *http.Response) (body []byte, complete bool, err error) {
 	began := time.Now()
 	body, complete, err = d.held.readBody(resp.Body, resp.ContentLength, func() bool {
 		if resp.ContentLength < 0 {
-			return time.Since(began) > unsizedAnswerHoldTime
+			return time.Since(began) > unsizedResponseHoldTime
 		}
 		return resp.ContentLength > maxBody
 	})
-	if err == nil && complete && c.limit.N <= 0 { // the limit has ended it, not the upstream
+	if err == nil && complete && c.readLimit.N <= 0 { // the limit has ended it, not the upstream
 		err = io.ErrUnexpectedEOF
 	}
 	return body, complete, err
--- a/internal/proxy/answerstream.go
+++ b/internal/proxy/responsestream.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// errAnswerTooLong says that an answer without a length has gone on for longer than any valid one does.
-var errAnswerTooLong = errors.New("an answer that does not end")
+// errResponseTooLong says that a response without a length has gone on for longer than any valid one does.
+var errResponseTooLong = errors.New("an answer that does not end")
 
-// stream is the rest of an answer. It belongs, with its connection, to whoever passes it on to the client.
+// responseStream is the rest of a response. It belongs, with its connection, to whoever passes it on to the client.
 type stream struct {
 	resp      *http.Response
 	conn      *conn
@@ -20,13 +20,13 @@
 // read reads the next part of the body. It fails if the upstream sends nothing for upstreamStallTimeout, or sends without
 // an end.
 func (s *stream) read(p []byte) (n int, err error) {
-	if s.bytesRead > maxAnswerLength {
-		return 0, errAnswerTooLong
+	if s.bytesRead > maxResponseLength {
+		return 0, errResponseTooLong
 	}
 	if err := s.conn.SetReadDeadline(time.Now().Add(upstreamStallTimeout)); err != nil {
 		return 0, err
 	}
-	s.conn.limit.N = maxAnswer // the limit is for heads and framing; a streamed body is not buffered
+	s.conn.readLimit.N = maxResponseRead // the limit is for heads and framing; a streamed body is not buffered
 	n, err = s.resp.Body.Read(p)
 	s.bytesRead += int64(n)
 	return n, err
--- a/internal/proxy/responsewriter.go
+++ b/internal/proxy/responsewriter.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// delivery is how writing an answer ended.
+// delivery is how writing a response ended.
 type delivery uint8
 
 const (
-	brokenOff  delivery = iota // the upstream's answer broke off in the middle
+	brokenOff  delivery = iota // the upstream's response broke off in the middle
 	clientGone                 // the client disconnected
-	delivered                  // the answer was written completely
+	delivered                  // the response was written completely
 )
 
-// write writes an answer to the client. Only a streamed one can end other than delivered.
+// write writes a response to the client. Only a streamed one can end other than delivered.
 func (x *exchange) write(a answer) delivery {
 	header := x.writer.Header()
 	if x.frontend.leaving.Load() { // the shutdown may have begun since the request came
-		closeAfterAnswer(x.writer)
+		closeAfterResponse(x.writer)
 	}
 	if a.kind != "" {
 		header.Set("Content-Type", a.kind)
@@ -39,11 +39,11 @@
 	}
 	header.Set("Content-Length", strconv.Itoa(len(a.body)))
 	x.writer.WriteHeader(a.status)
-	_, _ = x.writer.Write(a.body) // a client that has gone can tell that the answer is not complete
+	_, _ = x.writer.Write(a.body) // a client that has gone can tell that the response is not complete
 	return delivered
 }
 
-// writeStream writes a streamed answer and gives its upstream connection back to the loop.
+// writeStream writes a streamed response and gives its upstream connection back to the loop.
 func (x *exchange) writeStream(control *http.ResponseController, a answer) (result delivery) {
 	upstream := a.more
 	stopWatching := context.AfterFunc(x.httpRequest.Context(), func() {
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -28,8 +28,9 @@
 	drainSweepInterval = 100 * time.Millisecond
 )
 
-// drain sends clients away, or welcomes them again. While draining, health checks fail, answers close their connections,
-// and idle connections are closed once no more clients are expected. The listener stays open for those that come anyway.
+// setDraining sends clients away, or welcomes them again. While draining, health checks fail, responses close their
+// connections, and idle connections are closed once no more clients are expected. The listener stays open for those that
+// come anyway.
 func (f *frontend) drain(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -65,7 +66,7 @@
 	}
 }
 
-// stop shuts the frontend down without losing a request: it accepts the connections that are still on their way, closes
+// shutDown shuts the frontend down without losing a request: it accepts the connections that are still on their way, closes
 // the listener and idle connections, and returns once every accepted request has been answered. An inherited listener is
 // closed at once: the connections in its queue, and those still to come, belong to the successor process.
 func (f *frontend) stop() {
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -155,7 +155,7 @@
 				return okAll(c, r)
 			}
 			first = false
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nbeginning", maxAnswerLength+1)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nbeginning", maxResponseLength+1)
 			return false
 		})
 		b := newBalancer(t, up("s-00000001", s))
@@ -169,7 +169,7 @@
 // served as whole where the bound cut it.
 func TestBoundIsNoEndOfAnAnswer(t *testing.T) {
 	s := newServer(t, func(c net.Conn, r *http.Request) bool {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Long: "+strings.Repeat("x", maxAnswer-10_000)+"\r\n\r\n")
+		io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Long: "+strings.Repeat("x", maxResponseRead-10_000)+"\r\n\r\n")
 		io.Copy(c, patternReader(50_000))
 		return false
 	})
@@ -457,8 +457,8 @@
 				want(t, "status", resp.StatusCode, x.status)
 				return
 			}
-			if err == nil || n < maxAnswerLength {
-				t.Errorf("%d bytes were passed on, then %v; want a break behind %d", n, err, maxAnswerLength)
+			if err == nil || n < maxResponseLength {
+				t.Errorf("%d bytes were passed on, then %v; want a break behind %d", n, err, maxResponseLength)
 			}
 		})
 	}
