--- /dev/null
+++ b/internal/proxy/attempt_test.go
@@ -0,0 +1,81 @@
+package proxy
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+)
+
+// A request with an idempotency key that may have been executed is retried only for as long as its upstreams deduplicate
+// retries. The decision module asks for a retry in time, but its connection may come up later; it used to be sent all the
+// same. Where nothing may have been executed, nothing is bounded.
+func TestRetryIsNotSentAfterItsIdempotencyWindow(t *testing.T) {
+	for _, x := range []struct {
+		name, memory string
+		mayHaveRun   bool
+		sent         int // requests, in all
+	}{
+		{"up in time", `"memory_span_us":9000000`, true, 2},
+		{"up too late", `"memory_span_us":700000`, true, 1},
+		{"up late, but nothing has run", `"memory_span_us":700000`, false, 2},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			first := true // one connection at a time
+			s := newServer(t, func(c net.Conn, r *http.Request) bool {
+				if !first {
+					return okAll(c, r)
+				}
+				if first = false; !x.mayHaveRun {
+					io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+				}
+				return false
+			})
+			g := newGate(t)
+			b := newBalancerWith(t, newRegistry(t), func(c *Config) {
+				with(t, `"memory_span_us":9000000`, x.memory)(c)
+				c.open = g.open
+			}, up("s-00000001", s))
+			c := b.raw(t, "pay", "", "")
+			close(g.next(t).up)
+			<-s.arrivals
+			var arrived time.Duration // just after the first attempt was written
+			b.inLoop(t, func(l *loop) { arrived = l.now() })
+			second := g.next(t)
+			b.await(t, "the short time is over", func(l *loop) bool { return l.now() >= arrived+700*time.Millisecond })
+			close(second.up)
+			in := bufio.NewReader(c)
+			resp, err := http.ReadResponse(in, nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			want(t, "served", resp.StatusCode == 200, x.sent == 2)
+			c.Close()
+			b.settled(t)
+			want(t, "further requests at the upstream", len(s.arrivals), x.sent-1)
+		})
+	}
+}
+
+// Two attempts of one request, in either order: the one that is written later is bounded by the one before, unless that has
+// certainly not been executed.
+func TestIdempotencyWindowBoundsLaterAttempts(t *testing.T) {
+	const span = time.Second
+	for _, excluded := range []bool{false, true} {
+		for _, after := range []time.Duration{span - 1, span} {
+			r := &request{}
+			r.window.duration = span
+			older, newer := &attempt{req: r, deadline: noDeadline}, &attempt{req: r, n: 1, deadline: noDeadline}
+			_, newerClaimed := newer.claim(time.Hour)
+			want(t, "the newer, first", newerClaimed, true)
+			if excluded {
+				r.window.never(newer)
+			}
+			_, olderClaimed := older.claim(time.Hour + after)
+			want(t, "the older, later", olderClaimed, excluded || after < span)
+			want(t, "dropped", older.stage.Load() == dropped, !excluded && after >= span)
+		}
+	}
+}
--- /dev/null
+++ b/internal/proxy/bodybudget_test.go
@@ -0,0 +1,58 @@
+package proxy
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"runtime"
+	"testing"
+	"time"
+)
+
+// Buffered bodies stay inside the budget: a body that finds no room is streamed, complete all the same, and every byte is
+// released.
+func TestBodyBudget(t *testing.T) {
+	b := newBudget(20 << 10)
+	for _, c := range []struct {
+		size, length int64
+		held         int
+		whole        bool
+	}{{0, 0, 0, true}, {300, 300, 300, true}, {300, -1, 300, true}, {16 << 10, 16 << 10, 16 << 10, true},
+		{40 << 10, 40 << 10, 16 << 10, false}, {1 << 20, -1, 16 << 10, false}} {
+		body, whole, err := b.readBody(patternReader(c.size), c.length, func() bool { return false })
+		if err != nil || len(body) != c.held || whole != c.whole {
+			t.Errorf("%d bytes of length %d: %d held, whole %v, %v", c.size, c.length, len(body), whole, err)
+		}
+		b.give(cap(body))
+	}
+	if _, _, err := b.readBody(patternReader(10), 20, func() bool { return false }); !errors.Is(err, io.ErrUnexpectedEOF) {
+		t.Errorf("a short one: %v", err)
+	}
+
+	s := newServer(t, func(c net.Conn, r *http.Request) bool {
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 60<<10)
+		_, err := io.Copy(c, patternReader(60<<10))
+		return err == nil
+	})
+	p := newBalancer(t, up("s-00000001", s))
+	held := p.proxy.loop.dial.held
+	all := held.free.Load()
+	for _, available := range []int64{all, 8 << 10} {
+		held.free.Store(available)
+		r := p.ask("checkin", "")
+		r.Body, r.ContentLength = io.NopCloser(patternReader(60<<10)), 60<<10
+		status, body := p.do(t, r)
+		want(t, "status", status, 200)
+		want(t, "answer", len(body), 60<<10)
+		got, _ := io.ReadAll((<-s.arrivals).Body)
+		want(t, "body", len(got), 60<<10)
+		for deadline := time.Now().Add(failureTimeout); held.free.Load() != available; { // the handler ends just after its response
+			if time.Now().After(deadline) {
+				t.Fatalf("%d bytes were not released", available-held.free.Load())
+			}
+			runtime.Gosched()
+		}
+	}
+}
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -39,10 +39,10 @@
 	want(t, "known", c.Known.Revision, uint64(41))
 	want(t, "keep-alive", c.Links.KeepAlive, time.Minute)
 	want(t, "classes", len(c.Settings.Classes), 3)
-	want(t, "management", c.Management, "") // none given, none opened
+	want(t, "management", c.Management, "") // none is configured
 }
 
-// What the environment says of the operators' address goes before the file.
+// The environment overrides the management address of the file.
 func TestManagementAddress(t *testing.T) {
 	text := strings.Replace(configText, `"name"`, `"management":"127.0.0.1:9000","name"`, 1)
 	for _, x := range []struct{ env, want string }{{"", "127.0.0.1:9000"}, {"127.0.0.1:9001", "127.0.0.1:9001"}} {
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestConfigNamesWhatIsWrong(t *testing.T) {
+func TestConfigErrorsNameTheField(t *testing.T) {
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
 		t.Errorf("no file: got %v", err)
 	}
@@ -95,14 +95,14 @@
 	}
 }
 
-func TestNames(t *testing.T) {
+func TestEndpointIDs(t *testing.T) {
 	n := newNames()
 	want(t, "hex", n.id("s-5be2a07c"), balancer.EndpointID(0x5be2a07c))
 	want(t, "the same again", n.id("s-5be2a07c"), balancer.EndpointID(0x5be2a07c))
 	other := n.id("5be2a07c.example")
 	want(t, "another form", other, hashed("5be2a07c.example"))
 	seen := map[balancer.EndpointID]string{}
-	for _, text := range []string{"s-7", "s-07", "s-007", "s-zz", "s-123456789", "", "s-"} { // three that come to one number
+	for _, text := range []string{"s-7", "s-07", "s-007", "s-zz", "s-123456789", "", "s-"} { // the first three are the same number
 		id := n.id(text)
 		if seen[id] != "" {
 			t.Errorf("%q and %q are mixed up", text, seen[id])
@@ -111,8 +111,9 @@
 	}
 }
 
-// An upstream that started before this process is as cold as it is at other balancers; one of long ago is not.
-func TestStartsAreOnTheLoopsClock(t *testing.T) {
+// An upstream that started before this process is as far in its slow start as at other balancers; one that started long ago
+// is warm.
+func TestEndpointStartIsOnTheLoopClock(t *testing.T) {
 	c, err := loadConfig(t, configText, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -126,15 +127,16 @@
 	want(t, "long ago", m.upstream(1).StartedAt, time.Duration(0))
 }
 
-func TestLoadReports(t *testing.T) {
+func TestParseLoadReport(t *testing.T) {
 	l := parseLoadReport("eps=0.5, util=0.61,latency_ms=14.5,other=3,inflight=x")
 	want(t, "load", l, balancer.LoadReport{Fields: balancer.HasErrors | balancer.HasUtilization | balancer.HasServiceTime,
 		Errors: 0.5, Utilization: 0.61, ServiceTime: 14.5})
 	want(t, "none", parseLoadReport(""), balancer.LoadReport{})
 }
 
-// With no connection left to open, an attempt could not connect: the module is told so, once, and nothing is owed.
-func TestNoConnectionLeft(t *testing.T) {
+// At the limit on connections an attempt can't be sent: the decision module gets that outcome, once, and no attempt stays
+// in flight.
+func TestAttemptAtTheConnectionLimitFails(t *testing.T) {
 	c, err := loadConfig(t, configText, nil)
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/proxy/dialer_test.go
@@ -0,0 +1,186 @@
+package proxy
+
+import (
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"sprucehill/balancer"
+	"sprucehill/internal/metrics"
+)
+
+// testDialer returns a dialer whose clock stands still.
+func testDialer() dialer {
+	return dialer{open: recordingOpener(nil), timeout: time.Second, tries: &metrics.Counter{}, held: newBudget(1 << 20),
+		now: func() time.Duration { return time.Hour }}
+}
+
+// directAttempt returns an attempt for a testDialer, of a request whose client waits for a second.
+func directAttempt(m message, address string, c *conn) *attempt {
+	if m.header == nil {
+		m.header = http.Header{}
+	}
+	m.header.Set("X-Request-Id", "direct")
+	clientLedger.add("direct", time.Second)
+	return &attempt{req: &request{}, message: m, peer: &peer{}, address: address, conn: c, deadline: time.Hour + time.Second}
+}
+
+// http.Transport writes a GET, or a request with an idempotency key, again by itself when a kept connection breaks. What
+// has been written once may be written again only if the decision module asks for it.
+func TestAttemptIsWrittenAtMostOnce(t *testing.T) {
+	for _, class := range []string{"checkin", "pay"} {
+		t.Run(class, func(t *testing.T) {
+			n := 0
+			s := newServer(t, func(c net.Conn, r *http.Request) bool {
+				n++ // one connection at a time
+				return n == 1 && okAll(c, r)
+			})
+			p := &peer{address: s.addr}
+			d := testDialer()
+			send := func(c *conn) result {
+				h := http.Header{"X-Request-Id": {"1"}}
+				if class == "pay" {
+					h.Set("Idempotency-Key", "1")
+				}
+				a := directAttempt(message{line: "POST /x", host: "x", header: h}, s.addr, c)
+				a.peer = p
+				return d.run(a)
+			}
+			first := send(nil)
+			want(t, "first", first.status, balancer.OK)
+			want(t, "second", send(first.conn).status, balancer.Reset)
+			want(t, "requests written", len(s.arrivals), 2)
+			want(t, "connections", s.opened(), 1)
+		})
+	}
+}
+
+// A connection that the upstream closed while it was idle is detected before anything is written to it.
+func TestStaleConnectionIsNotUsed(t *testing.T) {
+	closed := make(chan struct{}, 2)
+	s := newServer(t, func(c net.Conn, r *http.Request) bool {
+		okAll(c, r)
+		c.Close()
+		closed <- struct{}{}
+		return false
+	})
+	d := testDialer()
+	c, err := d.connect(nil, s.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	run := func(c *conn) result {
+		return d.run(directAttempt(message{line: "POST /x", host: "x"}, s.addr, c))
+	}
+	r := run(c)
+	want(t, "first", r.status, balancer.OK)
+	<-closed
+	if _, err := r.conn.reader.Peek(1); err == nil { // waits for the upstream's close
+		t.Fatal("bytes on an idle connection")
+	}
+	want(t, "second", run(r.conn).status, balancer.OK)
+	want(t, "connections", s.opened(), 2)
+}
+
+func TestAttemptOutcomes(t *testing.T) {
+	raw := func(text string, keep bool) func(net.Conn, *http.Request) bool {
+		return func(c net.Conn, _ *http.Request) bool { io.WriteString(c, text); return keep }
+	}
+	for _, c := range []struct {
+		name   string
+		answer func(net.Conn, *http.Request) bool
+		status any
+		keeps  bool
+	}{
+		{"served", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: util=0.5\r\n\r\nab", true), balancer.OK, true},
+		{"served in chunks", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", true), balancer.OK, true},
+		{"served, then closed", raw("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nab", false), balancer.OK, false},
+		{"served after a 1xx", raw("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", true), balancer.OK, true},
+		{"error", raw("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", true), balancer.Error, true},
+		{"503 that may have run", raw("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", true), balancer.Error, true},
+		{"503 not run", raw("HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), balancer.Rejected, true},
+		{"504 not run", raw("HTTP/1.1 504 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), balancer.Rejected, true},
+		{"502 not run is not in the table", raw("HTTP/1.1 502 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), balancer.Error, true},
+		{"closed without an answer", raw("", false), balancer.Reset, false},
+		{"cut short", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", false), balancer.Reset, false},
+		{"cut short in chunks", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", false), balancer.Reset, false},
+		{"a head of 2 MB", raw("HTTP/1.1 200 OK\r\n"+strings.Repeat("X-Pad: "+strings.Repeat("x", 1000)+"\r\n", 2000)+"Content-Length: 2\r\n\r\nab", false), balancer.Reset, false},
+		{"1xx on and on", raw(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 80000)+"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", false), balancer.Reset, false},
+		{"no HTTP", raw("what?\r\n\r\n", false), balancer.Reset, false},
+		{"a large error", raw("HTTP/1.1 500 X\r\nContent-Length: 65537\r\n\r\n"+strings.Repeat("x", maxBody+1), true), balancer.Error, false},
+		{"503 not run, large", raw("HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nConnection: close\r\n\r\n"+strings.Repeat("x", maxBody+1), false), balancer.Rejected, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newServer(t, c.answer)
+			r := testDialer().run(directAttempt(message{line: "POST /x", host: "x", body: []byte("b")}, s.addr, nil))
+			want(t, "status", any(r.status), c.status)
+			want(t, "kept", r.conn != nil, c.keeps)
+			if c.status == balancer.OK {
+				want(t, "body", string(r.body), "ab")
+			}
+		})
+	}
+}
+
+func TestRefusedOrDroppedAttemptWritesNothing(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	l.Close()
+	d := testDialer()
+	want(t, "refused", d.run(&attempt{address: l.Addr().String()}).status, balancer.ConnectFailed)
+
+	// An attempt that still waits for its connection when its request ends, or its upstream is removed, is not sent any more.
+	s := newServer(t, okAll)
+	a := directAttempt(message{line: "POST /x", host: "x"}, s.addr, nil)
+	want(t, "dropped", a.drop(), true)
+	r := d.run(a)
+	want(t, "status", r.status, balancer.NotSent)
+	want(t, "still of use", r.conn != nil && r.conn.checkIdle() == nil, true)
+	want(t, "requests written", len(s.arrivals), 0)
+}
+
+// A refused connection proves that the request was not executed: it is retried at another upstream.
+func TestRefusedConnectionIsRetriedElsewhere(t *testing.T) {
+	dead, alive := newServer(t, okAll), newServer(t, okAll)
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	dead.addr = l.Addr().String()
+	l.Close()
+	b := newBalancer(t, up("s-00000001", dead), up("s-00000002", alive))
+	for range 4 {
+		status, _ := b.do(t, b.ask("checkin", ""))
+		want(t, "status", status, 200)
+	}
+}
+
+// A connection that does not come up has not carried its request: after the connect timeout of the settings the request is
+// retried at another upstream, even one that must not be executed twice.
+func TestConnectTimeoutIsRetriedElsewhere(t *testing.T) {
+	dead, alive := newServer(t, okAll), newServer(t, okAll)
+	b := newBalancerWith(t, newRegistry(t), func(c *Config) {
+		connectTimeout := c.Links.ConnectTimeout
+		c.open = func(network, address string, timeout time.Duration) (net.Conn, error) {
+			if timeout != connectTimeout {
+				t.Errorf("a connection has %v to come up, the settings say %v", timeout, connectTimeout)
+			}
+			if address == dead.addr {
+				time.Sleep(timeout)
+				return nil, os.ErrDeadlineExceeded
+			}
+			return net.DialTimeout(network, address, timeout)
+		}
+	}, up("s-00000001", dead), up("s-00000002", alive))
+	for range 4 {
+		status, _ := b.do(t, b.ask("checkin", ""))
+		want(t, "status", status, 200)
+	}
+	want(t, "requests at the one that can be reached", len(alive.arrivals), 4)
+}
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -11,9 +11,9 @@
 	"POST /b HTTP/1.1\r\nTransfer-Encoding: Chunked\r\nHost: x\r\n\r\n5;name=\"v\"\r\nhello\r\n0A \r\n0123456789\r\n0\r\nX-Trailer: 1\r\n\r\n" +
 	"GET /c HTTP/1.1\r\nContent-Length: 0\r\nContent-Length: 0\r\n\r\n"
 
-// Requests are followed to their end however they are cut, and a head in doubt is stopped before its last byte, behind
-// any of them.
-func TestHeadsAreCheckedHoweverTheyAreCut(t *testing.T) {
+// The ends of requests are found however the requests are split into reads, and a head in doubt is stopped before its last
+// byte, also behind other requests.
+func TestFramingIsCheckedAcrossReads(t *testing.T) {
 	head := func(fields string) string { return "POST /x HTTP/1.1\r\nHost: x\r\n" + fields + "\r\n" }
 	for _, c := range []struct {
 		name, text string
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -4,16 +4,15 @@
 	"io"
 	"net"
 	"net/http"
-	"strings"
 	"testing"
 	"time"
 )
 
-// A peer that is silent, or stops halfway, is owed an error or a close within 3 s of connecting. It had 5 s for the head
-// and 10 s for the rest, and each held a descriptor as long.
-func TestSlowPeersAreLetGo(t *testing.T) {
+// A client that is silent, or stops in the middle of a request, has to get an error or a close within 3 s of connecting. It
+// used to have 5 s for the head and 10 s for the rest, and each such client held a descriptor for as long.
+func TestSlowClientsAreDisconnected(t *testing.T) {
 	if clientReadTimeout >= 3*time.Second {
-		t.Errorf("peers have %v", clientReadTimeout)
+		t.Errorf("clients have %v", clientReadTimeout)
 	}
 	s := newServer(t, okAll)
 	b := newBalancer(t, up("s-00000001", s))
@@ -21,12 +20,8 @@
 	ends := map[string]chan error{}
 	const whole = head + "Content-Length: 0\r\n\r\n"
 	for _, sent := range []string{"", "PO", head, head + "Content-Length: 9\r\n\r\nbody", whole + "P", whole + "POST"} {
-		c, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(2 * clientReadTimeout)) // only a failure takes as long
+		c := b.dialConn(t)
+		c.SetDeadline(time.Now().Add(2 * clientReadTimeout)) // only a failure takes that long
 		if _, err := io.WriteString(c, sent); err != nil {
 			t.Fatal(err)
 		}
@@ -42,11 +37,11 @@
 			t.Errorf("after %q: %v, want a close", sent, err)
 		}
 	}
-	want(t, "requests at the upstream", len(s.arrivals), 2) // the whole ones
+	want(t, "requests at the upstream", len(s.arrivals), 2) // the complete ones
 }
 
-// Connections over the bound make room by closing those without a request, the longest so first, and only where
-// none has been so for long are closed themselves. Peers that sent nothing once held descriptors without a bound.
+// Connections over the limit make room by closing the idle ones, the longest idle first, and are closed themselves only
+// where none has been idle for long. Clients that sent nothing used to hold descriptors without a limit.
 func TestClientConnectionsAreBounded(t *testing.T) {
 	now := time.Hour
 	f := newFrontend(&Config{Sockets: 6}, nil, bench(t, 0))
@@ -61,7 +56,7 @@
 		}
 		go io.WriteString(peer, "GET / HTTP/1.1\r\n\r\n")
 		if _, err := io.ReadFull(framed, make([]byte, 18)); err != nil {
-			return c // it was closed itself
+			return c // it was over the limit, and closed itself
 		}
 		if f.trackConn(framed, http.StateActive); s == http.StateIdle {
 			f.trackConn(framed, s)
@@ -75,9 +70,9 @@
 	now += time.Second
 	silent := open(http.StateNew)
 	now += evictionMinIdle
-	first := open(http.StateActive) // one too many: idle has been so for longest
+	first := open(http.StateActive) // over the limit: idle has been so for longest
 	second := open(http.StateActive)
-	third := open(http.StateActive) // nobody is left to make room
+	third := open(http.StateActive) // none is left to make room
 	for name, c := range map[string]struct {
 		net.Conn
 		closed bool
--- /dev/null
+++ b/internal/proxy/harness_test.go
@@ -0,0 +1,314 @@
+package proxy
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"runtime"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"sprucehill/internal/wire"
+)
+
+// settingsText has a class of each kind of idempotency. Discovery is polled again at once after a failure.
+const settingsText = `{"az":"z1","balancers":1,"granularity_us":1000,"membership_mode":"on_request","weights":"nominal",
+"worth_by":"work","limits":{"max_attempts":3,"cancel":true,"connect_timeout_us":500000,"keepalive_us":60000000},
+"obligations":{"ask_within_us":320000,"cold_from":0.3,"ramp_time_us":9000000,"tip_after_us":1500000,"tip_multiple":3.0},
+"profiles":[{"name":"read","target_us":2000000,"give_up_us":4000000,"repeat":"read_like","worth":1},
+{"name":"pay","target_us":2000000,"give_up_us":4000000,"repeat":"idempotency_key","group":"all","memory_span_us":9000000,"worth":1},
+{"name":"checkin","target_us":2000000,"give_up_us":4000000,"repeat":"non_idempotent","worth":1}],
+"reporting":{"via":"piggyback"}}`
+
+// classDeadline is the longest that a client of settingsText waits.
+const classDeadline = 4 * time.Second
+
+// failureTimeout is how long a test waits for what has to come. Only a failure takes that long.
+const failureTimeout = 30 * time.Second
+
+// balancers is how many are running in the present test; tests of this package run one at a time.
+var balancers int
+
+// testBalancer is a running balancer.
+type testBalancer struct {
+	url      string
+	proxy    *Proxy
+	registry *registry
+	cancel   context.CancelFunc
+	moves    chan string
+	ended    chan error
+	client   *http.Client
+}
+
+// newBalancer starts a balancer with a discovery service of its own.
+func newBalancer(t testing.TB, members ...member) *testBalancer {
+	t.Helper()
+	return newBalancerAt(t, 0, members...)
+}
+
+// newBalancerAt starts a balancer on an inherited listener, or on one of its own if fd is 0.
+func newBalancerAt(t testing.TB, fd int, members ...member) *testBalancer {
+	t.Helper()
+	return newBalancerWith(t, newRegistry(t), func(c *Config) { c.ListenFD = fd }, members...)
+}
+
+// newBalancerWith starts a balancer that uses the given discovery service and a changed configuration.
+func newBalancerWith(t testing.TB, g *registry, change func(*Config), members ...member) *testBalancer {
+	t.Helper()
+	return newBalancerOn(t, g, func(l net.Listener) net.Listener { return l }, change, members...)
+}
+
+// newBalancerOn starts a balancer whose clients come through what listen makes of its listener.
+func newBalancerOn(t testing.TB, g *registry, listen func(net.Listener) net.Listener, change func(*Config), members ...member) *testBalancer {
+	t.Helper()
+	f := file{Name: "n0", Listen: "127.0.0.1:0", Discovery: g.addr, Seed: "8c1f30d27a5be964",
+		Known: listing{Revision: 10, Complete: true, Members: members}, Settings: json.RawMessage(settingsText)}
+	f.Limits.MemoryMB, f.Limits.Sockets = 192, 1024
+	c, err := f.config()
+	if err != nil {
+		t.Fatal(err)
+	}
+	change(&c)
+	c.open = recordingOpener(c.open)
+	opened, err := c.Open()
+	if err != nil {
+		t.Fatal(err)
+	}
+	l := recordingListener{opened.(*net.TCPListener)}
+	ctx, cancel := context.WithCancel(context.Background())
+	b := &testBalancer{url: "http://" + l.Addr().String(), registry: g, cancel: cancel, ended: make(chan error, 1), moves: make(chan string),
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}}
+	b.proxy = New(c, listen(l))
+	balancers++
+	go func() { b.ended <- b.proxy.Run(ctx, b.moves) }()
+	t.Cleanup(func() {
+		b.client.CloseIdleConnections()
+		cancel()
+		b.awaitEnd(t)
+		if balancers--; balancers == 0 && !t.Failed() {
+			assertNothingRuns(t)
+		}
+	})
+	return b
+}
+
+// withSettings returns a change of the configuration: settingsText with texts replaced. Each pair is a text and its
+// replacement.
+func with(t *testing.T, pairs ...string) func(*Config) {
+	t.Helper()
+	text := settingsText
+	for i := 0; i < len(pairs); i += 2 {
+		if !strings.Contains(text, pairs[i]) {
+			t.Fatalf("the settings have no %q", pairs[i])
+		}
+		text = strings.Replace(text, pairs[i], pairs[i+1], 1)
+	}
+	return func(c *Config) {
+		var err error
+		if c.Settings, c.Links, err = wire.DecodeSettings(json.RawMessage(text)); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// awaitEnd waits until the balancer has ended, and fails the test if it ended with an error.
+func (b *testBalancer) awaitEnd(t testing.TB) {
+	t.Helper()
+	if err := <-b.ended; err != nil {
+		t.Error(err)
+	}
+	b.ended <- nil // for whoever waits next
+}
+
+// assertNothingRuns waits until no goroutine of a balancer is left.
+func assertNothingRuns(t testing.TB) {
+	t.Helper()
+	text := make([]byte, 1<<20)
+	for limit := time.Now().Add(failureTimeout); ; time.Sleep(time.Millisecond) {
+		left := ""
+		for stack := range strings.SplitSeq(string(text[:runtime.Stack(text, true)]), "\n\n") {
+			for _, of := range []string{"(*loop)", "(*frontend)", "(*framingConn)", "(*discovery)", "(*state)", "dialer"} {
+				if strings.Contains(stack, "sprucehill/internal/proxy."+of) && !strings.Contains(stack, "proxy.assertNothingRuns") {
+					left = stack
+				}
+			}
+		}
+		if left == "" {
+			return
+		}
+		if time.Now().After(limit) {
+			t.Fatalf("still running:\n%s", left)
+		}
+	}
+}
+
+var lastID int
+
+// newRequest returns a well-formed request of a class.
+func (b *testBalancer) ask(class, body string, headers ...string) *http.Request {
+	lastID++
+	method := http.MethodPost
+	if class == "read" {
+		method = http.MethodGet
+	}
+	r, err := http.NewRequest(method, b.url+"/"+class+"/x?q=%2F1", strings.NewReader(body))
+	if err != nil {
+		panic(err)
+	}
+	r.Header.Set("X-Request-Id", fmt.Sprintf("%016x", lastID))
+	r.Header.Set("X-Class", class)
+	r.Header.Set("X-Deadline-Ms", "4000")
+	if class == "pay" {
+		r.Header.Set("Idempotency-Key", strconv.Itoa(lastID))
+	}
+	for i := 0; i < len(headers); i += 2 {
+		r.Header.Set(headers[i], headers[i+1])
+	}
+	return r
+}
+
+// do sends a request and returns the complete response.
+func (b *testBalancer) do(t testing.TB, r *http.Request) (int, string) {
+	t.Helper()
+	resp, err := b.client.Do(r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return resp.StatusCode, string(body)
+}
+
+// doOnNewConn sends a request on a connection of its own.
+func (b *testBalancer) doOnNewConn(t *testing.T, r *http.Request) (int, string) {
+	t.Helper()
+	r.Close = true
+	return b.do(t, r)
+}
+
+// sendRaw writes a request, and the bytes behind it, on a connection of its own, and leaves the response to the test.
+func (b *testBalancer) raw(t *testing.T, class, body, behind string) net.Conn {
+	t.Helper()
+	c := b.dialConn(t)
+	var text bytes.Buffer
+	if err := b.ask(class, body).Write(&text); err != nil {
+		t.Fatal(err)
+	}
+	text.WriteString(behind)
+	if _, err := c.Write(text.Bytes()); err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
+// dial opens a raw connection to a balancer, and a reader of it.
+func (b *testBalancer) dial(t *testing.T) (net.Conn, *bufio.Reader) {
+	t.Helper()
+	c := b.dialConn(t)
+	return c, bufio.NewReader(c)
+}
+
+// dialConn opens a raw connection to a balancer, with a deadline of failureTimeout.
+func (b *testBalancer) dialConn(t *testing.T) net.Conn {
+	t.Helper()
+	c, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(failureTimeout))
+	return c
+}
+
+const checkinHead = "POST /checkin/x HTTP/1.1\r\nHost: x\r\nX-Request-Id: 00000000000000aa\r\nX-Class: checkin\r\nX-Deadline-Ms: 4000\r\n"
+
+// runInLoop runs a function on the event loop, between two events.
+func (b *testBalancer) inLoop(t *testing.T, do func(l *loop)) {
+	t.Helper()
+	asked := order{do, make(chan struct{})}
+	b.proxy.loop.post(asked)
+	<-asked.done
+}
+
+// assertEqual fails the test if got is not want.
+func want(t *testing.T, what string, got, want any) {
+	t.Helper()
+	if got != want {
+		t.Errorf("%s: got %v, want %v", what, got, want)
+	}
+}
+
+// eventually waits until a condition holds. Only a failure takes long.
+func eventually(t testing.TB, what string, is func() bool) {
+	t.Helper()
+	for limit := time.Now().Add(failureTimeout); !is(); time.Sleep(time.Millisecond) {
+		if time.Now().After(limit) {
+			t.Fatalf("never came true: %s", what)
+		}
+	}
+}
+
+// await waits until a condition holds on the event loop.
+func (b *testBalancer) await(t *testing.T, what string, is func(l *loop) bool) {
+	t.Helper()
+	eventually(t, what, func() (done bool) {
+		b.inLoop(t, func(l *loop) { done = is(l) })
+		return done
+	})
+}
+
+// awaitSettled waits until no request, attempt or buffered body is left and all upstream connections are idle.
+func (b *testBalancer) settled(t *testing.T) {
+	t.Helper()
+	b.await(t, "no request, no attempt, all connections idle", func(l *loop) bool {
+		idle, out := 0, 0
+		for _, p := range l.peers {
+			idle, out = idle+len(p.idle), out+len(p.out)
+		}
+		return len(l.requests) == 0 && out == 0 && idle == l.conns && len(l.due) == 0
+	})
+	eventually(t, "no bytes held, no requests in progress", func() bool {
+		return b.proxy.loop.dial.held.free.Load() == b.proxy.config.heldBytes() && b.figure(t, "svc_in_progress") == 0
+	})
+}
+
+// awaitRequestsClosed waits until every client has its response, or has been seen to disconnect.
+func (b *testBalancer) awaitRequestsClosed(t *testing.T) {
+	t.Helper()
+	b.await(t, "every request is closed", func(l *loop) bool {
+		for _, r := range l.requests {
+			if !r.closed {
+				return false
+			}
+		}
+		return true
+	})
+	eventually(t, "no request in progress", func() bool { return b.figure(t, "svc_in_progress") == 0 })
+}
+
+// awaitClientsClosed waits until no client connection is open.
+func (b *testBalancer) awaitClientsClosed(t *testing.T) {
+	t.Helper()
+	eventually(t, "no client's connection is open", func() bool { return b.proxy.front.openConns() == 0 })
+}
+
+// attemptsOut is how many attempts are in flight.
+func (b *testBalancer) attemptsOut(t *testing.T) (out int) {
+	t.Helper()
+	b.inLoop(t, func(l *loop) {
+		for _, p := range l.peers {
+			out += len(p.out)
+		}
+	})
+	return out
+}
--- /dev/null
+++ b/internal/proxy/idleclose_test.go
@@ -0,0 +1,99 @@
+package proxy
+
+import (
+	"fmt"
+	"net"
+	"sync/atomic"
+	"testing"
+)
+
+// heldReadListener accepts connections of which one read can be held back after its bytes have been taken from the network.
+type heldReadListener struct {
+	net.Listener
+	armed atomic.Bool
+	taken chan struct{} // the bytes have been taken
+	back  chan struct{} // closed: the reader gets them
+}
+
+func (r *heldReadListener) Accept() (net.Conn, error) {
+	c, err := r.Listener.Accept()
+	return &heldReadConn{c, r}, err
+}
+
+// heldReadConn is a connection of a heldReadListener.
+type heldReadConn struct {
+	net.Conn
+	*heldReadListener
+}
+
+func (c *heldReadConn) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p)
+	if n > 0 && c.armed.CompareAndSwap(true, false) {
+		c.taken <- struct{}{}
+		<-c.back
+	}
+	return n, err
+}
+
+// allIdle reports whether there is a client connection, and all of them are between two requests.
+func (f *frontend) allIdle() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for c := range f.conns {
+		if !c.isIdle() {
+			return false
+		}
+	}
+	return len(f.conns) > 0
+}
+
+// A request comes at the very moment at which its idle connection is closed. Either the request was first, and the
+// connection stays open and the request is answered; or the close was, and the request, which its client sends again, is
+// not forwarded. It used to be, where its bytes had been taken from the network but not been scanned.
+func TestRequestCrossingACloseIsNotForwarded(t *testing.T) {
+	for _, first := range []string{"close", "request"} {
+		for _, fresh := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s first, new connection %v", first, fresh), func(t *testing.T) {
+				s := newServer(t, okAll)
+				r := &heldReadListener{taken: make(chan struct{}), back: make(chan struct{})}
+				b := newBalancerOn(t, newRegistry(t), func(l net.Listener) net.Listener { r.Listener = l; return r },
+					func(*Config) {}, up("s-00000001", s))
+				c, in := b.dial(t)
+				ask := func() {
+					if err := b.ask("checkin", "").Write(c); err != nil {
+						t.Fatal(err)
+					}
+				}
+				sent := 0
+				if !fresh {
+					ask()
+					partialRequest{Conn: c, in: in}.answer(t, 200)
+					sent++
+				}
+				f := b.proxy.front
+				eventually(t, "the connection is idle", f.allIdle)
+				r.armed.Store(true)
+				ask()
+				<-r.taken
+				if first == "close" {
+					f.closeIdleConns(0)
+				}
+				close(r.back)
+				if first == "close" {
+					if _, err := in.ReadByte(); err == nil {
+						t.Error("an answer on a connection that was closed")
+					}
+				} else {
+					partialRequest{Conn: c, in: in}.answer(t, 200)
+					sent++
+				}
+				eventually(t, "the connection is closed", func() bool {
+					f.closeIdleConns(0)
+					return f.openConns() == 0
+				})
+				b.settled(t)
+				want(t, "requests at the upstream", len(s.arrivals), sent)
+			})
+		}
+	}
+}
--- /dev/null
+++ b/internal/proxy/killdeadline_test.go
@@ -0,0 +1,80 @@
+package proxy
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+)
+
+// SIGKILL comes some time after SIGTERM, and a late request that has not been answered by then is lost. A late request has
+// until just before that, however long its client would wait; one that came sooner has its own time.
+func TestLateRequestIsAnsweredBeforeSIGKILL(t *testing.T) {
+	b := newBalancer(t)
+	f := b.proxy.front
+	const shutdownAt, timeout = time.Hour, 9 * time.Second
+	f.shutdownAt.Store(int64(shutdownAt))
+	want(t, "while it serves", f.timeBeforeKill(shutdownAt+2*time.Second, timeout), timeout)
+	f.leaving.Store(true)
+	for _, x := range []struct{ longest, since, want time.Duration }{
+		{4 * time.Second, killDelay - killMargin - 1, timeout},
+		{4 * time.Second, killDelay - killMargin, killDeadlineCap},
+		{4 * time.Second, 2 * time.Second, 1600 * time.Millisecond},
+		{time.Second, 2 * time.Second, 0},
+		{time.Second, time.Second, 600 * time.Millisecond},
+	} {
+		f.longestDeadline = x.longest
+		want(t, x.since.String()+" after SIGTERM", f.timeBeforeKill(shutdownAt+x.since, timeout), x.want)
+	}
+	f.shutdownAt.Store(int64(f.now() - 4*time.Second))
+	resp, err := http.ReadResponse(bufio.NewReader(b.raw(t, "checkin", "", "")), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want(t, "too late to be sent", resp.StatusCode, http.StatusServiceUnavailable)
+}
+
+// The time of an upload begins with its last byte, and what is left until SIGKILL counts from then, however early the
+// upload began. One that began before SIGTERM used to have its complete time after it, beyond SIGKILL.
+func TestUploadIsAnsweredBeforeSIGKILL(t *testing.T) {
+	release := make(chan struct{})
+	s := newServer(t, func(c net.Conn, r *http.Request) bool { <-release; return okAll(c, r) })
+	b := newBalancer(t, up("s-00000001", s))
+	f := b.proxy.front
+	body, client := io.Pipe()
+	r := b.ask("checkin", "")
+	r.Body, r.ContentLength = body, 2*maxBody
+	status := make(chan int, 1)
+	go func() {
+		got, _ := b.do(t, r)
+		status <- got
+	}()
+	if _, err := client.Write(make([]byte, 2*maxBody-1)); err != nil {
+		t.Fatal(err)
+	}
+	var q *request
+	b.await(t, "the upload is passed on", func(l *loop) bool {
+		for _, q = range l.requests {
+			return len(q.attempts) > 0
+		}
+		return false
+	})
+	f.shutdownAt.Store(int64(f.now() - time.Second)) // the shutdown has begun meanwhile
+	f.leaving.Store(true)
+	if _, err := client.Write([]byte{0}); err != nil {
+		t.Fatal(err)
+	}
+	client.Close()
+	<-s.arrivals
+	b.await(t, "its time has begun", func(l *loop) bool { return q.deadline != noDeadline })
+	b.inLoop(t, func(*loop) {
+		kill := time.Duration(f.shutdownAt.Load()) + min(f.longestDeadline, killDeadlineCap) + killDelay
+		if q.deadline >= kill {
+			t.Errorf("it has until %v after the kill", q.deadline-kill)
+		}
+	})
+	close(release)
+	want(t, "status", <-status, 200)
+}
--- a/internal/proxy/listen_test.go
+++ b/internal/proxy/listener_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// held is a listening socket as a platform holds it: each call of the result is a descriptor that a process inherits.
+// listeningSocket is a listening socket as held by the platform: each call of inherit returns a descriptor that a process
+// inherits.
 func listeningSocket(t *testing.T) (addr string, inherit func() int) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,7 +26,7 @@
 			t.Fatal(err)
 		}
 		defer f.Close()
-		fd, err := syscall.Dup(int(f.Fd())) // Open takes it over
+		fd, err := syscall.Dup(int(f.Fd())) // the listener takes it over
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -33,9 +34,9 @@
 	}
 }
 
-// A successor takes the queue of a listener that the platform holds. The process before it leaves the listener at once,
-// keeps what it had accepted, and nobody is turned away in between.
-func TestUpgradeLosesNobody(t *testing.T) {
+// A successor takes over the queue of a listener that the platform holds. Its predecessor closes the listener at once and
+// keeps what it had accepted, and no client is rejected in between.
+func TestUpgradeLosesNoRequest(t *testing.T) {
 	release := make(chan struct{})
 	s := newServer(t, func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("X-Late") != "" {
@@ -60,20 +61,17 @@
 	second := newBalancerAt(t, inherit(), up("s-00000001", s))
 	second.url = first.url
 	first.cancel()
-	for n := 0; ; n++ { // until the first has left the listener, either may answer; from then on only the second
+	for n := 0; ; n++ { // until the first has closed the listener, either may answer; from then on only the second
 		status, _ := second.doOnNewConn(t, second.ask("checkin", ""))
 		want(t, "status meanwhile", status, 200)
 		if second.figure(t, `svc_passed{category="checkin"}`) > 10 {
 			break
 		}
 	}
-	want(t, "the first still answers", len(late), 0)
+	want(t, "responses of the first so far", len(late), 0)
 	close(release)
-	want(t, "status of the request in hand", <-late, 200)
-	if err := <-first.ended; err != nil {
-		t.Error(err)
-	}
-	first.ended <- nil
+	want(t, "status of the request in flight", <-late, 200)
+	first.awaitEnd(t)
 	before := second.figure(t, `svc_passed{category="checkin"}`)
 	for range 10 {
 		status, _ := second.doOnNewConn(t, second.ask("checkin", ""))
@@ -82,7 +80,7 @@
 	want(t, "served by the second", second.figure(t, `svc_passed{category="checkin"}`)-before, 10)
 }
 
-func TestBadListenerSaysWhy(t *testing.T) {
+func TestBadListenerErrors(t *testing.T) {
 	for _, text := range []string{"x", "-1", "0", "2", "3.5", "99999999999999999999"} {
 		if _, err := loadConfig(t, configText, map[string]string{"RELAY_FD": text}); err == nil || !strings.Contains(err.Error(), "RELAY_FD") {
 			t.Errorf("RELAY_FD=%s: got %v", text, err)
@@ -120,7 +118,7 @@
 }
 
 // Two processes that overlap stay inside the limits of one.
-func TestOverlapSharesTheLimits(t *testing.T) {
+func TestOverlappingProcessesShareLimits(t *testing.T) {
 	c, err := loadConfig(t, configText, map[string]string{"RELAY_FD": "3"})
 	if err != nil {
 		t.Fatal(err)
@@ -134,15 +132,15 @@
 	if n := 2*(c.upstreamConns()+others) + c.Sockets/3; n > c.Sockets {
 		t.Errorf("%d of %d descriptors", n, c.Sockets)
 	}
-	// Attempts of the process that leaves once held all but a few of the connections that clients have, so that
-	// requests for its successor ended at the door.
+	// Attempts of the process that shuts down used to take all but a few of the connections that clients have, so that
+	// requests for its successor were refused.
 	if n := 2 * c.upstreamConns(); n > c.Sockets/3 {
 		t.Errorf("%d attempts at both, %d connections of clients", n, c.Sockets/3)
 	}
 }
 
-// A process that leaves keeps no idle connection to upstreams: its successor needs their room.
-func TestLeavingKeepsNoIdleConnection(t *testing.T) {
+// A process that shuts down keeps no idle upstream connection: its successor needs their descriptors.
+func TestShutdownReleasesIdleConnections(t *testing.T) {
 	s := newServer(t, okAll)
 	l := bench(t, 10)
 	p := join(l, 1, s)
--- a/internal/proxy/stall_test.go
+++ b/internal/proxy/loopstall_test.go
@@ -9,7 +9,7 @@
 	"sprucehill/internal/durable"
 )
 
-// slowDisk is a folder each sync of which takes long.
+// slowDisk is a folder whose syncs take long.
 type slowDisk struct {
 	*durable.Folder
 	wait time.Duration
@@ -35,8 +35,8 @@
 	return f.File.Sync()
 }
 
-// BenchmarkLoopStall tells how long the event loop is not to be had, with a disk whose syncs take 50 ms and without state.
-// An operation is a second, in which the loop is asked once a millisecond beside requests.
+// BenchmarkLoopStall measures for how long the event loop is not available, with a disk whose syncs take 50 ms and without
+// saved state. An operation is a second, in which the loop is called once a millisecond beside requests.
 func BenchmarkLoopStall(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		b.Run(fmt.Sprintf("state=%v", on), func(b *testing.B) {
--- /dev/null
+++ b/internal/proxy/recording_test.go
@@ -0,0 +1,136 @@
+package proxy
+
+import (
+	"bytes"
+	"net"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+)
+
+// recordingOpener opens upstream connections that record in the ledger when each attempt is written.
+func recordingOpener(open dialFunc) dialFunc {
+	if open == nil {
+		open = net.DialTimeout
+	}
+	return func(network, address string, timeout time.Duration) (net.Conn, error) {
+		c, err := open(network, address, timeout)
+		if err != nil {
+			return nil, err
+		}
+		return recordingUpstreamConn{c}, nil
+	}
+}
+
+// recordingUpstreamConn is an upstream connection that records when each attempt is written.
+type recordingUpstreamConn struct{ net.Conn }
+
+func (c recordingUpstreamConn) Write(p []byte) (int, error) {
+	if bytes.Contains(p, []byte("\r\nX-Deadline-Ms: ")) {
+		clientLedger.attemptWritten(string(p))
+	}
+	return c.Conn.Write(p)
+}
+
+func (c recordingUpstreamConn) CloseWrite() error { return c.Conn.(halfCloser).CloseWrite() }
+
+func (c recordingUpstreamConn) SyscallConn() (syscall.RawConn, error) {
+	return c.Conn.(syscall.Conn).SyscallConn()
+}
+
+// fieldOf returns a field of a head; empty: the head has none.
+func fieldOf(head, name string) string {
+	for line := range strings.SplitSeq(head, "\r\n") {
+		if key, value, _ := strings.Cut(line, ":"); strings.EqualFold(key, name) {
+			return strings.TrimSpace(value)
+		}
+	}
+	return ""
+}
+
+// recordingListener accepts client connections that record their requests in the ledger.
+type recordingListener struct{ *net.TCPListener }
+
+func (l recordingListener) Accept() (net.Conn, error) {
+	c, err := l.AcceptTCP()
+	if err != nil {
+		return nil, err
+	}
+	return &recordingConn{TCPConn: c}, nil
+}
+
+// recordingConn is a client connection whose requests are recorded. Whoever reads it holds its lock.
+type recordingConn struct {
+	*net.TCPConn
+	mu       sync.Mutex
+	head     []byte // the present head, as far as it has come
+	request  *clientRequest
+	bodyLeft int    // bytes still to come of the present body; negative: it comes in chunks
+	tail     string // the end of a body in chunks
+}
+
+func (c *recordingConn) Read(p []byte) (int, error) {
+	n, err := c.TCPConn.Read(p)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.record(p[:n], time.Now())
+	return n, err
+}
+
+// record follows the requests that arrive.
+func (c *recordingConn) record(p []byte, now time.Time) {
+	for len(p) > 0 {
+		if c.request != nil {
+			p = p[c.recordBody(p, now):]
+			continue
+		}
+		c.head = append(c.head, p...)
+		end := bytes.Index(c.head, []byte("\r\n\r\n"))
+		if end < 0 {
+			return
+		}
+		p = c.head[end+4:]
+		c.begin(string(c.head[:end+4]), now)
+		c.head = nil
+	}
+}
+
+// begin takes a complete head.
+func (c *recordingConn) begin(head string, now time.Time) {
+	r := &clientRequest{budget: classDeadline, lastByte: now}
+	if ms, err := strconv.ParseInt(fieldOf(head, "X-Deadline-Ms"), 10, 32); err == nil && ms >= 0 {
+		r.budget = min(r.budget, time.Duration(ms)*time.Millisecond)
+	}
+	c.bodyLeft, _ = strconv.Atoi(fieldOf(head, "Content-Length"))
+	if fieldOf(head, "Transfer-Encoding") != "" {
+		c.bodyLeft = -1
+	}
+	if r.complete = c.bodyLeft == 0; !r.complete {
+		c.request, c.tail = r, ""
+	}
+	clientLedger.put(fieldOf(head, "X-Request-Id"), r)
+}
+
+// recordBody takes what has come of the present body, and returns how much of p that is.
+func (c *recordingConn) recordBody(p []byte, now time.Time) int {
+	n := len(p)
+	var complete bool
+	if c.bodyLeft >= 0 {
+		n = min(n, c.bodyLeft)
+		c.bodyLeft -= n
+		complete = c.bodyLeft == 0
+	} else {
+		c.tail += string(p)
+		complete = strings.HasPrefix(c.tail, "0\r\n\r\n") || strings.Contains(c.tail, "\r\n0\r\n") && strings.HasSuffix(c.tail, "\r\n\r\n")
+		c.tail = c.tail[max(0, len(c.tail)-64):]
+	}
+	clientLedger.mu.Lock()
+	defer clientLedger.mu.Unlock()
+	c.request.lastByte, c.request.complete = now, complete
+	if complete {
+		c.request = nil
+	}
+	return n
+}
--- /dev/null
+++ b/internal/proxy/shutdown_test.go
@@ -0,0 +1,240 @@
+package proxy
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// partialRequest is a client connection on which one request has been answered and a part of the next one's head has come.
+type partialRequest struct {
+	net.Conn
+	in   *bufio.Reader
+	rest string
+}
+
+// sendPartialRequest opens a connection with a partial request, and waits until the part has been read.
+func (b *testBalancer) sendPartialRequest(t *testing.T) partialRequest {
+	t.Helper()
+	x := partialRequest{Conn: b.raw(t, "checkin", "", "")}
+	x.in = bufio.NewReader(x)
+	x.answer(t, 200)
+	var text strings.Builder
+	if err := b.ask("checkin", "").Write(&text); err != nil {
+		t.Fatal(err)
+	}
+	half := text.Len() / 2
+	if _, err := io.WriteString(x, text.String()[:half]); err != nil {
+		t.Fatal(err)
+	}
+	x.rest = text.String()[half:]
+	eventually(t, "the head has been read in part", b.proxy.front.anyPartialRequest)
+	return x
+}
+
+// anyPartialRequest reports whether a later request has come in part on some connection.
+func (f *frontend) anyPartialRequest() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for c, is := range f.conns {
+		if is.state == http.StateIdle && !c.isIdle() {
+			return true
+		}
+	}
+	return false
+}
+
+// answer reads a response and checks its status.
+func (x partialRequest) answer(t *testing.T, status int) {
+	t.Helper()
+	resp, err := http.ReadResponse(x.in, nil)
+	if err != nil {
+		t.Fatalf("a request that had begun got no response: %v", err)
+	}
+	io.Copy(io.Discard, resp.Body)
+	want(t, "status", resp.StatusCode, status)
+}
+
+// end sends the rest of the request.
+func (x partialRequest) end(t *testing.T) {
+	t.Helper()
+	if _, err := io.WriteString(x, x.rest); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// Requests that have been accepted are answered after SIGTERM, and connections that are still on their way are served.
+func TestShutdownLosesNoRequest(t *testing.T) {
+	release := make(chan struct{})
+	s := newServer(t, func(c net.Conn, r *http.Request) bool {
+		if r.Header.Get("X-Late") != "" {
+			<-release
+		}
+		return okAll(c, r)
+	})
+	b := newBalancer(t, up("s-00000001", s))
+	type got struct {
+		status int
+		err    error
+	}
+	late := make(chan got, 1)
+	go func() {
+		resp, err := b.client.Do(b.ask("checkin", "", "X-Late", "1"))
+		if err != nil {
+			late <- got{err: err}
+			return
+		}
+		resp.Body.Close()
+		late <- got{resp.StatusCode, nil}
+	}()
+	<-s.arrivals
+	b.cancel()
+	for { // on new connections, until one shows that the shutdown has begun
+		r := b.ask("checkin", "")
+		resp, err := (&http.Client{Transport: &http.Transport{}}).Do(r)
+		if err != nil {
+			t.Fatal(err)
+		}
+		resp.Body.Close()
+		want(t, "status while stopping", resp.StatusCode, 200)
+		if resp.Close {
+			break
+		}
+	}
+	close(release)
+	if g := <-late; g.err != nil || g.status != 200 {
+		t.Errorf("the request in flight ended with %v, %v", g.status, g.err)
+	}
+	b.awaitEnd(t)
+	if _, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://")); err == nil {
+		t.Error("still listening")
+	}
+}
+
+// A connection on which nothing was ever sent neither keeps a balancer from shutting down nor takes the requests in flight
+// with it.
+func TestShutdownClosesUnusedConnections(t *testing.T) {
+	release := make(chan struct{})
+	s := newServer(t, func(c net.Conn, r *http.Request) bool { <-release; return okAll(c, r) })
+	b := newBalancer(t, up("s-00000001", s))
+	unused, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer unused.Close()
+	status := make(chan int, 1)
+	go func() {
+		resp, err := b.client.Do(b.ask("checkin", ""))
+		if err != nil {
+			status <- 0
+			return
+		}
+		resp.Body.Close()
+		status <- resp.StatusCode
+	}()
+	<-s.arrivals
+	b.cancel()
+	if _, err := unused.Read(make([]byte, 1)); err == nil {
+		t.Error("bytes on an unused connection")
+	}
+	close(release)
+	want(t, "status of the request in flight", <-status, 200)
+}
+
+// A request that comes in pieces on a kept connection, and has begun when the shutdown begins, is answered. Its connection
+// used to be closed as an idle one.
+func TestShutdownAwaitsPartialRequest(t *testing.T) {
+	s := newServer(t, okAll)
+	b := newBalancer(t, up("s-00000001", s))
+	x := b.sendPartialRequest(t)
+	b.cancel()
+	<-b.proxy.front.acceptEnded // the listener is closed, and idle connections are being closed
+	for range 3 {
+		b.proxy.front.closeIdleConns(0)
+	}
+	x.end(t)
+	x.answer(t, 200)
+	b.awaitEnd(t)
+	want(t, "open connections", b.proxy.front.openConns(), 0)
+}
+
+// The same while draining, and where a connection has to make room.
+func TestPartialRequestKeepsItsConnection(t *testing.T) {
+	s := newServer(t, okAll)
+	b := newBalancer(t, up("s-00000001", s))
+	f := b.proxy.front
+	x := b.sendPartialRequest(t)
+	f.closeIdleConns(0)
+	f.mu.Lock()
+	for c, status := range f.conns { // it entered its state long ago
+		status.since -= 2 * evictionMinIdle
+		f.conns[c] = status
+	}
+	f.maxConns = len(f.conns)
+	f.mu.Unlock()
+	other, peer := net.Pipe()
+	defer other.Close()
+	defer peer.Close()
+	f.trackConn(&framingConn{Conn: other, now: f.now}, http.StateNew) // over the limit: it is closed itself
+	if _, err := peer.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("the new connection: %v, want its end", err)
+	}
+	f.mu.Lock()
+	f.maxConns = 100
+	f.mu.Unlock()
+	x.end(t)
+	x.answer(t, 200)
+}
+
+// pausedListener is a listener that accepts nothing until the test resumes it. It reports when it has been asked to end.
+type pausedListener struct {
+	recordingListener
+	resume  chan struct{}
+	ending  chan struct{}
+	endOnce sync.Once
+}
+
+func (l *pausedListener) Accept() (net.Conn, error) {
+	<-l.resume
+	return l.recordingListener.Accept()
+}
+
+func (l *pausedListener) SetDeadline(t time.Time) error {
+	l.endOnce.Do(func() { close(l.ending) })
+	return l.TCPListener.SetDeadline(t)
+}
+
+func (l *pausedListener) Close() error {
+	l.endOnce.Do(func() { close(l.ending) })
+	return l.TCPListener.Close()
+}
+
+// A balancer that is slow to accept when its shutdown begins accepts the connections in its listener's queue, and answers
+// their requests. They used to be reset when the listener closed.
+func TestShutdownAcceptsQueuedConnections(t *testing.T) {
+	s := newServer(t, okAll)
+	l := &pausedListener{resume: make(chan struct{}), ending: make(chan struct{})}
+	b := newBalancerOn(t, newRegistry(t), func(x net.Listener) net.Listener { l.recordingListener = x.(recordingListener); return l },
+		func(*Config) {}, up("s-00000001", s))
+	var waiting []net.Conn
+	for range 5 {
+		waiting = append(waiting, b.raw(t, "checkin", "", ""))
+	}
+	b.cancel()
+	<-l.ending
+	close(l.resume)
+	for _, c := range waiting {
+		partialRequest{Conn: c, in: bufio.NewReader(c)}.answer(t, 200)
+	}
+	b.awaitEnd(t)
+	if c, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://")); err == nil {
+		c.Close()
+		t.Error("it still accepts connections")
+	}
+}
--- /dev/null
+++ b/internal/proxy/upload_test.go
@@ -0,0 +1,150 @@
+package proxy
+
+import (
+	"bufio"
+	"bytes"
+	"crypto/sha256"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Large bodies of requests and responses pass through completely, in every framing, on connections that can be used again.
+func TestLargeBodiesAreStreamed(t *testing.T) {
+	const size = 3 << 20
+	sums := make(chan [32]byte, 10)
+	s := newServer(t, func(c net.Conn, r *http.Request) bool {
+		body, _ := io.ReadAll(r.Body)
+		sums <- sha256.Sum256(body)
+		switch r.Header.Get("X-Form") {
+		case "length":
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
+			io.Copy(c, patternReader(size))
+			return true
+		case "chunks":
+			io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+			for in := patternReader(size); ; {
+				p := make([]byte, 70_001)
+				n, _ := io.ReadFull(in, p)
+				if n == 0 {
+					break
+				}
+				fmt.Fprintf(c, "%x;ext=1\r\n%s\r\n", n, p[:n])
+			}
+			io.WriteString(c, "0\r\nX-Trailer: 1\r\n\r\n")
+			return true
+		}
+		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n") // ends with the connection
+		io.Copy(c, patternReader(size))
+		return false
+	})
+	b := newBalancer(t, up("s-00000001", s))
+	for _, form := range []string{"length", "chunks", "close"} {
+		for _, length := range []int64{size, -1} {
+			r := b.ask("checkin", "", "X-Form", form)
+			r.Body, r.ContentLength = io.NopCloser(patternReader(size)), length
+			resp, err := b.client.Do(r)
+			if err != nil {
+				t.Fatal(err)
+			}
+			answer, err := io.ReadAll(resp.Body)
+			resp.Body.Close()
+			if err != nil {
+				t.Fatal(err)
+			}
+			whole, _ := io.ReadAll(patternReader(size))
+			want(t, form+": the answer is the upstream's", bytes.Equal(answer, whole), true)
+			want(t, form+": the body is the client's", <-sums, sha256.Sum256(whole))
+			want(t, form+": known length", resp.ContentLength == size, form == "length")
+			want(t, form+": keeps", resp.Close, false)
+		}
+	}
+	want(t, "passed", b.figure(t, `svc_passed{category="checkin"}`), 6)
+	want(t, "in progress", b.figure(t, "svc_in_progress"), 0)
+}
+
+// The time of an upload begins with its last byte: a slow one outlives its deadline, and its upstream gets its body as it
+// comes.
+func TestSlowUploadOutlivesItsDeadline(t *testing.T) {
+	began := make(chan struct{})
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	go func() {
+		c, err := l.Accept()
+		if err != nil {
+			return
+		}
+		defer c.Close()
+		r, err := http.ReadRequest(bufio.NewReader(c))
+		if err != nil {
+			return
+		}
+		io.ReadFull(r.Body, make([]byte, maxBody))
+		close(began)
+		io.Copy(io.Discard, r.Body)
+		ok(c, "done")
+	}()
+	b := newBalancer(t, up("s-00000001", &server{addr: l.Addr().String()}))
+	c, in := b.dial(t)
+	fmt.Fprintf(c, "%sX-Deadline-Ms: 50\r\nContent-Length: %d\r\n\r\n", strings.Replace(checkinHead, "X-Deadline-Ms: 4000\r\n", "", 1), 2*maxBody)
+	if _, err := io.CopyN(c, patternReader(maxBody+1), maxBody+1); err != nil {
+		t.Fatal(err)
+	}
+	<-began // the upstream has it while the client still sends
+	want(t, "in progress before it was taken", b.figure(t, "svc_in_progress"), 0)
+	time.Sleep(100 * time.Millisecond) // past the deadline
+	if _, err := io.CopyN(c, patternReader(maxBody-1), maxBody-1); err != nil {
+		t.Fatal(err)
+	}
+	resp, err := http.ReadResponse(in, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want(t, "status", resp.StatusCode, 200)
+}
+
+// A client that stops in the middle of a large body gets an error or a close, and the upstream never gets a complete
+// request.
+func TestStalledUploadIsAborted(t *testing.T) {
+	s := newServer(t, okAll)
+	b := newBalancer(t, up("s-00000001", s))
+	c, in := b.dial(t)
+	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", checkinHead, 4*maxBody)
+	io.CopyN(c, patternReader(2*maxBody), 2*maxBody)
+	resp, err := http.ReadResponse(in, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want(t, "status", resp.StatusCode, http.StatusRequestTimeout)
+	want(t, "closes", resp.Close, true)
+	want(t, "requests at the upstream", len(s.arrivals), 0)
+	want(t, "attempts written whole", b.figure(t, "svc_upstream_tries"), 0)
+}
+
+// Once a part of an upload has been consumed it is not sent again; before that it may be.
+func TestUploadIsNotRetried(t *testing.T) {
+	dead, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	dead.Close()
+	s := newServer(t, func(c net.Conn, r *http.Request) bool {
+		io.WriteString(c, "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
+		return true
+	})
+	b := newBalancer(t, up("s-00000001", s), up("s-00000002", &server{addr: dead.Addr().String()}))
+	for range 3 { // a refused connection may be retried; an error response may not
+		r := b.ask("checkin", "")
+		r.Body, r.ContentLength = io.NopCloser(patternReader(4*maxBody)), -1
+		status, _ := b.do(t, r)
+		want(t, "status", status, http.StatusBadGateway)
+	}
+	want(t, "attempts at the upstream", len(s.arrivals), 3)
+}
