--- a/internal/proxy/dialer.go
+++ b/internal/proxy/dialer.go
@@ -20,7 +20,7 @@
 // call on a goroutine of the caller's.
 type dialer struct {
 	open    dialFunc
-	timeout time.Duration        // for opening a connection, and for the response to a health check
+	timeout time.Duration        // for opening a connection, and for the response to a health check or a broken-off upload
 	tries   *metrics.Counter     // attempts whose last byte has been written
 	held    *budget              // of buffered bodies
 	now     func() time.Duration // the loop's clock
