--- a/internal/proxy/bodybudget_test.go
+++ b/internal/proxy/bodybudget_test.go
@@ -17,13 +17,13 @@
 	b := newBudget(20 << 10)
 	for _, c := range []struct {
 		size, length int64
-		held         int
-		whole        bool
+		buffered     int
+		complete     bool
 	}{{0, 0, 0, true}, {300, 300, 300, true}, {300, -1, 300, true}, {16 << 10, 16 << 10, 16 << 10, true},
 		{40 << 10, 40 << 10, 16 << 10, false}, {1 << 20, -1, 16 << 10, false}} {
-		body, whole, err := b.readBody(patternReader(c.size), c.length, func() bool { return false })
-		if err != nil || len(body) != c.held || whole != c.whole {
-			t.Errorf("%d bytes of length %d: %d held, whole %v, %v", c.size, c.length, len(body), whole, err)
+		body, complete, err := b.readBody(patternReader(c.size), c.length, func() bool { return false })
+		if err != nil || len(body) != c.buffered || complete != c.complete {
+			t.Errorf("%d bytes of length %d: %d buffered, complete %v, %v", c.size, c.length, len(body), complete, err)
 		}
 		b.give(cap(body))
 	}
@@ -37,10 +37,10 @@
 		return err == nil
 	})
 	p := newBalancer(t, up("s-00000001", s))
-	held := p.proxy.loop.dial.held
-	all := held.free.Load()
+	budget := p.proxy.loop.dial.held
+	all := budget.free.Load()
 	for _, available := range []int64{all, 8 << 10} {
-		held.free.Store(available)
+		budget.free.Store(available)
 		r := p.ask("checkin", "")
 		r.Body, r.ContentLength = io.NopCloser(patternReader(60<<10)), 60<<10
 		status, body := p.do(t, r)
@@ -48,9 +48,9 @@
 		want(t, "answer", len(body), 60<<10)
 		got, _ := io.ReadAll((<-s.arrivals).Body)
 		want(t, "body", len(got), 60<<10)
-		for deadline := time.Now().Add(failureTimeout); held.free.Load() != available; { // the handler ends just after its response
+		for deadline := time.Now().Add(failureTimeout); budget.free.Load() != available; { // the handler ends just after its response
 			if time.Now().After(deadline) {
-				t.Fatalf("%d bytes were not released", available-held.free.Load())
+				t.Fatalf("%d bytes were not released", available-budget.free.Load())
 			}
 			runtime.Gosched()
 		}
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -153,7 +153,7 @@
 	if len(r.attempts) == 0 {
 		t.Fatal("no attempt was made")
 	}
-	want(t, "attempts owed", r.out, 0)
+	want(t, "attempts in flight", r.out, 0)
 	want(t, "written", r.attempts[0].stage.Load(), dropped)
 	want(t, "connections", l.conns, 0)
 }
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -134,7 +134,7 @@
 // its connection came up.
 func TestDisconnectBehindUnreadBytesIsNoticed(t *testing.T) {
 	part := "GET /read/y HTTP/1.1\r\nHost: x\r\n"
-	for name, behind := range map[string]string{"a byte": "G", "part of a head": part, "a whole one": part + "\r\n",
+	for name, behind := range map[string]string{"a byte": "G", "part of a head": part, "a complete one": part + "\r\n",
 		"many": strings.Repeat(part+"\r\n", 200), "much": strings.Repeat("x", 3<<20), "no head": "\r\n\r\n\x00"} {
 		for _, once := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, in one piece %v", name, once), func(t *testing.T) {
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -40,7 +40,7 @@
 		{"folded", head("X: y\r\n Content-Length: 3\r\n"), errFoldedLine},
 		{"chunk without a size", head("Transfer-Encoding: chunked\r\n") + ";x\r\n", errBadChunk},
 		{"chunk of no number", head("Transfer-Encoding: chunked\r\n") + "0x5\r\nhello\r\n", errBadChunk},
-		{"chunk longer than told", head("Transfer-Encoding: chunked\r\n") + "3\r\nhello\r\n0\r\n\r\n", errBadChunk},
+		{"chunk longer than announced", head("Transfer-Encoding: chunked\r\n") + "3\r\nhello\r\n0\r\n\r\n", errBadChunk},
 		{"chunk too large", head("Transfer-Encoding: chunked\r\n") + "ffffffffffffffff1\r\n", errBadChunk},
 	} {
 		for _, before := range []string{"", twoRequests} {
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -18,8 +18,8 @@
 	b := newBalancer(t, up("s-00000001", s))
 	const head = "POST /checkin HTTP/1.1\r\nHost: x\r\nX-Request-Id: 00000000000000aa\r\nX-Class: checkin\r\n"
 	ends := map[string]chan error{}
-	const whole = head + "Content-Length: 0\r\n\r\n"
-	for _, sent := range []string{"", "PO", head, head + "Content-Length: 9\r\n\r\nbody", whole + "P", whole + "POST"} {
+	const complete = head + "Content-Length: 0\r\n\r\n"
+	for _, sent := range []string{"", "PO", head, head + "Content-Length: 9\r\n\r\nbody", complete + "P", complete + "POST"} {
 		c := b.dialConn(t)
 		c.SetDeadline(time.Now().Add(2 * clientReadTimeout)) // only a failure takes that long
 		if _, err := io.WriteString(c, sent); err != nil {
--- a/internal/proxy/requestparse_test.go
+++ b/internal/proxy/requestparse_test.go
@@ -53,7 +53,7 @@
 		{"no id", noID, 400},
 		{"method of another kind", get, 400},
 		{"key on an unsafe class", b.ask("checkin", "", "Idempotency-Key", "1"), 400},
-		{"keyed without a key", noKey, 400},
+		{"no idempotency key", noKey, 400},
 		{"a GET with a body", b.ask("read", "x"), 400},
 	} {
 		status, _ := b.do(t, c.r)
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -56,9 +56,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			whole, _ := io.ReadAll(patternReader(size))
-			want(t, form+": the answer is the upstream's", bytes.Equal(answer, whole), true)
-			want(t, form+": the body is the client's", <-sums, sha256.Sum256(whole))
+			content, _ := io.ReadAll(patternReader(size))
+			want(t, form+": the answer is the upstream's", bytes.Equal(answer, content), true)
+			want(t, form+": the body is the client's", <-sums, sha256.Sum256(content))
 			want(t, form+": known length", resp.ContentLength == size, form == "length")
 			want(t, form+": keeps", resp.Close, false)
 		}
@@ -125,7 +125,7 @@
 	want(t, "status", resp.StatusCode, http.StatusRequestTimeout)
 	want(t, "closes", resp.Close, true)
 	want(t, "requests at the upstream", len(s.arrivals), 0)
-	want(t, "attempts written whole", b.figure(t, "svc_upstream_tries"), 0)
+	want(t, "attempts written completely", b.figure(t, "svc_upstream_tries"), 0)
 }
 
 // Once a part of an upload has been consumed it is not sent again; before that it may be.
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -87,7 +87,7 @@
 // than those before; a single list that is out of date still changes nothing.
 func TestRestartedAgentIsFollowed(t *testing.T) {
 	for _, complete := range []bool{true, false} {
-		t.Run(fmt.Sprintf("whole list %v", complete), func(t *testing.T) {
+		t.Run(fmt.Sprintf("complete list %v", complete), func(t *testing.T) {
 			one, two := newServer(t, okAll), newServer(t, okAll)
 			m1, m2 := up("s-00000001", one), up("s-00000002", two)
 			b := newBalancer(t, m1, m2)
