--- /dev/null
+++ b/internal/proxy/effects.go
@@ -0,0 +1,142 @@
+package proxy
+
+import (
+	"net/http"
+	"time"
+
+	"sprucehill/balancer"
+)
+
+// This file has what the decision module asks of its surroundings: the methods of balancer.Effects. The module calls
+// them on the loop's goroutine, from inside its own event methods, so none of them may call back into the module; an
+// outcome that is known at once is postponed until the module has returned.
+
+// Send makes an attempt of a request at an endpoint. timeout bounds the attempt; 0: the request's deadline alone does.
+func (l *loop) Send(id balancer.RequestID, up balancer.EndpointID, timeout time.Duration) {
+	r := l.requests[id]
+	endpoint := l.peers[up]
+	if r == nil || endpoint == nil { // the module knows both from the loop
+		l.log.info("attempt of an unknown request or at an unknown endpoint", "request", id, "endpoint", up)
+		return
+	}
+	now := l.now()
+	a := l.newAttempt(r, endpoint, now, timeout)
+	if !l.connect(a, now) {
+		a.drop()
+		l.postpone(a, balancer.NotSent) // the endpoint is not at fault
+		return
+	}
+	endpoint.out[a] = struct{}{}
+	a.message = r.message
+	go l.runAttempt(a)
+}
+
+// newAttempt adds an attempt to a request, with a timer if it may take less time than the request.
+func (l *loop) newAttempt(r *request, endpoint *peer, now, timeout time.Duration) *attempt {
+	a := &attempt{req: r, n: len(r.attempts), peer: endpoint, sentAt: now, address: endpoint.address, deadline: r.deadline}
+	r.attempts = append(r.attempts, a)
+	r.out++
+	if r.Upload {
+		a.written = func() { l.post(bodySent{a}) }
+	}
+	if timeout > 0 && timeout < a.remaining(now) {
+		a.deadline = now + timeout
+		l.setTimer(timer{at: a.deadline, attempt: a})
+	}
+	return a
+}
+
+// connect gives an attempt an idle connection, or capacity for a new one. It returns false where there is neither, or
+// the attempt can't be made any more.
+func (l *loop) connect(a *attempt, now time.Duration) (ok bool) {
+	if a.req.closed || a.remaining(now) <= 0 || a.peer.state != balancer.Active {
+		return false
+	}
+	a.conn, ok = l.pool.get(a.peer)
+	return ok
+}
+
+// runAttempt carries out an attempt and posts its result. It runs on a goroutine of its own.
+func (l *loop) runAttempt(a *attempt) { l.post(finished{a, l.dial.run(a)}) }
+
+// Reject answers a client that its request was not executed and may be retried, after retryAfter if that is over 0 and
+// the settings allow such advice.
+func (l *loop) Reject(id balancer.RequestID, retryAfter time.Duration) {
+	r := l.requests[id]
+	if r == nil {
+		return
+	}
+	if !l.settings.Limits.AllowRetryAfter {
+		retryAfter = 0
+	}
+	l.answerRequest(r, answer{
+		status:     http.StatusServiceUnavailable,
+		retryAfter: min(retryAfter, l.settings.Limits.MaxRetryAfter),
+	})
+}
+
+// Fail answers a client that its request has failed; it may have been executed.
+func (l *loop) Fail(id balancer.RequestID) {
+	r := l.requests[id]
+	if r == nil {
+		return
+	}
+	status := http.StatusBadGateway
+	if l.now() >= r.deadline {
+		status = http.StatusGatewayTimeout
+	}
+	l.answerRequest(r, answer{status: status})
+}
+
+// Cancel stops waiting for a request's attempt, counted from 0.
+func (l *loop) Cancel(id balancer.RequestID, attempt int) {
+	r := l.requests[id]
+	if r != nil && attempt >= 0 && attempt < len(r.attempts) {
+		l.postpone(r.attempts[attempt], balancer.Cancelled)
+	}
+}
+
+// HealthCheck asks an endpoint whether it serves and, where the settings have load reports, for its load. It does
+// nothing where there is no capacity for another connection.
+func (l *loop) HealthCheck(up balancer.EndpointID) {
+	endpoint := l.peers[up]
+	if endpoint == nil || endpoint.state != balancer.Active {
+		return
+	}
+	idle, ok := l.pool.get(endpoint)
+	if !ok {
+		return
+	}
+	withLoad := l.settings.Reports != balancer.ReportNone
+	check := &probe{peer: endpoint, sentAt: l.now(), address: endpoint.address, load: withLoad, conn: idle}
+	go l.runHealthCheck(check)
+}
+
+// runHealthCheck carries out a health check and posts its result. It runs on a goroutine of its own.
+func (l *loop) runHealthCheck(check *probe) { l.post(healthCheckFinished{check, l.dial.probe(check)}) }
+
+// CloseIdle closes the idle connections to an endpoint.
+func (l *loop) CloseIdle(up balancer.EndpointID) {
+	if endpoint := l.peers[up]; endpoint != nil {
+		l.pool.closeIdle(endpoint)
+	}
+}
+
+// WatchEndpoints begins to follow discovery anew, or stops following it.
+func (l *loop) WatchEndpoints(on bool) {
+	l.discovery.stopWatch()
+	if on {
+		l.discovery.startWatch()
+	}
+}
+
+// FetchEndpoints asks discovery for the complete list once.
+func (l *loop) FetchEndpoints() { l.discovery.fetch() }
+
+// SetTimer asks for a call of the module's OnTimer with the token.
+func (l *loop) SetTimer(after time.Duration, token uint64) {
+	l.setTimer(timer{at: l.now() + max(after, 0), token: token})
+}
+
+// Log writes a line to the log.
+func (l *loop) Log(text string) { l.log.info(text) }
--- /dev/null
+++ b/internal/proxy/endpoints.go
@@ -0,0 +1,79 @@
+package proxy
+
+import (
+	"sprucehill/balancer"
+)
+
+// endpoint is what the loop knows of an upstream: its address, its state and its connections.
+type peer struct {
+	id      balancer.EndpointID
+	address string // host:port
+	state   balancer.EndpointState
+	idle    []*conn // the most recently used last; the connection pool's
+	out     map[*attempt]struct{}
+}
+
+// endpointTable is the loop's table of upstreams. It is used on the loop's goroutine only. An endpoint that discovery
+// has removed stays in it until its last attempt has ended.
+type endpointTable map[balancer.EndpointID]*peer
+
+// update applies an entry of discovery's list, an endpoint that it adds included, and returns the endpoint; nil: a
+// removed one that was not known. stale tells that idle connections to it must not be used any more.
+func (t endpointTable) update(u balancer.Endpoint, address string) (e *peer, stale bool) {
+	e = t[u.ID]
+	if e == nil {
+		if u.State == balancer.Removed {
+			return nil, false
+		}
+		e = &peer{id: u.ID, out: map[*attempt]struct{}{}}
+		t[u.ID] = e
+	}
+	e.state = u.State
+	moved := address != e.address && e.address != ""
+	stale = u.State != balancer.Active || moved
+	if u.State != balancer.Removed {
+		e.address = address
+	}
+	return e, stale
+}
+
+// removeUnlisted marks all endpoints but those listed as removed, and returns them.
+func (t endpointTable) removeUnlisted(listed map[balancer.EndpointID]bool) []*peer {
+	var removed []*peer
+	for id, e := range t {
+		if !listed[id] {
+			e.state = balancer.Removed
+			removed = append(removed, e)
+		}
+	}
+	return removed
+}
+
+// dropMisdirected drops the attempts that wait for a connection to an endpoint that is not active any more, or to an
+// address that it has left: another upstream may have that address now. It returns them.
+func (t endpointTable) dropMisdirected() []*attempt {
+	var dropped []*attempt
+	for _, e := range t {
+		for a := range e.out {
+			misdirected := e.state != balancer.Active || a.address != e.address
+			if misdirected && a.drop() {
+				dropped = append(dropped, a)
+			}
+		}
+	}
+	return dropped
+}
+
+// forget deletes an endpoint that is removed and has no attempt in flight.
+func (t endpointTable) forget(e *peer) {
+	if e.state == balancer.Removed && len(e.out) == 0 && t[e.id] == e {
+		delete(t, e.id)
+	}
+}
+
+// forgetRemoved deletes all endpoints that are removed and have no attempt in flight.
+func (t endpointTable) forgetRemoved() {
+	for _, e := range t {
+		t.forget(e)
+	}
+}
--- /dev/null
+++ b/internal/proxy/endpointupdate.go
@@ -0,0 +1,92 @@
+package proxy
+
+import (
+	"sprucehill/balancer"
+)
+
+// onEndpointUpdate handles an answer of discovery, or the failure of a call.
+func (l *loop) onEndpointUpdate(update endpointUpdate) {
+	defer close(update.applied)
+	switch {
+	case update.from != l.discovery.client:
+		l.applyFromPreviousDiscovery(update)
+	case update.err != nil:
+		l.log.info("endpoint update failed", "err", update.err)
+		l.balancer.OnEndpointUpdate(l.now(), balancer.UpdateFailed, nil)
+	case l.discovery.isStale(update):
+		l.log.info("stale endpoint list ignored", "revision", update.list.Revision, "held", l.discovery.revision)
+		l.discovery.ignore(update)
+	default:
+		l.acceptEndpointUpdate(update)
+	}
+	l.settle()
+}
+
+// applyFromPreviousDiscovery applies an answer of the service before the last move. It counts until the present service
+// has answered; the revisions of the two have nothing to do with each other.
+func (l *loop) applyFromPreviousDiscovery(update endpointUpdate) {
+	if update.err != nil || l.discovery.lastAccepted != 0 {
+		return
+	}
+	list := update.list
+	list.Revision = 0
+	l.applyEndpointList(updateMode(list), list)
+}
+
+// acceptEndpointUpdate applies an answer of the present service.
+func (l *loop) acceptEndpointUpdate(update endpointUpdate) {
+	list := update.list
+	if list.Revision < l.discovery.revision {
+		l.log.info("discovery began anew", "revision", list.Revision, "held", l.discovery.revision)
+		if !list.Complete { // these are changes of a list that is not held: the next call gets all of it
+			list.Revision = 0
+		}
+	}
+	l.discovery.accept(update)
+	l.applyEndpointList(updateMode(list), list)
+	l.discovery.client.revision.Store(l.discovery.revision)
+}
+
+// updateMode is how the decision module takes an answer of discovery.
+func updateMode(list listing) balancer.UpdateMode {
+	if list.Complete {
+		return balancer.UpdateComplete
+	}
+	return balancer.UpdateDelta
+}
+
+// applyEndpointList applies a list: first to the endpoint table, so that nothing goes to an endpoint that drains, then
+// to the decision module, which may send at once.
+func (l *loop) applyEndpointList(mode balancer.UpdateMode, list listing) {
+	l.discovery.revision = list.Revision
+	l.balancer.OnEndpointUpdate(l.now(), mode, l.updateEndpoints(mode, list))
+	l.settle()
+	l.saver.saveList(l.ids, mode, list)
+	l.publish(l.now())
+	l.peers.forgetRemoved()
+}
+
+// updateEndpoints applies a list to the endpoint table and returns its entries as the decision module takes them.
+func (l *loop) updateEndpoints(mode balancer.UpdateMode, list listing) []balancer.Endpoint {
+	endpoints := make([]balancer.Endpoint, 0, len(list.Members))
+	listed := make(map[balancer.EndpointID]bool, len(list.Members))
+	for i := range list.Members {
+		entry := &list.Members[i]
+		endpoint := entry.upstream(l.ids.id(entry.ID))
+		endpoint.Zone = located(l.localities, endpoint.Zone)
+		endpoints = append(endpoints, endpoint)
+		listed[endpoint.ID] = true
+		if known, stale := l.peers.update(endpoint, entry.HostPort); stale {
+			l.pool.closeIdle(known)
+		}
+	}
+	if mode != balancer.UpdateDelta {
+		for _, removed := range l.peers.removeUnlisted(listed) {
+			l.pool.closeIdle(removed)
+		}
+	}
+	for _, a := range l.peers.dropMisdirected() {
+		l.postpone(a, balancer.NotSent)
+	}
+	return endpoints
+}
--- /dev/null
+++ b/internal/proxy/logwriter.go
@@ -0,0 +1,45 @@
+package proxy
+
+import (
+	"context"
+	"log/slog"
+)
+
+// logQueueLength is how many log entries may wait for being written.
+const logQueueLength = 256
+
+// logEntry is a line of the log: constant text, and keys with their values as in slog.Info.
+type logEntry struct {
+	text string
+	keys []any
+}
+
+// logWriter writes the loop's log from a goroutine of its own, so that a log that blocks never delays the loop. Its
+// methods may be called from any goroutine.
+type logWriter struct {
+	entries chan logEntry
+}
+
+func newLogWriter() *logWriter {
+	return &logWriter{entries: make(chan logEntry, logQueueLength)}
+}
+
+// info queues an entry. One that the queue has no capacity for is lost.
+func (w *logWriter) info(text string, keys ...any) {
+	select {
+	case w.entries <- logEntry{text, keys}:
+	default:
+	}
+}
+
+// run writes entries until ctx ends.
+func (w *logWriter) run(ctx context.Context) {
+	for {
+		select {
+		case entry := <-w.entries:
+			slog.Info(entry.text, entry.keys...)
+		case <-ctx.Done():
+			return
+		}
+	}
+}
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -1,11 +1,11 @@
 package proxy
 
 import (
-	"container/heap"
 	"context"
 	"encoding/json"
 	"fmt"
 	"io"
+	"math"
 	"net"
 	"net/http"
 	"slices"
@@ -27,7 +27,7 @@
 	if err := l.start(&c); err != nil {
 		t.Fatal(err)
 	}
-	l.maxConns = maxConns
+	l.pool.maxConns = maxConns
 	return l
 }
 
@@ -68,7 +68,8 @@
 		t.Fatal(err)
 	}
 	c.idleAt = at
-	p.idle, l.conns = append(p.idle, c), l.conns+1
+	p.idle = append(p.idle, c)
+	l.pool.conns++
 	return c
 }
 
@@ -91,7 +92,7 @@
 	want(t, "attempts unsent", len(l.due), 1) // the third found no room, and nothing idle
 	want(t, "its outcome", l.due[0].status, balancer.NotSent)
 	want(t, "idle", len(older.idle)+len(newer.idle), 0)
-	want(t, "connections", l.conns, 2)
+	want(t, "connections", l.pool.conns, 2)
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if _, err := c.Read(make([]byte, 1)); err == nil {
 		t.Error("bytes on a closed connection")
@@ -117,7 +118,7 @@
 		a := &attempt{req: l.request(1), peer: p, conn: &conn{Conn: d}}
 		a.req.out, a.req.closed = 1, closed
 		a.stage.Store(claimed)
-		l.end(a, balancer.Cancelled)
+		l.endAttempt(a, balancer.Cancelled)
 		if d.at.IsZero() || d.at.After(time.Now()) {
 			t.Errorf("request closed %v: deadline %v, want one that has passed", closed, d.at)
 		}
@@ -133,7 +134,7 @@
 	join(l, 1, s)
 	r := l.request(1)
 	r.message.body = []byte("body")
-	l.alarm(alarm{at: r.deadline, request: r})
+	l.setTimer(timer{at: r.deadline, request: r})
 	l.Send(1, 1, 0)
 	a := r.attempts[0]
 	<-s.arrivals
@@ -148,11 +149,13 @@
 	}
 	want(t, "held by the request", r.message.body == nil, true)
 	want(t, "held by the attempt", a.message.body == nil && a.head == nil, true)
-	for len(l.alarms) > 0 { // what is left of it goes off in good order
-		if x := heap.Pop(&l.alarms).(alarm); x.request != nil {
-			for _, a := range x.request.attempts {
-				l.expire(a)
-			}
+	for { // its timer fires all the same, and finds nothing left to do
+		pending, ok := l.timers.popDue(math.MaxInt64)
+		if !ok {
+			break
+		}
+		if pending.request != nil {
+			l.fire(pending)
 		}
 	}
 }
@@ -165,17 +168,17 @@
 		age  func(l *loop) time.Duration
 		uses bool
 	}{
-		{"young", func(l *loop) time.Duration { return l.idleFor / 2 }, true},
-		{"of age", func(l *loop) time.Duration { return l.idleFor }, false},
+		{"young", func(l *loop) time.Duration { return l.pool.idleTimeout / 2 }, true},
+		{"of age", func(l *loop) time.Duration { return l.pool.idleTimeout }, false},
 	} {
 		for _, probes := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, probe %v", x.name, probes), func(t *testing.T) {
 				s := newServer(t, okAll)
 				l := bench(t, 10)
 				p := join(l, 1, s)
-				older := idle(t, l, p, l.now()-2*l.idleFor)
+				older := idle(t, l, p, l.now()-2*l.pool.idleTimeout)
 				idle(t, l, p, l.now()-x.age(l))
-				l.sweepAt = l.now() + time.Hour // not yet
+				l.pool.nextEviction = l.now() + time.Hour // not yet
 				if probes {
 					l.HealthCheck(1)
 				} else {
@@ -190,7 +193,7 @@
 					opened = 2
 				}
 				want(t, "connections opened", s.opened(), opened)
-				want(t, "connections counted", l.conns, len(p.idle))
+				want(t, "connections counted", l.pool.conns, len(p.idle))
 				if !x.uses {
 					older.SetReadDeadline(time.Now().Add(10 * time.Second))
 					if _, err := older.Read(make([]byte, 1)); err == nil {
@@ -337,7 +340,9 @@
 					t.Cleanup(func() { other.Close() })
 					c := &conn{Conn: mine}
 					a := &attempt{req: r, n: i, peer: p, conn: c}
-					r.attempts, r.out, l.conns = append(r.attempts, a), r.out+1, l.conns+1
+					r.attempts = append(r.attempts, a)
+					r.out++
+					l.pool.conns++
 					p.out[a] = struct{}{}
 					res := result{status: balancer.NotSent, conn: c}
 					if how != "unsent" {
@@ -358,7 +363,7 @@
 					case 0, 1:
 						finished{r.attempts[x], results[x]}.apply(l)
 					case 2:
-						l.expire(r.attempts[0])
+						l.expireAttempt(r.attempts[0])
 					case 3:
 						l.Fail(1)
 					case 4:
@@ -372,13 +377,13 @@
 					answers++
 					l.dial.held.give(cap(a.body))
 					if a.more != nil {
-						l.shut(a.more.conn)
+						l.pool.close(a.more.conn)
 					}
 				}
-				if answers > 1 || l.dial.held.free.Load() != held || l.conns != len(p.idle) || r.out != 0 || len(l.requests) != 0 ||
+				if answers > 1 || l.dial.held.free.Load() != held || l.pool.conns != len(p.idle) || r.out != 0 || len(l.requests) != 0 ||
 					len(p.out) != 0 {
 					t.Fatalf("%s and %s, order %v: answers %d, bytes held %d, connections %d, idle %d, attempts out %d, requests %d",
-						first, second, order, answers, held-l.dial.held.free.Load(), l.conns, len(p.idle), r.out, len(l.requests))
+						first, second, order, answers, held-l.dial.held.free.Load(), l.pool.conns, len(p.idle), r.out, len(l.requests))
 				}
 			})
 		}
--- /dev/null
+++ b/internal/proxy/metrics.go
@@ -0,0 +1,60 @@
+package proxy
+
+import (
+	"net/http"
+	"time"
+
+	"sprucehill/balancer"
+	"sprucehill/internal/metrics"
+)
+
+// publishEvery is how often the loop sets the gauges that only it can.
+const publishEvery = 200 * time.Millisecond
+
+// proxyMetrics is what the balancer reports to its operators. Each count is taken where the fact occurs, so its methods
+// may be called from any goroutine.
+type figures struct {
+	set              metrics.Set
+	classes          map[string]classCounters // by the class's name; not changed after newProxyMetrics
+	attemptsWritten  *metrics.Counter         // attempts written whole to upstreams
+	inProgress       *metrics.Gauge           // requests that have arrived whole and have not ended
+	knownEndpoints   *metrics.Gauge           // endpoints in the list
+	skippedEndpoints *metrics.Gauge           // those of them that the decision module avoids
+}
+
+// classCounters counts the requests of a class by their one final answer.
+type classCounters struct {
+	passed     *metrics.Counter // a response of an upstream's, passed on whole
+	dropped    *metrics.Counter // rejected: certainly not executed
+	badGateway *metrics.Counter // all others; they may have been executed
+}
+
+func newFigures(classes []balancer.Class) *figures {
+	m := &figures{classes: map[string]classCounters{}}
+	for _, class := range classes {
+		category := metrics.Label{Name: "category", Value: class.Name}
+		m.classes[class.Name] = classCounters{
+			passed:     m.set.Counter("svc_passed", category),
+			dropped:    m.set.Counter("svc_dropped", category),
+			badGateway: m.set.Counter("svc_bad_gateway", category),
+		}
+	}
+	m.attemptsWritten = m.set.Counter("svc_upstream_tries")
+	m.inProgress = m.set.Gauge("svc_in_progress")
+	m.knownEndpoints = m.set.Gauge("svc_known_upstreams")
+	m.skippedEndpoints = m.set.Gauge("svc_skipped_upstreams")
+	return m
+}
+
+// countAnswer counts a request under the answer that its client got. One that broke off has failed.
+func (m *figures) answered(class string, status int, whole bool) {
+	counters := m.classes[class]
+	switch {
+	case status == http.StatusOK && whole:
+		counters.passed.Add()
+	case status == http.StatusServiceUnavailable:
+		counters.dropped.Add()
+	default:
+		counters.badGateway.Add()
+	}
+}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -6,14 +6,13 @@
 	"fmt"
 	"io"
 	"net"
-	"slices"
 	"sync/atomic"
 	"time"
 
 	"sprucehill/balancer"
 )
 
-// Proxy is one balancer with its clients, upstreams and discovery.
+// Proxy is one balancer with its clients, upstreams and discovery. Its methods may be called from any goroutine.
 type Proxy struct {
 	config  Config
 	loop    *loop
@@ -31,14 +30,14 @@
 	return p
 }
 
-// Run serves clients until ctx ends, and then until all that was taken is answered. Each address from moves is that of
-// discovery from then on.
+// Run serves clients until ctx ends, and then until every request that has arrived is answered. Each address from moves
+// is that of discovery from then on.
 func (p *Proxy) Run(ctx context.Context, moves <-chan string) error {
 	defer p.end()
 	if err := p.loop.start(&p.config); err != nil {
 		return err
 	}
-	if p.loop.state.drained() {
+	if p.loop.saver.drainOrdered() {
 		p.front.drain(true)
 	}
 	go p.loop.run()
@@ -50,19 +49,22 @@
 		case err := <-served:
 			return err
 		case address := <-moves:
-			p.loop.post(moved(address))
+			p.loop.post(discoveryMoved{address})
 		case <-ctx.Done():
 			p.front.stop()
-			p.ask(func(l *loop) { // the last that is learnt; a loop too busy for it has offered some of late
-				l.state.learntAt = 0
-				l.state.learnt(l, l.now())
-			})
+			p.saveLastSnapshot()
 			return nil
 		}
 	}
 }
 
-// Ready tells whether clients are taken. A balancer that drains still serves those that come.
+// saveLastSnapshot saves what the decision module has learnt up to the end.
+func (p *Proxy) saveLastSnapshot() {
+	// A loop that is too busy for it has saved most of that shortly before.
+	_ = p.ask(func(l *loop) { l.saver.saveLastSnapshot(l.balancer, l.now()) })
+}
+
+// Ready reports whether clients are accepted. A balancer that drains still serves those that come.
 func (p *Proxy) Ready() (ready bool, state string) {
 	switch {
 	case !p.serving.Load():
@@ -75,59 +77,80 @@
 	return true, "serving"
 }
 
-// Drain sends clients away without ending the process, or takes them again.
+// Drain sends clients away without ending the process, or accepts them again. done is false where the order may not
+// outlive the process.
 func (p *Proxy) Drain(on bool) (done bool, state string) {
 	p.front.drain(on)
 	_, state = p.Ready()
-	if err := p.loop.state.order(func(o *keptOrders) { o.Drain = on }); err != nil {
+	err := p.loop.saver.updateOrders(func(o *savedOrders) { o.Drain = on })
+	if err != nil {
 		return false, state + ", " + err.Error()
 	}
 	return true, state
 }
 
-// operatorWait bounds an operators' call that the loop answers: one is owed in 1 s.
-const operatorWait = 700 * time.Millisecond
+// operatorTimeout bounds an operator's call that the loop answers: operators are promised an answer in 1 s.
+const operatorTimeout = 700 * time.Millisecond
 
 // errBusy says that the loop has not come to a call in time. What was ordered may still be done.
 var errBusy = errors.New("the balancer is too busy to answer")
 
-// ask has the loop do something with the module, and waits for that.
+// callLoop has the loop run a function on its goroutine, and waits for that.
 func (p *Proxy) ask(do func(l *loop)) error {
-	asked := order{do, make(chan struct{})}
-	limit := time.NewTimer(operatorWait)
-	defer limit.Stop()
+	call := order{do, make(chan struct{})}
+	timeout := time.NewTimer(operatorTimeout)
+	defer timeout.Stop()
 	select {
-	case p.loop.events <- asked:
-	case <-limit.C:
+	case p.loop.events <- call:
+	case <-timeout.C:
 		return errBusy
 	}
 	select {
-	case <-asked.done:
+	case <-call.done:
 		return nil
-	case <-limit.C:
+	case <-timeout.C:
 		return errBusy
 	}
 }
 
-// Zone sends nothing new to a zone, or takes it back by steps.
+// Zone sends nothing new to a zone, or takes it back step by step.
 func (p *Proxy) Zone(name string, leave bool) (done bool, state string) {
-	change, state, why := (*balancer.Balancer).ReinstateZone, "returning", "it was not left"
 	if leave {
-		change, state, why = (*balancer.Balancer).DrainZone, "left", "it is not known, or the last that is not left"
+		return p.drainZone(name)
 	}
-	ok := false // the loop's own until it has answered
-	if err := p.ask(func(l *loop) { ok = change(l.balancer, l.now(), name) }); err != nil {
+	return p.reinstateZone(name)
+}
+
+// drainZone sends nothing new to a zone.
+func (p *Proxy) drainZone(name string) (done bool, state string) {
+	drained := false // the loop's own until it has answered
+	err := p.ask(func(l *loop) { drained = l.balancer.DrainZone(l.now(), name) })
+	if err != nil {
 		return false, err.Error()
 	}
-	if !ok {
-		return false, why
+	if !drained {
+		return false, "it is not known, or the last that is not left"
 	}
-	if err := p.loop.state.order(func(o *keptOrders) {
-		o.Left = slices.DeleteFunc(o.Left, func(z string) bool { return z == name })
-		if leave {
-			o.Left = append(o.Left, name)
-		}
-	}); err != nil {
+	return p.saveZoneOrder(name, true, "left")
+}
+
+// reinstateZone takes a drained zone back step by step.
+func (p *Proxy) reinstateZone(name string) (done bool, state string) {
+	reinstated := false // the loop's own until it has answered
+	err := p.ask(func(l *loop) { reinstated = l.balancer.ReinstateZone(l.now(), name) })
+	if err != nil {
+		return false, err.Error()
+	}
+	if !reinstated {
+		return false, "it was not left"
+	}
+	return p.saveZoneOrder(name, false, "returning")
+}
+
+// saveZoneOrder saves what was ordered of a zone, which is in a state now.
+func (p *Proxy) saveZoneOrder(name string, drained bool, state string) (done bool, text string) {
+	err := p.loop.saver.updateOrders(func(o *savedOrders) { o.setZoneDrained(name, drained) })
+	if err != nil {
 		return false, state + ", " + err.Error()
 	}
 	return true, state
@@ -135,24 +158,27 @@
 
 // WriteZones writes what each zone is to the balancer, one to a line.
 func (p *Proxy) WriteZones(w io.Writer) error {
-	var all []balancer.ZoneStatus
-	if err := p.ask(func(l *loop) { all = l.balancer.ZoneStatuses(l.now()) }); err != nil {
+	var zones []balancer.ZoneStatus
+	err := p.ask(func(l *loop) { zones = l.balancer.ZoneStatuses(l.now()) })
+	if err != nil {
 		return err
 	}
-	for _, z := range all {
-		if _, err := fmt.Fprintf(w, "zone %q %s listed %d share %.3f use %.3f\n", z.Name, z.State, z.Listed, z.Share, z.Utilization); err != nil {
+	for _, zone := range zones {
+		_, err := fmt.Fprintf(w, "zone %q %s listed %d share %.3f use %.3f\n",
+			zone.Name, zone.State, zone.Listed, zone.Share, zone.Utilization)
+		if err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Fleet takes how many balancers there are from now on.
+// Fleet sets how many balancers there are from now on.
 func (p *Proxy) Fleet(f balancer.FleetSize) error {
 	return p.ask(func(l *loop) { l.balancer.OnFleetSizeChanged(l.now(), f) })
 }
 
-// WriteFigures writes what the balancer reports, one figure to a line.
+// WriteFigures writes the balancer's metrics, one to a line.
 func (p *Proxy) WriteFigures(w io.Writer) error {
 	if err := p.loop.figures.set.Write(w); err != nil {
 		return err
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -229,7 +229,8 @@
 	for limit := time.Now().Add(30 * time.Second); ; time.Sleep(time.Millisecond) {
 		left := ""
 		for stack := range strings.SplitSeq(string(text[:runtime.Stack(text, true)]), "\n\n") {
-			for _, of := range []string{"(*loop)", "(*frontend)", "(*framedConn)", "(*discovery)", "(*state)", "dialer"} {
+			for _, of := range []string{"(*loop)", "(*frontend)", "(*framedConn)", "(*discoveryClient)", "(*discoveryWatcher)",
+				"(*connPool)", "(*logWriter)", "(*stateSaver)", "dialer"} {
 				if strings.Contains(stack, "sprucehill/internal/proxy."+of) && !strings.Contains(stack, "proxy.nothingRuns") {
 					left = stack
 				}
--- a/internal/proxy/state_test.go
+++ b/internal/proxy/statesaver_test.go
@@ -124,7 +124,7 @@
 // What can't be read of a state is passed over, and the configuration stands.
 func TestStateOfAnotherForm(t *testing.T) {
 	kept := newShelf()
-	for kind, text := range map[string]string{kindList: `{"discovery":1}`, kindLearnt: `{"names":["a"],"knowledge":{}}`, kindOrders: "[]"} {
+	for kind, text := range map[string]string{kindList: `{"discovery":1}`, kindSnapshot: `{"names":["a"],"knowledge":{}}`, kindOrders: "[]"} {
 		kept.Keep(kind, 1, time.Now(), []byte(text))
 	}
 	b := newBalancerWith(t, newRegistry(t), func(c *Config) { c.Keeper = kept }, up("s-00000001", newServer(t, okAll)))
@@ -141,7 +141,7 @@
 // grace.
 func TestFirstCallIsWithinTheGrace(t *testing.T) {
 	const grace = 100 * time.Millisecond
-	list, err := json.Marshal(keptList{Discovery: "127.0.0.1:1", List: listing{Revision: 12, Complete: true,
+	list, err := json.Marshal(savedList{Discovery: "127.0.0.1:1", List: listing{Revision: 12, Complete: true,
 		Members: []member{{ID: "s-00000001", HostPort: "127.0.0.1:1", Phase: "up"}}}})
 	if err != nil {
 		t.Fatal(err)
@@ -149,7 +149,7 @@
 	for _, x := range []struct {
 		onRequest bool
 		longest   time.Duration
-	}{{true, spreadCalls}, {false, grace / 2}} {
+	}{{true, longestStartDelay}, {false, grace / 2}} {
 		for seed := range uint64(50) {
 			shelf := newShelf()
 			if err := shelf.Keep(kindList, versionList, time.Now(), list); err != nil {
@@ -159,8 +159,8 @@
 			c.Keeper, c.Seed = shelf, seed
 			c.Settings.PollDiscovery, c.Settings.Obligations.DrainGrace = x.onRequest, grace
 			l := newLoop(t.Context(), &c)
-			want(t, "knows its upstreams from before", l.state.restored, true)
-			if wait := time.Duration(l.discovery.rest.Load()); wait > x.longest {
+			want(t, "knows its upstreams from before", l.saver.restored, true)
+			if wait := time.Duration(l.discovery.client.firstDelay.Load()); wait > x.longest {
 				t.Errorf("on request %v, seed %d: %v before the first call, want at most %v", x.onRequest, seed, wait, x.longest)
 			}
 		}
--- a/internal/proxy/zones_test.go
+++ b/internal/proxy/zonemetrics_test.go
@@ -92,11 +92,11 @@
 
 // A change of a zone is one line with its keys, and a fleet that flaps does not fill the log.
 func TestZoneChangesAreLogged(t *testing.T) {
-	var z zoneFigures
+	var z zoneMetrics
 	var lines []string
 	log := func(text string, keys ...any) { lines = append(lines, text+" "+fmt.Sprint(keys...)) }
 	take := func(at time.Duration, s balancer.ZoneState) {
-		z.take(at, []balancer.ZoneStatus{{Name: "r/a", State: s, Unhealthy: 3, Listed: 4}, {Name: "r/b"}}, "r/b", log)
+		z.update(at, []balancer.ZoneStatus{{Name: "r/a", State: s, Unhealthy: 3, Listed: 4}, {Name: "r/b"}}, "r/b", log)
 	}
 	take(0, balancer.ZoneHealthy)
 	take(time.Second, balancer.ZoneFailed)
@@ -107,8 +107,8 @@
 	for i := range 200 {
 		take(3*time.Second+time.Duration(i)*time.Millisecond, balancer.ZoneState(i%2*2))
 	}
-	if len(lines) > zoneLines {
-		t.Errorf("%d lines in one span, at most %d", len(lines), zoneLines)
+	if len(lines) > maxZoneLogs {
+		t.Errorf("%d lines in one span, at most %d", len(lines), maxZoneLogs)
 	}
 }
 
