--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -13,13 +13,13 @@
 	"sprucehill/balancer"
 )
 
-// agent is a discovery agent whose answers a test writes byte by byte, one connection and call at a time.
+// agent is a discovery agent whose answers a test writes byte by byte, for one connection and call at a time.
 type agent struct {
 	addr  string
 	calls chan agentCall
 }
 
-// agentCall is a call of an agent, to be answered on its connection.
+// agentCall is a call that an agent has received, to be answered on its connection.
 type agentCall struct {
 	net.Conn
 	query string
@@ -77,8 +77,8 @@
 	return text.String()
 }
 
-// A list counts in every form that HTTP and JSON have for it.
-func TestListsAreReadInEveryForm(t *testing.T) {
+// A list is read in every form that HTTP and JSON have for it.
+func TestEndpointListIsReadInEveryForm(t *testing.T) {
 	s := newServer(t, okAll)
 	list := listing{Revision: 12, Members: []member{draining(up("s-00000001", s)), up("s-00000002", s)}}
 	plain, err := json.Marshal(list)
@@ -134,9 +134,9 @@
 	}
 }
 
-// A watch may end instead of telling anything, by a close, a reset, or half an answer. It is opened anew, and the complete
-// list that the agent then gives says what there is: an upstream that it leaves out is gone, also where that still answers.
-func TestWatchThatEndsIsOpenedAnew(t *testing.T) {
+// A watch may end without news, by a close, a reset, or half an answer. It is reopened, and the complete list that the
+// agent then gives counts: an upstream that it leaves out is removed, also where that still answers.
+func TestBrokenWatchIsReopened(t *testing.T) {
 	for _, mode := range []string{"pushed", "on_request"} {
 		for name, end := range map[string]func(c agentCall){
 			"closed":                 func(c agentCall) { c.Close() },
@@ -146,9 +146,11 @@
 			"an answer with no list": func(c agentCall) { io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n") },
 		} {
 			t.Run(mode+", "+name, func(t *testing.T) {
-				left, stays, a := newServer(t, okAll), newServer(t, okAll), newAgent(t)
+				removed := newServer(t, okAll)
+				stays := newServer(t, okAll)
+				a := newAgent(t)
 				b := newBalancerOfAgent(t, a, with(t, `"membership_mode":"on_request"`, `"membership_mode":"`+mode+`"`),
-					up("s-00000001", left), up("s-00000002", stays))
+					up("s-00000001", removed), up("s-00000002", stays))
 				end(<-a.calls)
 				text, err := json.Marshal(listing{Revision: 12, Complete: true, Members: []member{up("s-00000002", stays)}})
 				if err != nil {
@@ -160,7 +162,7 @@
 					status, _ := b.do(t, b.ask("checkin", ""))
 					want(t, "status", status, 200)
 				}
-				want(t, "requests at the one that was left out", len(left.arrivals), 0)
+				want(t, "requests at the removed one", len(removed.arrivals), 0)
 				want(t, "requests at the other", len(stays.arrivals), 10)
 			})
 		}
--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// figure returns a figure as an operator reads it.
+// metric returns the value of a metric as an operator reads it.
 func (b *testBalancer) figure(t *testing.T, id string) (n int) {
 	t.Helper()
 	var text strings.Builder
@@ -27,8 +27,8 @@
 	return 0
 }
 
-// Every request stands under the one answer it got, and every attempt that was written counts.
-func TestFiguresAreTrue(t *testing.T) {
+// Every request is counted once, under the answer it got, and so is every attempt that was written.
+func TestMetricsCountAnswersAndAttempts(t *testing.T) {
 	release := make(chan struct{})
 	fails := 0
 	s := newServer(t, func(c net.Conn, r *http.Request) bool {
@@ -42,10 +42,11 @@
 		}
 		return okAll(c, r)
 	})
-	m, gone := up("s-00000001", s), up("s-00000002", s)
-	b := newBalancer(t, m, draining(gone))
+	stays := up("s-00000001", s)
+	leaves := up("s-00000002", s)
+	b := newBalancer(t, stays, draining(leaves))
 	<-b.registry.calls
-	for _, class := range []string{"read", "pay", "checkin"} { // every class stands there from the start
+	for _, class := range []string{"read", "pay", "checkin"} { // every class is there from the start
 		for _, name := range []string{"passed", "dropped", "bad_gateway"} {
 			want(t, name, b.figure(t, `svc_`+name+`{category="`+class+`"}`), 0)
 		}
@@ -57,7 +58,7 @@
 		status, _ := b.do(t, b.ask("read", ""))
 		want(t, "status", status, 200)
 	}
-	fails = 1 // an unsafe request that may have run fails; a safe one is sent again
+	fails = 1 // a request that may have been executed fails unless it is idempotent, which is retried
 	status, _ := b.do(t, b.ask("checkin", "", "X-Fail", "1"))
 	want(t, "status", status, 502)
 	fails = 1
@@ -90,8 +91,8 @@
 		want(t, id, b.figure(t, id), n)
 	}
 
-	b.registry.answers <- listing{Revision: 11, Complete: true, Members: []member{m}}
-	<-b.registry.calls // the list has been taken: the next call names its revision
+	b.registry.answers <- listing{Revision: 11, Complete: true, Members: []member{stays}}
+	<-b.registry.calls // the list has been applied: the next call names its revision
 	status, _ = b.do(t, b.ask("read", ""))
 	want(t, "status", status, 200)
 	want(t, "listed later", b.figure(t, "svc_known_upstreams"), 1)
--- a/internal/proxy/statesaver_test.go
+++ b/internal/proxy/statesaver_test.go
@@ -11,29 +11,33 @@
 	"sprucehill/internal/durable"
 )
 
-// shelf is a Keeper in memory. Full, it takes nothing.
-type shelf struct {
+// memoryKeeper is a Keeper in memory. Full, it keeps nothing.
+type memoryKeeper struct {
 	mu   sync.Mutex
 	kept map[string]durable.Record
 	full bool
 }
 
-func newShelf() *shelf { return &shelf{kept: map[string]durable.Record{}} }
+func newMemoryKeeper() *memoryKeeper {
+	return &memoryKeeper{kept: map[string]durable.Record{}}
+}
 
-func (s *shelf) Load(kind string) (durable.Record, bool) {
+func (s *memoryKeeper) Load(kind string) (durable.Record, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.kept[kind]
 	return r, ok
 }
 
-func (s *shelf) Offer(kind string, version uint16, at time.Time, encode func() ([]byte, error)) {
-	if text, err := encode(); err == nil {
-		s.Keep(kind, version, at, text)
+func (s *memoryKeeper) Offer(kind string, version uint16, at time.Time, encode func() ([]byte, error)) {
+	text, err := encode()
+	if err != nil {
+		return
 	}
+	_ = s.Keep(kind, version, at, text) // a real one has no way to report it either
 }
 
-func (s *shelf) Keep(kind string, version uint16, at time.Time, payload []byte) error {
+func (s *memoryKeeper) Keep(kind string, version uint16, at time.Time, payload []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.full {
@@ -43,7 +47,7 @@
 	return nil
 }
 
-func (s *shelf) Recovered() {}
+func (s *memoryKeeper) Recovered() {}
 
 func (b *testBalancer) stop(t *testing.T) {
 	t.Helper()
@@ -55,13 +59,15 @@
 	b.ended <- nil
 }
 
-// A balancer that is started anew serves by the list of before while discovery is silent, knows what it had learnt, and
+// A balancer that is restarted serves by the saved list while discovery does not answer, knows what it had learnt, and
 // does what operators had ordered.
-func TestStateOutlivesTheProcess(t *testing.T) {
-	s, kept, g := newServer(t, okAll), newShelf(), newRegistry(t)
-	withShelf := func(c *Config) { c.Keeper = kept }
-	b := newBalancerWith(t, g, withShelf, up("s-00000009", newServer(t, okAll)))
-	select { // discovery tells another list than the configuration
+func TestStateSurvivesARestart(t *testing.T) {
+	s := newServer(t, okAll)
+	kept := newMemoryKeeper()
+	g := newRegistry(t)
+	withKeeper := func(c *Config) { c.Keeper = kept }
+	b := newBalancerWith(t, g, withKeeper, up("s-00000009", newServer(t, okAll)))
+	select { // discovery has another list than the configuration
 	case g.answers <- listing{Revision: 12, Complete: true, Members: []member{up("s-00000001", s)}}:
 	case <-time.After(30 * time.Second):
 		t.Fatal("discovery was not asked")
@@ -83,7 +89,7 @@
 		t.Errorf("drain-on: %v, %s", done, state)
 	}
 	b.stop(t)
-	again := newBalancerWith(t, g, withShelf, up("s-00000009", newServer(t, okAll)))
+	again := newBalancerWith(t, g, withKeeper, up("s-00000009", newServer(t, okAll)))
 	served := len(s.arrivals)
 	if status, _ := again.do(t, again.ask("checkin", "")); status != 200 || len(s.arrivals) != served+1 {
 		t.Errorf("started anew with discovery silent: %d, by the upstream of the kept list: %v", status, len(s.arrivals) > served)
@@ -99,15 +105,16 @@
 		t.Error("drain-off")
 	}
 	again.stop(t)
-	last := newBalancerWith(t, g, withShelf)
+	last := newBalancerWith(t, g, withKeeper)
 	if _, state := last.proxy.Ready(); state == "draining" {
 		t.Error("drained though drain-off got its YES")
 	}
 }
 
-// A disk that takes nothing costs orders their YES, since they would not outlive the process, and service nothing.
-func TestFullDisk(t *testing.T) {
-	kept := newShelf()
+// On a disk that takes nothing, orders are carried out but not confirmed, since they would not outlive the process, and
+// service goes on.
+func TestOrdersOnAFullDisk(t *testing.T) {
+	kept := newMemoryKeeper()
 	kept.full = true
 	b := newBalancerWith(t, newRegistry(t), func(c *Config) { c.Keeper = kept }, up("s-00000001", newServer(t, okAll)))
 	if status, _ := b.do(t, b.ask("checkin", "")); status != 200 {
@@ -121,11 +128,13 @@
 	}
 }
 
-// What can't be read of a state is passed over, and the configuration stands.
-func TestStateOfAnotherForm(t *testing.T) {
-	kept := newShelf()
+// Saved state that can't be decoded is ignored, and the configuration counts.
+func TestUndecodableStateIsIgnored(t *testing.T) {
+	kept := newMemoryKeeper()
 	for kind, text := range map[string]string{kindList: `{"discovery":1}`, kindSnapshot: `{"names":["a"],"knowledge":{}}`, kindOrders: "[]"} {
-		kept.Keep(kind, 1, time.Now(), []byte(text))
+		if err := kept.Keep(kind, 1, time.Now(), []byte(text)); err != nil {
+			t.Fatal(err)
+		}
 	}
 	b := newBalancerWith(t, newRegistry(t), func(c *Config) { c.Keeper = kept }, up("s-00000001", newServer(t, okAll)))
 	if status, _ := b.do(t, b.ask("checkin", "")); status != 200 {
@@ -136,33 +145,76 @@
 	}
 }
 
-// A balancer that knows its upstreams from before spreads its first call to discovery. Where lists are pushed it must still
-// have its answer within the grace, since what the agent holds counts as told at once; the wait was up to 250 ms whatever the
-// grace.
-func TestFirstCallIsWithinTheGrace(t *testing.T) {
+// A balancer that knows its upstreams from before delays its first call to discovery by a time of its own. Where lists are
+// pushed it must still have the answer within the grace for draining endpoints, since a drain that the agent knows of
+// counts as notified at once; the delay was once up to 250 ms whatever the grace.
+func TestFirstDiscoveryCallIsWithinTheDrainGrace(t *testing.T) {
 	const grace = 100 * time.Millisecond
 	list, err := json.Marshal(savedList{Discovery: "127.0.0.1:1", List: listing{Revision: 12, Complete: true,
 		Members: []member{{ID: "s-00000001", HostPort: "127.0.0.1:1", Phase: "up"}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []struct {
-		onRequest bool
-		longest   time.Duration
-	}{{true, longestStartDelay}, {false, grace / 2}} {
+	tests := []struct {
+		polls   bool
+		longest time.Duration
+	}{
+		{polls: true, longest: longestStartDelay},
+		{polls: false, longest: grace / 2},
+	}
+	for _, test := range tests {
 		for seed := range uint64(50) {
-			shelf := newShelf()
-			if err := shelf.Keep(kindList, versionList, time.Now(), list); err != nil {
+			kept := newMemoryKeeper()
+			if err := kept.Keep(kindList, versionList, time.Now(), list); err != nil {
 				t.Fatal(err)
 			}
 			c := benchConfig(t)
-			c.Keeper, c.Seed = shelf, seed
-			c.Settings.PollDiscovery, c.Settings.Obligations.DrainGrace = x.onRequest, grace
+			c.Keeper = kept
+			c.Seed = seed
+			c.Settings.PollDiscovery = test.polls
+			c.Settings.Obligations.DrainGrace = grace
 			l := newLoop(t.Context(), &c)
 			want(t, "knows its upstreams from before", l.saver.restored, true)
-			if wait := time.Duration(l.discovery.client.firstDelay.Load()); wait > x.longest {
-				t.Errorf("on request %v, seed %d: %v before the first call, want at most %v", x.onRequest, seed, wait, x.longest)
+			if delay := time.Duration(l.discovery.client.firstDelay.Load()); delay > test.longest {
+				t.Errorf("polls %v, seed %d: %v before the first call, want at most %v", test.polls, seed, delay, test.longest)
 			}
 		}
 	}
 }
+
+// The saved forms stay as they are: a balancer has to read what another version of it has saved.
+func TestSavedForms(t *testing.T) {
+	tests := []struct {
+		name  string
+		value any
+		text  string
+	}{
+		{
+			"list",
+			savedList{Discovery: "127.0.0.1:1", List: listing{Revision: 12, Complete: true, Members: []member{{ID: "s-1", HostPort: "127.0.0.1:2",
+				Locality: "r/z", Cell: 3, Phase: "up", Size: 1.5, UpSinceMS: 4}}}},
+			`{"discovery":"127.0.0.1:1","list":{"revision":12,"complete":true,"members":[{"id":"s-1","host_port":"127.0.0.1:2",` +
+				`"locality":"r/z","cell":3,"phase":"up","size":1.5,"up_since_ms":4}]}}`,
+		},
+		{"orders", savedOrders{Serial: 3, Drain: true, DrainedZones: []string{"r/z"}}, `{"serial":3,"drain":true,"left":["r/z"]}`},
+		{"no orders", savedOrders{}, `{"serial":0,"drain":false,"left":null}`},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			text, err := json.Marshal(test.value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			want(t, "form", string(text), test.text)
+		})
+	}
+	t.Run("snapshot", func(t *testing.T) {
+		text, err := json.Marshal(savedSnapshot{Names: []string{"s-1"}})
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !strings.HasPrefix(string(text), `{"names":["s-1"],"knowledge":{`) {
+			t.Errorf("form: %s", text)
+		}
+	})
+}
--- a/internal/proxy/zonemetrics_test.go
+++ b/internal/proxy/zonemetrics_test.go
@@ -11,42 +11,56 @@
 	"sprucehill/balancer"
 )
 
-// A zone left by hand gets nothing new, also after discovery has told the whole list anew, and is back when told. The
-// last zone can't be left, nor one that nobody knows.
-func TestZoneLeftByHand(t *testing.T) {
-	named := func(name string) *server {
+// answeredBy sends n requests one after the other and counts them by the body of the answer.
+func answeredBy(t *testing.T, b *testBalancer, n int) map[string]int {
+	t.Helper()
+	count := map[string]int{}
+	for range n {
+		status, body := b.do(t, b.ask("checkin", ""))
+		want(t, "status", status, 200)
+		count[body]++
+	}
+	return count
+}
+
+// zonesText returns the zones as an operator reads them.
+func zonesText(t *testing.T, b *testBalancer) string {
+	t.Helper()
+	var text strings.Builder
+	if err := b.proxy.WriteZones(&text); err != nil {
+		t.Fatal(err)
+	}
+	return text.String()
+}
+
+// containsAll reports whether a text contains all parts.
+func containsAll(text string, parts ...string) bool {
+	for _, part := range parts {
+		if !strings.Contains(text, part) {
+			return false
+		}
+	}
+	return true
+}
+
+// A zone that operators drain gets nothing new, also after discovery has given the complete list again, and is back once
+// they reinstate it. The last zone can't be drained, nor one that is not known.
+func TestZoneDrainedByOperators(t *testing.T) {
+	answering := func(name string) *server {
 		return newServer(t, func(c net.Conn, _ *http.Request) bool { return ok(c, name) })
 	}
-	a, z := named("a"), named("z")
-	home, away := up("s-00000001", a), up("s-00000002", z)
+	home := up("s-00000001", answering("a"))
+	away := up("s-00000002", answering("z"))
 	away.Locality = "z2"
 	b := newBalancer(t, home, away)
-	served := func(n int) map[string]int {
-		t.Helper()
-		by := map[string]int{}
-		for range n {
-			status, body := b.do(t, b.ask("checkin", ""))
-			want(t, "status", status, 200)
-			by[body]++
-		}
-		return by
-	}
-	status := func() string {
-		t.Helper()
-		var text strings.Builder
-		if err := b.proxy.WriteZones(&text); err != nil {
-			t.Fatal(err)
-		}
-		return text.String()
-	}
-	if by := served(40); by["a"] == 0 || by["z"] == 0 {
+	if by := answeredBy(t, b, 40); by["a"] == 0 || by["z"] == 0 {
 		t.Fatalf("before: served by %v", by)
 	}
 	done, state := b.proxy.Zone("z1", true)
 	want(t, "zone-leave", done, true)
 	want(t, "state", state, "left")
-	if by := served(20); by["a"] > 0 {
-		t.Errorf("left: served by %v", by)
+	if by := answeredBy(t, b, 20); by["a"] > 0 {
+		t.Errorf("drained: served by %v", by)
 	}
 	list := listing{Revision: 12, Complete: true, Members: []member{home, away}}
 	select {
@@ -54,10 +68,11 @@
 	case <-time.After(30 * time.Second):
 		t.Fatal("discovery was not asked")
 	}
-	if by := served(20); by["a"] > 0 {
-		t.Errorf("left, and the list told anew: served by %v", by)
+	if by := answeredBy(t, b, 20); by["a"] > 0 {
+		t.Errorf("drained, and the list given again: served by %v", by)
 	}
-	if got := status(); !strings.Contains(got, `zone "z1" left listed 1 share 0.000`) || !strings.Contains(got, `zone "z2" well listed 1 share 1.000`) {
+	got := zonesText(t, b)
+	if !containsAll(got, `zone "z1" left listed 1 share 0.000`, `zone "z2" well listed 1 share 1.000`) {
 		t.Errorf("status: %s", got)
 	}
 	for _, name := range []string{"z2", "z3"} {
@@ -67,53 +82,60 @@
 	done, state = b.proxy.Zone("z1", false)
 	want(t, "zone-return", done, true)
 	want(t, "state", state, "returning")
-	if got := status(); !strings.Contains(got, `zone "z1" returning`) {
+	if got := zonesText(t, b); !strings.Contains(got, `zone "z1" returning`) {
 		t.Errorf("status: %s", got)
 	}
-	if by := served(60); by["a"] == 0 {
-		t.Errorf("returned: served by %v", by)
+	if by := answeredBy(t, b, 60); by["a"] == 0 {
+		t.Errorf("reinstated: served by %v", by)
 	}
-	// The figures follow within a moment, and tell what crossed from what did not.
+	zoneMetricsFollow(t, b)
+	done, _ = b.proxy.Zone("z1", false)
+	want(t, "zone-return again", done, false)
+}
+
+// zoneMetricsFollow waits until the metrics show that z1, the home zone, is reinstated, and which attempts went to
+// another zone.
+func zoneMetricsFollow(t *testing.T, b *testBalancer) {
+	t.Helper()
 	var got string
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		var text strings.Builder
 		if err := b.proxy.WriteFigures(&text); err != nil {
 			t.Fatal(err)
 		}
-		if got = text.String(); strings.Contains(got, "svc_zone_state{zone=\"z1\"} 4\n") && strings.Contains(got, "svc_zone_crossing{zone=\"z1\"} 0\n") &&
-			strings.Contains(got, "svc_zone_crossing{zone=\"z2\"} ") && !strings.Contains(got, "svc_zone_crossing{zone=\"z2\"} 0\n") {
+		got = text.String()
+		if containsAll(got, "svc_zone_state{zone=\"z1\"} 4\n", "svc_zone_crossing{zone=\"z1\"} 0\n", "svc_zone_crossing{zone=\"z2\"} ") &&
+			!strings.Contains(got, "svc_zone_crossing{zone=\"z2\"} 0\n") {
 			return
 		}
 	}
-	t.Errorf("the figures do not tell of zones:\n%s", got)
-	done, _ = b.proxy.Zone("z1", false)
-	want(t, "zone-return again", done, false)
+	t.Fatalf("the metrics do not show the zones:\n%s", got)
 }
 
-// A change of a zone is one line with its keys, and a fleet that flaps does not fill the log.
+// A change of a zone is logged once, with keys, and a fleet that flaps does not fill the log.
 func TestZoneChangesAreLogged(t *testing.T) {
 	var z zoneMetrics
 	var lines []string
 	log := func(text string, keys ...any) { lines = append(lines, text+" "+fmt.Sprint(keys...)) }
-	take := func(at time.Duration, s balancer.ZoneState) {
-		z.update(at, []balancer.ZoneStatus{{Name: "r/a", State: s, Unhealthy: 3, Listed: 4}, {Name: "r/b"}}, "r/b", log)
+	update := func(at time.Duration, state balancer.ZoneState) {
+		z.update(at, []balancer.ZoneStatus{{Name: "r/a", State: state, Unhealthy: 3, Listed: 4}, {Name: "r/b"}}, "r/b", log)
 	}
-	take(0, balancer.ZoneHealthy)
-	take(time.Second, balancer.ZoneFailed)
-	take(2*time.Second, balancer.ZoneFailed)
+	update(0, balancer.ZoneHealthy)
+	update(time.Second, balancer.ZoneFailed)
+	update(2*time.Second, balancer.ZoneFailed)
 	if len(lines) != 1 || !strings.Contains(lines[0], "r/a") || !strings.Contains(lines[0], "failed") {
 		t.Errorf("lines: %q", lines)
 	}
 	for i := range 200 {
-		take(3*time.Second+time.Duration(i)*time.Millisecond, balancer.ZoneState(i%2*2))
+		update(3*time.Second+time.Duration(i)*time.Millisecond, balancer.ZoneState(i%2*2))
 	}
 	if len(lines) > maxZoneLogs {
-		t.Errorf("%d lines in one span, at most %d", len(lines), maxZoneLogs)
+		t.Errorf("%d lines in one window, at most %d", len(lines), maxZoneLogs)
 	}
 }
 
-// The fleet file's regions go into the zone of the balancer and into those of every list.
-func TestRegionsOfTheFleetFile(t *testing.T) {
+// The regions in the fleet file are added to the balancer's own zone and to the zones of every list.
+func TestRegionsFromTheFleetFile(t *testing.T) {
 	c := Config{Settings: balancer.Settings{Zone: "z1"}}
 	c.Locate(map[string]string{"z1": "r/z1"})
 	want(t, "own zone", c.Settings.Zone, "r/z1")
