--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// watchWait is how long one watch call may wait for news. callPatience is how much later its answer may come. What
-	// discovery has to tell counts as notified 2 s after the wait, and silence must have been noticed before: a longer
-	// wait keeps a balancer longer with an agent that does not respond.
+	// watchTimeout is how long discovery may hold a watch call open until there is news. answerTimeout is how much later
+	// the answer may come, and how long that of a fetch may take. What discovery has to tell counts as notified 2 s after
+	// watchTimeout, and an agent that does not respond must have been noticed before: a longer wait would delay that.
 	watchWait    = 2 * time.Second
 	callPatience = 1 * time.Second
-	// watchPause is the least time from one watch call to the next: an agent that answers at once must not keep the
+	// watchInterval is the least time from one watch call to the next: an agent that answers at once must not keep the
 	// core busy. Discovery takes a call 200 ms after the last answer for a new watch.
 	watchPause = 100 * time.Millisecond
 	// maxListBytes bounds an answer.
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -37,7 +37,7 @@
 	serial   uint64 // the last that was given to a request or a timer
 	requests map[balancer.RequestID]*request
 	timers   timerQueue
-	// due holds the outcomes that are not delivered yet, in the order in which they came up.
+	// The outcomes that are not delivered yet, in the order in which they came up.
 	due  []pendingOutcome
 	dial dialer
 
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -15,7 +15,7 @@
 // waits in its events.
 func bench(t *testing.T, maxConns int) *loop {
 	t.Helper()
-	c := benchConfig(t)
+	c := testConfig(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	c.open = recordingOpener(nil)
@@ -28,7 +28,7 @@
 }
 
 // testConfig is the configuration of a loop that does not run.
-func benchConfig(t *testing.T) Config {
+func testConfig(t *testing.T) Config {
 	t.Helper()
 	f := file{Name: "n0", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:1", Seed: "1", Settings: json.RawMessage(settingsText)}
 	f.Limits.MemoryMB = 192
--- a/internal/proxy/statesaver_test.go
+++ b/internal/proxy/statesaver_test.go
@@ -168,7 +168,7 @@
 			if err := kept.Keep(kindList, versionList, time.Now(), list); err != nil {
 				t.Fatal(err)
 			}
-			c := benchConfig(t)
+			c := testConfig(t)
 			c.Keeper = kept
 			c.Seed = seed
 			c.Settings.PollDiscovery = test.polls
