--- a/internal/proxy/connpool.go
+++ b/internal/proxy/connpool.go
@@ -30,7 +30,7 @@
 	maxConns     int
 	idleTimeout  time.Duration
 	nextEviction time.Duration // on the loop's clock
-	// releasing is set for good once another process needs the descriptors of idle connections: none is kept then.
+	// releasing is set for good once another process needs the descriptors of idle connections: put closes all then.
 	releasing bool
 	now       func() time.Duration
 }
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// watchTimeout is how long discovery may hold a watch call open until there is news. answerTimeout is how much later
+	// watchTimeout is how long discovery may hold a watch call open until there is a newer list. answerTimeout is how much later
 	// the answer may come, and how long that of a fetch may take. What discovery has to tell counts as notified 2 s after
 	// watchTimeout, and an agent that does not respond must have been noticed before: a longer wait would delay that.
 	watchWait    = 2 * time.Second
@@ -86,7 +86,7 @@
 	}
 }
 
-// watchURL is that of a call which waits for news after the list that the loop holds.
+// watchURL is that of a call which waits for a list newer than the one that the loop holds.
 func (d *discoveryClient) watchURL() string {
 	return fmt.Sprintf("%s?since=%d&timeout_ms=%d", d.url, d.revision.Load(), watchWait.Milliseconds())
 }
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// A watch may end without news, by a close, a reset, or half an answer. It is reopened, and the complete list that the
+// A watch may end without an answer, by a close, a reset, or half an answer. It is reopened, and the complete list that the
 // agent then gives counts: an upstream that it leaves out is removed, also where that still answers.
 func TestBrokenWatchIsReopened(t *testing.T) {
 	for _, mode := range []string{"pushed", "on_request"} {
--- a/internal/proxy/discoverywatcher.go
+++ b/internal/proxy/discoverywatcher.go
@@ -82,8 +82,8 @@
 }
 
 // isStale reports whether an answer of the present service must not undo the list held: a newer one has overtaken it,
-// or it is out of date. An agent that has begun anew with its revisions says so again, in a call that began after the
-// answer that was accepted; then it is not.
+// or it is out of date. An agent that has restarted its revisions gives an older one again, in a call that began after
+// the answer that was accepted; then it is not stale.
 func (w *discoveryWatcher) isStale(update endpointUpdate) bool {
 	if update.list.Revision >= w.revision {
 		return false
--- a/internal/proxy/discoverywatcher_test.go
+++ b/internal/proxy/discoverywatcher_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// An answer with an older revision than the list held is stale, until the service has given one twice: then its
-// revisions have begun anew.
+// An answer with an older revision than the list held is stale, until the service has given one twice: then it has
+// restarted its revisions.
 func TestStaleEndpointUpdates(t *testing.T) {
 	const held, older = 12, 3
 	w := newDiscoveryWatcher(t.Context(), "127.0.0.1:1", held)
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// WatchEndpoints begins to follow discovery anew, or stops following it.
+// WatchEndpoints starts following discovery, in place of a watch that runs, or stops following it.
 func (l *loop) WatchEndpoints(on bool) {
 	l.discovery.stopWatch()
 	if on {
--- a/internal/proxy/endpointupdate.go
+++ b/internal/proxy/endpointupdate.go
@@ -37,7 +37,7 @@
 func (l *loop) acceptEndpointUpdate(update endpointUpdate) {
 	list := update.list
 	if list.Revision < l.discovery.revision {
-		l.log.info("discovery began anew", "revision", list.Revision, "held", l.discovery.revision)
+		l.log.info("discovery restarted its revisions", "revision", list.Revision, "held", l.discovery.revision)
 		if !list.Complete { // these are changes of a list that is not held: the next call gets all of it
 			list.Revision = 0
 		}
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -16,15 +16,15 @@
 type figures struct {
 	set              metrics.Set
 	classes          map[string]classCounters // by the class's name; not changed after newProxyMetrics
-	attemptsWritten  *metrics.Counter         // attempts written whole to upstreams
-	inProgress       *metrics.Gauge           // requests that have arrived whole and have not ended
+	attemptsWritten  *metrics.Counter         // attempts of which the last byte was written to an upstream
+	inProgress       *metrics.Gauge           // requests that have arrived completely and have not ended
 	knownEndpoints   *metrics.Gauge           // endpoints in the list
 	skippedEndpoints *metrics.Gauge           // those of them that the decision module avoids
 }
 
 // classCounters counts the requests of a class by their one final answer.
 type classCounters struct {
-	passed     *metrics.Counter // a response of an upstream's, passed on whole
+	passed     *metrics.Counter // an upstream's response, passed on completely
 	dropped    *metrics.Counter // rejected: certainly not executed
 	badGateway *metrics.Counter // all others; they may have been executed
 }
@@ -46,11 +46,12 @@
 	return m
 }
 
-// countAnswer counts a request under the answer that its client got. One that broke off has failed.
-func (m *figures) answered(class string, status int, whole bool) {
+// countAnswer counts a request under the answer that its client got. complete is false where the
+// response broke off: the request has failed.
+func (m *figures) answered(class string, status int, complete bool) {
 	counters := m.classes[class]
 	switch {
-	case status == http.StatusOK && whole:
+	case status == http.StatusOK && complete:
 		counters.passed.Add()
 	case status == http.StatusServiceUnavailable:
 		counters.dropped.Add()
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -14,9 +14,9 @@
 	message  message
 	at       time.Duration // when its last byte came, or of an upload the last byte that is buffered; on the loop's clock
 	reply    chan answer   // has capacity for the one answer
-	deadline time.Duration // on the loop's clock; noDeadline: an upload that has not been written whole
+	deadline time.Duration // on the loop's clock; noDeadline: an upload of which a part has still to be written
 	window   window
-	// within returns how much of a budget is left for an upload whose last byte is written at a time. Nil for others.
+	// timeLeft returns how much of a budget is left for an upload whose last byte is written at a time. Nil for others.
 	within   func(at, most time.Duration) time.Duration
 	attempts []*attempt // in the order in which they were made
 	out      int        // attempts whose result has not been given to the decision module
--- a/internal/proxy/statesaver_test.go
+++ b/internal/proxy/statesaver_test.go
@@ -13,19 +13,19 @@
 
 // memoryKeeper is a Keeper in memory. Full, it keeps nothing.
 type memoryKeeper struct {
-	mu   sync.Mutex
-	kept map[string]durable.Record
-	full bool
+	mu      sync.Mutex
+	records map[string]durable.Record
+	full    bool
 }
 
 func newMemoryKeeper() *memoryKeeper {
-	return &memoryKeeper{kept: map[string]durable.Record{}}
+	return &memoryKeeper{records: map[string]durable.Record{}}
 }
 
 func (s *memoryKeeper) Load(kind string) (durable.Record, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r, ok := s.kept[kind]
+	r, ok := s.records[kind]
 	return r, ok
 }
 
@@ -43,7 +43,7 @@
 	if s.full {
 		return errors.New("no space left")
 	}
-	s.kept[kind] = durable.Record{Kind: kind, Version: version, SavedAt: at, Payload: payload}
+	s.records[kind] = durable.Record{Kind: kind, Version: version, SavedAt: at, Payload: payload}
 	return nil
 }
 
@@ -63,9 +63,9 @@
 // does what operators had ordered.
 func TestStateSurvivesARestart(t *testing.T) {
 	s := newServer(t, okAll)
-	kept := newMemoryKeeper()
+	keeper := newMemoryKeeper()
 	g := newRegistry(t)
-	withKeeper := func(c *Config) { c.Keeper = kept }
+	withKeeper := func(c *Config) { c.Keeper = keeper }
 	b := newBalancerWith(t, g, withKeeper, up("s-00000009", newServer(t, okAll)))
 	select { // discovery has another list than the configuration
 	case g.answers <- listing{Revision: 12, Complete: true, Members: []member{up("s-00000001", s)}}:
@@ -75,16 +75,10 @@
 	for range 20 {
 		b.do(t, b.ask("checkin", ""))
 	}
-	limit := time.Now().Add(30 * time.Second)
-	for {
-		if r, ok := kept.Load(kindList); ok && strings.Contains(string(r.Payload), "s-00000001") {
-			break
-		}
-		if time.Now().After(limit) {
-			t.Fatal("the list is not kept")
-		}
-		time.Sleep(10 * time.Millisecond)
-	}
+	eventually(t, "the list is saved", func() bool {
+		r, ok := keeper.Load(kindList)
+		return ok && strings.Contains(string(r.Payload), "s-00000001")
+	})
 	if done, state := b.proxy.Drain(true); !done || state != "draining" {
 		t.Errorf("drain-on: %v, %s", done, state)
 	}
@@ -92,14 +86,14 @@
 	again := newBalancerWith(t, g, withKeeper, up("s-00000009", newServer(t, okAll)))
 	served := len(s.arrivals)
 	if status, _ := again.do(t, again.ask("checkin", "")); status != 200 || len(s.arrivals) != served+1 {
-		t.Errorf("started anew with discovery silent: %d, by the upstream of the kept list: %v", status, len(s.arrivals) > served)
+		t.Errorf("restarted while discovery does not answer: %d, by the upstream of the saved list: %v", status, len(s.arrivals) > served)
 	}
 	if _, state := again.proxy.Ready(); state != "draining" {
-		t.Errorf("started anew: %s, want draining", state)
+		t.Errorf("restarted: %s, want draining", state)
 	}
 	var lat float64
 	if err := again.proxy.ask(func(l *loop) { lat = l.balancer.TakeSnapshot(l.now()).Latency }); err != nil || lat == 0 {
-		t.Errorf("started anew: %v, usual latency %v", err, lat)
+		t.Errorf("restarted: %v, usual latency %v", err, lat)
 	}
 	if done, _ := again.proxy.Drain(false); !done {
 		t.Error("drain-off")
@@ -114,9 +108,9 @@
 // On a disk that takes nothing, orders are carried out but not confirmed, since they would not outlive the process, and
 // service goes on.
 func TestOrdersOnAFullDisk(t *testing.T) {
-	kept := newMemoryKeeper()
-	kept.full = true
-	b := newBalancerWith(t, newRegistry(t), func(c *Config) { c.Keeper = kept }, up("s-00000001", newServer(t, okAll)))
+	keeper := newMemoryKeeper()
+	keeper.full = true
+	b := newBalancerWith(t, newRegistry(t), func(c *Config) { c.Keeper = keeper }, up("s-00000001", newServer(t, okAll)))
 	if status, _ := b.do(t, b.ask("checkin", "")); status != 200 {
 		t.Errorf("served with %d", status)
 	}
@@ -130,13 +124,13 @@
 
 // Saved state that can't be decoded is ignored, and the configuration counts.
 func TestUndecodableStateIsIgnored(t *testing.T) {
-	kept := newMemoryKeeper()
+	keeper := newMemoryKeeper()
 	for kind, text := range map[string]string{kindList: `{"discovery":1}`, kindSnapshot: `{"names":["a"],"knowledge":{}}`, kindOrders: "[]"} {
-		if err := kept.Keep(kind, 1, time.Now(), []byte(text)); err != nil {
+		if err := keeper.Keep(kind, 1, time.Now(), []byte(text)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b := newBalancerWith(t, newRegistry(t), func(c *Config) { c.Keeper = kept }, up("s-00000001", newServer(t, okAll)))
+	b := newBalancerWith(t, newRegistry(t), func(c *Config) { c.Keeper = keeper }, up("s-00000001", newServer(t, okAll)))
 	if status, _ := b.do(t, b.ask("checkin", "")); status != 200 {
 		t.Errorf("served with %d", status)
 	}
@@ -164,12 +158,12 @@
 	}
 	for _, test := range tests {
 		for seed := range uint64(50) {
-			kept := newMemoryKeeper()
-			if err := kept.Keep(kindList, versionList, time.Now(), list); err != nil {
+			keeper := newMemoryKeeper()
+			if err := keeper.Keep(kindList, versionList, time.Now(), list); err != nil {
 				t.Fatal(err)
 			}
 			c := testConfig(t)
-			c.Keeper = kept
+			c.Keeper = keeper
 			c.Seed = seed
 			c.Settings.PollDiscovery = test.polls
 			c.Settings.Obligations.DrainGrace = grace
--- a/internal/proxy/zonemetrics_test.go
+++ b/internal/proxy/zonemetrics_test.go
@@ -98,18 +98,20 @@
 func zoneMetricsFollow(t *testing.T, b *testBalancer) {
 	t.Helper()
 	var got string
-	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	defer func() {
+		if t.Failed() {
+			t.Logf("metrics:\n%s", got)
+		}
+	}()
+	eventually(t, "the metrics show the zones", func() bool {
 		var text strings.Builder
 		if err := b.proxy.WriteFigures(&text); err != nil {
 			t.Fatal(err)
 		}
 		got = text.String()
-		if containsAll(got, "svc_zone_state{zone=\"z1\"} 4\n", "svc_zone_crossing{zone=\"z1\"} 0\n", "svc_zone_crossing{zone=\"z2\"} ") &&
-			!strings.Contains(got, "svc_zone_crossing{zone=\"z2\"} 0\n") {
-			return
-		}
-	}
-	t.Fatalf("the metrics do not show the zones:\n%s", got)
+		return containsAll(got, "svc_zone_state{zone=\"z1\"} 4\n", "svc_zone_crossing{zone=\"z1\"} 0\n", "svc_zone_crossing{zone=\"z2\"} ") &&
+			!strings.Contains(got, "svc_zone_crossing{zone=\"z2\"} 0\n")
+	})
 }
 
 // A change of a zone is logged once, with keys, and a fleet that flaps does not fill the log.
