--- a/internal/proxy/endpointupdate.go
+++ b/internal/proxy/endpointupdate.go
@@ -59,7 +59,8 @@
 // to the decision module, which may send at once.
 func (l *loop) applyEndpointList(mode balancer.UpdateMode, list listing) {
 	l.discovery.revision = list.Revision
-	l.balancer.OnEndpointUpdate(l.now(), mode, l.updateEndpoints(mode, list))
+	endpoints := l.updateEndpoints(mode, list)
+	l.balancer.OnEndpointUpdate(l.now(), mode, endpoints)
 	l.settle()
 	l.saver.saveList(l.ids, mode, list)
 	l.publish(l.now())
