--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -42,7 +42,7 @@
 	if h := file.Handler(); h != nil {
 		slog.SetDefault(slog.New(h))
 	}
-	c.Locate(file.Localities())
+	c.SetLocalities(file.Localities())
 	if file.State.Folder != "" {
 		keeper, err := durable.StartWriter(durable.Options{Path: file.State.Folder, Owner: c.Name + "@" + file.State.Site,
 			MinInterval: file.State.Spacing(), OrderKinds: proxy.OrderKinds, Log: slog.Info}, kinds())
@@ -59,7 +59,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	slog.Info("starting", "name", c.Name, "listen", c.Listen, "known", len(c.Known.Members))
-	listener, err := c.Open()
+	listener, err := c.OpenListener()
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 
 // kinds is what is read of the state folder: the balancer's and the membership's.
 func kinds() map[string]uint16 {
-	all := maps.Clone(proxy.Kinds)
+	all := maps.Clone(proxy.StateKinds)
 	all[kindMembers] = versionMembers
 	return all
 }
--- a/cmd/balancer/members.go
+++ b/cmd/balancer/members.go
@@ -105,7 +105,7 @@
 		CurrentState: func() membership.State { return memberState(server) },
 		OnFleetSize: func(incarnation uint64, size membership.FleetSize) error {
 			store.save(membershipRecord{Incarnation: incarnation, Balancers: size.BudgetDivisor})
-			return server.Fleet(balancer.FleetSize{Balancers: size.RoutingDivisor, Rank: size.Rank, MaxBalancers: size.BudgetDivisor})
+			return server.SetFleetSize(balancer.FleetSize{Balancers: size.RoutingDivisor, Rank: size.Rank, MaxBalancers: size.BudgetDivisor})
 		},
 	})
 	return fleetMember{node}, err
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -24,37 +24,37 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			first := true // one connection at a time
-			s := newServer(t, func(c net.Conn, r *http.Request) bool {
+			s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 				if !first {
-					return okAll(c, r)
+					return respondOK(c, r)
 				}
 				if first = false; !x.mayHaveRun {
 					io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 				}
 				return false
 			})
-			g := newGate(t)
-			b := newBalancerWith(t, newRegistry(t), func(c *Config) {
-				with(t, `"memory_span_us":9000000`, x.memory)(c)
-				c.open = g.open
-			}, up("s-00000001", s))
-			c := b.raw(t, "pay", "", "")
-			close(g.next(t).up)
+			g := newDialGate(t)
+			b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) {
+				withSettings(t, `"memory_span_us":9000000`, x.memory)(c)
+				c.openConn = g.open
+			}, activeMember("s-00000001", s))
+			c := b.sendRaw(t, "pay", "", "")
+			close(g.next(t).connect)
 			<-s.arrivals
 			var arrived time.Duration // just after the first attempt was written
-			b.inLoop(t, func(l *loop) { arrived = l.now() })
+			b.runInLoop(t, func(l *loop) { arrived = l.now() })
 			second := g.next(t)
 			b.await(t, "the short time is over", func(l *loop) bool { return l.now() >= arrived+700*time.Millisecond })
-			close(second.up)
+			close(second.connect)
 			in := bufio.NewReader(c)
 			resp, err := http.ReadResponse(in, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			want(t, "served", resp.StatusCode == 200, x.sent == 2)
+			assertEqual(t, "served", resp.StatusCode == 200, x.sent == 2)
 			c.Close()
-			b.settled(t)
-			want(t, "further requests at the upstream", len(s.arrivals), x.sent-1)
+			b.awaitSettled(t)
+			assertEqual(t, "further requests at the upstream", len(s.arrivals), x.sent-1)
 		})
 	}
 }
@@ -67,15 +67,15 @@
 		for _, after := range []time.Duration{span - 1, span} {
 			r := &request{}
 			r.window.duration = span
-			older, newer := &attempt{req: r, deadline: noDeadline}, &attempt{req: r, n: 1, deadline: noDeadline}
+			older, newer := &attempt{request: r, deadline: noDeadline}, &attempt{request: r, index: 1, deadline: noDeadline}
 			_, newerClaimed := newer.claim(time.Hour)
-			want(t, "the newer, first", newerClaimed, true)
+			assertEqual(t, "the newer, first", newerClaimed, true)
 			if excluded {
-				r.window.never(newer)
+				r.window.exclude(newer)
 			}
 			_, olderClaimed := older.claim(time.Hour + after)
-			want(t, "the older, later", olderClaimed, excluded || after < span)
-			want(t, "dropped", older.stage.Load() == dropped, !excluded && after >= span)
+			assertEqual(t, "the older, later", olderClaimed, excluded || after < span)
+			assertEqual(t, "dropped", older.stage.Load() == attemptDropped, !excluded && after >= span)
 		}
 	}
 }
--- a/internal/proxy/attemptwriter.go
+++ b/internal/proxy/attemptwriter.go
@@ -36,7 +36,7 @@
 }
 
 // writeAttempt writes an attempt's head and body, an upload as it comes from the client.
-func writeAttempt(a *attempt, c *conn) (writeProgress, error) {
+func writeAttempt(a *attempt, c *upstreamConn) (writeProgress, error) {
 	if a.message.rest != nil {
 		return writeUpload(a, c)
 	}
@@ -46,7 +46,7 @@
 	return writeProgress{complete: n == size}, err
 }
 
-func writeUpload(a *attempt, c *conn) (progress writeProgress, err error) {
+func writeUpload(a *attempt, c *upstreamConn) (progress writeProgress, err error) {
 	m := &a.message
 	part := net.Buffers{a.head, m.body}
 	if m.isChunked() {
@@ -58,7 +58,7 @@
 		if err := c.SetWriteDeadline(time.Now().Add(upstreamStallTimeout)); err != nil {
 			return progress, err
 		}
-		if a.given.Load() { // abandoned in the meantime: its expired deadline has just been replaced
+		if a.abandoned.Load() { // abandoned in the meantime: its expired deadline has just been replaced
 			return progress, os.ErrDeadlineExceeded
 		}
 		if _, err := part.WriteTo(c); err != nil {
@@ -81,7 +81,7 @@
 }
 
 // writeLastPart writes the end of an upload, and reports whether its last byte has been written.
-func writeLastPart(m *message, part net.Buffers, c *conn) (complete bool, err error) {
+func writeLastPart(m *message, part net.Buffers, c *upstreamConn) (complete bool, err error) {
 	if m.isChunked() {
 		part = append(part, lastChunk)
 	}
--- a/internal/proxy/bodybudget.go
+++ b/internal/proxy/bodybudget.go
@@ -17,36 +17,36 @@
 
 // byteBudget bounds the bytes that are buffered of all bodies together. Where it is spent, bodies are streamed before they
 // reach maxBody, through buffers whose number the limit on connections bounds. It may be used from any goroutine.
-type budget struct{ free atomic.Int64 }
+type byteBudget struct{ available atomic.Int64 }
 
-func newBudget(bytes int64) *budget {
-	b := &budget{}
-	b.free.Store(bytes)
+func newByteBudget(bytes int64) *byteBudget {
+	b := &byteBudget{}
+	b.available.Store(bytes)
 	return b
 }
 
 // reserve takes n bytes out of the budget if as many are available.
-func (b *budget) take(n int) bool {
-	if b.free.Add(int64(-n)) >= 0 {
+func (b *byteBudget) reserve(n int) bool {
+	if b.available.Add(int64(-n)) >= 0 {
 		return true
 	}
-	b.give(n)
+	b.release(n)
 	return false
 }
 
 // release returns n bytes to the budget. What readBody reserves for a body is the body's capacity.
-func (b *budget) give(n int) { b.free.Add(int64(n)) }
+func (b *byteBudget) release(n int) { b.available.Add(int64(n)) }
 
 // readBody buffers a body, of the given length or of unknown length (-1), until it is complete, maxBody is reached, the
 // budget is spent, or stop returns true once some of it has come. The capacity of the returned body is reserved and has to
 // be released, also beside an error.
-func (b *budget) readBody(r io.Reader, length int64, stop func() bool) (body []byte, complete bool, err error) {
+func (b *byteBudget) readBody(r io.Reader, length int64, stop func() bool) (body []byte, complete bool, err error) {
 	limit := maxBody
 	if length >= 0 && length < maxBody {
 		limit = int(length)
 	}
 	body = make([]byte, 0, min(limit, minBodyBuffer))
-	b.free.Add(int64(-cap(body)))
+	b.available.Add(int64(-cap(body)))
 	for {
 		if len(body) == cap(body) {
 			if int64(len(body)) == length {
@@ -74,11 +74,11 @@
 }
 
 // grow returns a copy of a full buffer with more capacity, up to limit. It fails at the limit, and if the budget is spent.
-func (b *budget) grow(body []byte, limit int) ([]byte, bool) {
+func (b *byteBudget) grow(body []byte, limit int) ([]byte, bool) {
 	capacity := min(limit, bodyBufferGrowth*cap(body))
-	if capacity == cap(body) || !b.take(capacity) {
+	if capacity == cap(body) || !b.reserve(capacity) {
 		return nil, false
 	}
-	b.give(cap(body))
+	b.release(cap(body))
 	return append(make([]byte, 0, capacity), body...), true
 }
--- a/internal/proxy/bodybudget_test.go
+++ b/internal/proxy/bodybudget_test.go
@@ -14,7 +14,7 @@
 // Buffered bodies stay inside the budget: a body that finds no room is streamed, complete all the same, and every byte is
 // released.
 func TestBodyBudget(t *testing.T) {
-	b := newBudget(20 << 10)
+	b := newByteBudget(20 << 10)
 	for _, c := range []struct {
 		size, length int64
 		buffered     int
@@ -25,32 +25,32 @@
 		if err != nil || len(body) != c.buffered || complete != c.complete {
 			t.Errorf("%d bytes of length %d: %d buffered, complete %v, %v", c.size, c.length, len(body), complete, err)
 		}
-		b.give(cap(body))
+		b.release(cap(body))
 	}
 	if _, _, err := b.readBody(patternReader(10), 20, func() bool { return false }); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("a short one: %v", err)
 	}
 
-	s := newServer(t, func(c net.Conn, r *http.Request) bool {
+	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 60<<10)
 		_, err := io.Copy(c, patternReader(60<<10))
 		return err == nil
 	})
-	p := newBalancer(t, up("s-00000001", s))
-	budget := p.proxy.loop.dial.held
-	all := budget.free.Load()
+	p := newBalancer(t, activeMember("s-00000001", s))
+	budget := p.proxy.loop.dialer.bodyBudget
+	all := budget.available.Load()
 	for _, available := range []int64{all, 8 << 10} {
-		budget.free.Store(available)
-		r := p.ask("checkin", "")
+		budget.available.Store(available)
+		r := p.newRequest("checkin", "")
 		r.Body, r.ContentLength = io.NopCloser(patternReader(60<<10)), 60<<10
 		status, body := p.do(t, r)
-		want(t, "status", status, 200)
-		want(t, "answer", len(body), 60<<10)
+		assertEqual(t, "status", status, 200)
+		assertEqual(t, "answer", len(body), 60<<10)
 		got, _ := io.ReadAll((<-s.arrivals).Body)
-		want(t, "body", len(got), 60<<10)
-		for deadline := time.Now().Add(failureTimeout); budget.free.Load() != available; { // the handler ends just after its response
+		assertEqual(t, "body", len(got), 60<<10)
+		for deadline := time.Now().Add(failureTimeout); budget.available.Load() != available; { // the handler ends just after its response
 			if time.Now().After(deadline) {
-				t.Fatalf("%d bytes were not released", available-budget.free.Load())
+				t.Fatalf("%d bytes were not released", available-budget.available.Load())
 			}
 			runtime.Gosched()
 		}
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -49,7 +49,7 @@
 	// Sockets is the limit on open sockets of the process.
 	Sockets int
 	// Known is the endpoint list as last known, maybe stale.
-	Known listing
+	Known endpointList
 	// Settings are for the decision module.
 	Settings balancer.Settings
 	// Links are the settings of connections to upstreams.
@@ -59,17 +59,17 @@
 	// Localities maps zones that discovery and settings name without a region to region/zone. It may be nil.
 	Localities map[string]string
 
-	open dialFunc // opens connections to upstreams; nil: net.DialTimeout
+	openConn dialFunc // opens connections to upstreams; nil: net.DialTimeout
 }
 
 // SetLocalities sets the map from zones to region/zone. It has to be called before New.
-func (c *Config) Locate(localities map[string]string) {
+func (c *Config) SetLocalities(localities map[string]string) {
 	c.Localities = localities
-	c.Settings.Zone = located(localities, c.Settings.Zone)
+	c.Settings.Zone = qualifyZone(localities, c.Settings.Zone)
 }
 
 // qualifyZone returns a zone with its region if that is known.
-func located(localities map[string]string, zone string) string {
+func qualifyZone(localities map[string]string, zone string) string {
 	if qualified, ok := localities[zone]; ok {
 		return qualified
 	}
@@ -86,14 +86,14 @@
 }
 
 // configFile is the form of the configuration file.
-type file struct {
+type configFile struct {
 	Name       string          `json:"name"`
 	Listen     string          `json:"listen"`
 	Discovery  string          `json:"discovery"`
 	Management string          `json:"management"`
 	Seed       string          `json:"seed"` // hexadecimal
 	Limits     fileLimits      `json:"limits"`
-	Known      listing         `json:"known"`
+	Known      endpointList    `json:"known"`
 	Settings   json.RawMessage `json:"settings"`
 }
 
@@ -114,7 +114,7 @@
 		return Config{}, err
 	}
 	f.override(getenv)
-	c, err := f.config()
+	c, err := f.toConfig()
 	if err != nil {
 		return Config{}, fmt.Errorf("%s: %w", path, err)
 	}
@@ -148,12 +148,12 @@
 	return path, nil
 }
 
-func readConfigFile(path string) (*file, error) {
+func readConfigFile(path string) (*configFile, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("RELAY_CONFIG: %w", err)
 	}
-	var f file
+	var f configFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -161,7 +161,7 @@
 }
 
 // override replaces what the environment sets.
-func (f *file) override(getenv func(string) string) {
+func (f *configFile) override(getenv func(string) string) {
 	for name, field := range map[string]*string{
 		"RELAY_NAME":       &f.Name,
 		"RELAY_LISTEN":     &f.Listen,
@@ -175,7 +175,7 @@
 }
 
 // toConfig checks the file and converts it.
-func (f *file) config() (Config, error) {
+func (f *configFile) toConfig() (Config, error) {
 	c := Config{
 		Name:       f.Name,
 		Listen:     f.Listen,
@@ -203,7 +203,7 @@
 		return c, err
 	}
 	for _, m := range c.Known.Members {
-		if err := m.check(); err != nil {
+		if err := m.validate(); err != nil {
 			return c, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -34,12 +34,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want(t, "name", c.Name, "n4")
-	want(t, "seed", c.Seed, uint64(0x8c1f30d27a5be964))
-	want(t, "known", c.Known.Revision, uint64(41))
-	want(t, "keep-alive", c.Links.KeepAlive, time.Minute)
-	want(t, "classes", len(c.Settings.Classes), 3)
-	want(t, "management", c.Management, "") // none is configured
+	assertEqual(t, "name", c.Name, "n4")
+	assertEqual(t, "seed", c.Seed, uint64(0x8c1f30d27a5be964))
+	assertEqual(t, "known", c.Known.Revision, uint64(41))
+	assertEqual(t, "keep-alive", c.Links.KeepAlive, time.Minute)
+	assertEqual(t, "classes", len(c.Settings.Classes), 3)
+	assertEqual(t, "management", c.Management, "") // none is configured
 }
 
 // The environment overrides the management address of the file.
@@ -50,7 +50,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		want(t, "management", c.Management, x.want)
+		assertEqual(t, "management", c.Management, x.want)
 	}
 	if _, err := loadConfig(t, configText, map[string]string{"RELAY_MANAGEMENT": "9000"}); err == nil || !strings.Contains(err.Error(), "management") {
 		t.Errorf("a bad one: got %v", err)
@@ -96,14 +96,14 @@
 }
 
 func TestEndpointIDs(t *testing.T) {
-	n := newNames()
-	want(t, "hex", n.id("s-5be2a07c"), balancer.EndpointID(0x5be2a07c))
-	want(t, "the same again", n.id("s-5be2a07c"), balancer.EndpointID(0x5be2a07c))
-	other := n.id("5be2a07c.example")
-	want(t, "another form", other, hashed("5be2a07c.example"))
+	n := newEndpointIDs()
+	assertEqual(t, "hex", n.idOf("s-5be2a07c"), balancer.EndpointID(0x5be2a07c))
+	assertEqual(t, "the same again", n.idOf("s-5be2a07c"), balancer.EndpointID(0x5be2a07c))
+	other := n.idOf("5be2a07c.example")
+	assertEqual(t, "another form", other, hashID("5be2a07c.example"))
 	seen := map[balancer.EndpointID]string{}
 	for _, text := range []string{"s-7", "s-07", "s-007", "s-zz", "s-123456789", "", "s-"} { // the first three are the same number
-		id := n.id(text)
+		id := n.idOf(text)
 		if seen[id] != "" {
 			t.Errorf("%q and %q are mixed up", text, seen[id])
 		}
@@ -119,19 +119,19 @@
 		t.Fatal(err)
 	}
 	l := newLoop(t.Context(), &c)
-	m := member{ID: "s-1", Phase: "up", UpSinceMS: time.Now().Add(-3 * time.Second).UnixMilli()}
-	if age := l.now() - m.upstream(1).StartedAt; age < 2900*time.Millisecond || age > 4*time.Second {
+	m := endpointEntry{ID: "s-1", Phase: "up", UpSinceMS: time.Now().Add(-3 * time.Second).UnixMilli()}
+	if age := l.now() - m.toEndpoint(1).StartedAt; age < 2900*time.Millisecond || age > 4*time.Second {
 		t.Errorf("age %v, want 3 s", age)
 	}
 	m.UpSinceMS = 0
-	want(t, "long ago", m.upstream(1).StartedAt, time.Duration(0))
+	assertEqual(t, "long ago", m.toEndpoint(1).StartedAt, time.Duration(0))
 }
 
 func TestParseLoadReport(t *testing.T) {
 	l := parseLoadReport("eps=0.5, util=0.61,latency_ms=14.5,other=3,inflight=x")
-	want(t, "load", l, balancer.LoadReport{Fields: balancer.HasErrors | balancer.HasUtilization | balancer.HasServiceTime,
+	assertEqual(t, "load", l, balancer.LoadReport{Fields: balancer.HasErrors | balancer.HasUtilization | balancer.HasServiceTime,
 		Errors: 0.5, Utilization: 0.61, ServiceTime: 14.5})
-	want(t, "none", parseLoadReport(""), balancer.LoadReport{})
+	assertEqual(t, "none", parseLoadReport(""), balancer.LoadReport{})
 }
 
 // At the limit on connections an attempt can't be sent: the decision module gets that outcome, once, and no attempt stays
@@ -142,18 +142,18 @@
 		t.Fatal(err)
 	}
 	l := newLoop(t.Context(), &c)
-	l.maxConns = 0
+	l.pool.maxOpen = 0
 	if err := l.start(&c); err != nil {
 		t.Fatal(err)
 	}
-	r := &request{at: l.now(), reply: make(chan answer, 1)}
+	r := &request{arrivedAt: l.now(), reply: make(chan response, 1)}
 	r.Class, r.Timeout = "checkin", time.Second
-	arrived{r}.apply(l)
-	l.settle()
+	requestArrived{r}.apply(l)
+	l.deliverOutcomes()
 	if len(r.attempts) == 0 {
 		t.Fatal("no attempt was made")
 	}
-	want(t, "attempts in flight", r.out, 0)
-	want(t, "written", r.attempts[0].stage.Load(), dropped)
-	want(t, "connections", l.conns, 0)
+	assertEqual(t, "attempts in flight", r.undelivered, 0)
+	assertEqual(t, "written", r.attempts[0].stage.Load(), attemptDropped)
+	assertEqual(t, "connections", l.pool.open, 0)
 }
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -27,10 +27,10 @@
 		for _, upload := range []bool{false, true} {
 			for _, ownTimeout := range []time.Duration{0, timeout} {
 				t.Run(fmt.Sprintf("retry %v, upload %v, time-out %v", retry, upload, ownTimeout), func(t *testing.T) {
-					s, g := newServer(t, okAll), newGate(t)
-					l := bench(t, 10)
-					l.dial.open = recordingOpener(g.open)
-					join(l, 1, s)
+					s, g := newTestUpstream(t, respondOK), newDialGate(t)
+					l := newTestLoop(t, 10)
+					l.dialer.openConn = recordingOpener(g.open)
+					addEndpoint(l, 1, s)
 					r := l.requestFor(1, budget)
 					if upload {
 						r.uploadOf(strings.NewReader("rest"), 4)
@@ -38,14 +38,14 @@
 					if retry { // the first attempt was dropped while it waited for its connection
 						l.Send(1, 1, 0)
 						r.attempts[0].drop()
-						close(g.next(t).up)
+						close(g.next(t).connect)
 						(<-l.events).apply(l)
 						l.CloseIdle(1)
 					}
 					began := l.now()
 					l.Send(1, 1, ownTimeout)
 					time.Sleep(late)
-					close(g.next(t).up)
+					close(g.next(t).connect)
 					got := <-s.arrivals
 					ms, err := strconv.Atoi(got.Header.Get("X-Deadline-Ms"))
 					if err != nil {
@@ -80,30 +80,30 @@
 		{"its own time-out, upload", time.Minute, short, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			s, g := newServer(t, okAll), newGate(t)
-			l := bench(t, 10)
-			l.dial.open = recordingOpener(g.open)
-			join(l, 1, s)
+			s, g := newTestUpstream(t, respondOK), newDialGate(t)
+			l := newTestLoop(t, 10)
+			l.dialer.openConn = recordingOpener(g.open)
+			addEndpoint(l, 1, s)
 			r := l.requestFor(1, x.budget)
 			if x.upload {
 				r.uploadOf(strings.NewReader("rest"), 4)
 			}
 			l.Send(1, 1, x.timeout)
-			want(t, "sent", r.out, 1)
+			assertEqual(t, "sent", r.undelivered, 1)
 			time.Sleep(2 * short) // no timer fires: the loop is not running
-			close(g.next(t).up)
-			e := (<-l.events).(finished)
-			want(t, "outcome", e.status, balancer.NotSent)
-			want(t, "its connection serves again", e.result.conn != nil, true)
+			close(g.next(t).connect)
+			e := (<-l.events).(attemptFinished)
+			assertEqual(t, "outcome", e.result.status, balancer.NotSent)
+			assertEqual(t, "its connection serves again", e.result.conn != nil, true)
 			e.apply(l)
-			want(t, "requests at the upstream", len(s.arrivals), 0)
+			assertEqual(t, "requests at the upstream", len(s.arrivals), 0)
 		})
 	}
 }
 
 // requestFor adds a request to a loop, whose client waits for budget from now on.
 func (l *loop) requestFor(id balancer.RequestID, budget time.Duration) *request {
-	r := l.request(id)
+	r := l.addRequest(id)
 	r.Timeout, r.deadline = budget, l.now()+budget
 	clientLedger.add(r.message.header.Get("X-Request-Id"), budget)
 	return r
@@ -113,7 +113,7 @@
 func (r *request) uploadOf(rest io.Reader, length int64) {
 	r.Upload, r.deadline = true, noDeadline
 	r.message.rest, r.message.contentLength = rest, length
-	r.within = func(_, most time.Duration) time.Duration { return most }
+	r.timeLeft = func(_, most time.Duration) time.Duration { return most }
 	clientLedger.put(r.message.header.Get("X-Request-Id"), &clientRequest{budget: r.Timeout})
 }
 
@@ -129,23 +129,23 @@
 		{"in one piece", true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			s, g := newServer(t, okAll), newGate(t)
-			b := newBalancerWith(t, newRegistry(t), func(c *Config) { c.open = g.open }, up("s-00000001", s))
+			s, g := newTestUpstream(t, respondOK), newDialGate(t)
+			b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) { c.openConn = g.open }, activeMember("s-00000001", s))
 			var text bytes.Buffer
-			if err := b.ask("checkin", "").Write(&text); err != nil {
+			if err := b.newRequest("checkin", "").Write(&text); err != nil {
 				t.Fatal(err)
 			}
 			now, later := "", text.String()
 			if x.inPiece {
 				now, later = later, ""
 			}
-			c := b.raw(t, "checkin", "", now)
+			c := b.sendRaw(t, "checkin", "", now)
 			up := g.next(t) // the first request waits for its connection
 			if _, err := io.WriteString(c, later); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(wait)
-			close(up.up)
+			close(up.connect)
 			g.openAllNow()
 			in := bufio.NewReader(c)
 			for range 2 {
--- a/internal/proxy/dialer.go
+++ b/internal/proxy/dialer.go
@@ -19,22 +19,22 @@
 // dialer runs attempts and health checks on connections to upstreams. It has no state of its own; each run is a blocking
 // call on a goroutine of the caller's.
 type dialer struct {
-	open    dialFunc
-	timeout time.Duration        // for opening a connection, and for the response to a health check or a broken-off upload
-	tries   *metrics.Counter     // attempts whose last byte has been written
-	held    *budget              // of buffered bodies
-	now     func() time.Duration // the loop's clock
+	openConn        dialFunc
+	timeout         time.Duration        // for opening a connection, and for the response to a health check or a broken-off upload
+	attemptsWritten *metrics.Counter     // attempts whose last byte has been written
+	bodyBudget      *byteBudget          // of buffered bodies
+	now             func() time.Duration // the loop's clock
 }
 
 // connect returns the idle connection if it can still be used, or else a new one. idle may be nil.
-func (d dialer) connect(idle *conn, address string) (*conn, error) {
+func (d dialer) connect(idle *upstreamConn, address string) (*upstreamConn, error) {
 	if idle != nil {
 		if idle.checkIdle() == nil {
 			return idle, nil
 		}
 		idle.Close() // nothing was written to it: another connection serves as well
 	}
-	c, err := d.open("tcp", address, d.timeout)
+	c, err := d.openConn("tcp", address, d.timeout)
 	if err != nil {
 		return nil, err
 	}
@@ -42,54 +42,54 @@
 }
 
 // runAttempt makes the attempt: it is written at most once, whatever happens.
-func (d dialer) run(a *attempt) result {
+func (d dialer) runAttempt(a *attempt) attemptResult {
 	c, err := d.connect(a.conn, a.address)
 	if err != nil {
-		return result{status: balancer.ConnectFailed}
+		return attemptResult{status: balancer.ConnectFailed}
 	}
 	a.conn = c
 	remaining, ok := a.claim(d.now()) // after the wait for the connection
 	if !ok {
-		return result{status: balancer.NotSent, conn: c}
+		return attemptResult{status: balancer.NotSent, conn: c}
 	}
 	a.head = a.message.renderHead(remaining)
 	sent, err := writeAttempt(a, c)
 	if !sent.complete {
 		return d.afterPartialWrite(a, c, sent, err)
 	}
-	d.tries.Add()
-	if a.written != nil {
-		a.written()
+	d.attemptsWritten.Add()
+	if a.onBodyWritten != nil {
+		a.onBodyWritten()
 	}
 	if err != nil {
 		c.Close()
-		return result{status: balancer.Reset, spent: sent.bodyConsumed}
+		return attemptResult{status: balancer.Reset, bodyConsumed: sent.bodyConsumed}
 	}
 	r := d.readResponse(c)
-	r.spent = sent.bodyConsumed
+	r.bodyConsumed = sent.bodyConsumed
 	return r
 }
 
 // afterPartialWrite is the result of an attempt whose last byte was certainly not written, so that it has not been
 // executed.
-func (d dialer) afterPartialWrite(a *attempt, c *conn, sent writeProgress, err error) result {
+func (d dialer) afterPartialWrite(a *attempt, c *upstreamConn, sent writeProgress, err error) attemptResult {
 	if errors.Is(err, errClientBody) {
 		c.Close()
-		return result{status: balancer.NotSent, spent: true}
+		return attemptResult{status: balancer.NotSent, bodyConsumed: true}
 	}
 	if a.message.rest == nil {
 		c.Close()
-		return result{status: balancer.ConnectFailed}
+		return attemptResult{status: balancer.ConnectFailed}
 	}
 	// The upstream may have said why it takes no more of the upload.
 	c.SetReadDeadline(time.Now().Add(d.timeout))
 	r := d.readResponse(c)
 	if r.status != balancer.Rejected {
 		c.Close()
-		return result{status: balancer.ConnectFailed, spent: sent.bodyConsumed}
+		return attemptResult{status: balancer.ConnectFailed, bodyConsumed: sent.bodyConsumed}
 	}
 	if r.conn != nil {
 		r.conn.Close()
 	}
-	return result{status: r.status, load: r.load, spent: sent.bodyConsumed}
+	return attemptResult{status: r.status, load: r.load, bodyConsumed: sent.bodyConsumed}
 }
--- a/internal/proxy/dialer_test.go
+++ b/internal/proxy/dialer_test.go
@@ -15,18 +15,18 @@
 
 // testDialer returns a dialer whose clock stands still.
 func testDialer() dialer {
-	return dialer{open: recordingOpener(nil), timeout: time.Second, tries: &metrics.Counter{}, held: newBudget(1 << 20),
+	return dialer{openConn: recordingOpener(nil), timeout: time.Second, attemptsWritten: &metrics.Counter{}, bodyBudget: newByteBudget(1 << 20),
 		now: func() time.Duration { return time.Hour }}
 }
 
 // directAttempt returns an attempt for a testDialer, of a request whose client waits for a second.
-func directAttempt(m message, address string, c *conn) *attempt {
+func directAttempt(m message, address string, c *upstreamConn) *attempt {
 	if m.header == nil {
 		m.header = http.Header{}
 	}
 	m.header.Set("X-Request-Id", "direct")
 	clientLedger.add("direct", time.Second)
-	return &attempt{req: &request{}, message: m, peer: &peer{}, address: address, conn: c, deadline: time.Hour + time.Second}
+	return &attempt{request: &request{}, message: m, endpoint: &endpoint{}, address: address, conn: c, deadline: time.Hour + time.Second}
 }
 
 // http.Transport writes a GET, or a request with an idempotency key, again by itself when a kept connection breaks. What
@@ -35,26 +35,26 @@
 	for _, class := range []string{"checkin", "pay"} {
 		t.Run(class, func(t *testing.T) {
 			n := 0
-			s := newServer(t, func(c net.Conn, r *http.Request) bool {
+			s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 				n++ // one connection at a time
-				return n == 1 && okAll(c, r)
+				return n == 1 && respondOK(c, r)
 			})
-			p := &peer{address: s.addr}
+			p := &endpoint{address: s.addr}
 			d := testDialer()
-			send := func(c *conn) result {
+			send := func(c *upstreamConn) attemptResult {
 				h := http.Header{"X-Request-Id": {"1"}}
 				if class == "pay" {
 					h.Set("Idempotency-Key", "1")
 				}
-				a := directAttempt(message{line: "POST /x", host: "x", header: h}, s.addr, c)
-				a.peer = p
-				return d.run(a)
+				a := directAttempt(message{requestLine: "POST /x", host: "x", header: h}, s.addr, c)
+				a.endpoint = p
+				return d.runAttempt(a)
 			}
 			first := send(nil)
-			want(t, "first", first.status, balancer.OK)
-			want(t, "second", send(first.conn).status, balancer.Reset)
-			want(t, "requests written", len(s.arrivals), 2)
-			want(t, "connections", s.opened(), 1)
+			assertEqual(t, "first", first.status, balancer.OK)
+			assertEqual(t, "second", send(first.conn).status, balancer.Reset)
+			assertEqual(t, "requests written", len(s.arrivals), 2)
+			assertEqual(t, "connections", s.opened(), 1)
 		})
 	}
 }
@@ -62,8 +62,8 @@
 // A connection that the upstream closed while it was idle is detected before anything is written to it.
 func TestStaleConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{}, 2)
-	s := newServer(t, func(c net.Conn, r *http.Request) bool {
-		okAll(c, r)
+	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
+		respondOK(c, r)
 		c.Close()
 		closed <- struct{}{}
 		return false
@@ -73,17 +73,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	run := func(c *conn) result {
-		return d.run(directAttempt(message{line: "POST /x", host: "x"}, s.addr, c))
+	run := func(c *upstreamConn) attemptResult {
+		return d.runAttempt(directAttempt(message{requestLine: "POST /x", host: "x"}, s.addr, c))
 	}
 	r := run(c)
-	want(t, "first", r.status, balancer.OK)
+	assertEqual(t, "first", r.status, balancer.OK)
 	<-closed
 	if _, err := r.conn.reader.Peek(1); err == nil { // waits for the upstream's close
 		t.Fatal("bytes on an idle connection")
 	}
-	want(t, "second", run(r.conn).status, balancer.OK)
-	want(t, "connections", s.opened(), 2)
+	assertEqual(t, "second", run(r.conn).status, balancer.OK)
+	assertEqual(t, "connections", s.opened(), 2)
 }
 
 func TestAttemptOutcomes(t *testing.T) {
@@ -115,12 +115,12 @@
 		{"503 not run, large", raw("HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nConnection: close\r\n\r\n"+strings.Repeat("x", maxBody+1), false), balancer.Rejected, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newServer(t, c.answer)
-			r := testDialer().run(directAttempt(message{line: "POST /x", host: "x", body: []byte("b")}, s.addr, nil))
-			want(t, "status", any(r.status), c.status)
-			want(t, "kept", r.conn != nil, c.keeps)
+			s := newTestUpstream(t, c.answer)
+			r := testDialer().runAttempt(directAttempt(message{requestLine: "POST /x", host: "x", body: []byte("b")}, s.addr, nil))
+			assertEqual(t, "status", any(r.status), c.status)
+			assertEqual(t, "kept", r.conn != nil, c.keeps)
 			if c.status == balancer.OK {
-				want(t, "body", string(r.body), "ab")
+				assertEqual(t, "body", string(r.body), "ab")
 			}
 		})
 	}
@@ -133,41 +133,41 @@
 	}
 	l.Close()
 	d := testDialer()
-	want(t, "refused", d.run(&attempt{address: l.Addr().String()}).status, balancer.ConnectFailed)
+	assertEqual(t, "refused", d.runAttempt(&attempt{address: l.Addr().String()}).status, balancer.ConnectFailed)
 
 	// An attempt that still waits for its connection when its request ends, or its upstream is removed, is not sent any more.
-	s := newServer(t, okAll)
-	a := directAttempt(message{line: "POST /x", host: "x"}, s.addr, nil)
-	want(t, "dropped", a.drop(), true)
-	r := d.run(a)
-	want(t, "status", r.status, balancer.NotSent)
-	want(t, "still of use", r.conn != nil && r.conn.checkIdle() == nil, true)
-	want(t, "requests written", len(s.arrivals), 0)
+	s := newTestUpstream(t, respondOK)
+	a := directAttempt(message{requestLine: "POST /x", host: "x"}, s.addr, nil)
+	assertEqual(t, "dropped", a.drop(), true)
+	r := d.runAttempt(a)
+	assertEqual(t, "status", r.status, balancer.NotSent)
+	assertEqual(t, "still of use", r.conn != nil && r.conn.checkIdle() == nil, true)
+	assertEqual(t, "requests written", len(s.arrivals), 0)
 }
 
 // A refused connection proves that the request was not executed: it is retried at another upstream.
 func TestRefusedConnectionIsRetriedElsewhere(t *testing.T) {
-	dead, alive := newServer(t, okAll), newServer(t, okAll)
+	dead, alive := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	dead.addr = l.Addr().String()
 	l.Close()
-	b := newBalancer(t, up("s-00000001", dead), up("s-00000002", alive))
+	b := newBalancer(t, activeMember("s-00000001", dead), activeMember("s-00000002", alive))
 	for range 4 {
-		status, _ := b.do(t, b.ask("checkin", ""))
-		want(t, "status", status, 200)
+		status, _ := b.do(t, b.newRequest("checkin", ""))
+		assertEqual(t, "status", status, 200)
 	}
 }
 
 // A connection that does not come up has not carried its request: after the connect timeout of the settings the request is
 // retried at another upstream, even one that must not be executed twice.
 func TestConnectTimeoutIsRetriedElsewhere(t *testing.T) {
-	dead, alive := newServer(t, okAll), newServer(t, okAll)
-	b := newBalancerWith(t, newRegistry(t), func(c *Config) {
+	dead, alive := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
+	b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) {
 		connectTimeout := c.Links.ConnectTimeout
-		c.open = func(network, address string, timeout time.Duration) (net.Conn, error) {
+		c.openConn = func(network, address string, timeout time.Duration) (net.Conn, error) {
 			if timeout != connectTimeout {
 				t.Errorf("a connection has %v to come up, the settings say %v", timeout, connectTimeout)
 			}
@@ -177,10 +177,10 @@
 			}
 			return net.DialTimeout(network, address, timeout)
 		}
-	}, up("s-00000001", dead), up("s-00000002", alive))
+	}, activeMember("s-00000001", dead), activeMember("s-00000002", alive))
 	for range 4 {
-		status, _ := b.do(t, b.ask("checkin", ""))
-		want(t, "status", status, 200)
+		status, _ := b.do(t, b.newRequest("checkin", ""))
+		assertEqual(t, "status", status, 200)
 	}
-	want(t, "requests at the one that can be reached", len(alive.arrivals), 4)
+	assertEqual(t, "requests at the one that can be reached", len(alive.arrivals), 4)
 }
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -24,27 +24,27 @@
 	for name, cancel := range cancelSettings {
 		for _, class := range []string{"read", "pay", "checkin"} {
 			t.Run(name+" "+class, func(t *testing.T) {
-				s, g := newServer(t, okAll), newGate(t)
-				b := newBalancerWith(t, newRegistry(t), func(c *Config) {
-					with(t, `"cancel":true`, cancel)(c)
-					c.open = g.open
-				}, up("s-00000001", s))
-				c := b.raw(t, class, "", "")
+				s, g := newTestUpstream(t, respondOK), newDialGate(t)
+				b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) {
+					withSettings(t, `"cancel":true`, cancel)(c)
+					c.openConn = g.open
+				}, activeMember("s-00000001", s))
+				c := b.sendRaw(t, class, "", "")
 				g.next(t)
 				c.Close()
 				b.awaitRequestsClosed(t)
 				var bounds map[balancer.EndpointID]balancer.EndpointStats
-				b.inLoop(t, func(l *loop) { bounds = endpointStatsOf(l) })
+				b.runInLoop(t, func(l *loop) { bounds = endpointStatsOf(l) })
 				g.openAllNow()
-				b.settled(t)
-				want(t, "requests at the upstream", len(s.arrivals), 0)
-				b.inLoop(t, func(l *loop) {
-					want(t, "connections", l.conns, 1) // it serves the next request
-					want(t, "figures of the upstream", fmt.Sprint(endpointStatsOf(l)), fmt.Sprint(bounds))
+				b.awaitSettled(t)
+				assertEqual(t, "requests at the upstream", len(s.arrivals), 0)
+				b.runInLoop(t, func(l *loop) {
+					assertEqual(t, "connections", l.pool.open, 1) // it serves the next request
+					assertEqual(t, "figures of the upstream", fmt.Sprint(endpointStatsOf(l)), fmt.Sprint(bounds))
 				})
-				status, _ := b.do(t, b.ask(class, ""))
-				want(t, "status of the next", status, 200)
-				want(t, "opened", s.opened(), 1)
+				status, _ := b.do(t, b.newRequest(class, ""))
+				assertEqual(t, "status of the next", status, 200)
+				assertEqual(t, "opened", s.opened(), 1)
 			})
 		}
 	}
@@ -67,19 +67,19 @@
 		t.Run(name, func(t *testing.T) {
 			const seed, clients = 17, 300
 			rng := rand.New(rand.NewPCG(seed, 0))
-			g := newGate(t)
-			s := newServer(t, func(c net.Conn, r *http.Request) bool { // each attempt gets a connection of its own
+			g := newDialGate(t)
+			s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { // each attempt gets a connection of its own
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 				return false
 			})
-			b := newBalancerWith(t, newRegistry(t), func(c *Config) {
-				with(t, `"cancel":true`, cancel)(c)
-				c.open = g.open
-			}, up("s-00000001", s))
+			b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) {
+				withSettings(t, `"cancel":true`, cancel)(c)
+				c.openConn = g.open
+			}, activeMember("s-00000001", s))
 			forbidden := map[string]bool{}
 			dialed := 0
 			for range clients {
-				c := b.raw(t, []string{"read", "pay", "checkin"}[rng.IntN(3)], "", "")
+				c := b.sendRaw(t, []string{"read", "pay", "checkin"}[rng.IntN(3)], "", "")
 				id := fmt.Sprintf("%016x", lastID)
 				phase := rng.IntN(4)
 				if phase == 0 { // its disconnect may be noticed before a connection is asked for
@@ -89,17 +89,17 @@
 					b.awaitRequestsClosed(t)
 					forbidden[id] = true
 					dialed += g.openUntil(t, func() bool { return b.attemptsOut(t) == 0 })
-					b.settled(t)
-					b.inLoop(t, func(l *loop) { l.CloseIdle(1) })
+					b.awaitSettled(t)
+					b.runInLoop(t, func(l *loop) { l.CloseIdle(1) })
 					continue
 				}
 				d := g.next(t)
 				dialed++
 				switch phase {
 				case 2: // in either order
-					go close(d.up)
+					go close(d.connect)
 				case 3:
-					close(d.up)
+					close(d.connect)
 					if _, err := io.ReadAtLeast(c, make([]byte, 12), 12); err != nil {
 						t.Fatalf("seed %d, request %s: %v", seed, id, err)
 					}
@@ -108,10 +108,10 @@
 				b.awaitRequestsClosed(t)
 				if phase == 1 {
 					forbidden[id] = true
-					close(d.up)
+					close(d.connect)
 				}
-				b.settled(t)
-				b.inLoop(t, func(l *loop) { l.CloseIdle(1) }) // the next attempt gets one of its own
+				b.awaitSettled(t)
+				b.runInLoop(t, func(l *loop) { l.CloseIdle(1) }) // the next attempt gets one of its own
 			}
 			s.awaitConnsEnded(t, dialed)
 			sent := 0
@@ -138,13 +138,13 @@
 		"many": strings.Repeat(part+"\r\n", 200), "much": strings.Repeat("x", 3<<20), "no head": "\r\n\r\n\x00"} {
 		for _, once := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, in one piece %v", name, once), func(t *testing.T) {
-				s, g := newServer(t, okAll), newGate(t)
-				b := newBalancerWith(t, newRegistry(t), func(c *Config) { c.open = g.open }, up("s-00000001", s))
+				s, g := newTestUpstream(t, respondOK), newDialGate(t)
+				b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) { c.openConn = g.open }, activeMember("s-00000001", s))
 				with := behind[:min(len(behind), 1000)]
 				if !once {
 					with = ""
 				}
-				c := b.raw(t, "pay", "", with)
+				c := b.sendRaw(t, "pay", "", with)
 				g.next(t) // the request has been taken
 				if _, err := io.WriteString(c, behind[len(with):]); err != nil {
 					t.Fatal(err)
@@ -152,11 +152,11 @@
 				c.Close()
 				b.awaitRequestsClosed(t)
 				for _, answers := range []string{"passed", "dropped", "bad_gateway"} {
-					want(t, answers, b.figure(t, "svc_"+answers+`{category="pay"}`), 0)
+					assertEqual(t, answers, b.metric(t, "svc_"+answers+`{category="pay"}`), 0)
 				}
 				g.openAllNow()
-				b.settled(t)
-				want(t, "requests at the upstream", len(s.arrivals), 0)
+				b.awaitSettled(t)
+				assertEqual(t, "requests at the upstream", len(s.arrivals), 0)
 				b.awaitClientsClosed(t)
 			})
 		}
@@ -174,7 +174,7 @@
 		{"three more", func(b *testBalancer) string {
 			var all bytes.Buffer
 			for range 3 {
-				_ = b.ask("read", "").Write(&all) // writing to a buffer never fails
+				_ = b.newRequest("read", "").Write(&all) // writing to a buffer never fails
 			}
 			return all.String()
 		}, 4},
@@ -185,11 +185,11 @@
 	} {
 		for _, cut := range []int{0, 1, 40, 1 << 20} { // how much comes in one piece with the first request
 			t.Run(fmt.Sprintf("%s, cut at %d", x.name, cut), func(t *testing.T) {
-				s, g := newServer(t, okAll), newGate(t)
-				b := newBalancerWith(t, newRegistry(t), func(c *Config) { c.open = g.open }, up("s-00000001", s))
+				s, g := newTestUpstream(t, respondOK), newDialGate(t)
+				b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) { c.openConn = g.open }, activeMember("s-00000001", s))
 				behind := x.behind(b)
 				cut := min(cut, len(behind)-1) // the last byte comes later: it is read by whoever watches for a disconnect
-				c := b.raw(t, "read", "", behind[:cut])
+				c := b.sendRaw(t, "read", "", behind[:cut])
 				g.next(t)
 				for i := cut; i < len(behind); i += 7000 {
 					if _, err := io.WriteString(c, behind[i:min(len(behind), i+7000)]); err != nil {
@@ -203,9 +203,9 @@
 				}
 				_ = c.(*net.TCPConn).CloseWrite() // the balancer may have closed the connection already
 				io.Copy(io.Discard, in)           // its end
-				b.settled(t)
+				b.awaitSettled(t)
 				b.awaitClientsClosed(t)
-				want(t, "requests at the upstream", len(s.arrivals), x.served)
+				assertEqual(t, "requests at the upstream", len(s.arrivals), x.served)
 			})
 		}
 	}
@@ -221,24 +221,24 @@
 	} {
 		for _, class := range []string{"read", "pay", "checkin"} {
 			t.Run(class+" "+name, func(t *testing.T) {
-				s := newServer(t, okAll)
+				s := newTestUpstream(t, respondOK)
 				l := &pausedListener{resume: make(chan struct{}), ending: make(chan struct{})}
-				b := newBalancerOn(t, newRegistry(t), func(x net.Listener) net.Listener {
+				b := newBalancerOn(t, newTestDiscovery(t), func(x net.Listener) net.Listener {
 					l.recordingListener = x.(recordingListener)
 					return l
-				}, func(*Config) {}, up("s-00000001", s))
+				}, func(*Config) {}, activeMember("s-00000001", s))
 				for range clients {
-					c := b.raw(t, class, "", "").(*net.TCPConn)
+					c := b.sendRaw(t, class, "", "").(*net.TCPConn)
 					leave(c)
 					c.Close()
 				}
-				last := b.raw(t, class, "", "") // behind all of them
+				last := b.sendRaw(t, class, "", "") // behind all of them
 				close(l.resume)
 				partialRequest{Conn: last, in: bufio.NewReader(last)}.answer(t, http.StatusOK)
 				last.Close()
 				b.awaitClientsClosed(t)
-				b.settled(t)
-				want(t, "requests at the upstream", len(s.arrivals), 1)
+				b.awaitSettled(t)
+				assertEqual(t, "requests at the upstream", len(s.arrivals), 1)
 			})
 		}
 	}
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -13,13 +13,13 @@
 	"sprucehill/balancer"
 )
 
-// agent is a discovery agent whose answers a test writes byte by byte, one connection and call at a time.
+// agent is a discovery agent whose answers a test writes byte by byte, for one connection and call at a time.
 type agent struct {
 	addr  string
 	calls chan agentCall
 }
 
-// agentCall is a call of an agent, to be answered on its connection.
+// agentCall is a call that an agent has received, to be answered on its connection.
 type agentCall struct {
 	net.Conn
 	query string
@@ -59,9 +59,9 @@
 }
 
 // newBalancerOfAgent starts a balancer that follows an agent.
-func newBalancerOfAgent(t *testing.T, a *agent, change func(*Config), members ...member) *testBalancer {
+func newBalancerOfAgent(t *testing.T, a *agent, change func(*Config), members ...endpointEntry) *testBalancer {
 	t.Helper()
-	return newBalancerWith(t, newRegistry(t), func(c *Config) {
+	return newBalancerWith(t, newTestDiscovery(t), func(c *Config) {
 		change(c)
 		c.Discovery = a.addr
 	}, members...)
@@ -77,10 +77,10 @@
 	return text.String()
 }
 
-// A list counts in every form that HTTP and JSON have for it.
-func TestListsAreReadInEveryForm(t *testing.T) {
-	s := newServer(t, okAll)
-	list := listing{Revision: 12, Members: []member{draining(up("s-00000001", s)), up("s-00000002", s)}}
+// A list is read in every form that HTTP and JSON have for it.
+func TestEndpointListIsReadInEveryForm(t *testing.T) {
+	s := newTestUpstream(t, respondOK)
+	list := endpointList{Revision: 12, Members: []endpointEntry{drainingMember(activeMember("s-00000001", s)), activeMember("s-00000002", s)}}
 	plain, err := json.Marshal(list)
 	if err != nil {
 		t.Fatal(err)
@@ -109,9 +109,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := newAgent(t)
-			b := newBalancerOfAgent(t, a, func(*Config) {}, up("s-00000001", s))
+			b := newBalancerOfAgent(t, a, func(*Config) {}, activeMember("s-00000001", s))
 			call := <-a.calls
-			want(t, "first call", call.query, watchQuery(10))
+			assertEqual(t, "first call", call.query, watchQuery(10))
 			for text, n := x.text, max(x.pieces, 1); len(text) > 0; {
 				if x.pieces == 0 {
 					n = len(text)
@@ -125,18 +125,18 @@
 			if x.closes {
 				call.Close()
 			}
-			want(t, "next call", (<-a.calls).query, watchQuery(12))
-			b.inLoop(t, func(l *loop) {
-				want(t, "state of the first", l.peers[1].state, balancer.Draining)
-				want(t, "state of the second", l.peers[2].state, balancer.Active)
+			assertEqual(t, "next call", (<-a.calls).query, watchQuery(12))
+			b.runInLoop(t, func(l *loop) {
+				assertEqual(t, "state of the first", l.endpoints[1].state, balancer.Draining)
+				assertEqual(t, "state of the second", l.endpoints[2].state, balancer.Active)
 			})
 		})
 	}
 }
 
-// A watch may end instead of telling anything, by a close, a reset, or half an answer. It is opened anew, and the complete
-// list that the agent then gives says what there is: an upstream that it leaves out is gone, also where that still answers.
-func TestWatchThatEndsIsOpenedAnew(t *testing.T) {
+// A watch may end without an answer, by a close, a reset, or half an answer. It is reopened, and the complete list that the
+// agent then gives counts: an upstream that it leaves out is removed, also where that still answers.
+func TestBrokenWatchIsReopened(t *testing.T) {
 	for _, mode := range []string{"pushed", "on_request"} {
 		for name, end := range map[string]func(c agentCall){
 			"closed":                 func(c agentCall) { c.Close() },
@@ -146,22 +146,24 @@
 			"an answer with no list": func(c agentCall) { io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n") },
 		} {
 			t.Run(mode+", "+name, func(t *testing.T) {
-				left, stays, a := newServer(t, okAll), newServer(t, okAll), newAgent(t)
-				b := newBalancerOfAgent(t, a, with(t, `"membership_mode":"on_request"`, `"membership_mode":"`+mode+`"`),
-					up("s-00000001", left), up("s-00000002", stays))
+				removed := newTestUpstream(t, respondOK)
+				stays := newTestUpstream(t, respondOK)
+				a := newAgent(t)
+				b := newBalancerOfAgent(t, a, withSettings(t, `"membership_mode":"on_request"`, `"membership_mode":"`+mode+`"`),
+					activeMember("s-00000001", removed), activeMember("s-00000002", stays))
 				end(<-a.calls)
-				text, err := json.Marshal(listing{Revision: 12, Complete: true, Members: []member{up("s-00000002", stays)}})
+				text, err := json.Marshal(endpointList{Revision: 12, Complete: true, Members: []endpointEntry{activeMember("s-00000002", stays)}})
 				if err != nil {
 					t.Fatal(err)
 				}
 				fmt.Fprintf(<-a.calls, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-				want(t, "next call", (<-a.calls).query, watchQuery(12))
+				assertEqual(t, "next call", (<-a.calls).query, watchQuery(12))
 				for range 10 {
-					status, _ := b.do(t, b.ask("checkin", ""))
-					want(t, "status", status, 200)
+					status, _ := b.do(t, b.newRequest("checkin", ""))
+					assertEqual(t, "status", status, 200)
 				}
-				want(t, "requests at the one that was left out", len(left.arrivals), 0)
-				want(t, "requests at the other", len(stays.arrivals), 10)
+				assertEqual(t, "requests at the removed one", len(removed.arrivals), 0)
+				assertEqual(t, "requests at the other", len(stays.arrivals), 10)
 			})
 		}
 	}
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -11,8 +11,8 @@
 // A drain sends clients away: health checks fail, responses close their connections, and idle connections are closed, also
 // those that have never sent anything. Requests are still served, and everything is as before once the drain ends.
 func TestDrainAndResume(t *testing.T) {
-	s := newServer(t, okAll)
-	b := newBalancer(t, up("s-00000001", s))
+	s := newTestUpstream(t, respondOK)
+	b := newBalancer(t, activeMember("s-00000001", s))
 	idle := b.dialConn(t)
 	silent := b.dialConn(t)
 	if _, err := io.WriteString(idle, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
@@ -21,21 +21,21 @@
 	if _, err := idle.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	status, closes := b.statusAndClose(t, b.ask("checkin", ""))
-	want(t, "status before", status, 200)
-	want(t, "closes before", closes, false)
+	status, closes := b.statusAndClose(t, b.newRequest("checkin", ""))
+	assertEqual(t, "status before", status, 200)
+	assertEqual(t, "closes before", closes, false)
 
 	for range 2 { // it may be repeated
 		done, state := b.proxy.Drain(true)
-		want(t, "drain-on", done, true)
-		want(t, "state", state, "draining")
+		assertEqual(t, "drain-on", done, true)
+		assertEqual(t, "state", state, "draining")
 	}
 	status, closes = b.statusAndClose(t, b.healthRequest(t))
-	want(t, "health while draining", status, http.StatusServiceUnavailable)
-	want(t, "closes", closes, true)
-	status, closes = b.statusAndClose(t, b.ask("checkin", ""))
-	want(t, "status while draining", status, 200)
-	want(t, "closes", closes, true)
+	assertEqual(t, "health while draining", status, http.StatusServiceUnavailable)
+	assertEqual(t, "closes", closes, true)
+	status, closes = b.statusAndClose(t, b.newRequest("checkin", ""))
+	assertEqual(t, "status while draining", status, 200)
+	assertEqual(t, "closes", closes, true)
 	for name, c := range map[string]net.Conn{"idle": idle, "silent": silent} {
 		if _, err := io.Copy(io.Discard, c); err != nil && !strings.Contains(err.Error(), "reset") {
 			t.Errorf("the %s connection was not closed: %v", name, err)
@@ -46,16 +46,16 @@
 		b.proxy.Drain(false)
 	}
 	status, _ = b.statusAndClose(t, b.healthRequest(t))
-	want(t, "health after", status, 200)
-	status, closes = b.statusAndClose(t, b.ask("checkin", ""))
-	want(t, "status after", status, 200)
-	want(t, "closes after", closes, false)
+	assertEqual(t, "health after", status, 200)
+	status, closes = b.statusAndClose(t, b.newRequest("checkin", ""))
+	assertEqual(t, "status after", status, 200)
+	assertEqual(t, "closes after", closes, false)
 
 	b.proxy.Drain(true) // the balancer still shuts down cleanly
 	b.cancel()
 	b.awaitEnd(t)
 	ready, _ := b.proxy.Ready()
-	want(t, "ready at the end", ready, false)
+	assertEqual(t, "ready at the end", ready, false)
 }
 
 // statusAndClose sends a request, and returns the status of its response and whether that closes the connection.
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -20,7 +20,7 @@
 		x.abort()
 		return
 	}
-	inProgress := x.frontend.figures.inProgress
+	inProgress := x.frontend.metrics.inProgress
 	if !x.request.Upload {
 		inProgress.Add(1)
 	}
@@ -31,7 +31,7 @@
 	}()
 	disconnected := conn.watchDisconnect()
 	defer conn.stopWatchingDisconnect()
-	x.frontend.post(arrived{x.request})
+	x.frontend.post(requestArrived{x.request})
 	x.awaitResponse(conn, disconnected)
 }
 
@@ -66,14 +66,14 @@
 }
 
 // reply writes the loop's response and counts it.
-func (x *exchange) reply(a answer) {
-	defer x.frontend.bodyBudget.give(cap(a.body))
+func (x *exchange) reply(a response) {
+	defer x.frontend.bodyBudget.release(cap(a.body))
 	if !x.received() { // the rest of its body is not read
 		closeAfterResponse(x.writer)
 	}
 	result := x.write(a)
 	if result != clientGone {
-		x.frontend.figures.answered(x.request.Class, a.status, result == delivered)
+		x.frontend.metrics.countAnswer(x.request.Class, a.status, result == delivered)
 	}
 	if result != delivered {
 		panic(http.ErrAbortHandler) // breaks the connection, so that the client can tell
@@ -82,7 +82,7 @@
 
 // abandon tells the loop that the client is gone, and ends the request.
 func (x *exchange) abandon() {
-	x.frontend.post(left{x.request})
+	x.frontend.post(clientDisconnected{x.request})
 	x.abort()
 }
 
--- a/internal/proxy/fakes_test.go
+++ b/internal/proxy/fakes_test.go
@@ -15,7 +15,7 @@
 )
 
 // testUpstream is an upstream whose responses a test writes byte by byte.
-type server struct {
+type testUpstream struct {
 	addr     string
 	arrivals chan *http.Request // complete requests, each with its body
 	mu       sync.Mutex
@@ -24,14 +24,14 @@
 }
 
 // newTestUpstream starts an upstream. answer writes any response; it returns false to close the connection.
-func newServer(t testing.TB, answer func(c net.Conn, r *http.Request) bool) *server {
+func newTestUpstream(t testing.TB, answer func(c net.Conn, r *http.Request) bool) *testUpstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	s := &server{addr: l.Addr().String(), arrivals: make(chan *http.Request, 1000)}
+	s := &testUpstream{addr: l.Addr().String(), arrivals: make(chan *http.Request, 1000)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -41,14 +41,14 @@
 			s.mu.Lock()
 			s.conns++
 			s.mu.Unlock()
-			go s.converse(t, c, answer)
+			go s.serveConn(t, c, answer)
 		}
 	}()
 	return s
 }
 
 // serveConn reads the requests of a connection, checks their deadlines, and has them answered.
-func (s *server) converse(t testing.TB, c net.Conn, answer func(net.Conn, *http.Request) bool) {
+func (s *testUpstream) serveConn(t testing.TB, c net.Conn, answer func(net.Conn, *http.Request) bool) {
 	defer func() {
 		c.Close()
 		s.mu.Lock()
@@ -75,7 +75,7 @@
 }
 
 // awaitConnsEnded waits until that many connections have come and ended: all that was written to them has been read.
-func (s *server) awaitConnsEnded(t *testing.T, conns int) {
+func (s *testUpstream) awaitConnsEnded(t *testing.T, conns int) {
 	t.Helper()
 	eventually(t, fmt.Sprintf("%d connections have come and ended", conns), func() bool {
 		s.mu.Lock()
@@ -84,30 +84,30 @@
 	})
 }
 
-func (s *server) opened() int {
+func (s *testUpstream) opened() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.conns
 }
 
 // writeOK writes a response, and reports whether the connection may be used again.
-func ok(c net.Conn, body string) bool {
+func writeOK(c net.Conn, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	return err == nil
 }
 
 // respondOK answers every request.
-func okAll(c net.Conn, _ *http.Request) bool { return ok(c, "done") }
+func respondOK(c net.Conn, _ *http.Request) bool { return writeOK(c, "done") }
 
 // testDiscovery is a discovery service. A call is answered with what the test puts into answers.
-type registry struct {
+type testDiscovery struct {
 	addr    string
 	calls   chan string // the query of each call
-	answers chan listing
+	answers chan endpointList
 }
 
-func newRegistry(t testing.TB) *registry {
-	g := &registry{calls: make(chan string, 1000), answers: make(chan listing)}
+func newTestDiscovery(t testing.TB) *testDiscovery {
+	g := &testDiscovery{calls: make(chan string, 1000), answers: make(chan endpointList)}
 	stop := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		g.calls <- r.URL.RawQuery
@@ -129,16 +129,16 @@
 
 // watchQuery is the query of a watch call from a revision on.
 func watchQuery(since int) string {
-	return fmt.Sprintf("since=%d&timeout_ms=%d", since, watchWait.Milliseconds())
+	return fmt.Sprintf("since=%d&timeout_ms=%d", since, watchTimeout.Milliseconds())
 }
 
 // activeMember is an endpoint that takes requests.
-func up(id string, s *server) member {
-	return member{ID: id, HostPort: s.addr, Locality: "z1", Phase: "up", Size: 1}
+func activeMember(id string, s *testUpstream) endpointEntry {
+	return endpointEntry{ID: id, HostPort: s.addr, Locality: "z1", Phase: "up", Size: 1}
 }
 
 // drainingMember is m while it drains.
-func draining(m member) member { m.Phase = "draining"; return m }
+func drainingMember(m endpointEntry) endpointEntry { m.Phase = "draining"; return m }
 
 // dialGate holds connections to upstreams back until the test lets each of them open.
 type dialGate struct {
@@ -150,10 +150,10 @@
 // pendingDial is a connection that is held back.
 type pendingDial struct {
 	address string
-	up      chan struct{} // closed by the test: the connection opens
+	connect chan struct{} // closed by the test: the connection opens
 }
 
-func newGate(t *testing.T) *dialGate {
+func newDialGate(t *testing.T) *dialGate {
 	g := &dialGate{dials: make(chan *pendingDial, 1000), openAll: make(chan struct{})}
 	t.Cleanup(g.openAllNow)
 	return g
@@ -177,7 +177,7 @@
 	eventually(t, "the connections that are asked for are open", func() bool {
 		select {
 		case d := <-g.dials:
-			close(d.up)
+			close(d.connect)
 			opened++
 		default:
 		}
@@ -193,7 +193,7 @@
 	d := &pendingDial{address, make(chan struct{})}
 	g.dials <- d
 	select {
-	case <-d.up:
+	case <-d.connect:
 	case <-g.openAll:
 	}
 	return net.DialTimeout(network, address, timeout)
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -81,6 +81,6 @@
 func TestOriginForm(t *testing.T) {
 	for in, out := range map[string]string{"/read/x?u=http://y/z": "/read/x?u=http://y/z", "http://h:1/read/%2F?q": "/read/%2F?q",
 		"http://h": "http://h", "*": "*"} {
-		want(t, fmt.Sprintf("of %s", in), originForm(in), out)
+		assertEqual(t, fmt.Sprintf("of %s", in), originForm(in), out)
 	}
 }
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -28,12 +28,12 @@
 
 // response is the one response that a client gets to its request. Its body counts against the body budget until it is
 // written.
-type answer struct {
-	status     int
-	body       []byte // the complete body, or the part of it before stream
-	kind       string // the Content-Type; empty: none is sent
-	retryAfter time.Duration
-	more       *stream // the rest of a streamed body; nil: body is complete
+type response struct {
+	status      int
+	body        []byte // the complete body, or the part of it before stream
+	contentType string // the Content-Type; empty: none is sent
+	retryAfter  time.Duration
+	stream      *responseStream // the rest of a streamed body; nil: body is complete
 }
 
 // frontend accepts client connections, parses requests, posts them to the event loop and writes the loop's responses.
@@ -42,8 +42,8 @@
 // the reply, or for the client to disconnect.
 type frontend struct {
 	ctx        context.Context // ends the goroutines that the frontend starts
-	figures    *figures
-	bodyBudget *budget // of buffered bodies, shared with the loop
+	metrics    *proxyMetrics
+	bodyBudget *byteBudget // of buffered bodies, shared with the loop
 	classes    map[string]balancer.Class
 	post       func(event)          // posts to the loop; may wait
 	inherited  bool                 // the listener was handed down by the platform
@@ -54,10 +54,10 @@
 	// longestDeadline is the longest deadline of all classes.
 	longestDeadline time.Duration
 
-	leaving     atomic.Bool   // a graceful shutdown has begun
-	shutdownAt  atomic.Int64  // when it began, a time.Duration on the loop's clock
-	acceptEnded chan struct{} // closed once no more connections are accepted
-	draining    atomic.Bool   // operators have asked for a drain
+	shuttingDown atomic.Bool   // a graceful shutdown has begun
+	shutdownAt   atomic.Int64  // when it began, a time.Duration on the loop's clock
+	acceptEnded  chan struct{} // closed once no more connections are accepted
+	draining     atomic.Bool   // operators have asked for a drain
 
 	mu          sync.Mutex // guards the fields below
 	conns       map[*framingConn]connStatus
@@ -67,8 +67,8 @@
 func newFrontend(c *Config, l net.Listener, to *loop) *frontend {
 	f := &frontend{
 		ctx:             to.ctx,
-		figures:         to.figures,
-		bodyBudget:      to.dial.held,
+		metrics:         to.metrics,
+		bodyBudget:      to.dialer.bodyBudget,
 		classes:         make(map[string]balancer.Class, len(c.Settings.Classes)),
 		post:            to.post,
 		inherited:       c.inheritsListener(),
@@ -98,7 +98,7 @@
 func (f *frontend) serve() error {
 	defer close(f.acceptEnded)
 	err := f.server.Serve(f.listener)
-	if !errors.Is(err, http.ErrServerClosed) && !f.leaving.Load() {
+	if !errors.Is(err, http.ErrServerClosed) && !f.shuttingDown.Load() {
 		return fmt.Errorf("serving clients: %w", err)
 	}
 	return nil
@@ -108,7 +108,7 @@
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	// A connection that closes after its response can't be in use when the listener closes; and near the connection limit,
 	// new clients need its descriptor.
-	if f.leaving.Load() || f.draining.Load() || f.nearConnLimit() {
+	if f.shuttingDown.Load() || f.draining.Load() || f.nearConnLimit() {
 		closeAfterResponse(w)
 	}
 	if err := checkFraming(r); err != nil {
@@ -129,7 +129,7 @@
 		return
 	}
 	// The size is taken now: the loop drops the request's body once the request is closed.
-	defer f.bodyBudget.give(cap(request.message.body))
+	defer f.bodyBudget.release(cap(request.message.body))
 	x := exchange{frontend: f, writer: w, httpRequest: r, request: request, body: body}
 	x.serve()
 }
@@ -157,7 +157,7 @@
 
 // serveHealthCheck answers 200 if the event loop is running and new clients are welcome.
 func (f *frontend) serveHealthCheck(w http.ResponseWriter) {
-	if f.leaving.Load() {
+	if f.shuttingDown.Load() {
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -14,8 +14,8 @@
 	if clientReadTimeout >= 3*time.Second {
 		t.Errorf("clients have %v", clientReadTimeout)
 	}
-	s := newServer(t, okAll)
-	b := newBalancer(t, up("s-00000001", s))
+	s := newTestUpstream(t, respondOK)
+	b := newBalancer(t, activeMember("s-00000001", s))
 	const head = "POST /checkin HTTP/1.1\r\nHost: x\r\nX-Request-Id: 00000000000000aa\r\nX-Class: checkin\r\n"
 	ends := map[string]chan error{}
 	const complete = head + "Content-Length: 0\r\n\r\n"
@@ -37,14 +37,14 @@
 			t.Errorf("after %q: %v, want a close", sent, err)
 		}
 	}
-	want(t, "requests at the upstream", len(s.arrivals), 2) // the complete ones
+	assertEqual(t, "requests at the upstream", len(s.arrivals), 2) // the complete ones
 }
 
 // Connections over the limit make room by closing the idle ones, the longest idle first, and are closed themselves only
 // where none has been idle for long. Clients that sent nothing used to hold descriptors without a limit.
 func TestClientConnectionsAreBounded(t *testing.T) {
 	now := time.Hour
-	f := newFrontend(&Config{Sockets: 6}, nil, bench(t, 0))
+	f := newFrontend(&Config{Sockets: 6}, nil, newTestLoop(t, 0))
 	f.now = func() time.Duration { return now }
 	open := func(s http.ConnState) net.Conn {
 		c, peer := net.Pipe()
@@ -78,6 +78,6 @@
 		closed bool
 	}{"busy": {busy, false}, "idle": {idle, true}, "silent": {silent, true}, "first": {first, false},
 		"second": {second, false}, "third": {third, true}} {
-		want(t, name+" closed", closed(c.Conn), c.closed)
+		assertEqual(t, name+" closed", closed(c.Conn), c.closed)
 	}
 }
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -38,52 +38,52 @@
 
 // testBalancer is a running balancer.
 type testBalancer struct {
-	url      string
-	proxy    *Proxy
-	registry *registry
-	cancel   context.CancelFunc
-	moves    chan string
-	ended    chan error
-	client   *http.Client
+	url       string
+	proxy     *Proxy
+	discovery *testDiscovery
+	cancel    context.CancelFunc
+	moves     chan string
+	ended     chan error
+	client    *http.Client
 }
 
 // newBalancer starts a balancer with a discovery service of its own.
-func newBalancer(t testing.TB, members ...member) *testBalancer {
+func newBalancer(t testing.TB, members ...endpointEntry) *testBalancer {
 	t.Helper()
 	return newBalancerAt(t, 0, members...)
 }
 
 // newBalancerAt starts a balancer on an inherited listener, or on one of its own if fd is 0.
-func newBalancerAt(t testing.TB, fd int, members ...member) *testBalancer {
+func newBalancerAt(t testing.TB, fd int, members ...endpointEntry) *testBalancer {
 	t.Helper()
-	return newBalancerWith(t, newRegistry(t), func(c *Config) { c.ListenFD = fd }, members...)
+	return newBalancerWith(t, newTestDiscovery(t), func(c *Config) { c.ListenFD = fd }, members...)
 }
 
 // newBalancerWith starts a balancer that uses the given discovery service and a changed configuration.
-func newBalancerWith(t testing.TB, g *registry, change func(*Config), members ...member) *testBalancer {
+func newBalancerWith(t testing.TB, g *testDiscovery, change func(*Config), members ...endpointEntry) *testBalancer {
 	t.Helper()
 	return newBalancerOn(t, g, func(l net.Listener) net.Listener { return l }, change, members...)
 }
 
 // newBalancerOn starts a balancer whose clients come through what listen makes of its listener.
-func newBalancerOn(t testing.TB, g *registry, listen func(net.Listener) net.Listener, change func(*Config), members ...member) *testBalancer {
+func newBalancerOn(t testing.TB, g *testDiscovery, listen func(net.Listener) net.Listener, change func(*Config), members ...endpointEntry) *testBalancer {
 	t.Helper()
-	f := file{Name: "n0", Listen: "127.0.0.1:0", Discovery: g.addr, Seed: "8c1f30d27a5be964",
-		Known: listing{Revision: 10, Complete: true, Members: members}, Settings: json.RawMessage(settingsText)}
+	f := configFile{Name: "n0", Listen: "127.0.0.1:0", Discovery: g.addr, Seed: "8c1f30d27a5be964",
+		Known: endpointList{Revision: 10, Complete: true, Members: members}, Settings: json.RawMessage(settingsText)}
 	f.Limits.MemoryMB, f.Limits.Sockets = 192, 1024
-	c, err := f.config()
+	c, err := f.toConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
 	change(&c)
-	c.open = recordingOpener(c.open)
-	opened, err := c.Open()
+	c.openConn = recordingOpener(c.openConn)
+	opened, err := c.OpenListener()
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := recordingListener{opened.(*net.TCPListener)}
 	ctx, cancel := context.WithCancel(context.Background())
-	b := &testBalancer{url: "http://" + l.Addr().String(), registry: g, cancel: cancel, ended: make(chan error, 1), moves: make(chan string),
+	b := &testBalancer{url: "http://" + l.Addr().String(), discovery: g, cancel: cancel, ended: make(chan error, 1), moves: make(chan string),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}}
 	b.proxy = New(c, listen(l))
 	balancers++
@@ -101,7 +101,7 @@
 
 // withSettings returns a change of the configuration: settingsText with texts replaced. Each pair is a text and its
 // replacement.
-func with(t *testing.T, pairs ...string) func(*Config) {
+func withSettings(t *testing.T, pairs ...string) func(*Config) {
 	t.Helper()
 	text := settingsText
 	for i := 0; i < len(pairs); i += 2 {
@@ -134,7 +134,8 @@
 	for limit := time.Now().Add(failureTimeout); ; time.Sleep(time.Millisecond) {
 		left := ""
 		for stack := range strings.SplitSeq(string(text[:runtime.Stack(text, true)]), "\n\n") {
-			for _, of := range []string{"(*loop)", "(*frontend)", "(*framingConn)", "(*discovery)", "(*state)", "dialer"} {
+			for _, of := range []string{"(*loop)", "(*frontend)", "(*framingConn)", "(*discoveryClient)", "(*discoveryWatcher)",
+				"(*connPool)", "(*logWriter)", "(*stateSaver)", "dialer"} {
 				if strings.Contains(stack, "sprucehill/internal/proxy."+of) && !strings.Contains(stack, "proxy.assertNothingRuns") {
 					left = stack
 				}
@@ -152,7 +153,7 @@
 var lastID int
 
 // newRequest returns a well-formed request of a class.
-func (b *testBalancer) ask(class, body string, headers ...string) *http.Request {
+func (b *testBalancer) newRequest(class, body string, headers ...string) *http.Request {
 	lastID++
 	method := http.MethodPost
 	if class == "read" {
@@ -197,11 +198,11 @@
 }
 
 // sendRaw writes a request, and the bytes behind it, on a connection of its own, and leaves the response to the test.
-func (b *testBalancer) raw(t *testing.T, class, body, behind string) net.Conn {
+func (b *testBalancer) sendRaw(t *testing.T, class, body, behind string) net.Conn {
 	t.Helper()
 	c := b.dialConn(t)
 	var text bytes.Buffer
-	if err := b.ask(class, body).Write(&text); err != nil {
+	if err := b.newRequest(class, body).Write(&text); err != nil {
 		t.Fatal(err)
 	}
 	text.WriteString(behind)
@@ -233,15 +234,15 @@
 const checkinHead = "POST /checkin/x HTTP/1.1\r\nHost: x\r\nX-Request-Id: 00000000000000aa\r\nX-Class: checkin\r\nX-Deadline-Ms: 4000\r\n"
 
 // runInLoop runs a function on the event loop, between two events.
-func (b *testBalancer) inLoop(t *testing.T, do func(l *loop)) {
+func (b *testBalancer) runInLoop(t *testing.T, do func(l *loop)) {
 	t.Helper()
-	asked := order{do, make(chan struct{})}
+	asked := operatorCall{do, make(chan struct{})}
 	b.proxy.loop.post(asked)
 	<-asked.done
 }
 
 // assertEqual fails the test if got is not want.
-func want(t *testing.T, what string, got, want any) {
+func assertEqual(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if got != want {
 		t.Errorf("%s: got %v, want %v", what, got, want)
@@ -262,23 +263,23 @@
 func (b *testBalancer) await(t *testing.T, what string, is func(l *loop) bool) {
 	t.Helper()
 	eventually(t, what, func() (done bool) {
-		b.inLoop(t, func(l *loop) { done = is(l) })
+		b.runInLoop(t, func(l *loop) { done = is(l) })
 		return done
 	})
 }
 
 // awaitSettled waits until no request, attempt or buffered body is left and all upstream connections are idle.
-func (b *testBalancer) settled(t *testing.T) {
+func (b *testBalancer) awaitSettled(t *testing.T) {
 	t.Helper()
 	b.await(t, "no request, no attempt, all connections idle", func(l *loop) bool {
 		idle, out := 0, 0
-		for _, p := range l.peers {
-			idle, out = idle+len(p.idle), out+len(p.out)
+		for _, p := range l.endpoints {
+			idle, out = idle+len(p.idle), out+len(p.inFlight)
 		}
-		return len(l.requests) == 0 && out == 0 && idle == l.conns && len(l.due) == 0
+		return len(l.requests) == 0 && out == 0 && idle == l.pool.open && len(l.pendingOutcomes) == 0
 	})
 	eventually(t, "no bytes held, no requests in progress", func() bool {
-		return b.proxy.loop.dial.held.free.Load() == b.proxy.config.heldBytes() && b.figure(t, "svc_in_progress") == 0
+		return b.proxy.loop.dialer.bodyBudget.available.Load() == b.proxy.config.bodyBudgetBytes() && b.metric(t, "svc_in_progress") == 0
 	})
 }
 
@@ -293,7 +294,7 @@
 		}
 		return true
 	})
-	eventually(t, "no request in progress", func() bool { return b.figure(t, "svc_in_progress") == 0 })
+	eventually(t, "no request in progress", func() bool { return b.metric(t, "svc_in_progress") == 0 })
 }
 
 // awaitClientsClosed waits until no client connection is open.
@@ -305,9 +306,9 @@
 // attemptsOut is how many attempts are in flight.
 func (b *testBalancer) attemptsOut(t *testing.T) (out int) {
 	t.Helper()
-	b.inLoop(t, func(l *loop) {
-		for _, p := range l.peers {
-			out += len(p.out)
+	b.runInLoop(t, func(l *loop) {
+		for _, p := range l.endpoints {
+			out += len(p.inFlight)
 		}
 	})
 	return out
--- a/internal/proxy/healthcheck.go
+++ b/internal/proxy/healthcheck.go
@@ -14,19 +14,19 @@
 )
 
 // healthCheck is one health check of an upstream.
-type probe struct {
-	peer    *peer
-	sentAt  time.Duration // on the loop's clock
-	address string        // host:port
-	load    bool          // ask for a load report, and not only whether it runs
-	conn    *conn         // an idle connection; nil: a new one is opened
+type healthCheck struct {
+	endpoint *endpoint
+	sentAt   time.Duration // on the loop's clock
+	address  string        // host:port
+	load     bool          // ask for a load report, and not only whether it runs
+	conn     *upstreamConn // an idle connection; nil: a new one is opened
 }
 
 // checkHealth makes a health check.
-func (d dialer) probe(p *probe) result {
+func (d dialer) checkHealth(p *healthCheck) attemptResult {
 	c, err := d.connect(p.conn, p.address)
 	if err != nil {
-		return result{status: balancer.ConnectFailed}
+		return attemptResult{status: balancer.ConnectFailed}
 	}
 	path := healthPath
 	if p.load {
@@ -35,13 +35,13 @@
 	c.SetReadDeadline(time.Now().Add(d.timeout))
 	if _, err := io.WriteString(c, "GET "+path+" HTTP/1.1\r\nHost: "+p.address+"\r\n\r\n"); err != nil {
 		c.Close()
-		return result{status: balancer.ConnectFailed}
+		return attemptResult{status: balancer.ConnectFailed}
 	}
 	r := d.readResponse(c)
-	d.held.give(cap(r.body))
-	if r.more != nil { // no report is that long
+	d.bodyBudget.release(cap(r.body))
+	if r.stream != nil { // no report is that long
 		c.Close()
-		return result{status: balancer.Error}
+		return attemptResult{status: balancer.Error}
 	}
 	if p.load && r.status == balancer.OK {
 		if report := parseLoadReport(string(r.body)); report.Fields != 0 {
--- a/internal/proxy/idleclose_test.go
+++ b/internal/proxy/idleclose_test.go
@@ -54,13 +54,13 @@
 	for _, first := range []string{"close", "request"} {
 		for _, fresh := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s first, new connection %v", first, fresh), func(t *testing.T) {
-				s := newServer(t, okAll)
+				s := newTestUpstream(t, respondOK)
 				r := &heldReadListener{taken: make(chan struct{}), back: make(chan struct{})}
-				b := newBalancerOn(t, newRegistry(t), func(l net.Listener) net.Listener { r.Listener = l; return r },
-					func(*Config) {}, up("s-00000001", s))
+				b := newBalancerOn(t, newTestDiscovery(t), func(l net.Listener) net.Listener { r.Listener = l; return r },
+					func(*Config) {}, activeMember("s-00000001", s))
 				c, in := b.dial(t)
 				ask := func() {
-					if err := b.ask("checkin", "").Write(c); err != nil {
+					if err := b.newRequest("checkin", "").Write(c); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -91,8 +91,8 @@
 					f.closeIdleConns(0)
 					return f.openConns() == 0
 				})
-				b.settled(t)
-				want(t, "requests at the upstream", len(s.arrivals), sent)
+				b.awaitSettled(t)
+				assertEqual(t, "requests at the upstream", len(s.arrivals), sent)
 			})
 		}
 	}
--- a/internal/proxy/killdeadline_test.go
+++ b/internal/proxy/killdeadline_test.go
@@ -16,8 +16,8 @@
 	f := b.proxy.front
 	const shutdownAt, timeout = time.Hour, 9 * time.Second
 	f.shutdownAt.Store(int64(shutdownAt))
-	want(t, "while it serves", f.timeBeforeKill(shutdownAt+2*time.Second, timeout), timeout)
-	f.leaving.Store(true)
+	assertEqual(t, "while it serves", f.timeBeforeKill(shutdownAt+2*time.Second, timeout), timeout)
+	f.shuttingDown.Store(true)
 	for _, x := range []struct{ longest, since, want time.Duration }{
 		{4 * time.Second, killDelay - killMargin - 1, timeout},
 		{4 * time.Second, killDelay - killMargin, killDeadlineCap},
@@ -26,25 +26,25 @@
 		{time.Second, time.Second, 600 * time.Millisecond},
 	} {
 		f.longestDeadline = x.longest
-		want(t, x.since.String()+" after SIGTERM", f.timeBeforeKill(shutdownAt+x.since, timeout), x.want)
+		assertEqual(t, x.since.String()+" after SIGTERM", f.timeBeforeKill(shutdownAt+x.since, timeout), x.want)
 	}
 	f.shutdownAt.Store(int64(f.now() - 4*time.Second))
-	resp, err := http.ReadResponse(bufio.NewReader(b.raw(t, "checkin", "", "")), nil)
+	resp, err := http.ReadResponse(bufio.NewReader(b.sendRaw(t, "checkin", "", "")), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want(t, "too late to be sent", resp.StatusCode, http.StatusServiceUnavailable)
+	assertEqual(t, "too late to be sent", resp.StatusCode, http.StatusServiceUnavailable)
 }
 
 // The time of an upload begins with its last byte, and what is left until SIGKILL counts from then, however early the
 // upload began. One that began before SIGTERM used to have its complete time after it, beyond SIGKILL.
 func TestUploadIsAnsweredBeforeSIGKILL(t *testing.T) {
 	release := make(chan struct{})
-	s := newServer(t, func(c net.Conn, r *http.Request) bool { <-release; return okAll(c, r) })
-	b := newBalancer(t, up("s-00000001", s))
+	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
+	b := newBalancer(t, activeMember("s-00000001", s))
 	f := b.proxy.front
 	body, client := io.Pipe()
-	r := b.ask("checkin", "")
+	r := b.newRequest("checkin", "")
 	r.Body, r.ContentLength = body, 2*maxBody
 	status := make(chan int, 1)
 	go func() {
@@ -62,19 +62,19 @@
 		return false
 	})
 	f.shutdownAt.Store(int64(f.now() - time.Second)) // the shutdown has begun meanwhile
-	f.leaving.Store(true)
+	f.shuttingDown.Store(true)
 	if _, err := client.Write([]byte{0}); err != nil {
 		t.Fatal(err)
 	}
 	client.Close()
 	<-s.arrivals
 	b.await(t, "its time has begun", func(l *loop) bool { return q.deadline != noDeadline })
-	b.inLoop(t, func(*loop) {
+	b.runInLoop(t, func(*loop) {
 		kill := time.Duration(f.shutdownAt.Load()) + min(f.longestDeadline, killDeadlineCap) + killDelay
 		if q.deadline >= kill {
 			t.Errorf("it has until %v after the kill", q.deadline-kill)
 		}
 	})
 	close(release)
-	want(t, "status", <-status, 200)
+	assertEqual(t, "status", <-status, 200)
 }
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -14,7 +14,7 @@
 const inheritedAcceptTimeout = 50 * time.Millisecond
 
 // OpenListener returns the listener for clients: the one that the platform hands down if there is one, or else a new one.
-func (c *Config) Open() (net.Listener, error) {
+func (c *Config) OpenListener() (net.Listener, error) {
 	if c.inheritsListener() {
 		return inheritListener(c.ListenFD)
 	}
--- a/internal/proxy/listener_test.go
+++ b/internal/proxy/listener_test.go
@@ -38,18 +38,18 @@
 // keeps what it had accepted, and no client is rejected in between.
 func TestUpgradeLosesNoRequest(t *testing.T) {
 	release := make(chan struct{})
-	s := newServer(t, func(c net.Conn, r *http.Request) bool {
+	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("X-Late") != "" {
 			<-release
 		}
-		return okAll(c, r)
+		return respondOK(c, r)
 	})
 	addr, inherit := listeningSocket(t)
-	first := newBalancerAt(t, inherit(), up("s-00000001", s))
+	first := newBalancerAt(t, inherit(), activeMember("s-00000001", s))
 	first.url = "http://" + addr
 	late := make(chan int, 1)
 	go func() {
-		resp, err := first.client.Do(first.ask("checkin", "", "X-Late", "1"))
+		resp, err := first.client.Do(first.newRequest("checkin", "", "X-Late", "1"))
 		if err != nil {
 			late <- 0
 			return
@@ -58,26 +58,26 @@
 		late <- resp.StatusCode
 	}()
 	<-s.arrivals
-	second := newBalancerAt(t, inherit(), up("s-00000001", s))
+	second := newBalancerAt(t, inherit(), activeMember("s-00000001", s))
 	second.url = first.url
 	first.cancel()
 	for n := 0; ; n++ { // until the first has closed the listener, either may answer; from then on only the second
-		status, _ := second.doOnNewConn(t, second.ask("checkin", ""))
-		want(t, "status meanwhile", status, 200)
-		if second.figure(t, `svc_passed{category="checkin"}`) > 10 {
+		status, _ := second.doOnNewConn(t, second.newRequest("checkin", ""))
+		assertEqual(t, "status meanwhile", status, 200)
+		if second.metric(t, `svc_passed{category="checkin"}`) > 10 {
 			break
 		}
 	}
-	want(t, "responses of the first so far", len(late), 0)
+	assertEqual(t, "responses of the first so far", len(late), 0)
 	close(release)
-	want(t, "status of the request in flight", <-late, 200)
+	assertEqual(t, "status of the request in flight", <-late, 200)
 	first.awaitEnd(t)
-	before := second.figure(t, `svc_passed{category="checkin"}`)
+	before := second.metric(t, `svc_passed{category="checkin"}`)
 	for range 10 {
-		status, _ := second.doOnNewConn(t, second.ask("checkin", ""))
-		want(t, "status after", status, 200)
+		status, _ := second.doOnNewConn(t, second.newRequest("checkin", ""))
+		assertEqual(t, "status after", status, 200)
 	}
-	want(t, "served by the second", second.figure(t, `svc_passed{category="checkin"}`)-before, 10)
+	assertEqual(t, "served by the second", second.metric(t, `svc_passed{category="checkin"}`)-before, 10)
 }
 
 func TestBadListenerErrors(t *testing.T) {
@@ -111,7 +111,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if l, err := c.Open(); err == nil || !strings.Contains(err.Error(), "RELAY_FD") {
+		if l, err := c.OpenListener(); err == nil || !strings.Contains(err.Error(), "RELAY_FD") {
 			t.Errorf("%s: got %v, %v", name, l, err)
 		}
 	}
@@ -129,27 +129,27 @@
 		t.Errorf("memory: %d for both, %d for one", two, one)
 	}
 	const others = 32 // listeners, discovery, operators, standard streams at each
-	if n := 2*(c.upstreamConns()+others) + c.Sockets/3; n > c.Sockets {
+	if n := 2*(c.maxUpstreamConns()+others) + c.Sockets/3; n > c.Sockets {
 		t.Errorf("%d of %d descriptors", n, c.Sockets)
 	}
 	// Attempts of the process that shuts down used to take all but a few of the connections that clients have, so that
 	// requests for its successor were refused.
-	if n := 2 * c.upstreamConns(); n > c.Sockets/3 {
+	if n := 2 * c.maxUpstreamConns(); n > c.Sockets/3 {
 		t.Errorf("%d attempts at both, %d connections of clients", n, c.Sockets/3)
 	}
 }
 
 // A process that shuts down keeps no idle upstream connection: its successor needs their descriptors.
 func TestShutdownReleasesIdleConnections(t *testing.T) {
-	s := newServer(t, okAll)
-	l := bench(t, 10)
-	p := join(l, 1, s)
-	idle(t, l, p, l.now())
-	late := idle(t, l, p, l.now())
+	s := newTestUpstream(t, respondOK)
+	l := newTestLoop(t, 10)
+	p := addEndpoint(l, 1, s)
+	addIdleConn(t, l, p, l.now())
+	late := addIdleConn(t, l, p, l.now())
 	p.idle = p.idle[:1] // the other is in use
-	leave{}.apply(l)
-	want(t, "idle", len(p.idle), 0)
-	l.keep(p, late)
-	want(t, "idle after use", len(p.idle), 0)
-	want(t, "connections", l.conns, 0)
+	releaseIdle{}.apply(l)
+	assertEqual(t, "idle", len(p.idle), 0)
+	l.pool.put(p, late)
+	assertEqual(t, "idle after use", len(p.idle), 0)
+	assertEqual(t, "connections", l.pool.open, 0)
 }
--- a/internal/proxy/loopstall_test.go
+++ b/internal/proxy/loopstall_test.go
@@ -40,11 +40,11 @@
 func BenchmarkLoopStall(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		b.Run(fmt.Sprintf("state=%v", on), func(b *testing.B) {
-			var members []member
+			var members []endpointEntry
 			for i := range 12 {
-				members = append(members, up(fmt.Sprintf("s-%08x", i+1), newServer(b, okAll)))
+				members = append(members, activeMember(fmt.Sprintf("s-%08x", i+1), newTestUpstream(b, respondOK)))
 			}
-			x := newBalancerWith(b, newRegistry(b), func(c *Config) {
+			x := newBalancerWith(b, newTestDiscovery(b), func(c *Config) {
 				if !on {
 					return
 				}
@@ -53,7 +53,7 @@
 					b.Fatal(err)
 				}
 				k := durable.StartWriterOn(slowDisk{folder, 50 * time.Millisecond}, durable.Options{Owner: "b", MinInterval: 200 * time.Millisecond,
-					Log: func(string, ...any) {}}, Kinds)
+					Log: func(string, ...any) {}}, StateKinds)
 				b.Cleanup(k.Close)
 				c.Keeper = k
 			}, members...)
@@ -62,10 +62,10 @@
 				var most time.Duration
 				for i := range 1000 {
 					if i%10 == 0 {
-						x.do(b, x.ask("checkin", ""))
+						x.do(b, x.newRequest("checkin", ""))
 					}
 					at := time.Now()
-					if err := x.proxy.ask(func(*loop) {}); err != nil {
+					if err := x.proxy.callLoop(func(*loop) {}); err != nil {
 						b.Fatal(err)
 					}
 					took := time.Since(at)
--- a/internal/proxy/message.go
+++ b/internal/proxy/message.go
@@ -32,7 +32,7 @@
 
 // message is a client's request as it is forwarded: method, target, end-to-end header fields and body are unchanged.
 type message struct {
-	line          string // method and target
+	requestLine   string // method and target
 	header        http.Header
 	host          string
 	body          []byte    // the complete body, or the buffered part of an upload
@@ -48,7 +48,7 @@
 	b := headBuffers.Get().(*bytes.Buffer)
 	defer headBuffers.Put(b)
 	b.Reset()
-	b.WriteString(m.line)
+	b.WriteString(m.requestLine)
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(m.host)
 	b.WriteString("\r\nX-Deadline-Ms: ")
@@ -60,7 +60,7 @@
 		b.WriteString("Transfer-Encoding: chunked\r\n")
 	case m.rest != nil:
 		writeContentLength(b, m.contentLength)
-	case len(m.body) > 0 || strings.HasPrefix(m.line, http.MethodPost):
+	case len(m.body) > 0 || strings.HasPrefix(m.requestLine, http.MethodPost):
 		writeContentLength(b, int64(len(m.body)))
 	}
 	b.WriteString("\r\n")
--- /dev/null
+++ b/internal/proxy/metrics_test.go
@@ -0,0 +1,100 @@
+package proxy
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+)
+
+// metric returns the value of a metric as an operator reads it.
+func (b *testBalancer) metric(t *testing.T, id string) (n int) {
+	t.Helper()
+	var text strings.Builder
+	if err := b.proxy.WriteFigures(&text); err != nil {
+		t.Fatal(err)
+	}
+	for line := range strings.Lines(text.String()) {
+		if rest, ok := strings.CutPrefix(line, id+" "); ok {
+			if _, err := fmt.Sscan(rest, &n); err != nil {
+				t.Fatal(err)
+			}
+			return n
+		}
+	}
+	t.Fatalf("%s is missing from\n%s", id, &text)
+	return 0
+}
+
+// Every request is counted once, under the answer it got, and so is every attempt that was written.
+func TestMetricsCountAnswersAndAttempts(t *testing.T) {
+	release := make(chan struct{})
+	fails := 0
+	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
+		switch {
+		case r.Header.Get("X-Wait") != "":
+			<-release
+		case r.Header.Get("X-Fail") != "" && fails > 0:
+			fails--
+			_, err := c.Write([]byte("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"))
+			return err == nil
+		}
+		return respondOK(c, r)
+	})
+	stays := activeMember("s-00000001", s)
+	leaves := activeMember("s-00000002", s)
+	b := newBalancer(t, stays, drainingMember(leaves))
+	<-b.discovery.calls
+	for _, class := range []string{"read", "pay", "checkin"} { // every class is there from the start
+		for _, name := range []string{"passed", "dropped", "bad_gateway"} {
+			assertEqual(t, name, b.metric(t, `svc_`+name+`{category="`+class+`"}`), 0)
+		}
+	}
+	assertEqual(t, "listed", b.metric(t, "svc_known_upstreams"), 2)
+	assertEqual(t, "avoided", b.metric(t, "svc_skipped_upstreams"), 1)
+
+	for range 3 {
+		status, _ := b.do(t, b.newRequest("read", ""))
+		assertEqual(t, "status", status, 200)
+	}
+	fails = 1 // a request that may have been executed fails unless it is idempotent, which is retried
+	status, _ := b.do(t, b.newRequest("checkin", "", "X-Fail", "1"))
+	assertEqual(t, "status", status, 502)
+	fails = 1
+	status, _ = b.do(t, b.newRequest("read", "", "X-Fail", "1"))
+	assertEqual(t, "status", status, 200)
+	status, _ = b.do(t, b.newRequest("pay", "", "X-Deadline-Ms", "1")) // too late to be sent
+	assertEqual(t, "status", status, 503)
+	waiting := make(chan int, 1)
+	go func() {
+		resp, err := b.client.Do(b.newRequest("pay", "", "X-Wait", "1"))
+		if err != nil {
+			waiting <- 0
+			return
+		}
+		resp.Body.Close()
+		waiting <- resp.StatusCode
+	}()
+	for r := range s.arrivals {
+		if r.Header.Get("X-Wait") != "" {
+			break
+		}
+	}
+	assertEqual(t, "in progress", b.metric(t, "svc_in_progress"), 1)
+	close(release)
+	assertEqual(t, "status", <-waiting, 200)
+
+	for id, n := range map[string]int{`svc_passed{category="read"}`: 4, `svc_passed{category="pay"}`: 1,
+		`svc_passed{category="checkin"}`: 0, `svc_dropped{category="pay"}`: 1, `svc_dropped{category="read"}`: 0,
+		`svc_bad_gateway{category="checkin"}`: 1, `svc_bad_gateway{category="read"}`: 0, "svc_upstream_tries": 7} {
+		assertEqual(t, id, b.metric(t, id), n)
+	}
+
+	b.discovery.answers <- endpointList{Revision: 11, Complete: true, Members: []endpointEntry{stays}}
+	<-b.discovery.calls // the list has been applied: the next call names its revision
+	status, _ = b.do(t, b.newRequest("read", ""))
+	assertEqual(t, "status", status, 200)
+	assertEqual(t, "listed later", b.metric(t, "svc_known_upstreams"), 1)
+	assertEqual(t, "avoided later", b.metric(t, "svc_skipped_upstreams"), 0)
+}
--- a/internal/proxy/requestparse.go
+++ b/internal/proxy/requestparse.go
@@ -42,29 +42,29 @@
 		body.allowFirstByte(arrivedAt - conn.headAt)
 		buffered, complete, err = f.bodyBudget.readBody(body, r.ContentLength, func() bool { return false })
 		if err != nil {
-			f.bodyBudget.give(cap(buffered))
+			f.bodyBudget.release(cap(buffered))
 			return nil, nil, fmt.Errorf("body: %w", err)
 		}
 		arrivedAt = conn.arrivedAt() // the deadline counts from the last byte
 	}
 	if class.Idempotency == balancer.Idempotent && len(buffered) > 0 {
-		f.bodyBudget.give(cap(buffered))
+		f.bodyBudget.release(cap(buffered))
 		return nil, nil, errGetWithBody
 	}
 	removeHopByHopFields(r.Header)
 	parsed := &request{
-		at:    arrivedAt,
-		reply: make(chan answer, 1),
+		arrivedAt: arrivedAt,
+		reply:     make(chan response, 1),
 		message: message{
-			line:   r.Method + " " + originForm(r.RequestURI),
-			header: r.Header,
-			host:   r.Host,
-			body:   buffered,
+			requestLine: r.Method + " " + originForm(r.RequestURI),
+			header:      r.Header,
+			host:        r.Host,
+			body:        buffered,
 		},
 	}
 	if !complete {
 		if err := body.control.EnableFullDuplex(); err != nil {
-			f.bodyBudget.give(cap(buffered))
+			f.bodyBudget.release(cap(buffered))
 			return nil, nil, fmt.Errorf("body: %w", err)
 		}
 		f.makeUpload(parsed, body, r.ContentLength)
@@ -113,10 +113,10 @@
 // makeUpload turns a request into one whose body is forwarded as it comes.
 func (f *frontend) makeUpload(q *request, body *requestBody, contentLength int64) {
 	q.Upload = true
-	q.within = f.timeBeforeKill
+	q.timeLeft = f.timeBeforeKill
 	q.message.rest = body
 	q.message.contentLength = contentLength
-	body.onComplete = func() { f.figures.inProgress.Add(1) }
+	body.onComplete = func() { f.metrics.inProgress.Add(1) }
 }
 
 // setAttributes sets what the decision module gets to know of a request.
@@ -128,7 +128,7 @@
 	q.Tenant = r.Header.Get("X-Tenant")
 	q.Retry = r.Header.Get("X-Retry") == "1"
 	timeout := min(class.Deadline, deadlineOf(r, class.Deadline))
-	q.Timeout = max(0, min(timeout-responseMargin, f.timeBeforeKill(q.at, timeout)))
+	q.Timeout = max(0, min(timeout-responseMargin, f.timeBeforeKill(q.arrivedAt, timeout)))
 	costMicroseconds, err := strconv.ParseInt(r.Header.Get("X-Cost-Hint"), 10, 32)
 	if err == nil && costMicroseconds > 0 {
 		q.CostHint = time.Duration(costMicroseconds) * time.Microsecond
@@ -153,7 +153,7 @@
 func objectKey(text string) uint64 {
 	key, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
-		return uint64(hashed(text))
+		return uint64(hashID(text))
 	}
 	return key
 }
--- a/internal/proxy/requestparse_test.go
+++ b/internal/proxy/requestparse_test.go
@@ -11,72 +11,72 @@
 )
 
 func TestForwardsRequestUnchanged(t *testing.T) {
-	s := newServer(t, okAll)
-	b := newBalancer(t, up("s-00000001", s))
+	s := newTestUpstream(t, respondOK)
+	b := newBalancer(t, activeMember("s-00000001", s))
 	for _, class := range []string{"pay", "checkin"} {
-		q := b.ask(class, "body", "Connection", "X-Hop", "X-Hop", "1", "X-Extras", "a=1")
+		q := b.newRequest(class, "body", "Connection", "X-Hop", "X-Hop", "1", "X-Extras", "a=1")
 		status, body := b.do(t, q)
-		want(t, "status", status, 200)
-		want(t, "answer", body, "done")
+		assertEqual(t, "status", status, 200)
+		assertEqual(t, "answer", body, "done")
 		r := <-s.arrivals
 		text, _ := io.ReadAll(r.Body)
-		want(t, "body", string(text), "body")
-		want(t, "method", r.Method, q.Method)
-		want(t, "target", r.RequestURI, "/"+class+"/x?q=%2F1")
+		assertEqual(t, "body", string(text), "body")
+		assertEqual(t, "method", r.Method, q.Method)
+		assertEqual(t, "target", r.RequestURI, "/"+class+"/x?q=%2F1")
 		for _, h := range []string{"X-Request-Id", "Idempotency-Key", "X-Extras"} {
-			want(t, h, r.Header.Get(h), q.Header.Get(h))
+			assertEqual(t, h, r.Header.Get(h), q.Header.Get(h))
 		}
-		want(t, "X-Hop", r.Header.Get("X-Hop"), "")
+		assertEqual(t, "X-Hop", r.Header.Get("X-Hop"), "")
 		if ms, err := strconv.Atoi(r.Header.Get("X-Deadline-Ms")); err != nil || ms <= 0 || ms >= 4000 {
 			t.Errorf("X-Deadline-Ms: got %q, want under the client's", r.Header.Get("X-Deadline-Ms"))
 		}
 	}
-	want(t, "connections", s.opened(), 1)
+	assertEqual(t, "connections", s.opened(), 1)
 }
 
 func TestMalformedRequestsAreRejected(t *testing.T) {
-	s := newServer(t, okAll)
-	b := newBalancer(t, up("s-00000001", s))
-	get := b.ask("checkin", "")
+	s := newTestUpstream(t, respondOK)
+	b := newBalancer(t, activeMember("s-00000001", s))
+	get := b.newRequest("checkin", "")
 	get.Method = http.MethodGet
-	noID := b.ask("checkin", "")
+	noID := b.newRequest("checkin", "")
 	noID.Header.Del("X-Request-Id")
-	noKey := b.ask("pay", "")
+	noKey := b.newRequest("pay", "")
 	noKey.Header.Del("Idempotency-Key")
 	for _, c := range []struct {
 		name   string
 		r      *http.Request
 		status int
 	}{
-		{"unknown class", b.ask("checkin", "", "X-Class", "nope"), 400},
-		{"path of another class", b.ask("checkin", "", "X-Class", "read"), 400},
+		{"unknown class", b.newRequest("checkin", "", "X-Class", "nope"), 400},
+		{"path of another class", b.newRequest("checkin", "", "X-Class", "read"), 400},
 		{"no id", noID, 400},
 		{"method of another kind", get, 400},
-		{"key on an unsafe class", b.ask("checkin", "", "Idempotency-Key", "1"), 400},
+		{"key on an unsafe class", b.newRequest("checkin", "", "Idempotency-Key", "1"), 400},
 		{"no idempotency key", noKey, 400},
-		{"a GET with a body", b.ask("read", "x"), 400},
+		{"a GET with a body", b.newRequest("read", "x"), 400},
 	} {
 		status, _ := b.do(t, c.r)
-		want(t, c.name, status, c.status)
+		assertEqual(t, c.name, status, c.status)
 	}
-	want(t, "requests at the upstream", len(s.arrivals), 0)
+	assertEqual(t, "requests at the upstream", len(s.arrivals), 0)
 	// A deadline that can't be parsed counts as the class's, and is no reason to reject the request.
 	for _, deadline := range []string{"", "-5", "soon", "99999999999"} {
-		status, _ := b.do(t, b.ask("checkin", "", "X-Deadline-Ms", deadline))
-		want(t, "deadline "+deadline, status, 200)
+		status, _ := b.do(t, b.newRequest("checkin", "", "X-Deadline-Ms", deadline))
+		assertEqual(t, "deadline "+deadline, status, 200)
 	}
 }
 
 // A client whose time is over gets its response at once, and nothing is forwarded for it. It used to be taken for one
 // without a deadline, and got no response before the deadline of its class.
 func TestDeadlineOfZeroIsAnsweredAtOnce(t *testing.T) {
-	s := newServer(t, okAll)
-	b := newBalancer(t, up("s-00000001", s))
+	s := newTestUpstream(t, respondOK)
+	b := newBalancer(t, activeMember("s-00000001", s))
 	for _, class := range []string{"read", "pay", "checkin"} {
-		status, _ := b.do(t, b.ask(class, "", "X-Deadline-Ms", "0"))
-		want(t, "status", status, http.StatusServiceUnavailable)
+		status, _ := b.do(t, b.newRequest(class, "", "X-Deadline-Ms", "0"))
+		assertEqual(t, "status", status, http.StatusServiceUnavailable)
 	}
-	want(t, "requests at the upstream", len(s.arrivals), 0)
+	assertEqual(t, "requests at the upstream", len(s.arrivals), 0)
 }
 
 // Where the end of a request is in doubt, one reader's body is another reader's next request. Such a request is rejected,
@@ -91,8 +91,8 @@
 		{"health with chunks", "GET /healthz HTTP/1.1", "Content-Length: 150\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newServer(t, okAll)
-			b := newBalancer(t, up("s-00000001", s))
+			s := newTestUpstream(t, respondOK)
+			b := newBalancer(t, activeMember("s-00000001", s))
 			peer, in := b.dial(t)
 			head := c.line + "\r\nHost: x\r\n" + c.framing
 			if !strings.Contains(c.line, "/healthz") {
@@ -110,26 +110,26 @@
 				t.Fatal(err)
 			}
 			io.Copy(io.Discard, resp.Body)
-			want(t, "status", resp.StatusCode, http.StatusBadRequest)
+			assertEqual(t, "status", resp.StatusCode, http.StatusBadRequest)
 			if second, err := http.ReadResponse(in, nil); err == nil {
 				t.Errorf("a second response: %s", second.Status)
 			}
-			want(t, "requests at the upstream", len(s.arrivals), 0)
+			assertEqual(t, "requests at the upstream", len(s.arrivals), 0)
 		})
 	}
 }
 
 // 100 Continue is sent before the body, trailers and chunk extensions are skipped, and a request may come byte by byte.
 func TestHTTPForms(t *testing.T) {
-	s := newServer(t, okAll)
-	b := newBalancer(t, up("s-00000001", s))
+	s := newTestUpstream(t, respondOK)
+	b := newBalancer(t, activeMember("s-00000001", s))
 	c, in := b.dial(t)
 	io.WriteString(c, checkinHead+"Expect: 100-continue\r\nContent-Length: 4\r\n\r\n")
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want(t, "interim", resp.StatusCode, http.StatusContinue)
+	assertEqual(t, "interim", resp.StatusCode, http.StatusContinue)
 	io.WriteString(c, "body")
 	for i, text := range []string{"", strings.Replace(checkinHead, "/checkin", "http://x/checkin", 1) +
 		"Transfer-Encoding: chunked\r\nTrailer: X-T\r\n\r\n1;a=b\r\nb\r\n3\r\nody\r\n0\r\nX-T: 1\r\n\r\n",
@@ -143,12 +143,12 @@
 			t.Fatal(err)
 		}
 		io.Copy(io.Discard, resp.Body)
-		want(t, "status", resp.StatusCode, 200)
+		assertEqual(t, "status", resp.StatusCode, 200)
 		r := <-s.arrivals
 		text, _ := io.ReadAll(r.Body)
 		if i < 2 {
-			want(t, "body", string(text), "body")
-			want(t, "target", r.RequestURI, "/checkin/x")
+			assertEqual(t, "body", string(text), "body")
+			assertEqual(t, "target", r.RequestURI, "/checkin/x")
 		}
 	}
 }
@@ -156,16 +156,16 @@
 // With a hung upstream, the client gets its one response by its deadline, and the request is not retried.
 func TestHungUpstreamFailsAtTheDeadline(t *testing.T) {
 	release := make(chan struct{})
-	s := newServer(t, func(c net.Conn, r *http.Request) bool { <-release; return okAll(c, r) })
-	b := newBalancer(t, up("s-00000001", s), up("s-00000002", s))
+	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
+	b := newBalancer(t, activeMember("s-00000001", s), activeMember("s-00000002", s))
 	defer close(release)
 	start := time.Now()
-	status, _ := b.do(t, b.ask("checkin", "", "X-Deadline-Ms", "200"))
-	want(t, "status", status, http.StatusGatewayTimeout)
+	status, _ := b.do(t, b.newRequest("checkin", "", "X-Deadline-Ms", "200"))
+	assertEqual(t, "status", status, http.StatusGatewayTimeout)
 	if d := time.Since(start); d < 150*time.Millisecond || d > 2*time.Second {
 		t.Errorf("answered after %v, want about the deadline", d)
 	}
-	want(t, "requests at the upstream", len(s.arrivals), 1)
+	assertEqual(t, "requests at the upstream", len(s.arrivals), 1)
 }
 
 func TestHealthCheck(t *testing.T) {
@@ -175,5 +175,5 @@
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	want(t, "status", resp.StatusCode, 200)
+	assertEqual(t, "status", resp.StatusCode, 200)
 }
--- /dev/null
+++ b/internal/proxy/requests_test.go
@@ -0,0 +1,290 @@
+package proxy
+
+import (
+	"math"
+	"net"
+	"net/http"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"sprucehill/balancer"
+)
+
+// deadlineRecorder is a connection that only records its deadline.
+type deadlineRecorder struct {
+	net.Conn
+	at time.Time
+}
+
+func (d *deadlineRecorder) SetDeadline(t time.Time) error     { d.at = t; return nil }
+func (d *deadlineRecorder) SetReadDeadline(t time.Time) error { d.at = t; return nil }
+
+// An attempt that is given up closes its connection, which ends every wait on it: that tells the upstream to stop, and
+// the capacity is needed. Connections that waited for late responses once held a quarter of it for 3 s each.
+func TestAbandonedAttemptClosesItsConnection(t *testing.T) {
+	for _, closed := range []bool{false, true} { // its request may be retried, or has been answered
+		l := newTestLoop(t, 2)
+		p := &endpoint{id: 1, inFlight: map[*attempt]struct{}{}}
+		d := &deadlineRecorder{}
+		a := &attempt{request: l.addRequest(1), endpoint: p, conn: &upstreamConn{Conn: d}}
+		a.request.undelivered = 1
+		a.request.closed = closed
+		a.stage.Store(attemptClaimed)
+		l.endAttempt(a, balancer.Cancelled)
+		if d.at.IsZero() || d.at.After(time.Now()) {
+			t.Errorf("request closed %v: deadline %v, want one that has passed", closed, d.at)
+		}
+	}
+}
+
+// The timer of a closed request stays until its deadline. It once kept the body in memory all that time, although the
+// byte budget had been given it back.
+func TestClosedRequestReleasesItsBody(t *testing.T) {
+	release := make(chan struct{})
+	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
+	l := newTestLoop(t, 10)
+	addEndpoint(l, 1, s)
+	r := l.addRequest(1)
+	r.message.body = []byte("body")
+	l.setTimer(timer{at: r.deadline, request: r})
+	l.Send(1, 1, 0)
+	a := r.attempts[0]
+	<-s.arrivals
+	l.Fail(1)
+	assertEqual(t, "held while an attempt is out", len(r.message.body), 4)
+	close(release)
+	for e := range l.events {
+		e.apply(l)
+		if e, ok := e.(attemptFinished); ok && e.attempt == a {
+			break
+		}
+	}
+	assertEqual(t, "held by the request", r.message.body == nil, true)
+	assertEqual(t, "held by the attempt", a.message.body == nil && a.head == nil, true)
+	for { // its timer fires all the same, and finds nothing left to do
+		pending, ok := l.timers.popDue(math.MaxInt64)
+		if !ok {
+			break
+		}
+		if pending.request != nil {
+			l.fire(pending)
+		}
+	}
+}
+
+// writeRecorder is a connection that records when its sending begins and ends. After an error its reader goes on only
+// when the test closes read.
+type writeRecorder struct {
+	*net.TCPConn
+	events chan string
+	read   chan struct{}
+	begin  sync.Once
+	end    sync.Once
+}
+
+func (c *writeRecorder) Write(p []byte) (int, error) {
+	c.begin.Do(func() { c.events <- "sent" }) // head and body are two writes
+	return c.TCPConn.Write(p)
+}
+
+func (c *writeRecorder) Read(p []byte) (int, error) {
+	n, err := c.TCPConn.Read(p)
+	if err != nil {
+		<-c.read
+	}
+	return n, err
+}
+
+func (c *writeRecorder) CloseWrite() error {
+	c.end.Do(func() { c.events <- "ended" })
+	return c.TCPConn.CloseWrite()
+}
+
+func (c *writeRecorder) Close() error {
+	c.end.Do(func() { c.events <- "ended" })
+	return c.TCPConn.Close()
+}
+
+// An attempt that is given up has ended at its upstream before the next one is sent: where the settings have no hedged
+// requests two must not be in flight at once. Once its connection was closed by its reader, whenever that came to it.
+func TestAbandonedAttemptEndsBeforeTheRetryIsSent(t *testing.T) {
+	hold := make(chan struct{})
+	defer close(hold)
+	s := newTestUpstream(t, func(net.Conn, *http.Request) bool { <-hold; return false })
+	events := make(chan string, 100)
+	read := make(chan struct{})
+	b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) {
+		c.openConn = func(network, address string, timeout time.Duration) (net.Conn, error) {
+			x, err := net.DialTimeout(network, address, timeout)
+			if err != nil {
+				return nil, err
+			}
+			return &writeRecorder{TCPConn: x.(*net.TCPConn), events: events, read: read}, nil
+		}
+	}, activeMember("s-00000001", s), activeMember("s-00000002", s))
+	defer close(read)
+	b.sendRaw(t, "read", "", "")
+	<-s.arrivals
+	assertEqual(t, "first", <-events, "sent")
+	b.runInLoop(t, func(l *loop) {
+		for id := range l.requests {
+			l.Cancel(id, 0)
+		}
+		l.deliverOutcomes()
+	})
+	<-s.arrivals // the next attempt
+	assertEqual(t, "then", <-events, "ended")
+	assertEqual(t, "then", <-events, "sent")
+}
+
+// permutations calls do with every order of the numbers below n.
+func permutations(n int, do func(order []int)) {
+	var extend func(order, rest []int)
+	extend = func(order, rest []int) {
+		if len(rest) == 0 {
+			do(order)
+		}
+		for i, x := range rest {
+			extend(append(slices.Clone(order), x), slices.Delete(slices.Clone(rest), i, i+1))
+		}
+	}
+	all := make([]int, n)
+	for i := range all {
+		all[i] = i
+	}
+	extend(nil, all)
+}
+
+// attemptEnd is how an attempt of an endsTrial ends.
+type attemptEnd string
+
+const (
+	endsAnswered attemptEnd = "answer"
+	endsStreamed attemptEnd = "stream"
+	endsReset    attemptEnd = "reset"
+	endsUnsent   attemptEnd = "unsent"
+)
+
+// endsTrial is a loop with one request that has two attempts in flight.
+type endsTrial struct {
+	loop        *loop
+	endpoint    *endpoint
+	request     *request
+	results     []attemptResult // of the attempts, once they have ended
+	bytesBefore int64           // free in the byte budget
+	answers     int
+}
+
+func newEndsTrial(t *testing.T, ends ...attemptEnd) *endsTrial {
+	t.Helper()
+	l := newTestLoop(t, 10)
+	endpoint := &endpoint{id: 1, address: "pipe", state: balancer.Active, inFlight: map[*attempt]struct{}{}}
+	l.endpoints[1] = endpoint
+	trial := &endsTrial{loop: l, endpoint: endpoint, request: l.addRequest(1), bytesBefore: l.dialer.bodyBudget.available.Load()}
+	for _, end := range ends {
+		trial.addAttempt(t, end)
+	}
+	return trial
+}
+
+// addAttempt adds an attempt that is in flight, with the result that it will have.
+func (x *endsTrial) addAttempt(t *testing.T, end attemptEnd) {
+	t.Helper()
+	mine, other := net.Pipe()
+	t.Cleanup(func() { other.Close() })
+	c := &upstreamConn{Conn: mine}
+	a := &attempt{request: x.request, index: len(x.request.attempts), endpoint: x.endpoint, conn: c}
+	x.request.attempts = append(x.request.attempts, a)
+	x.request.undelivered++
+	x.loop.pool.open++
+	x.endpoint.inFlight[a] = struct{}{}
+	if end != endsUnsent {
+		a.stage.Store(attemptClaimed)
+	}
+	const bodyBytes = 100
+	var r attemptResult
+	switch end {
+	case endsAnswered:
+		x.loop.dialer.bodyBudget.reserve(bodyBytes)
+		r = attemptResult{status: balancer.OK, body: make([]byte, 0, bodyBytes), conn: c}
+	case endsStreamed:
+		x.loop.dialer.bodyBudget.reserve(bodyBytes)
+		r = attemptResult{status: balancer.OK, body: make([]byte, 0, bodyBytes), stream: &responseStream{conn: c}}
+	case endsReset:
+		r = attemptResult{status: balancer.Reset}
+	case endsUnsent:
+		r = attemptResult{status: balancer.NotSent, conn: c}
+	}
+	x.results = append(x.results, r)
+}
+
+// endsTrialSteps is how many steps there are.
+const endsTrialSteps = 5
+
+// step does one of the things that end a request.
+func (x *endsTrial) step(number int) {
+	switch number {
+	case 0, 1:
+		attemptFinished{x.request.attempts[number], x.results[number]}.apply(x.loop)
+	case 2:
+		x.loop.expireAttempt(x.request.attempts[0])
+	case 3:
+		x.loop.Fail(1)
+	case 4:
+		clientDisconnected{x.request}.apply(x.loop)
+	}
+	x.loop.deliverOutcomes()
+}
+
+// drain takes the answers that the frontend would not: the client disconnected as they came.
+func (x *endsTrial) drain() {
+	for len(x.request.reply) > 0 {
+		a := <-x.request.reply
+		x.answers++
+		x.loop.dialer.bodyBudget.release(cap(a.body))
+		if a.stream != nil {
+			x.loop.pool.close(a.stream.conn)
+		}
+	}
+}
+
+// check fails the test if there was more than one answer, or something is still counted or in memory.
+func (x *endsTrial) check(t *testing.T) {
+	t.Helper()
+	l := x.loop
+	if x.answers > 1 {
+		t.Errorf("%d answers", x.answers)
+	}
+	assertEqual(t, "bytes in the budget", l.dialer.bodyBudget.available.Load(), x.bytesBefore)
+	assertEqual(t, "connections", l.pool.open, len(x.endpoint.idle))
+	assertEqual(t, "attempts of the request", x.request.undelivered, 0)
+	assertEqual(t, "attempts at the endpoint", len(x.endpoint.inFlight), 0)
+	assertEqual(t, "requests", len(l.requests), 0)
+}
+
+// Two attempts of a request end, the first one's time-out fires, the request fails, and its client disconnects, in every
+// order. The attempts each end with a response, one that is passed on as it comes, a reset, or unsent. There is at most
+// one answer, and nothing stays counted or in memory.
+func TestRequestEndsInEveryOrder(t *testing.T) {
+	ends := []attemptEnd{endsAnswered, endsStreamed, endsReset, endsUnsent}
+	trials := 0
+	for _, first := range ends {
+		for _, second := range ends {
+			permutations(endsTrialSteps, func(order []int) {
+				trials++
+				trial := newEndsTrial(t, first, second)
+				for _, number := range order {
+					trial.step(number)
+				}
+				trial.drain()
+				trial.check(t)
+				if t.Failed() {
+					t.Fatalf("%s and %s, order %v", first, second, order)
+				}
+			})
+		}
+	}
+	t.Logf("%d trials", trials)
+}
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -24,27 +24,27 @@
 
 // readResponse reads an upstream's response. The body of a long or slow one is left to be streamed. Of a response that is
 // not successful, the body is discarded.
-func (d dialer) readResponse(c *conn) result {
+func (d dialer) readResponse(c *upstreamConn) attemptResult {
 	c.readLimit.N = maxResponseRead
 	resp, err := readFinalHead(c.reader)
 	if err != nil || resp.ContentLength > maxResponseLength {
 		c.Close()
-		return result{status: balancer.Reset}
+		return attemptResult{status: balancer.Reset}
 	}
-	r := result{status: statusOf(resp), load: parseLoadReport(resp.Header.Get("X-Load"))}
+	r := attemptResult{status: statusOf(resp), load: parseLoadReport(resp.Header.Get("X-Load"))}
 	body, complete, err := d.readResponseBody(c, resp)
 	if err == nil && r.status == balancer.OK {
 		r.body = body
-		r.kind = resp.Header.Get("Content-Type")
+		r.contentType = resp.Header.Get("Content-Type")
 	} else {
-		d.held.give(cap(body))
+		d.bodyBudget.release(cap(body))
 	}
 	switch {
 	case err != nil:
 		c.Close()
-		return result{status: balancer.Reset}
+		return attemptResult{status: balancer.Reset}
 	case !complete && r.status == balancer.OK:
-		r.more = &stream{resp: resp, conn: c}
+		r.stream = &responseStream{resp: resp, conn: c}
 	case !complete || resp.Close: // the rest of an error's body is of no use
 		c.Close()
 	default:
@@ -77,9 +77,9 @@
 }
 
 // readResponseBody buffers a response's body, or the beginning of one that is to be streamed.
-func (d dialer) readResponseBody(c *conn, resp *http.Response) (body []byte, complete bool, err error) {
+func (d dialer) readResponseBody(c *upstreamConn, resp *http.Response) (body []byte, complete bool, err error) {
 	began := time.Now()
-	body, complete, err = d.held.readBody(resp.Body, resp.ContentLength, func() bool {
+	body, complete, err = d.bodyBudget.readBody(resp.Body, resp.ContentLength, func() bool {
 		if resp.ContentLength < 0 {
 			return time.Since(began) > unsizedResponseHoldTime
 		}
--- a/internal/proxy/responsestream.go
+++ b/internal/proxy/responsestream.go
@@ -10,16 +10,16 @@
 var errResponseTooLong = errors.New("an answer that does not end")
 
 // responseStream is the rest of a response. It belongs, with its connection, to whoever passes it on to the client.
-type stream struct {
+type responseStream struct {
 	resp      *http.Response
-	conn      *conn
-	peer      *peer
+	conn      *upstreamConn
+	endpoint  *endpoint
 	bytesRead int64 // of the body, by read
 }
 
 // read reads the next part of the body. It fails if the upstream sends nothing for upstreamStallTimeout, or sends without
 // an end.
-func (s *stream) read(p []byte) (n int, err error) {
+func (s *responseStream) read(p []byte) (n int, err error) {
 	if s.bytesRead > maxResponseLength {
 		return 0, errResponseTooLong
 	}
@@ -34,7 +34,7 @@
 
 // finish returns the connection if it can be used again, and closes it otherwise. complete tells whether the body has been
 // read to its end.
-func (s *stream) finish(complete bool) *conn {
+func (s *responseStream) finish(complete bool) *upstreamConn {
 	if !complete || s.resp.Close {
 		s.conn.Close()
 		return nil
--- a/internal/proxy/responsestream_test.go
+++ b/internal/proxy/responsestream_test.go
@@ -14,14 +14,14 @@
 // Nothing is held back: what has come of a response reaches the client while the upstream is still writing.
 func TestResponseIsStreamedAsItComes(t *testing.T) {
 	more := make(chan struct{})
-	s := newServer(t, func(c net.Conn, _ *http.Request) bool {
+	s := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nfirst", 1<<20)
 		<-more
 		_, err := io.Copy(c, patternReader(1<<20-5))
 		return err == nil
 	})
-	b := newBalancer(t, up("s-00000001", s))
-	resp, err := b.client.Do(b.ask("checkin", ""))
+	b := newBalancer(t, activeMember("s-00000001", s))
+	resp, err := b.client.Do(b.newRequest("checkin", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 	}
 	close(more)
 	n, err := io.Copy(io.Discard, resp.Body)
-	want(t, "the rest", n, int64(1<<20-5))
+	assertEqual(t, "the rest", n, int64(1<<20-5))
 	if err != nil {
 		t.Error(err)
 	}
@@ -41,13 +41,13 @@
 // A response that breaks off in the middle is not retried, and its client can tell.
 func TestBrokenResponseIsVisibleToTheClient(t *testing.T) {
 	for _, head := range []string{"Content-Length: 1000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n20000\r\n"} {
-		s := newServer(t, func(c net.Conn, _ *http.Request) bool {
+		s := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head)
 			io.Copy(c, patternReader(100_000))
 			return false
 		})
-		b := newBalancer(t, up("s-00000001", s))
-		resp, err := b.client.Do(b.ask("read", ""))
+		b := newBalancer(t, activeMember("s-00000001", s))
+		resp, err := b.client.Do(b.newRequest("read", ""))
 		if err == nil {
 			_, err = io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
@@ -55,7 +55,7 @@
 		if err == nil {
 			t.Errorf("%q: taken for complete", head)
 		}
-		want(t, "requests at the upstream", len(s.arrivals), 1)
+		assertEqual(t, "requests at the upstream", len(s.arrivals), 1)
 	}
 }
 
@@ -64,33 +64,33 @@
 func TestResponseOfExcessiveLengthIsNotForwarded(t *testing.T) {
 	for class, status := range map[string]int{"read": 200, "checkin": 502} {
 		first := true // one request at a time
-		s := newServer(t, func(c net.Conn, r *http.Request) bool {
+		s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 			if !first {
-				return okAll(c, r)
+				return respondOK(c, r)
 			}
 			first = false
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nbeginning", maxResponseLength+1)
 			return false
 		})
-		b := newBalancer(t, up("s-00000001", s))
-		got, _ := b.do(t, b.ask(class, ""))
-		want(t, class, got, status)
-		b.settled(t)
+		b := newBalancer(t, activeMember("s-00000001", s))
+		got, _ := b.do(t, b.newRequest(class, ""))
+		assertEqual(t, class, got, status)
+		b.awaitSettled(t)
 	}
 }
 
 // The limit on what is read of one response does not end it: one of unknown length, behind a head that took most of the
 // limit, used to be served as complete where the limit cut it.
 func TestReadLimitDoesNotEndAResponse(t *testing.T) {
-	s := newServer(t, func(c net.Conn, r *http.Request) bool {
+	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Long: "+strings.Repeat("x", maxResponseRead-10_000)+"\r\n\r\n")
 		io.Copy(c, patternReader(50_000))
 		return false
 	})
-	b := newBalancer(t, up("s-00000001", s))
-	status, _ := b.do(t, b.ask("checkin", ""))
-	want(t, "status", status, 502)
-	b.settled(t)
+	b := newBalancer(t, activeMember("s-00000001", s))
+	status, _ := b.do(t, b.newRequest("checkin", ""))
+	assertEqual(t, "status", status, 502)
+	b.awaitSettled(t)
 }
 
 // Clients that read nothing of large responses cost no more than the buffers of their connections.
@@ -98,7 +98,7 @@
 	var wrote [8]int64
 	done := make(chan int, 8)
 	next := 0
-	s := newServer(t, func(c net.Conn, _ *http.Request) bool {
+	s := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
 		i := next
 		next++
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 64<<20)
@@ -107,7 +107,7 @@
 		done <- i
 		return false
 	})
-	b := newBalancer(t, up("s-00000001", s))
+	b := newBalancer(t, activeMember("s-00000001", s))
 	for range 2 {
 		c, _ := b.dial(t)
 		io.WriteString(c, checkinHead+"Content-Length: 0\r\n\r\n")
@@ -133,9 +133,9 @@
 		t.Run(x.name, func(t *testing.T) {
 			proceed := make(chan struct{})
 			first := true // one request at a time
-			s := newServer(t, func(c net.Conn, r *http.Request) bool {
+			s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 				if !first {
-					return okAll(c, r)
+					return respondOK(c, r)
 				}
 				first = false
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
@@ -146,8 +146,8 @@
 				c.(*net.TCPConn).SetLinger(0)
 				return false
 			})
-			b := newBalancer(t, up("s-00000001", s))
-			resp, err := b.client.Do(b.ask(x.class, ""))
+			b := newBalancer(t, activeMember("s-00000001", s))
+			resp, err := b.client.Do(b.newRequest(x.class, ""))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -166,8 +166,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			want(t, "status", resp.StatusCode, x.status)
-			want(t, "the answer is the second one's", string(body) == "done", x.status == 200)
+			assertEqual(t, "status", resp.StatusCode, x.status)
+			assertEqual(t, "the answer is the second one's", string(body) == "done", x.status == 200)
 		})
 	}
 }
@@ -189,7 +189,7 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			release := make(chan struct{})
-			s := newServer(t, func(c net.Conn, _ *http.Request) bool {
+			s := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
 				io.WriteString(c, x.beginning)
 				if x.endless {
 					io.Copy(c, &patternSource{}) // until the connection is closed
@@ -198,16 +198,16 @@
 				}
 				return false
 			})
-			b := newBalancer(t, up("s-00000001", s))
+			b := newBalancer(t, activeMember("s-00000001", s))
 			defer close(release)
-			resp, err := b.client.Do(b.ask("checkin", "", "X-Deadline-Ms", strconv.FormatInt(deadline.Milliseconds(), 10)))
+			resp, err := b.client.Do(b.newRequest("checkin", "", "X-Deadline-Ms", strconv.FormatInt(deadline.Milliseconds(), 10)))
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer resp.Body.Close()
 			n, err := io.Copy(io.Discard, resp.Body)
 			if x.status != 0 {
-				want(t, "status", resp.StatusCode, x.status)
+				assertEqual(t, "status", resp.StatusCode, x.status)
 				return
 			}
 			if err == nil || n < maxResponseLength {
--- a/internal/proxy/responsewriter.go
+++ b/internal/proxy/responsewriter.go
@@ -19,13 +19,13 @@
 )
 
 // write writes a response to the client. Only a streamed one can end other than delivered.
-func (x *exchange) write(a answer) delivery {
+func (x *exchange) write(a response) delivery {
 	header := x.writer.Header()
-	if x.frontend.leaving.Load() { // the shutdown may have begun since the request came
+	if x.frontend.shuttingDown.Load() { // the shutdown may have begun since the request came
 		closeAfterResponse(x.writer)
 	}
-	if a.kind != "" {
-		header.Set("Content-Type", a.kind)
+	if a.contentType != "" {
+		header.Set("Content-Type", a.contentType)
 	} else {
 		header["Content-Type"] = nil // keeps net/http from guessing one
 	}
@@ -34,7 +34,7 @@
 	}
 	control := http.NewResponseController(x.writer)
 	extendWriteDeadline(control)
-	if a.more != nil {
+	if a.stream != nil {
 		return x.writeStream(control, a)
 	}
 	header.Set("Content-Length", strconv.Itoa(len(a.body)))
@@ -44,8 +44,8 @@
 }
 
 // writeStream writes a streamed response and gives its upstream connection back to the loop.
-func (x *exchange) writeStream(control *http.ResponseController, a answer) (result delivery) {
-	upstream := a.more
+func (x *exchange) writeStream(control *http.ResponseController, a response) (result delivery) {
+	upstream := a.stream
 	stopWatching := context.AfterFunc(x.httpRequest.Context(), func() {
 		if !connOf(x.httpRequest).hasFramingError() {
 			upstream.conn.SetReadDeadline(expiredDeadline)
@@ -53,7 +53,7 @@
 	})
 	defer func() {
 		stopWatching()
-		x.frontend.post(passed{upstream.peer, upstream.finish(result == delivered)})
+		x.frontend.post(streamFinished{upstream.endpoint, upstream.finish(result == delivered)})
 	}()
 	if n := upstream.resp.ContentLength; n >= 0 {
 		x.writer.Header().Set("Content-Length", strconv.FormatInt(n, 10))
@@ -63,7 +63,7 @@
 }
 
 // copyStream writes beginning and then what the upstream sends, each part as soon as it has come.
-func (x *exchange) copyStream(control *http.ResponseController, beginning []byte, upstream *stream) delivery {
+func (x *exchange) copyStream(control *http.ResponseController, beginning []byte, upstream *responseStream) delivery {
 	buf := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(buf)
 	part := beginning
--- a/internal/proxy/secondresponse_test.go
+++ b/internal/proxy/secondresponse_test.go
@@ -23,28 +23,28 @@
 		t.Run(x.name, func(t *testing.T) {
 			texts := map[string]string{}
 			var order []string // of requests by id, one at a time
-			s := newServer(t, func(c net.Conn, r *http.Request) bool {
+			s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 				id := r.Header.Get("X-Request-Id")
 				order = append(order, id)
 				switch {
 				case len(order) == 1 && x.whileIdle:
-					return ok(c, texts[id]) && ok(c, "again "+texts[id])
+					return writeOK(c, texts[id]) && writeOK(c, "again "+texts[id])
 				case len(order) == 2 && !x.whileIdle:
-					return ok(c, "again "+texts[order[0]]) && ok(c, texts[id])
+					return writeOK(c, "again "+texts[order[0]]) && writeOK(c, texts[id])
 				}
-				return ok(c, texts[id])
+				return writeOK(c, texts[id])
 			})
-			b := newBalancer(t, up("s-00000001", s))
+			b := newBalancer(t, activeMember("s-00000001", s))
 			for i, text := range []string{"first", "second", "third"} {
-				r := b.ask("checkin", "")
+				r := b.newRequest("checkin", "")
 				texts[r.Header.Get("X-Request-Id")] = text
 				status, answer := b.do(t, r)
-				want(t, "status", status, 200)
-				want(t, "answer", answer, x.answers[i])
-				b.settled(t)
+				assertEqual(t, "status", status, 200)
+				assertEqual(t, "answer", answer, x.answers[i])
+				b.awaitSettled(t)
 				b.awaitUnreadBytes(t, i == 0 && x.whileIdle || i == 1 && !x.whileIdle)
 			}
-			want(t, "connections", s.opened(), x.connected)
+			assertEqual(t, "connections", s.opened(), x.connected)
 		})
 	}
 }
@@ -56,7 +56,7 @@
 		return
 	}
 	b.await(t, "bytes that belong to no request have come", func(l *loop) bool {
-		idle := l.peers[1].idle
+		idle := l.endpoints[1].idle
 		if len(idle) != 1 {
 			return false
 		}
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -31,7 +31,7 @@
 // setDraining sends clients away, or welcomes them again. While draining, health checks fail, responses close their
 // connections, and idle connections are closed once no more clients are expected. The listener stays open for those that
 // come anyway.
-func (f *frontend) drain(on bool) {
+func (f *frontend) setDraining(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if on == (f.cancelDrain != nil) {
@@ -69,12 +69,12 @@
 // shutDown shuts the frontend down without losing a request: it accepts the connections that are still on their way, closes
 // the listener and idle connections, and returns once every accepted request has been answered. An inherited listener is
 // closed at once: the connections in its queue, and those still to come, belong to the successor process.
-func (f *frontend) stop() {
+func (f *frontend) shutDown() {
 	f.shutdownAt.Store(int64(f.now()))
-	f.leaving.Store(true)
+	f.shuttingDown.Store(true)
 	if f.inherited {
 		f.listener.Close()
-		f.post(leave{})
+		f.post(releaseIdle{})
 	}
 	time.Sleep(shutdownAcceptPeriod)
 	if !f.inherited {
@@ -106,7 +106,7 @@
 // clock. It is all of timeout unless a shutdown has begun and the request came too long after that.
 func (f *frontend) timeBeforeKill(at, timeout time.Duration) time.Duration {
 	shutdownAt := time.Duration(f.shutdownAt.Load())
-	if !f.leaving.Load() || at < shutdownAt+killDelay-killMargin {
+	if !f.shuttingDown.Load() || at < shutdownAt+killDelay-killMargin {
 		return timeout
 	}
 	killAt := shutdownAt + min(f.longestDeadline, killDeadlineCap) + killDelay
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -22,11 +22,11 @@
 // sendPartialRequest opens a connection with a partial request, and waits until the part has been read.
 func (b *testBalancer) sendPartialRequest(t *testing.T) partialRequest {
 	t.Helper()
-	x := partialRequest{Conn: b.raw(t, "checkin", "", "")}
+	x := partialRequest{Conn: b.sendRaw(t, "checkin", "", "")}
 	x.in = bufio.NewReader(x)
 	x.answer(t, 200)
 	var text strings.Builder
-	if err := b.ask("checkin", "").Write(&text); err != nil {
+	if err := b.newRequest("checkin", "").Write(&text); err != nil {
 		t.Fatal(err)
 	}
 	half := text.Len() / 2
@@ -58,7 +58,7 @@
 		t.Fatalf("a request that had begun got no response: %v", err)
 	}
 	io.Copy(io.Discard, resp.Body)
-	want(t, "status", resp.StatusCode, status)
+	assertEqual(t, "status", resp.StatusCode, status)
 }
 
 // end sends the rest of the request.
@@ -72,20 +72,20 @@
 // Requests that have been accepted are answered after SIGTERM, and connections that are still on their way are served.
 func TestShutdownLosesNoRequest(t *testing.T) {
 	release := make(chan struct{})
-	s := newServer(t, func(c net.Conn, r *http.Request) bool {
+	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("X-Late") != "" {
 			<-release
 		}
-		return okAll(c, r)
+		return respondOK(c, r)
 	})
-	b := newBalancer(t, up("s-00000001", s))
+	b := newBalancer(t, activeMember("s-00000001", s))
 	type got struct {
 		status int
 		err    error
 	}
 	late := make(chan got, 1)
 	go func() {
-		resp, err := b.client.Do(b.ask("checkin", "", "X-Late", "1"))
+		resp, err := b.client.Do(b.newRequest("checkin", "", "X-Late", "1"))
 		if err != nil {
 			late <- got{err: err}
 			return
@@ -96,13 +96,13 @@
 	<-s.arrivals
 	b.cancel()
 	for { // on new connections, until one shows that the shutdown has begun
-		r := b.ask("checkin", "")
+		r := b.newRequest("checkin", "")
 		resp, err := (&http.Client{Transport: &http.Transport{}}).Do(r)
 		if err != nil {
 			t.Fatal(err)
 		}
 		resp.Body.Close()
-		want(t, "status while stopping", resp.StatusCode, 200)
+		assertEqual(t, "status while stopping", resp.StatusCode, 200)
 		if resp.Close {
 			break
 		}
@@ -121,8 +121,8 @@
 // with it.
 func TestShutdownClosesUnusedConnections(t *testing.T) {
 	release := make(chan struct{})
-	s := newServer(t, func(c net.Conn, r *http.Request) bool { <-release; return okAll(c, r) })
-	b := newBalancer(t, up("s-00000001", s))
+	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
+	b := newBalancer(t, activeMember("s-00000001", s))
 	unused, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -130,7 +130,7 @@
 	defer unused.Close()
 	status := make(chan int, 1)
 	go func() {
-		resp, err := b.client.Do(b.ask("checkin", ""))
+		resp, err := b.client.Do(b.newRequest("checkin", ""))
 		if err != nil {
 			status <- 0
 			return
@@ -144,14 +144,14 @@
 		t.Error("bytes on an unused connection")
 	}
 	close(release)
-	want(t, "status of the request in flight", <-status, 200)
+	assertEqual(t, "status of the request in flight", <-status, 200)
 }
 
 // A request that comes in pieces on a kept connection, and has begun when the shutdown begins, is answered. Its connection
 // used to be closed as an idle one.
 func TestShutdownAwaitsPartialRequest(t *testing.T) {
-	s := newServer(t, okAll)
-	b := newBalancer(t, up("s-00000001", s))
+	s := newTestUpstream(t, respondOK)
+	b := newBalancer(t, activeMember("s-00000001", s))
 	x := b.sendPartialRequest(t)
 	b.cancel()
 	<-b.proxy.front.acceptEnded // the listener is closed, and idle connections are being closed
@@ -161,13 +161,13 @@
 	x.end(t)
 	x.answer(t, 200)
 	b.awaitEnd(t)
-	want(t, "open connections", b.proxy.front.openConns(), 0)
+	assertEqual(t, "open connections", b.proxy.front.openConns(), 0)
 }
 
 // The same while draining, and where a connection has to make room.
 func TestPartialRequestKeepsItsConnection(t *testing.T) {
-	s := newServer(t, okAll)
-	b := newBalancer(t, up("s-00000001", s))
+	s := newTestUpstream(t, respondOK)
+	b := newBalancer(t, activeMember("s-00000001", s))
 	f := b.proxy.front
 	x := b.sendPartialRequest(t)
 	f.closeIdleConns(0)
@@ -218,13 +218,13 @@
 // A balancer that is slow to accept when its shutdown begins accepts the connections in its listener's queue, and answers
 // their requests. They used to be reset when the listener closed.
 func TestShutdownAcceptsQueuedConnections(t *testing.T) {
-	s := newServer(t, okAll)
+	s := newTestUpstream(t, respondOK)
 	l := &pausedListener{resume: make(chan struct{}), ending: make(chan struct{})}
-	b := newBalancerOn(t, newRegistry(t), func(x net.Listener) net.Listener { l.recordingListener = x.(recordingListener); return l },
-		func(*Config) {}, up("s-00000001", s))
+	b := newBalancerOn(t, newTestDiscovery(t), func(x net.Listener) net.Listener { l.recordingListener = x.(recordingListener); return l },
+		func(*Config) {}, activeMember("s-00000001", s))
 	var waiting []net.Conn
 	for range 5 {
-		waiting = append(waiting, b.raw(t, "checkin", "", ""))
+		waiting = append(waiting, b.sendRaw(t, "checkin", "", ""))
 	}
 	b.cancel()
 	<-l.ending
--- a/internal/proxy/socket_test.go
+++ b/internal/proxy/socket_test.go
@@ -28,8 +28,8 @@
 				return err == nil && state == x.state
 			})
 			state, err := peekSocket(c)
-			want(t, "state at a second look", state, x.state)
-			want(t, "error", err, nil)
+			assertEqual(t, "state at a second look", state, x.state)
+			assertEqual(t, "error", err, nil)
 		})
 	}
 	t.Run("closed on this side", func(t *testing.T) {
--- /dev/null
+++ b/internal/proxy/statesaver_test.go
@@ -0,0 +1,214 @@
+package proxy
+
+import (
+	"encoding/json"
+	"errors"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"sprucehill/internal/durable"
+)
+
+// memoryKeeper is a Keeper in memory. Full, it keeps nothing.
+type memoryKeeper struct {
+	mu      sync.Mutex
+	records map[string]durable.Record
+	full    bool
+}
+
+func newMemoryKeeper() *memoryKeeper {
+	return &memoryKeeper{records: map[string]durable.Record{}}
+}
+
+func (s *memoryKeeper) Load(kind string) (durable.Record, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	r, ok := s.records[kind]
+	return r, ok
+}
+
+func (s *memoryKeeper) Save(kind string, version uint16, at time.Time, encode func() ([]byte, error)) {
+	text, err := encode()
+	if err != nil {
+		return
+	}
+	_ = s.SaveSync(kind, version, at, text) // a real one has no way to report it either
+}
+
+func (s *memoryKeeper) SaveSync(kind string, version uint16, at time.Time, payload []byte) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.full {
+		return errors.New("no space left")
+	}
+	s.records[kind] = durable.Record{Kind: kind, Version: version, SavedAt: at, Payload: payload}
+	return nil
+}
+
+func (s *memoryKeeper) MarkRecovered() {}
+
+func (b *testBalancer) stop(t *testing.T) {
+	t.Helper()
+	b.client.CloseIdleConnections()
+	b.cancel()
+	if err := <-b.ended; err != nil {
+		t.Error(err)
+	}
+	b.ended <- nil
+}
+
+// A balancer that is restarted serves by the saved list while discovery does not answer, knows what it had learnt, and
+// does what operators had ordered.
+func TestStateSurvivesARestart(t *testing.T) {
+	s := newTestUpstream(t, respondOK)
+	keeper := newMemoryKeeper()
+	g := newTestDiscovery(t)
+	withKeeper := func(c *Config) { c.Keeper = keeper }
+	b := newBalancerWith(t, g, withKeeper, activeMember("s-00000009", newTestUpstream(t, respondOK)))
+	select { // discovery has another list than the configuration
+	case g.answers <- endpointList{Revision: 12, Complete: true, Members: []endpointEntry{activeMember("s-00000001", s)}}:
+	case <-time.After(30 * time.Second):
+		t.Fatal("discovery was not asked")
+	}
+	for range 20 {
+		b.do(t, b.newRequest("checkin", ""))
+	}
+	eventually(t, "the list is saved", func() bool {
+		r, ok := keeper.Load(kindList)
+		return ok && strings.Contains(string(r.Payload), "s-00000001")
+	})
+	if done, state := b.proxy.Drain(true); !done || state != "draining" {
+		t.Errorf("drain-on: %v, %s", done, state)
+	}
+	b.stop(t)
+	again := newBalancerWith(t, g, withKeeper, activeMember("s-00000009", newTestUpstream(t, respondOK)))
+	served := len(s.arrivals)
+	if status, _ := again.do(t, again.newRequest("checkin", "")); status != 200 || len(s.arrivals) != served+1 {
+		t.Errorf("restarted while discovery does not answer: %d, by the upstream of the saved list: %v", status, len(s.arrivals) > served)
+	}
+	if _, state := again.proxy.Ready(); state != "draining" {
+		t.Errorf("restarted: %s, want draining", state)
+	}
+	var lat float64
+	if err := again.proxy.callLoop(func(l *loop) { lat = l.balancer.TakeSnapshot(l.now()).Latency }); err != nil || lat == 0 {
+		t.Errorf("restarted: %v, usual latency %v", err, lat)
+	}
+	if done, _ := again.proxy.Drain(false); !done {
+		t.Error("drain-off")
+	}
+	again.stop(t)
+	last := newBalancerWith(t, g, withKeeper)
+	if _, state := last.proxy.Ready(); state == "draining" {
+		t.Error("drained though drain-off got its YES")
+	}
+}
+
+// On a disk that takes nothing, orders are carried out but not confirmed, since they would not outlive the process, and
+// service goes on.
+func TestOrdersOnAFullDisk(t *testing.T) {
+	keeper := newMemoryKeeper()
+	keeper.full = true
+	b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) { c.Keeper = keeper }, activeMember("s-00000001", newTestUpstream(t, respondOK)))
+	if status, _ := b.do(t, b.newRequest("checkin", "")); status != 200 {
+		t.Errorf("served with %d", status)
+	}
+	if done, state := b.proxy.Drain(true); done || !strings.HasPrefix(state, "draining, but not kept") {
+		t.Errorf("drain-on: %v, %s", done, state)
+	}
+	if _, state := b.proxy.Ready(); state != "draining" {
+		t.Errorf("the order is not carried out: %s", state)
+	}
+}
+
+// Saved state that can't be decoded is ignored, and the configuration counts.
+func TestUndecodableStateIsIgnored(t *testing.T) {
+	keeper := newMemoryKeeper()
+	for kind, text := range map[string]string{kindList: `{"discovery":1}`, kindSnapshot: `{"names":["a"],"knowledge":{}}`, kindOrders: "[]"} {
+		if err := keeper.SaveSync(kind, 1, time.Now(), []byte(text)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) { c.Keeper = keeper }, activeMember("s-00000001", newTestUpstream(t, respondOK)))
+	if status, _ := b.do(t, b.newRequest("checkin", "")); status != 200 {
+		t.Errorf("served with %d", status)
+	}
+	if _, state := b.proxy.Ready(); state != "serving" {
+		t.Errorf("%s", state)
+	}
+}
+
+// A balancer that knows its upstreams from before delays its first call to discovery by a time of its own. Where lists are
+// pushed it must still have the answer within the grace for draining endpoints, since a drain that the agent knows of
+// counts as notified at once; the delay was once up to 250 ms whatever the grace.
+func TestFirstDiscoveryCallIsWithinTheDrainGrace(t *testing.T) {
+	const grace = 100 * time.Millisecond
+	list, err := json.Marshal(savedList{Discovery: "127.0.0.1:1", List: endpointList{Revision: 12, Complete: true,
+		Members: []endpointEntry{{ID: "s-00000001", HostPort: "127.0.0.1:1", Phase: "up"}}}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	tests := []struct {
+		polls   bool
+		longest time.Duration
+	}{
+		{polls: true, longest: longestStartDelay},
+		{polls: false, longest: grace / 2},
+	}
+	for _, test := range tests {
+		for seed := range uint64(50) {
+			keeper := newMemoryKeeper()
+			if err := keeper.SaveSync(kindList, versionList, time.Now(), list); err != nil {
+				t.Fatal(err)
+			}
+			c := testConfig(t)
+			c.Keeper = keeper
+			c.Seed = seed
+			c.Settings.PollDiscovery = test.polls
+			c.Settings.Obligations.DrainGrace = grace
+			l := newLoop(t.Context(), &c)
+			assertEqual(t, "knows its upstreams from before", l.saver.restored, true)
+			if delay := time.Duration(l.discovery.client.firstDelay.Load()); delay > test.longest {
+				t.Errorf("polls %v, seed %d: %v before the first call, want at most %v", test.polls, seed, delay, test.longest)
+			}
+		}
+	}
+}
+
+// The saved forms stay as they are: a balancer has to read what another version of it has saved.
+func TestSavedForms(t *testing.T) {
+	tests := []struct {
+		name  string
+		value any
+		text  string
+	}{
+		{
+			"list",
+			savedList{Discovery: "127.0.0.1:1", List: endpointList{Revision: 12, Complete: true, Members: []endpointEntry{{ID: "s-1", HostPort: "127.0.0.1:2",
+				Locality: "r/z", Cell: 3, Phase: "up", Size: 1.5, UpSinceMS: 4}}}},
+			`{"discovery":"127.0.0.1:1","list":{"revision":12,"complete":true,"members":[{"id":"s-1","host_port":"127.0.0.1:2",` +
+				`"locality":"r/z","cell":3,"phase":"up","size":1.5,"up_since_ms":4}]}}`,
+		},
+		{"orders", savedOrders{Serial: 3, Drain: true, DrainedZones: []string{"r/z"}}, `{"serial":3,"drain":true,"left":["r/z"]}`},
+		{"no orders", savedOrders{}, `{"serial":0,"drain":false,"left":null}`},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			text, err := json.Marshal(test.value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			assertEqual(t, "form", string(text), test.text)
+		})
+	}
+	t.Run("snapshot", func(t *testing.T) {
+		text, err := json.Marshal(savedSnapshot{Names: []string{"s-1"}})
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !strings.HasPrefix(string(text), `{"names":["s-1"],"knowledge":{`) {
+			t.Errorf("form: %s", text)
+		}
+	})
+}
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -17,7 +17,7 @@
 func TestLargeBodiesAreStreamed(t *testing.T) {
 	const size = 3 << 20
 	sums := make(chan [32]byte, 10)
-	s := newServer(t, func(c net.Conn, r *http.Request) bool {
+	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 		body, _ := io.ReadAll(r.Body)
 		sums <- sha256.Sum256(body)
 		switch r.Header.Get("X-Form") {
@@ -42,10 +42,10 @@
 		io.Copy(c, patternReader(size))
 		return false
 	})
-	b := newBalancer(t, up("s-00000001", s))
+	b := newBalancer(t, activeMember("s-00000001", s))
 	for _, form := range []string{"length", "chunks", "close"} {
 		for _, length := range []int64{size, -1} {
-			r := b.ask("checkin", "", "X-Form", form)
+			r := b.newRequest("checkin", "", "X-Form", form)
 			r.Body, r.ContentLength = io.NopCloser(patternReader(size)), length
 			resp, err := b.client.Do(r)
 			if err != nil {
@@ -57,14 +57,14 @@
 				t.Fatal(err)
 			}
 			content, _ := io.ReadAll(patternReader(size))
-			want(t, form+": the answer is the upstream's", bytes.Equal(answer, content), true)
-			want(t, form+": the body is the client's", <-sums, sha256.Sum256(content))
-			want(t, form+": known length", resp.ContentLength == size, form == "length")
-			want(t, form+": keeps", resp.Close, false)
+			assertEqual(t, form+": the answer is the upstream's", bytes.Equal(answer, content), true)
+			assertEqual(t, form+": the body is the client's", <-sums, sha256.Sum256(content))
+			assertEqual(t, form+": known length", resp.ContentLength == size, form == "length")
+			assertEqual(t, form+": keeps", resp.Close, false)
 		}
 	}
-	want(t, "passed", b.figure(t, `svc_passed{category="checkin"}`), 6)
-	want(t, "in progress", b.figure(t, "svc_in_progress"), 0)
+	assertEqual(t, "passed", b.metric(t, `svc_passed{category="checkin"}`), 6)
+	assertEqual(t, "in progress", b.metric(t, "svc_in_progress"), 0)
 }
 
 // The time of an upload begins with its last byte: a slow one outlives its deadline, and its upstream gets its body as it
@@ -89,16 +89,16 @@
 		io.ReadFull(r.Body, make([]byte, maxBody))
 		close(began)
 		io.Copy(io.Discard, r.Body)
-		ok(c, "done")
+		writeOK(c, "done")
 	}()
-	b := newBalancer(t, up("s-00000001", &server{addr: l.Addr().String()}))
+	b := newBalancer(t, activeMember("s-00000001", &testUpstream{addr: l.Addr().String()}))
 	c, in := b.dial(t)
 	fmt.Fprintf(c, "%sX-Deadline-Ms: 50\r\nContent-Length: %d\r\n\r\n", strings.Replace(checkinHead, "X-Deadline-Ms: 4000\r\n", "", 1), 2*maxBody)
 	if _, err := io.CopyN(c, patternReader(maxBody+1), maxBody+1); err != nil {
 		t.Fatal(err)
 	}
 	<-began // the upstream has it while the client still sends
-	want(t, "in progress before it was taken", b.figure(t, "svc_in_progress"), 0)
+	assertEqual(t, "in progress before it was taken", b.metric(t, "svc_in_progress"), 0)
 	time.Sleep(100 * time.Millisecond) // past the deadline
 	if _, err := io.CopyN(c, patternReader(maxBody-1), maxBody-1); err != nil {
 		t.Fatal(err)
@@ -107,14 +107,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want(t, "status", resp.StatusCode, 200)
+	assertEqual(t, "status", resp.StatusCode, 200)
 }
 
 // A client that stops in the middle of a large body gets an error or a close, and the upstream never gets a complete
 // request.
 func TestStalledUploadIsAborted(t *testing.T) {
-	s := newServer(t, okAll)
-	b := newBalancer(t, up("s-00000001", s))
+	s := newTestUpstream(t, respondOK)
+	b := newBalancer(t, activeMember("s-00000001", s))
 	c, in := b.dial(t)
 	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", checkinHead, 4*maxBody)
 	io.CopyN(c, patternReader(2*maxBody), 2*maxBody)
@@ -122,10 +122,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want(t, "status", resp.StatusCode, http.StatusRequestTimeout)
-	want(t, "closes", resp.Close, true)
-	want(t, "requests at the upstream", len(s.arrivals), 0)
-	want(t, "attempts written completely", b.figure(t, "svc_upstream_tries"), 0)
+	assertEqual(t, "status", resp.StatusCode, http.StatusRequestTimeout)
+	assertEqual(t, "closes", resp.Close, true)
+	assertEqual(t, "requests at the upstream", len(s.arrivals), 0)
+	assertEqual(t, "attempts written completely", b.metric(t, "svc_upstream_tries"), 0)
 }
 
 // Once a part of an upload has been consumed it is not sent again; before that it may be.
@@ -135,16 +135,16 @@
 		t.Fatal(err)
 	}
 	dead.Close()
-	s := newServer(t, func(c net.Conn, r *http.Request) bool {
+	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	b := newBalancer(t, up("s-00000001", s), up("s-00000002", &server{addr: dead.Addr().String()}))
+	b := newBalancer(t, activeMember("s-00000001", s), activeMember("s-00000002", &testUpstream{addr: dead.Addr().String()}))
 	for range 3 { // a refused connection may be retried; an error response may not
-		r := b.ask("checkin", "")
+		r := b.newRequest("checkin", "")
 		r.Body, r.ContentLength = io.NopCloser(patternReader(4*maxBody)), -1
 		status, _ := b.do(t, r)
-		want(t, "status", status, http.StatusBadGateway)
+		assertEqual(t, "status", status, http.StatusBadGateway)
 	}
-	want(t, "attempts at the upstream", len(s.arrivals), 3)
+	assertEqual(t, "attempts at the upstream", len(s.arrivals), 3)
 }
--- a/internal/proxy/upstreamconn.go
+++ b/internal/proxy/upstreamconn.go
@@ -18,17 +18,17 @@
 )
 
 // upstreamConn is a connection to an upstream. It belongs to one attempt or, while idle, to the loop; nobody else uses it.
-type conn struct {
+type upstreamConn struct {
 	net.Conn
 	readLimit *io.LimitedReader // how much more may be read of the present response
 	reader    *bufio.Reader     // reads from limit
-	idleAt    time.Duration     // when it became idle, on the loop's clock
-	ended     bool              // belongs to the loop: its attempt has been abandoned
+	idleSince time.Duration     // when it became idle, on the loop's clock
+	abandoned bool              // belongs to the loop: its attempt has been abandoned
 }
 
-func newUpstreamConn(c net.Conn) *conn {
+func newUpstreamConn(c net.Conn) *upstreamConn {
 	limit := &io.LimitedReader{R: c, N: maxResponseRead}
-	return &conn{Conn: c, readLimit: limit, reader: bufio.NewReaderSize(limit, responseReaderSize)}
+	return &upstreamConn{Conn: c, readLimit: limit, reader: bufio.NewReaderSize(limit, responseReaderSize)}
 }
 
 // errStale says that an idle connection can't be used any more: the upstream has closed it, or has sent bytes that belong
@@ -36,7 +36,7 @@
 var errStale = errors.New("closed while idle")
 
 // checkIdle looks, without waiting, whether an idle connection can still be used.
-func (c *conn) checkIdle() error {
+func (c *upstreamConn) checkIdle() error {
 	state, err := peekSocket(c.Conn.(syscall.Conn))
 	if err != nil {
 		return err
@@ -50,8 +50,8 @@
 // abandon ends the attempt on the connection, from outside. When it returns, the sending side has been closed, which is
 // what abandons the attempt: a retry must not be in flight beside it where the settings forbid that. The attempt's reader
 // then closes the connection.
-func (c *conn) giveUp() {
-	c.ended = true
+func (c *upstreamConn) abandon() {
+	c.abandoned = true
 	if half, ok := c.Conn.(halfCloser); ok {
 		_ = half.CloseWrite() // fails only where the upstream has closed the connection already
 	}
