--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -27,6 +27,21 @@
 	return 0
 }
 
+// doInBackground sends a request and gives the status of its answer later; 0: there was none.
+func (b *testBalancer) doInBackground(r *http.Request) <-chan int {
+	status := make(chan int, 1)
+	go func() {
+		resp, err := b.client.Do(r)
+		if err != nil {
+			status <- 0
+			return
+		}
+		resp.Body.Close()
+		status <- resp.StatusCode
+	}()
+	return status
+}
+
 // Every request is counted once, under the answer it got, and so is every attempt that was written.
 func TestMetricsCountAnswersAndAttempts(t *testing.T) {
 	release := make(chan struct{})
@@ -66,16 +81,7 @@
 	assertEqual(t, "status", status, 200)
 	status, _ = b.do(t, b.newRequest("pay", "", "X-Deadline-Ms", "1")) // too late to be sent
 	assertEqual(t, "status", status, 503)
-	waiting := make(chan int, 1)
-	go func() {
-		resp, err := b.client.Do(b.newRequest("pay", "", "X-Wait", "1"))
-		if err != nil {
-			waiting <- 0
-			return
-		}
-		resp.Body.Close()
-		waiting <- resp.StatusCode
-	}()
+	waiting := b.doInBackground(b.newRequest("pay", "", "X-Wait", "1"))
 	for r := range s.arrivals {
 		if r.Header.Get("X-Wait") != "" {
 			break
