--- /dev/null
+++ b/cmd/balancer/former_build_test.go
@@ -0,0 +1,92 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync/atomic"
+	"testing"
+)
+
+// The former build is the last one before the program was renamed. A fleet is upgraded from it to this one, and back if
+// need be, so the two have to read each other's state and share a listener.
+const (
+	formerCommit  = "9eb547869db38f4e533212985510e654a129777b"
+	formerPackage = "./cmd/olivearch"
+	formerState   = "testdata/former-state"
+)
+
+// buildFormer builds the former build from the repository's history, in a worktree that is removed after the test.
+func buildFormer(t *testing.T) string {
+	t.Helper()
+	tree := filepath.Join(t.TempDir(), "former")
+	out, err := exec.Command("git", "worktree", "add", "--detach", tree, formerCommit).CombinedOutput()
+	if err != nil {
+		t.Fatalf("commit %.12s, the former build, can't be checked out; this test needs the repository with its history: %v\n%s",
+			formerCommit, err, out)
+	}
+	t.Cleanup(func() {
+		if out, err := exec.Command("git", "worktree", "remove", "--force", tree).CombinedOutput(); err != nil {
+			t.Errorf("removing the worktree of the former build: %v\n%s", err, out)
+		}
+	})
+	program := filepath.Join(t.TempDir(), "former-balancer")
+	build := exec.Command("go", "build", "-buildvcs=false", "-ldflags=-linkmode=external", "-o", program, formerPackage)
+	build.Dir = tree
+	build.Env = append(os.Environ(), "CGO_ENABLED=1", "GOFLAGS=-mod=mod")
+	if out, err := build.CombinedOutput(); err != nil {
+		t.Fatalf("building the former build: %v\n%s", err, out)
+	}
+	return program
+}
+
+// A fleet is upgraded from the former build to this one and back, under an address that the platform holds. No request
+// is lost, and orders hold over both.
+func TestUpgradesFromFormerBuildAndBack(t *testing.T) {
+	former := buildFormer(t)
+	address, held := holdListener(t)
+	var served atomic.Int64
+	endpoints := startUpstreams(t, []string{"127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"}, &served)
+	agent := startAgent(t, "127.0.0.1:0", endpoints)
+	fleet := filepath.Join(t.TempDir(), "fleet.toml")
+	state := filepath.Join(t.TempDir(), "state")
+	if err := os.WriteFile(fleet, fmt.Appendf(nil, "[state]\nfolder = %q\nevery = %q\n", state, statesSpacing), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	t.Setenv("RELAY_FLEET", fleet)
+	start := func(cmd *exec.Cmd) (p *started, operators string) {
+		operators = free(t)
+		t.Setenv("RELAY_MANAGEMENT", operators)
+		return startAt(t, cmd, address, agent, held), operators
+	}
+
+	running, operators := start(exec.Command(former))
+	waitFor(t, "the list has come", func() bool { return strings.Contains(callAll(operators, "vars"), "svc_known_upstreams 3\n") })
+	wantAnswer(t, operators, "zone-leave "+leftZone, "YES left")
+	load := startTraffic(address, 4)
+	for _, next := range []struct {
+		name string
+		cmd  *exec.Cmd
+	}{{"this build", program(t)}, {"the former build again", exec.Command(former)}} {
+		load.waitForMore(t, 100)
+		successor, operators := start(next.cmd)
+		load.waitForMore(t, 100)
+		running.end(t)
+		load.waitForMore(t, 100)
+		wantZoneLeft(t, operators)
+		if t.Failed() {
+			t.Logf("upgrade to %s:\n%s\nbefore it:\n%s", next.name, &successor.log, &running.log)
+		}
+		running = successor
+	}
+	failures := load.end()
+	running.end(t)
+	if len(failures) > 0 {
+		t.Errorf("%d requests of %d failed, first: %v", len(failures), int64(len(failures))+load.answered.Load(), failures[0])
+	}
+	if served.Load() < load.answered.Load() {
+		t.Errorf("%d requests answered, but %d served by upstreams", load.answered.Load(), served.Load())
+	}
+}
--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -68,7 +68,13 @@
 // beginAt starts the program at an address for clients, with that address's socket as descriptor 3 if there is one.
 func beginAt(t *testing.T, listen, discovery string, held *os.File) *started {
 	t.Helper()
-	p := &started{Cmd: program(t), path: filepath.Join(t.TempDir(), "config.json"), ended: make(chan error, 1),
+	return startAt(t, program(t), listen, discovery, held)
+}
+
+// startAt is beginAt with a command of any build.
+func startAt(t *testing.T, cmd *exec.Cmd, listen, discovery string, held *os.File) *started {
+	t.Helper()
+	p := &started{Cmd: cmd, path: filepath.Join(t.TempDir(), "config.json"), ended: make(chan error, 1),
 		limit: time.After(30 * time.Second)}
 	p.configure(t, listen, discovery)
 	p.Env = append(os.Environ(), "RELAY_CONFIG="+p.path, "RELAY_DISCOVERY="+discovery)
@@ -159,41 +165,48 @@
 	p.end(t)
 }
 
-// The program is upgraded twice under an address that the platform holds. Each successor serves before the process before
-// it is told to end; one that fails to start changes nothing, and files left in $TMPDIR are no concern of either.
-func TestUpgrades(t *testing.T) {
+// holdListener opens a listener as the platform does, which keeps it over an upgrade and hands it down as a descriptor.
+func holdListener(t *testing.T) (address string, held *os.File) {
+	t.Helper()
 	var plain net.ListenConfig
-	plain.SetMultipathTCP(false) // such a socket keeps no bound on accept
+	plain.SetMultipathTCP(false) // a multipath socket ignores the receive timeout that bounds the balancer's accept calls
 	l, err := plain.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	held, err := l.(*net.TCPListener).File()
+	t.Cleanup(func() { l.Close() })
+	held, err = l.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
+	t.Cleanup(func() { held.Close() })
+	return l.Addr().String(), held
+}
+
+// The program is upgraded twice under an address that the platform holds. Each successor serves before the process before
+// it is told to end; one that fails to start changes nothing, and files left in $TMPDIR are no concern of either.
+func TestUpgrades(t *testing.T) {
+	address, held := holdListener(t)
 	tmp := t.TempDir()
 	t.Setenv("TMPDIR", tmp)
 	if err := os.WriteFile(filepath.Join(tmp, "stale"), []byte("left behind"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	discovery := free(t)
-	p := beginAt(t, l.Addr().String(), discovery, held)
+	p := beginAt(t, address, discovery, held)
 	for range 2 {
 		failing := &started{Cmd: program(t)}
 		failing.Env = append(os.Environ(), "RELAY_CONFIG="+p.path, "RELAY_FD=9")
 		if out, err := failing.CombinedOutput(); err == nil || !strings.Contains(string(out), "RELAY_FD") || strings.Contains(string(out), "panic") {
 			t.Errorf("a successor without its listener: %v, %s", err, out)
 		}
-		next := beginAt(t, l.Addr().String(), discovery, held)
+		next := beginAt(t, address, discovery, held)
 		if err := next.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 		p.end(t)
 		p = next
-		resp, err := http.Get("http://" + l.Addr().String() + "/healthz")
+		resp, err := http.Get("http://" + address + "/healthz")
 		if err != nil {
 			t.Fatal(err)
 		}
