--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,8 @@
-// Command simadapter hosts instances of the decision module on the simulator's
-// wire, on standard input and output. It translates and decides nothing.
+// Command simadapter connects instances of the decision module to the simulator, whose protocol it speaks on standard
+// input and output. It translates and decides nothing.
+//
+// It ends with exit code 0 at the end of input, and with 1 and a message on malformed input. An instance that panics or
+// refuses its settings is reported in the reply and does not end the program.
 package main
 
 import (
@@ -22,8 +25,8 @@
 
 // run answers batches until the end of input.
 func run(in io.Reader, out io.Writer) error {
-	reader, writer := wire.NewReader(in), wire.NewWriter(out)
-	instances := map[int]*balancer.Balancer{}
+	reader := wire.NewReader(in)
+	h := host{writer: wire.NewWriter(out), instances: map[int]*balancer.Balancer{}}
 	var batch wire.Batch
 	for {
 		err := reader.Next(&batch)
@@ -34,52 +37,64 @@
 			return err
 		}
 		for i := range batch.Events {
-			deliver(instances, writer, batch.At, &batch.Events[i])
+			h.deliver(batch.At, &batch.Events[i])
 		}
-		if err := writer.Done(batch.Serial); err != nil {
+		if err := h.writer.Done(batch.Serial); err != nil {
 			return fmt.Errorf("writing a reply: %w", err)
 		}
 	}
 }
 
-// deliver hands one event to its instance; a panic ends the day with its text.
-func deliver(instances map[int]*balancer.Balancer, w *wire.Writer, now time.Duration, e *wire.Event) {
+// host owns the running instances, by their numbers.
+type host struct {
+	writer    *wire.Writer
+	instances map[int]*balancer.Balancer
+}
+
+// deliver passes one event to its instance. Events for an instance that does not run are ignored. A panic ends the
+// instance and is reported with its text.
+func (h *host) deliver(now time.Duration, event *wire.Event) {
 	defer func() {
-		if p := recover(); p != nil {
-			wire.NewPort(w, e.Instance).Crash(fmt.Sprint(p))
-			delete(instances, e.Instance)
+		if cause := recover(); cause != nil {
+			wire.NewActionWriter(h.writer, event.Instance).Crash(fmt.Sprint(cause))
+			delete(h.instances, event.Instance)
 		}
 	}()
-	if e.Kind == wire.Attach {
-		port := wire.NewPort(w, e.Instance)
-		b, err := balancer.New(e.Settings, e.Seed, now, port)
-		if err != nil {
-			port.Crash(err.Error())
-			return
-		}
-		instances[e.Instance] = b
+	if event.Kind == wire.KindAttach {
+		h.attach(now, event)
 		return
 	}
-	b := instances[e.Instance]
-	if b == nil {
+	instance := h.instances[event.Instance]
+	if instance == nil {
 		return
 	}
-	switch e.Kind {
-	case wire.Exit:
-		delete(instances, e.Instance)
-	case wire.Endpoints:
-		b.OnEndpointUpdate(now, e.Mode, e.List)
-	case wire.Inbound:
-		b.OnRequest(now, e.Request)
-	case wire.Established:
-		b.OnStreamStarted(now, e.Outcome.ID, e.Outcome.Attempt)
-	case wire.Verdict:
-		b.OnAttemptResult(now, e.Outcome)
-	case wire.Lapsed:
-		b.OnClientDisconnected(now, e.Request.ID)
-	case wire.Elapsed:
-		b.OnTimer(now, e.Token)
-	case wire.Health:
-		b.OnHealthCheckResult(now, e.Probe)
+	switch event.Kind {
+	case wire.KindExit:
+		delete(h.instances, event.Instance)
+	case wire.KindEndpointUpdate:
+		instance.OnEndpointUpdate(now, event.Mode, event.Endpoints)
+	case wire.KindRequest:
+		instance.OnRequest(now, event.Request)
+	case wire.KindStreamStarted:
+		instance.OnStreamStarted(now, event.Result.ID, event.Result.Attempt)
+	case wire.KindAttemptResult:
+		instance.OnAttemptResult(now, event.Result)
+	case wire.KindClientDisconnected:
+		instance.OnClientDisconnected(now, event.Request.ID)
+	case wire.KindTimer:
+		instance.OnTimer(now, event.TimerToken)
+	case wire.KindHealthCheckResult:
+		instance.OnHealthCheckResult(now, event.HealthCheck)
+	}
+}
+
+// attach starts an instance, in place of a running one of the same number.
+func (h *host) attach(now time.Duration, event *wire.Event) {
+	actions := wire.NewActionWriter(h.writer, event.Instance)
+	instance, err := balancer.New(event.Settings, event.Seed, now, actions)
+	if err != nil {
+		actions.Crash(err.Error())
+		return
 	}
+	h.instances[event.Instance] = instance
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,50 +8,24 @@
 	"sprucehill/balancer"
 )
 
-// params mirrors the settings that the module uses; other keys are ignored.
-type params struct {
-	Zone        string  `json:"az"`
-	Balancers   int     `json:"balancers"`
-	Rank        int     `json:"rank"`
-	Granularity int64   `json:"granularity_us"`
-	Mode        string  `json:"membership_mode"`
-	OverShare   float64 `json:"over_share_worth"`
-	Weights     string  `json:"weights"`
-	WorthBy     string  `json:"worth_by"`
-	Family      struct {
-		WarmKeys bool `json:"warm_keys"`
+// settingsJSON is the settings object as it is written, without the keys that are not used. Durations are in
+// microseconds.
+type settingsJSON struct {
+	Zone         string  `json:"az"`
+	Balancers    int     `json:"balancers"`
+	Rank         int     `json:"rank"`
+	EventSpacing int64   `json:"granularity_us"`
+	Membership   string  `json:"membership_mode"`
+	OverQuota    float64 `json:"over_share_worth"`
+	Weights      string  `json:"weights"`
+	PriorityBy   string  `json:"worth_by"`
+	Family       struct {
+		KeyAffinity bool `json:"warm_keys"`
 	} `json:"family_info"`
-	Limits struct {
-		Cancel         bool  `json:"cancel"`
-		ConnectTimeout int64 `json:"connect_timeout_us"`
-		KeepAlive      int64 `json:"keepalive_us"`
-		MaxAttempts    int   `json:"max_attempts"`
-		MaxRetry       int64 `json:"max_retry_after_us"`
-		Probes         bool  `json:"probes"`
-		RetryAfter     bool  `json:"retry_after"`
-		SecondCopies   bool  `json:"second_copies"`
-	} `json:"limits"`
-	Rules struct {
-		Slack       int64   `json:"answer_slack_us"`
-		AskWithin   int64   `json:"ask_within_us"`
-		ColdFrom    float64 `json:"cold_from"`
-		DrainGrace  int64   `json:"drain_grace_us"`
-		RampTime    int64   `json:"ramp_time_us"`
-		TipAfter    int64   `json:"tip_after_us"`
-		TipMultiple float64 `json:"tip_multiple"`
-	} `json:"obligations"`
-	Classes []struct {
-		GiveUp    int64   `json:"give_up_us"`
-		Group     string  `json:"group"`
-		LateWorth float64 `json:"late_worth"`
-		Memory    int64   `json:"memory_span_us"`
-		Name      string  `json:"name"`
-		Repeat    string  `json:"repeat"`
-		Stream    bool    `json:"stream"`
-		Target    int64   `json:"target_us"`
-		Worth     float64 `json:"worth"`
-	} `json:"profiles"`
-	Reporting struct {
+	Limits      limitsJSON      `json:"limits"`
+	Obligations obligationsJSON `json:"obligations"`
+	Classes     []classJSON     `json:"profiles"`
+	Reporting   struct {
 		Via string `json:"via"`
 	} `json:"reporting"`
 	Tenants []struct {
@@ -60,78 +34,191 @@
 	} `json:"tenants"`
 }
 
+type limitsJSON struct {
+	Cancel         bool  `json:"cancel"`
+	ConnectTimeout int64 `json:"connect_timeout_us"`
+	KeepAlive      int64 `json:"keepalive_us"`
+	MaxAttempts    int   `json:"max_attempts"`
+	MaxRetryAfter  int64 `json:"max_retry_after_us"`
+	HealthChecks   bool  `json:"probes"`
+	RetryAfter     bool  `json:"retry_after"`
+	Hedging        bool  `json:"second_copies"`
+}
+
+type obligationsJSON struct {
+	AnswerSlack      int64   `json:"answer_slack_us"`
+	PollInterval     int64   `json:"ask_within_us"`
+	SlowStartFrom    float64 `json:"cold_from"`
+	DrainGrace       int64   `json:"drain_grace_us"`
+	SlowStartWindow  int64   `json:"ramp_time_us"`
+	OverloadWindow   int64   `json:"tip_after_us"`
+	OverloadMultiple float64 `json:"tip_multiple"`
+}
+
+type classJSON struct {
+	Deadline           int64   `json:"give_up_us"`
+	IdempotencyScope   string  `json:"group"`
+	LatePriorityFactor float64 `json:"late_worth"`
+	IdempotencyWindow  int64   `json:"memory_span_us"`
+	Name               string  `json:"name"`
+	Idempotency        string  `json:"repeat"`
+	Stream             bool    `json:"stream"`
+	LatencyObjective   int64   `json:"target_us"`
+	PriorityWeight     float64 `json:"worth"`
+}
+
+// The values of the settings that are one of a few words.
 var (
-	repeats = map[string]balancer.Idempotency{"read_like": balancer.Idempotent, "idempotency_key": balancer.IdempotentByKey,
-		"non_idempotent": balancer.NonIdempotent}
-	groups = map[string]balancer.IdempotencyScope{"all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
-	weigh  = map[string]balancer.WeightKind{"silent": balancer.WeightNone, "nominal": balancer.WeightNominal,
-		"rough": balancer.WeightApproximate, "live": balancer.WeightLive}
-	vias = map[string]balancer.ReportSource{"silent": balancer.ReportNone, "piggyback": balancer.ReportInResponses,
-		"pull": balancer.ReportInHealthChecks}
-	asks   = map[string]bool{"pushed": false, "on_request": true}
-	worths = map[string]bool{"": false, "request": false, "work": true} // by work
+	idempotencies = map[string]balancer.Idempotency{
+		"read_like":       balancer.Idempotent,
+		"idempotency_key": balancer.IdempotentByKey,
+		"non_idempotent":  balancer.NonIdempotent,
+	}
+	idempotencyScopes = map[string]balancer.IdempotencyScope{
+		"all":  balancer.ScopeAll,
+		"zone": balancer.ScopeZone,
+		"cell": balancer.ScopeCell,
+	}
+	weightKinds = map[string]balancer.WeightKind{
+		"silent":  balancer.WeightNone,
+		"nominal": balancer.WeightNominal,
+		"rough":   balancer.WeightApproximate,
+		"live":    balancer.WeightLive,
+	}
+	reportSources = map[string]balancer.ReportSource{
+		"silent":    balancer.ReportNone,
+		"piggyback": balancer.ReportInResponses,
+		"pull":      balancer.ReportInHealthChecks,
+	}
+	// pollsDiscovery has, by membership mode, whether endpoint lists have to be polled for.
+	pollsDiscovery = map[string]bool{"pushed": false, "on_request": true}
+	// weighsByWork has, by what priority weights are given for, whether that is a unit of work.
+	weighsByWork = map[string]bool{"": false, "request": false, "work": true}
 )
 
-func us(x int64) time.Duration { return time.Duration(x) * time.Microsecond }
+// Links is the part of the settings that concerns connections to upstreams. The simulator acts on it by itself; a real
+// balancer has to.
+type Links struct {
+	KeepAlive      time.Duration // after which an upstream closes an idle connection
+	ConnectTimeout time.Duration // within which a connection has to be established
+}
+
+// DecodeSettings decodes the settings object of a start message or of a real balancer's configuration. It checks the
+// form only; balancer.Settings.Validate checks ranges.
+func DecodeSettings(text []byte) (balancer.Settings, Links, error) {
+	var decoded settingsJSON
+	if err := json.Unmarshal(text, &decoded); err != nil {
+		return balancer.Settings{}, Links{}, fmt.Errorf("settings: %w", err)
+	}
+	settings, err := decoded.settings()
+	if err != nil {
+		return balancer.Settings{}, Links{}, fmt.Errorf("settings: %w", err)
+	}
+	links := Links{
+		KeepAlive:      microseconds(decoded.Limits.KeepAlive),
+		ConnectTimeout: microseconds(decoded.Limits.ConnectTimeout),
+	}
+	return settings, links, nil
+}
 
-// settings reads the JSON of a start message.
+// settings parses the settings object in a field.
 func (f *fields) settings(name string) balancer.Settings {
-	s, _, err := DecodeSettings(f.text(name, true))
+	settings, _, err := DecodeSettings(f.required(name))
 	if err != nil {
 		f.fail(name, err.Error())
 	}
-	return s
+	return settings
 }
 
-// Links is what the settings say of connections to upstreams. The simulator keeps it to itself; a real balancer
-// has to act on it.
-type Links struct {
-	KeepAlive      time.Duration // an upstream closes a connection that has idled for so long
-	ConnectTimeout time.Duration // a connection not up by then counts as failed
+// settings converts what was decoded.
+func (s *settingsJSON) settings() (balancer.Settings, error) {
+	settings := balancer.Settings{
+		Zone:            s.Zone,
+		Balancers:       s.Balancers,
+		Rank:            s.Rank,
+		OverQuotaFactor: s.OverQuota,
+		KeyAffinity:     s.Family.KeyAffinity,
+		EventSpacing:    microseconds(s.EventSpacing),
+		Limits:          s.Limits.limits(),
+		Obligations:     s.Obligations.obligations(),
+	}
+	var err error
+	if settings.PriorityByWork, err = lookUp(weighsByWork, "worth_by", s.PriorityBy); err != nil {
+		return settings, err
+	}
+	if settings.PollDiscovery, err = lookUp(pollsDiscovery, "membership_mode", s.Membership); err != nil {
+		return settings, err
+	}
+	if settings.Weights, err = lookUp(weightKinds, "weights", s.Weights); err != nil {
+		return settings, err
+	}
+	if settings.Reports, err = lookUp(reportSources, "reporting.via", s.Reporting.Via); err != nil {
+		return settings, err
+	}
+	for i := range s.Classes {
+		class, err := s.Classes[i].class()
+		if err != nil {
+			return settings, fmt.Errorf("profiles: %w", err)
+		}
+		settings.Classes = append(settings.Classes, class)
+	}
+	for _, t := range s.Tenants {
+		settings.Tenants = append(settings.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota})
+	}
+	return settings, nil
 }
 
-// DecodeSettings reads the settings object of a start message or of a real balancer's configuration.
-func DecodeSettings(text []byte) (balancer.Settings, Links, error) {
-	var p params
-	var s balancer.Settings
-	var links Links
-	if err := json.Unmarshal(text, &p); err != nil {
-		return s, links, fmt.Errorf("settings: %w", err)
-	}
-	s = balancer.Settings{Zone: p.Zone, Balancers: p.Balancers, Rank: p.Rank, OverQuotaFactor: p.OverShare,
-		KeyAffinity: p.Family.WarmKeys, EventSpacing: us(p.Granularity),
-		Limits: balancer.Limits{AllowCancel: p.Limits.Cancel, AllowHealthChecks: p.Limits.Probes, AllowHedging: p.Limits.SecondCopies,
-			AllowRetryAfter: p.Limits.RetryAfter, MaxRetryAfter: us(p.Limits.MaxRetry), MaxAttempts: p.Limits.MaxAttempts},
-		Obligations: balancer.Obligations{PollInterval: us(p.Rules.AskWithin), SlowStartFrom: p.Rules.ColdFrom, SlowStartWindow: us(p.Rules.RampTime),
-			OverloadMultiple: p.Rules.TipMultiple, OverloadWindow: us(p.Rules.TipAfter), DrainGrace: us(p.Rules.DrainGrace),
-			AnswerSlack: us(p.Rules.Slack)}}
-	links = Links{KeepAlive: us(p.Limits.KeepAlive), ConnectTimeout: us(p.Limits.ConnectTimeout)}
-	var ok bool
-	if s.PriorityByWork, ok = worths[p.WorthBy]; !ok {
-		return s, links, fmt.Errorf("settings: worth_by %q is unknown", p.WorthBy)
-	}
-	if s.PollDiscovery, ok = asks[p.Mode]; !ok {
-		return s, links, fmt.Errorf("settings: membership_mode %q is unknown", p.Mode)
-	}
-	if s.Weights, ok = weigh[p.Weights]; !ok {
-		return s, links, fmt.Errorf("settings: weights %q is unknown", p.Weights)
-	}
-	if s.Reports, ok = vias[p.Reporting.Via]; !ok {
-		return s, links, fmt.Errorf("settings: reporting.via %q is unknown", p.Reporting.Via)
-	}
-	for _, c := range p.Classes {
-		class := balancer.Class{Name: c.Name, LatencyObjective: us(c.Target), Deadline: us(c.GiveUp), IdempotencyWindow: us(c.Memory),
-			Stream: c.Stream, PriorityWeight: c.Worth, LatePriorityFactor: c.LateWorth}
-		if class.Idempotency, ok = repeats[c.Repeat]; !ok {
-			return s, links, fmt.Errorf("settings: profiles: repeat %q is unknown", c.Repeat)
-		}
-		if class.Scope, ok = groups[c.Group]; !ok && class.Idempotency == balancer.IdempotentByKey {
-			return s, links, fmt.Errorf("settings: profiles: group %q is unknown", c.Group)
-		}
-		s.Classes = append(s.Classes, class)
+func (l *limitsJSON) limits() balancer.Limits {
+	return balancer.Limits{
+		AllowCancel:       l.Cancel,
+		AllowHealthChecks: l.HealthChecks,
+		AllowHedging:      l.Hedging,
+		AllowRetryAfter:   l.RetryAfter,
+		MaxRetryAfter:     microseconds(l.MaxRetryAfter),
+		MaxAttempts:       l.MaxAttempts,
 	}
-	for _, t := range p.Tenants {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota})
+}
+
+func (o *obligationsJSON) obligations() balancer.Obligations {
+	return balancer.Obligations{
+		PollInterval:     microseconds(o.PollInterval),
+		SlowStartFrom:    o.SlowStartFrom,
+		SlowStartWindow:  microseconds(o.SlowStartWindow),
+		OverloadMultiple: o.OverloadMultiple,
+		OverloadWindow:   microseconds(o.OverloadWindow),
+		DrainGrace:       microseconds(o.DrainGrace),
+		AnswerSlack:      microseconds(o.AnswerSlack),
+	}
+}
+
+func (c *classJSON) class() (balancer.Class, error) {
+	class := balancer.Class{
+		Name:               c.Name,
+		LatencyObjective:   microseconds(c.LatencyObjective),
+		Deadline:           microseconds(c.Deadline),
+		IdempotencyWindow:  microseconds(c.IdempotencyWindow),
+		Stream:             c.Stream,
+		PriorityWeight:     c.PriorityWeight,
+		LatePriorityFactor: c.LatePriorityFactor,
+	}
+	var err error
+	if class.Idempotency, err = lookUp(idempotencies, "repeat", c.Idempotency); err != nil {
+		return class, err
 	}
-	return s, links, nil
+	class.Scope, err = lookUp(idempotencyScopes, "group", c.IdempotencyScope)
+	if class.Idempotency != balancer.IdempotentByKey {
+		return class, nil // the scope of keys does not matter, and is often missing
+	}
+	return class, err
 }
+
+// lookUp returns the value of a setting's word.
+func lookUp[T any](values map[string]T, setting, word string) (T, error) {
+	value, ok := values[word]
+	if !ok {
+		return value, fmt.Errorf("%s %q is unknown", setting, word)
+	}
+	return value, nil
+}
+
+func microseconds(count int64) time.Duration { return time.Duration(count) * time.Microsecond }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -17,8 +17,8 @@
 	`"tip_after_us":1500000,"tip_multiple":3.0},"profiles":[{"name":"c","target_us":250000,"give_up_us":750000,` +
 	`"repeat":"non_idempotent","worth":1}],"reporting":{"via":"piggyback"},"unknown_key":{"x":[1,2]}}`
 
-// read returns the first error of a stream of batches, and the last batch.
-func read(text string) (Batch, error) {
+// readAll returns the first error of a stream of batches, and the last batch.
+func readAll(text string) (Batch, error) {
 	r := NewReader(strings.NewReader(text))
 	var b Batch
 	for {
@@ -53,9 +53,11 @@
 		{"no end", frame + "exit balancer_id=1\n", "without eob"},
 		{"cut line", frame + "exit balan", "line 2: cut short"},
 	} {
-		if _, err := read(c.text); err == nil || errors.Is(err, io.EOF) || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: error %v, want %q", c.name, err, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if _, err := readAll(c.text); err == nil || errors.Is(err, io.EOF) || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("error %v, want %q", err, c.want)
+			}
+		})
 	}
 }
 
@@ -68,21 +70,23 @@
 		"inbound balancer_id=3 id=912855b15d3a91c4 budget_us=240000 key=91f03b7c55d20a64 org=t class=c cost_guess_us=12000\n" +
 		"verdict balancer_id=3 id=912855b15d3a91c4 upstream=9 go=1 cost_time_us=18500 disposition=254 metrics=err_ps:0.5,load_share:0.62,odd:1\n" +
 		"eob\n"
-	b, err := read(text)
+	b, err := readAll(text)
 	if !errors.Is(err, io.EOF) {
 		t.Fatal(err)
 	}
 	want := "[{ID:9 Zone:z1 Cell:2 Weight:1.5 StartedAt:61µs State:1}]"
-	if got := fmt.Sprintf("%+v", b.Events[1].List); got != want {
+	if got := fmt.Sprintf("%+v", b.Events[1].Endpoints); got != want {
 		t.Errorf("list %s, want %s (as it was when referred to)", got, want)
 	}
-	q := balancer.Request{ID: 0x912855b15d3a91c4, Timeout: 240 * time.Millisecond, Class: "c", Tenant: "t", Key: 0x91f03b7c55d20a64, HasKey: true, CostHint: 12 * time.Millisecond}
-	if b.Events[2].Request != q {
+	wantRequest := balancer.Request{ID: 0x912855b15d3a91c4, Timeout: 240 * time.Millisecond, Class: "c", Tenant: "t",
+		Key: 0x91f03b7c55d20a64, HasKey: true, CostHint: 12 * time.Millisecond}
+	if b.Events[2].Request != wantRequest {
 		t.Errorf("request %+v", b.Events[2].Request)
 	}
-	o := b.Events[3].Outcome
-	if o.Attempt != 1 || o.Status != balancer.Rejected || o.RequestClosed || o.Load.Utilization != 0.62 || o.Load.Fields != balancer.HasUtilization|balancer.HasErrors {
-		t.Errorf("outcome %+v", o)
+	result := b.Events[3].Result
+	if result.Attempt != 1 || result.Status != balancer.Rejected || result.RequestClosed || result.Load.Utilization != 0.62 ||
+		result.Load.Fields != balancer.HasUtilization|balancer.HasErrors {
+		t.Errorf("result %+v", result)
 	}
 	if s := b.Events[0].Settings; s.Zone != "z1" || s.Classes[0].Idempotency != balancer.NonIdempotent || s.Obligations.OverloadMultiple != 3 {
 		t.Errorf("settings %+v", s)
@@ -92,7 +96,7 @@
 func TestWritesActions(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	p := NewPort(w, 3)
+	p := NewActionWriter(w, 3)
 	p.Send(0x912855b15d3a91c4, 51530247, 80*time.Millisecond)
 	p.Send(1, 2, 0)
 	p.Reject(0xff, 250*time.Millisecond)
@@ -150,7 +154,7 @@
 		var b Batch
 		for range 100 {
 			err := r.Next(&b)
-			if err == io.EOF {
+			if errors.Is(err, io.EOF) {
 				return
 			}
 			if err != nil {
