--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,77 +1,79 @@
-// Package metrics keeps counters and gauges and writes them as text, one to a line: its name, its label if it has one,
-// and its value. They may be read and moved from any goroutine.
+// Package metrics keeps counters and gauges and writes them as text, one to a line: its name, its labels if it has any,
+// and its value.
+//
+// Values may be changed and written from any goroutine. The values of one text are not of one moment: each is read by
+// itself. A Set is built by one goroutine before it is first written.
 package metrics
 
 import (
 	"bufio"
 	"fmt"
 	"io"
+	"strings"
 	"sync/atomic"
 )
 
-// Counter counts what has happened since the start. It never goes back.
-type Counter struct{ n atomic.Int64 }
+// Counter counts events since the start of the process. It never decreases.
+type Counter struct{ value atomic.Int64 }
 
-// Add counts one more.
-func (c *Counter) Add() { c.n.Add(1) }
+// Add counts one event.
+func (c *Counter) Add() { c.value.Add(1) }
 
-// Gauge is how many there are now.
-type Gauge struct{ n atomic.Int64 }
+// Gauge is a value that goes up and down.
+type Gauge struct{ value atomic.Int64 }
 
-// Add moves the gauge by d.
-func (g *Gauge) Add(d int) { g.n.Add(int64(d)) }
+// Add changes the gauge by delta.
+func (g *Gauge) Add(delta int) { g.value.Add(int64(delta)) }
 
-// Set puts the gauge to n.
-func (g *Gauge) Set(n int) { g.n.Store(int64(n)) }
+// Set sets the gauge to value.
+func (g *Gauge) Set(value int) { g.value.Store(int64(value)) }
 
-// Label tells figures of one name apart.
+// Label distinguishes metrics of one name.
 type Label struct{ Name, Value string }
 
-// Set is a list of figures, written in the order in which they were made. All are made before the first is read.
-type Set struct{ figures []figure }
+// Set is a list of metrics, which are written in the order in which they were added.
+type Set struct{ metrics []metric }
 
-type figure struct {
-	id    string // name and label as they are written
+// metric is a counter or gauge with its name.
+type metric struct {
+	id    string // name and labels as they are written
 	value *atomic.Int64
 }
 
 // Counter adds a counter.
 func (s *Set) Counter(name string, labels ...Label) *Counter {
 	c := &Counter{}
-	s.add(name, labels, &c.n)
+	s.metrics = append(s.metrics, metric{id: metricID(name, labels), value: &c.value})
 	return c
 }
 
 // Gauge adds a gauge.
 func (s *Set) Gauge(name string, labels ...Label) *Gauge {
 	g := &Gauge{}
-	s.add(name, labels, &g.n)
+	s.metrics = append(s.metrics, metric{id: metricID(name, labels), value: &g.value})
 	return g
 }
 
-func (s *Set) add(name string, labels []Label, value *atomic.Int64) {
-	for i, l := range labels {
-		if i == 0 {
-			name += "{"
-		} else {
-			name += ","
-		}
-		name += fmt.Sprintf("%s=%q", l.Name, l.Value)
+// metricID returns a name with its labels as they are written: name{label="value",...}.
+func metricID(name string, labels []Label) string {
+	if len(labels) == 0 {
+		return name
 	}
-	if len(labels) > 0 {
-		name += "}"
+	pairs := make([]string, 0, len(labels))
+	for _, l := range labels {
+		pairs = append(pairs, fmt.Sprintf("%s=%q", l.Name, l.Value))
 	}
-	s.figures = append(s.figures, figure{name, value})
+	return name + "{" + strings.Join(pairs, ",") + "}"
 }
 
-// Write writes every figure.
+// Write writes every metric.
 func (s *Set) Write(w io.Writer) error {
-	b := bufio.NewWriter(w)
-	for _, f := range s.figures {
-		fmt.Fprintf(b, "%s %d\n", f.id, f.value.Load()) // the first error stays with b
+	buffered := bufio.NewWriter(w)
+	for _, m := range s.metrics {
+		fmt.Fprintf(buffered, "%s %d\n", m.id, m.value.Load()) // Flush returns the first error
 	}
-	if err := b.Flush(); err != nil {
-		return fmt.Errorf("writing figures: %w", err)
+	if err := buffered.Flush(); err != nil {
+		return fmt.Errorf("writing metrics: %w", err)
 	}
 	return nil
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,15 +7,16 @@
 	"testing"
 )
 
-func TestText(t *testing.T) {
+// Metrics are written in order, with their labels quoted; counts from several goroutines add up.
+func TestWriteFormat(t *testing.T) {
 	var s Set
 	passed := s.Counter("svc_passed", Label{"category", "plan-trip"})
 	s.Counter("svc_passed", Label{"category", `odd "one"`}, Label{"zone", "z"})
 	open := s.Gauge("svc_in_progress")
 	listed := s.Gauge("svc_known_upstreams")
-	var all sync.WaitGroup
+	var writers sync.WaitGroup
 	for range 8 {
-		all.Go(func() {
+		writers.Go(func() {
 			for range 100 {
 				passed.Add()
 				open.Add(2)
@@ -23,7 +24,7 @@
 			}
 		})
 	}
-	all.Wait()
+	writers.Wait()
 	listed.Set(12)
 	listed.Set(11)
 	var b strings.Builder
@@ -37,15 +38,16 @@
 	}
 }
 
-type broken struct{ error }
+// brokenWriter fails with its error.
+type brokenWriter struct{ error }
 
-func (b broken) Write([]byte) (int, error) { return 0, b.error }
+func (b brokenWriter) Write([]byte) (int, error) { return 0, b.error }
 
-func TestWriteSaysWhatFailed(t *testing.T) {
+func TestWriteReturnsTheWriterError(t *testing.T) {
 	var s Set
 	s.Gauge("g")
 	gone := errors.New("gone")
-	if err := s.Write(broken{gone}); !errors.Is(err, gone) {
+	if err := s.Write(brokenWriter{gone}); !errors.Is(err, gone) {
 		t.Errorf("got %v", err)
 	}
 }
