--- /dev/null
+++ b/internal/management/commands.go
@@ -0,0 +1,71 @@
+package management
+
+import (
+	"io"
+	"log/slog"
+	"strings"
+)
+
+// usage is the answer to a call of no known command.
+const usage = "NO the calls are check, vars, drain-on, drain-off, members, zone-status, zone-leave Z and zone-return Z\n"
+
+// commands has what executes each call that has no argument.
+var commands = map[string]func(Balancer) (answer string){
+	"check":       func(b Balancer) string { return verdict(b.Ready()) },
+	"vars":        func(b Balancer) string { return listing(b.WriteFigures) },
+	"zone-status": func(b Balancer) string { return listing(b.WriteZones) },
+	"members":     func(b Balancer) string { return listing(b.WriteMembers) },
+	"drain-on": func(b Balancer) string {
+		slog.Info("operators drain the balancer")
+		return verdict(b.Drain(true))
+	},
+	"drain-off": func(b Balancer) string {
+		slog.Info("operators end the drain")
+		return verdict(b.Drain(false))
+	},
+}
+
+// zoneCommands has what executes each call whose argument is the name of a zone.
+var zoneCommands = map[string]func(b Balancer, zone string) (answer string){
+	"zone-leave": func(b Balancer, zone string) string {
+		slog.Info("operators leave a zone", "zone", zone)
+		return verdict(b.Zone(zone, true))
+	},
+	"zone-return": func(b Balancer, zone string) string {
+		slog.Info("operators return a zone", "zone", zone)
+		return verdict(b.Zone(zone, false))
+	},
+}
+
+// execute carries out a call and returns its answer.
+func execute(b Balancer, call string) (answer string) {
+	name, argument, _ := strings.Cut(call, " ")
+	if command, ok := zoneCommands[name]; ok {
+		if argument == "" {
+			return "NO " + name + " wants the name of a zone\n"
+		}
+		return command(b, argument)
+	}
+	command, ok := commands[name]
+	if !ok || argument != "" {
+		return usage
+	}
+	return command(b)
+}
+
+// listing is an answer of several lines with a line END behind them, or the error of what should write them.
+func listing(write func(io.Writer) error) string {
+	var lines strings.Builder
+	if err := write(&lines); err != nil {
+		return "NO " + err.Error() + "\n"
+	}
+	return lines.String() + "END\n"
+}
+
+// verdict is an answer of one line.
+func verdict(yes bool, state string) string {
+	if yes {
+		return "YES " + state + "\n"
+	}
+	return "NO " + state + "\n"
+}
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -1,5 +1,10 @@
-// Package management is the operators' address: a connection carries one call, a line, and gets one answer: a line
-// that begins with YES or NO, or for vars the figures and a line END. It knows the balancer only by what a call asks of it.
+// Package management serves the operators' address. A connection carries one call, which is a line, and gets one answer:
+// a line that begins with YES or NO, or several lines with a line END behind them.
+//
+// It promises an answer to every call that is a line, also while many callers hold connections open: the number of
+// connections and the time of each are bounded. It does not authenticate callers; whoever reaches the address may call.
+//
+// The package owns its connections and nothing else: what a call does is up to the Balancer that it is given.
 package management
 
 import (
@@ -8,7 +13,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"slices"
 	"strings"
@@ -17,51 +21,57 @@
 )
 
 const (
-	// maxCallers bounds the open connections. One more closes the one that has been open for longest.
-	maxCallers = 16
-	// maxLine bounds a call with its end of line.
-	maxLine = 128
-	// patience is how long a caller may take over its line, and again to read its answer and close.
-	patience = 2 * time.Second
-	// maxRest bounds what is read after a call, so that a caller who sent more still gets its answer.
-	maxRest = 64 << 10
-	// acceptPause is the wait after a connection could not be taken, as where descriptors are short.
-	acceptPause = 50 * time.Millisecond
+	// maxConnections bounds the open connections. One more closes the one that has been open for longest.
+	maxConnections = 16
+	// maxCallSize bounds a call with its line feed, in bytes.
+	maxCallSize = 128
+	// callerTimeout bounds how long a caller may take to send its line, and again to read its answer and close.
+	callerTimeout = 2 * time.Second
+	// maxDiscarded bounds the bytes that are read after a call, so that a caller who sent more still gets its answer.
+	maxDiscarded = 64 << 10
+	// acceptRetryDelay is the wait after a connection could not be accepted, as where descriptors are short.
+	acceptRetryDelay = 50 * time.Millisecond
 )
 
-// Balancer is what the operators' calls reach. None of its methods may wait for the balancer's other work.
+// Balancer is what the operators' calls act on. No method may wait for the balancer's other work, but for those on zones.
+// The texts that they return go into answers as they are.
 type Balancer interface {
-	// Ready tells whether clients are taken; state says more, in a few words.
+	// Ready reports whether clients are accepted. The state says more, in a few words.
 	Ready() (ready bool, state string)
-	// WriteFigures writes the figures, one to a line.
+	// WriteFigures writes the metrics, one to a line.
 	WriteFigures(w io.Writer) error
-	// Drain begins to empty the balancer, or ends that; state says what it does from now on. Repeating it is harmless.
+	// Drain starts draining the balancer, or stops it. The state is the one from now on, or says what went wrong.
+	// Repeating it is harmless.
 	Drain(on bool) (done bool, state string)
-	// Zone sends nothing new to a zone, or takes it back by steps; state says what it is from now on, or why not.
+	// Zone drains a zone, so that it gets no new requests, or returns it to service step by step. The state is the
+	// zone's from now on, or says why it was not done.
 	Zone(name string, leave bool) (done bool, state string)
-	// WriteZones writes what each zone is to the balancer, one to a line.
+	// WriteZones writes the state of each zone, one to a line.
 	WriteZones(w io.Writer) error
-	// WriteMembers writes what this balancer knows of its fleet, one member to a line; an error says why it knows nothing.
+	// WriteMembers writes what this balancer knows of its fleet, one member to a line. An error says why it knows
+	// nothing.
 	WriteMembers(w io.Writer) error
 }
 
-// server answers the callers of one listener.
+// server serves the connections of one listener.
 type server struct {
 	balancer Balancer
-	mu       sync.Mutex
-	open     []net.Conn // in order of arrival
-	callers  sync.WaitGroup
+	handlers sync.WaitGroup
+
+	mu   sync.Mutex
+	open []net.Conn // in order of arrival
 }
 
-// Serve answers calls until ctx ends, and then closes the listener and every connection.
+// Serve answers calls until ctx ends, and then closes the listener and every connection. It returns an error if the
+// listener is closed by somebody else.
 func Serve(ctx context.Context, l net.Listener, b Balancer) error {
 	s := &server{balancer: b}
-	defer s.callers.Wait()
-	unhook := context.AfterFunc(ctx, func() {
+	defer s.handlers.Wait()
+	stopClosing := context.AfterFunc(ctx, func() {
 		l.Close()
 		s.closeAll()
 	})
-	defer unhook()
+	defer stopClosing()
 	for {
 		c, err := l.Accept()
 		switch {
@@ -74,33 +84,35 @@
 			return fmt.Errorf("taking operators' calls: %w", err)
 		case err != nil:
 			select {
-			case <-time.After(acceptPause):
+			case <-time.After(acceptRetryDelay):
 			case <-ctx.Done():
 			}
 			continue
 		}
-		s.admit(c)
-		s.callers.Go(func() {
-			defer s.dismiss(c)
-			s.attend(c)
+		s.add(c)
+		s.handlers.Go(func() {
+			defer s.remove(c)
+			s.handle(c)
 		})
-		if ctx.Err() != nil { // it may have come after all others were closed
+		if ctx.Err() != nil { // c may have been added after all others were closed
 			s.closeAll()
 		}
 	}
 }
 
-// admit notes a connection, and closes the one open for longest where they are too many.
-func (s *server) admit(c net.Conn) {
+// add registers a connection, and closes the one that has been open for longest if there are too many.
+func (s *server) add(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open = append(s.open, c); len(s.open) > maxCallers {
+	s.open = append(s.open, c)
+	if len(s.open) > maxConnections {
 		s.open[0].Close()
 		s.open = slices.Delete(s.open, 0, 1)
 	}
 }
 
-func (s *server) dismiss(c net.Conn) {
+// remove closes a connection and forgets it.
+func (s *server) remove(c net.Conn) {
 	c.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,79 +127,37 @@
 	}
 }
 
-// attend reads one call and answers it.
-func (s *server) attend(c net.Conn) {
-	c.SetDeadline(time.Now().Add(patience))
-	in := bufio.NewReaderSize(io.LimitReader(c, maxLine), maxLine)
-	line, err := in.ReadString('\n')
-	answer := ""
-	switch {
-	case err == nil:
-		answer = s.answer(strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r"))
-	case len(line) == maxLine:
-		answer = "NO a call is one short line\n"
-	default:
-		answer = "NO a call ends with a line feed\n"
-	}
-	c.SetDeadline(time.Now().Add(patience))
+// handle reads one call and answers it.
+func (s *server) handle(c net.Conn) {
+	c.SetDeadline(time.Now().Add(callerTimeout))
+	answer := s.readAndExecute(c)
+	c.SetDeadline(time.Now().Add(callerTimeout))
 	if _, err := io.WriteString(c, answer); err != nil {
 		return // the caller has gone
 	}
-	// Closing beside unread bytes would take the answer away from the caller.
-	if half, ok := c.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
-		io.CopyN(io.Discard, c, maxRest)
-	}
+	discardRest(c)
 }
 
-// answer carries a call out.
-func (s *server) answer(call string) string {
-	call, zone, named := strings.Cut(call, " ")
-	if orders := map[string]bool{"zone-leave": true, "zone-return": true}; orders[call] != (named && zone != "") {
-		if orders[call] {
-			return "NO " + call + " wants the name of a zone\n"
-		}
-		return calls
-	}
-	switch call {
-	case "check":
-		return verdict(s.balancer.Ready())
-	case "vars":
-		return listed(s.balancer.WriteFigures)
-	case "zone-status":
-		return listed(s.balancer.WriteZones)
-	case "members":
-		return listed(s.balancer.WriteMembers)
-	case "zone-leave":
-		slog.Info("operators leave a zone", "zone", zone)
-		return verdict(s.balancer.Zone(zone, true))
-	case "zone-return":
-		slog.Info("operators return a zone", "zone", zone)
-		return verdict(s.balancer.Zone(zone, false))
-	case "drain-on":
-		slog.Info("operators drain the balancer")
-		return verdict(s.balancer.Drain(true))
-	case "drain-off":
-		slog.Info("operators end the drain")
-		return verdict(s.balancer.Drain(false))
-	}
-	return calls
-}
-
-// calls is the answer to whatever is none of them.
-const calls = "NO the calls are check, vars, drain-on, drain-off, members, zone-status, zone-leave Z and zone-return Z\n"
-
-// listed is an answer of several lines, with an END behind them.
-func listed(write func(io.Writer) error) string {
-	var b strings.Builder
-	if err := write(&b); err != nil {
-		return "NO " + err.Error() + "\n"
+// readAndExecute reads one call, executes it and returns its answer.
+func (s *server) readAndExecute(c net.Conn) (answer string) {
+	in := bufio.NewReaderSize(io.LimitReader(c, maxCallSize), maxCallSize)
+	line, err := in.ReadString('\n')
+	switch {
+	case err == nil:
+		return execute(s.balancer, strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r"))
+	case len(line) == maxCallSize:
+		return "NO a call is one short line\n"
+	default:
+		return "NO a call ends with a line feed\n"
 	}
-	return b.String() + "END\n"
 }
 
-func verdict(yes bool, state string) string {
-	if yes {
-		return "YES " + state + "\n"
+// discardRest ends the answer and reads what else the caller sends: closing a connection with unread bytes resets it,
+// and the caller may lose the answer.
+func discardRest(c net.Conn) {
+	half, ok := c.(interface{ CloseWrite() error })
+	if !ok || half.CloseWrite() != nil {
+		return
 	}
-	return "NO " + state + "\n"
+	_, _ = io.CopyN(io.Discard, c, maxDiscarded) // an error ends the connection, which is closed next
 }
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -11,45 +11,45 @@
 	"time"
 )
 
-// fake is a balancer that notes what it is asked.
-type fake struct {
+// fakeBalancer is a Balancer that records the calls to Drain.
+type fakeBalancer struct {
 	mu     sync.Mutex
 	ready  bool
 	drains []bool
 }
 
-func (f *fake) Ready() (bool, string) {
+func (f *fakeBalancer) Ready() (bool, string) {
 	if f.ready {
 		return true, "serving"
 	}
 	return false, "starting"
 }
 
-func (f *fake) Drain(on bool) (bool, string) {
+func (f *fakeBalancer) Drain(on bool) (bool, string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.drains = append(f.drains, on)
 	return true, "noted"
 }
 
-func (f *fake) WriteFigures(w io.Writer) error {
+func (f *fakeBalancer) WriteFigures(w io.Writer) error {
 	_, err := io.WriteString(w, "svc_a 1\nsvc_b 2\n")
 	return err
 }
 
-func (f *fake) Zone(name string, leave bool) (bool, string) {
+func (f *fakeBalancer) Zone(name string, leave bool) (bool, string) {
 	if name != "dc-a" {
 		return false, "it is not known"
 	}
 	return true, map[bool]string{true: "left", false: "returning"}[leave]
 }
 
-func (f *fake) WriteZones(w io.Writer) error {
+func (f *fakeBalancer) WriteZones(w io.Writer) error {
 	_, err := io.WriteString(w, "zone \"dc-a\" well\n")
 	return err
 }
 
-func (f *fake) WriteMembers(io.Writer) error { return errors.New("there is no membership") }
+func (f *fakeBalancer) WriteMembers(io.Writer) error { return errors.New("there is no membership") }
 
 // serve answers calls for a balancer until the test ends.
 func serve(t *testing.T, b Balancer) string {
@@ -81,7 +81,7 @@
 	return c
 }
 
-// call sends bytes and returns all that comes back until the close.
+// call sends bytes and returns all that comes back until the connection is closed.
 func call(t *testing.T, addr, text string) string {
 	t.Helper()
 	c := dial(t, addr)
@@ -95,8 +95,8 @@
 	return string(answer)
 }
 
-func TestEachCallGetsItsAnswer(t *testing.T) {
-	b := &fake{ready: true}
+func TestAnswers(t *testing.T) {
+	b := &fakeBalancer{ready: true}
 	addr := serve(t, b)
 	for _, c := range []struct{ sent, answer string }{
 		{"check\n", "YES serving\n"},
@@ -104,7 +104,7 @@
 		{"drain-on\n", "YES noted\n"},
 		{"drain-on\n", "YES noted\n"},
 		{"drain-off\n", "YES noted\n"},
-		{"check\ncheck\n" + strings.Repeat("more\n", 1000), "YES serving\n"}, // one line to a connection
+		{"check\ncheck\n" + strings.Repeat("more\n", 1000), "YES serving\n"}, // only the first line counts
 		{"zone-leave dc-a\n", "YES left\n"},
 		{"zone-return dc-a\r\n", "YES returning\n"},
 		{"zone-leave dc-x\n", "NO it is not known\n"},
@@ -114,10 +114,10 @@
 		{"\n", "NO "},
 		{"CHECK\n", "NO "},
 		{"check now\n", "NO "},
-		{"drain-on", "NO "}, // no whole line comes: it may have gone on
+		{"drain-on", "NO "}, // no line feed comes: the line may have gone on
 		{"\x00\xff\x16\x03\x01\n", "NO "},
 		{strings.Repeat("x", 100_000), "NO "},
-		{strings.Repeat("check", maxLine) + "\n", "NO "},
+		{strings.Repeat("check", maxCallSize) + "\n", "NO "},
 	} {
 		got := call(t, addr, c.sent)
 		if !strings.HasPrefix(got, c.answer) || strings.Count(got, "\n") != 1 {
@@ -138,55 +138,56 @@
 	}
 }
 
-func TestNotReadyIsNo(t *testing.T) {
-	if got := call(t, serve(t, &fake{}), "check\n"); got != "NO starting\n" {
+func TestCheckIsNoIfNotReady(t *testing.T) {
+	if got := call(t, serve(t, &fakeBalancer{}), "check\n"); got != "NO starting\n" {
 		t.Errorf("got %q", got)
 	}
 }
 
-// Callers that hold a connection with half a call or none neither delay an answer nor add up: the one that has done so
-// for longest gives way.
-func TestHoldersGiveWay(t *testing.T) {
-	addr := serve(t, &fake{ready: true})
+// Callers that hold a connection with half a call or none neither delay an answer nor accumulate: the oldest connection
+// is closed for a new one.
+func TestOldestConnectionIsClosedForANewOne(t *testing.T) {
+	addr := serve(t, &fakeBalancer{ready: true})
 	first := dial(t, addr)
 	if _, err := io.WriteString(first, "che"); err != nil {
 		t.Fatal(err)
 	}
-	for range 4 * maxCallers {
+	for range 4 * maxConnections {
 		dial(t, addr)
 	}
 	if got := call(t, addr, "check\n"); got != "YES serving\n" {
 		t.Errorf("got %q", got)
 	}
-	// It was closed to make room, so no answer comes: one whose time had run out would get a NO.
+	// It was closed for a new one, so no answer comes: one that had timed out would get a NO.
 	if text, err := io.ReadAll(first); len(text) > 0 {
-		t.Errorf("the longest holder got %q, %v", text, err)
+		t.Errorf("the oldest connection got %q, %v", text, err)
 	}
 }
 
-// A caller that holds its connection is let go by itself.
-func TestSilentCallerIsLetGo(t *testing.T) {
-	c := dial(t, serve(t, &fake{ready: true}))
+// A caller that sends nothing is answered and closed after a timeout.
+func TestSilentCallerTimesOut(t *testing.T) {
+	c := dial(t, serve(t, &fakeBalancer{ready: true}))
 	if text, err := io.ReadAll(c); err != nil || !strings.HasPrefix(string(text), "NO ") {
 		t.Errorf("got %q, %v", text, err)
 	}
 }
 
-func TestServeEndsWithItsCallers(t *testing.T) {
+// At its end Serve closes its connections and its listener.
+func TestServeClosesConnectionsAtItsEnd(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- Serve(ctx, l, &fake{}) }()
+	go func() { ended <- Serve(ctx, l, &fakeBalancer{}) }()
 	call(t, l.Addr().String(), "check\n")
-	held := dial(t, l.Addr().String())
+	open := dial(t, l.Addr().String())
 	cancel()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	if _, err := io.ReadAll(held); err != nil && !strings.Contains(err.Error(), "reset") {
+	if _, err := io.ReadAll(open); err != nil && !strings.Contains(err.Error(), "reset") {
 		t.Error(err)
 	}
 	if c, err := net.Dial("tcp", l.Addr().String()); err == nil {
