--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -39,15 +39,15 @@
 	if err != nil {
 		return err
 	}
-	if h := file.Handler(); h != nil {
+	if h := file.Log.Handler(); h != nil {
 		slog.SetDefault(slog.New(h))
 	}
 	c.SetLocalities(file.Localities())
 	if file.State.Folder != "" {
 		keeper, err := durable.StartWriter(durable.Options{Path: file.State.Folder, Owner: c.Name + "@" + file.State.Site,
-			MinInterval: file.State.Spacing(), OrderKinds: proxy.OrderKinds, Log: slog.Info}, kinds())
+			MinInterval: file.State.SaveInterval(), OrderKinds: proxy.OrderKinds, Log: slog.Info}, kinds())
 		if err != nil {
-			return fmt.Errorf("%s: %w", os.Getenv(fleet.Variable), err)
+			return fmt.Errorf("%s: %w", os.Getenv(fleet.EnvironmentVariable), err)
 		}
 		defer keeper.Close()
 		c.Keeper = keeper
@@ -66,7 +66,7 @@
 	server := proxy.New(c, listener)
 	member, err := joinFleet(&c, file, server)
 	if err != nil {
-		return fmt.Errorf("%s: %w", os.Getenv(fleet.Variable), err)
+		return fmt.Errorf("%s: %w", os.Getenv(fleet.EnvironmentVariable), err)
 	}
 	defer member.close()
 	if c.Management != "" {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -16,13 +16,13 @@
 	if want := map[string]string{"a": "java/a", "b": "java/b", "c": "bali/c"}; !maps.Equal(f.Localities(), want) {
 		t.Errorf("localities %v, want %v", f.Localities(), want)
 	}
-	if f.Handler() == nil {
+	if f.Log.Handler() == nil {
 		t.Error("json has no handler")
 	}
 }
 
-// What is wrong is said in one line that names file and key.
-func TestBadFilesAreNamed(t *testing.T) {
+// An error is one line that names file and key.
+func TestErrorsNameFileAndKey(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"[region]\n", `f.toml:1: unknown key "region"; did you mean "regions"?`},
 		{"[regions]\njava = \"a\"\n", "f.toml:2: regions.java"},
@@ -36,17 +36,20 @@
 		{"[membership]\nlisten = \"0.0.0.0:7946\"\nseeds = [\"127.0.0.1:7946\"]\n", `f.toml: membership.listen: "0.0.0.0:7946" is no IP:port`},
 		{"[membership]\nlisten = \"127.0.0.1:7946\"\nseeds = [\"b:7946\"]\n", `f.toml: membership.seeds: "b:7946" is no IP:port`},
 	} {
-		_, err := Parse("f.toml", []byte(c.text))
-		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, want %s", c.text, err, c.want)
-		}
+		t.Run(c.want, func(t *testing.T) {
+			_, err := Parse("f.toml", []byte(c.text))
+			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%q: %v, want %s", c.text, err, c.want)
+			}
+		})
 	}
 }
 
-func TestLoadGoesByTheVariable(t *testing.T) {
+// Load reads the file that the environment names, if it names one.
+func TestLoadReadsTheFileOfTheEnvironment(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.toml")
-	env := func(name string) string { return map[string]string{Variable: path}[name] }
-	if _, err := Load(env); err == nil || !strings.Contains(err.Error(), Variable) {
+	env := func(name string) string { return map[string]string{EnvironmentVariable: path}[name] }
+	if _, err := Load(env); err == nil || !strings.Contains(err.Error(), EnvironmentVariable) {
 		t.Errorf("a missing file: %v", err)
 	}
 	if err := os.WriteFile(path, []byte("[regions]\nr = [\"z\"]\n"), 0o644); err != nil {
@@ -56,7 +59,7 @@
 		t.Errorf("%v, %v", f, err)
 	}
 	f, err := Load(func(string) string { return "" })
-	if err != nil || f.Localities() != nil || f.Handler() != nil {
+	if err != nil || f.Localities() != nil || f.Log.Handler() != nil {
 		t.Errorf("without the variable: %v, %v", f, err)
 	}
 }
--- /dev/null
+++ b/internal/fleet/membership.go
@@ -0,0 +1,64 @@
+package fleet
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+)
+
+// maxSeeds bounds the members that a file names.
+const maxSeeds = 64
+
+// Membership says how the balancer finds the other members of its fleet. It is on if it names seeds. Addresses are of
+// the form IP:port.
+type Membership struct {
+	// Listen is the balancer's own address, for UDP and TCP.
+	Listen string `toml:"listen"`
+	// Tell is the address at which others reach it, if that is not Listen.
+	Tell string `toml:"tell"`
+	// Seeds are the addresses of some members, 64 at most. This balancer may be among them, so that all can share the list.
+	Seeds []string `toml:"seeds"`
+	// Keys is the path of the file of encryption keys, which is read again when it changes. Without it nothing is encrypted.
+	Keys string `toml:"keys"`
+}
+
+// On reports whether the balancer is to take part in membership.
+func (m Membership) On() bool { return len(m.Seeds) > 0 }
+
+func (m Membership) validate() error {
+	if !m.On() {
+		if m.Listen != "" || m.Tell != "" || m.Keys != "" {
+			return errors.New("membership.seeds: is missing")
+		}
+		return nil
+	}
+	if len(m.Seeds) > maxSeeds {
+		return fmt.Errorf("membership.seeds: %d, more than %d", len(m.Seeds), maxSeeds)
+	}
+	if m.Listen == "" {
+		return errors.New("membership.listen: is missing")
+	}
+	if err := validateAddress("listen", m.Listen); err != nil {
+		return err
+	}
+	if m.Tell != "" {
+		if err := validateAddress("tell", m.Tell); err != nil {
+			return err
+		}
+	}
+	for _, seed := range m.Seeds {
+		if err := validateAddress("seeds", seed); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// validateAddress returns an error if others can't reach an address.
+func validateAddress(key, address string) error {
+	a, err := netip.ParseAddrPort(address)
+	if err != nil || a.Port() == 0 || a.Addr().IsUnspecified() {
+		return fmt.Errorf("membership.%s: %q is no IP:port", key, address)
+	}
+	return nil
+}
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"strings"
@@ -119,10 +120,12 @@
 		{strings.Repeat("x", 100_000), "NO "},
 		{strings.Repeat("check", maxCallSize) + "\n", "NO "},
 	} {
-		got := call(t, addr, c.sent)
-		if !strings.HasPrefix(got, c.answer) || strings.Count(got, "\n") != 1 {
-			t.Errorf("%.40q: got %q, want one line %q", c.sent, got, c.answer)
-		}
+		t.Run(fmt.Sprintf("%.40q", c.sent), func(t *testing.T) {
+			got := call(t, addr, c.sent)
+			if !strings.HasPrefix(got, c.answer) || strings.Count(got, "\n") != 1 {
+				t.Errorf("got %q, want one line %q", got, c.answer)
+			}
+		})
 	}
 	if got, want := call(t, addr, "vars\n"), "svc_a 1\nsvc_b 2\nEND\n"; got != want {
 		t.Errorf("vars: got %q, want %q", got, want)
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile decodes TOML strictly: a key that the destination lacks is an error that names the line and the
-// nearest known key, so that a slip of the pen never counts as a default.
+// Package tomlfile decodes TOML strictly: a key that the destination lacks is an error that names the line and the most
+// similar known key, so that a misspelt key never counts as its default.
 package tomlfile
 
 import (
@@ -14,72 +14,101 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode reads text into a pointer to a struct. path is for messages; an error is one line that begins with it.
+// tagName is the tag of a struct's fields that has their keys; the value "-" excludes a field.
+const tagName = "toml"
+
+// Decode decodes text into a pointer to a struct, all of whose fields have a toml tag. The path is for messages: an error
+// is one line that begins with it and, if a key is at fault, the line number.
 func Decode(path string, text []byte, into any) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(into)
 	if err == nil {
 		return nil
 	}
-	var strict *toml.StrictMissingError
-	if errors.As(err, &strict) && len(strict.Errors) > 0 {
-		first := strict.Errors[0]
-		row, _ := first.Position()
+	var unknownKeys *toml.StrictMissingError
+	if errors.As(err, &unknownKeys) && len(unknownKeys.Errors) > 0 {
+		first := unknownKeys.Errors[0]
+		line, _ := first.Position()
 		key := first.Key()
-		return fmt.Errorf("%s:%d: unknown key %q; did you mean %q?", path, row, strings.Join(key, "."), nearest(reflect.TypeOf(into).Elem(), key))
+		suggestion := mostSimilarKey(reflect.TypeOf(into).Elem(), key)
+		return fmt.Errorf("%s:%d: unknown key %q; did you mean %q?", path, line, strings.Join(key, "."), suggestion)
 	}
-	var one *toml.DecodeError
-	if errors.As(err, &one) {
-		row, _ := one.Position()
-		return fmt.Errorf("%s:%d: %s: %w", path, row, strings.Join(one.Key(), "."), one)
+	var badValue *toml.DecodeError
+	if errors.As(err, &badValue) {
+		line, _ := badValue.Position()
+		return fmt.Errorf("%s:%d: %s: %w", path, line, strings.Join(badValue.Key(), "."), badValue)
 	}
 	return fmt.Errorf("%s: %w", path, err)
 }
 
-// Duration is a time in a file, written as Go writes it: "250ms", "1.5s".
+// Duration is a duration in a file, written as Go writes it: "250ms", "1.5s".
 type Duration time.Duration
 
-// UnmarshalText reads "1.5s".
+// UnmarshalText parses a duration such as "1.5s".
 func (d *Duration) UnmarshalText(text []byte) error {
-	x, err := time.ParseDuration(string(text))
+	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
 		return fmt.Errorf("%q is no duration such as \"1.5s\"", text)
 	}
-	*d = Duration(x)
+	*d = Duration(parsed)
 	return nil
 }
 
-// MarshalText writes "1.5s".
+// MarshalText formats a duration such as "1.5s".
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// D is the time as a time.Duration.
+// D returns the duration as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// nearest is the known key of the same table with the fewest edits from an unknown one; of several the first that the
-// table has.
-func nearest(root reflect.Type, key []string) string {
-	table := root
-	for _, name := range key[:len(key)-1] {
-		for _, field := range reflect.VisibleFields(table) {
-			if field.Tag.Get("toml") == name {
-				table = field.Type
-			}
-		}
-		for table.Kind() == reflect.Slice {
-			table = table.Elem()
+// mostSimilarKey returns the known key of the same table with the fewest edits from an unknown one; of several the first
+// that the table has.
+func mostSimilarKey(root reflect.Type, key []string) string {
+	last := len(key) - 1
+	table := tableOf(root, key[:last])
+	best := ""
+	bestDistance := 0
+	for _, field := range reflect.VisibleFields(table) {
+		known := field.Tag.Get(tagName)
+		if known == "-" {
+			continue
 		}
-		if table.Kind() == reflect.Map { // the next part is a name of the file's own
-			table = table.Elem()
+		distance := levenshtein.ComputeDistance(key[last], known)
+		if best == "" || distance < bestDistance {
+			best = known
+			bestDistance = distance
 		}
+	}
+	return best
+}
+
+// tableOf returns the struct type of the table at a path of keys, or root if the path leaves the known tables.
+func tableOf(root reflect.Type, path []string) reflect.Type {
+	table := root
+	for _, key := range path {
+		table = elementType(fieldType(table, key))
 		if table.Kind() != reflect.Struct {
 			table = root
 		}
 	}
-	word, best, least := key[len(key)-1], "", 0
+	return table
+}
+
+// fieldType returns the type of the field of a struct that has a key, or the struct itself if none has.
+func fieldType(table reflect.Type, key string) reflect.Type {
 	for _, field := range reflect.VisibleFields(table) {
-		known := field.Tag.Get("toml")
-		if edits := levenshtein.ComputeDistance(word, known); known != "-" && (best == "" || edits < least) {
-			best, least = known, edits
+		if field.Tag.Get(tagName) == key {
+			return field.Type
 		}
 	}
-	return best
+	return table
+}
+
+// elementType returns the type of the entries of slices, and of a map, whose keys are names of the file's own.
+func elementType(t reflect.Type) reflect.Type {
+	for t.Kind() == reflect.Slice {
+		t = t.Elem()
+	}
+	if t.Kind() == reflect.Map {
+		t = t.Elem()
+	}
+	return t
 }
