--- a/cmd/balancer/former_build_test.go
+++ b/cmd/balancer/former_build_test.go
@@ -46,43 +46,41 @@
 // is lost, and orders hold over both.
 func TestUpgradesFromFormerBuildAndBack(t *testing.T) {
 	former := buildFormer(t)
-	address, held := holdListener(t)
+	address, listener := holdListener(t)
 	var served atomic.Int64
 	endpoints := startUpstreams(t, []string{"127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"}, &served)
 	agent := startAgent(t, "127.0.0.1:0", endpoints)
 	fleet := filepath.Join(t.TempDir(), "fleet.toml")
 	state := filepath.Join(t.TempDir(), "state")
-	if err := os.WriteFile(fleet, fmt.Appendf(nil, "[state]\nfolder = %q\nevery = %q\n", state, statesSpacing), 0o600); err != nil {
+	if err := os.WriteFile(fleet, fmt.Appendf(nil, "[state]\nfolder = %q\nevery = %q\n", state, saveInterval), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	t.Setenv("RELAY_FLEET", fleet)
-	start := func(cmd *exec.Cmd) (p *started, operators string) {
-		operators = free(t)
-		t.Setenv("RELAY_MANAGEMENT", operators)
-		return startAt(t, cmd, address, agent, held), operators
+	start := func(cmd *exec.Cmd) (p *process, management string) {
+		return startOnListener(t, cmd, address, agent, listener)
 	}
 
-	running, operators := start(exec.Command(former))
-	waitFor(t, "the list has come", func() bool { return strings.Contains(callAll(operators, "vars"), "svc_known_upstreams 3\n") })
-	wantAnswer(t, operators, "zone-leave "+leftZone, "YES left")
+	running, management := start(exec.Command(former))
+	waitFor(t, "the list has come", func() bool { return strings.Contains(callAll(management, "vars"), "svc_known_upstreams 3\n") })
+	wantAnswer(t, management, "zone-leave "+leftZone, "YES left")
 	load := startTraffic(address, 4)
 	for _, next := range []struct {
 		name string
 		cmd  *exec.Cmd
 	}{{"this build", program(t)}, {"the former build again", exec.Command(former)}} {
 		load.waitForMore(t, 100)
-		successor, operators := start(next.cmd)
+		successor, management := start(next.cmd)
 		load.waitForMore(t, 100)
-		running.end(t)
+		running.terminate(t)
 		load.waitForMore(t, 100)
-		wantZoneLeft(t, operators)
+		wantZoneLeft(t, management)
 		if t.Failed() {
 			t.Logf("upgrade to %s:\n%s\nbefore it:\n%s", next.name, &successor.log, &running.log)
 		}
 		running = successor
 	}
 	failures := load.end()
-	running.end(t)
+	running.terminate(t)
 	if len(failures) > 0 {
 		t.Errorf("%d requests of %d failed, first: %v", len(failures), int64(len(failures))+load.answered.Load(), failures[0])
 	}
--- a/cmd/balancer/former_state_test.go
+++ b/cmd/balancer/former_state_test.go
@@ -24,28 +24,26 @@
 // The recorded list names these addresses, so the upstreams have to be there when it is read. They are loopback
 // addresses that nothing else is likely to use.
 const (
-	agentAddress  = "127.83.71.1:18500"
-	recordedSite  = "former"
-	leftZone      = "z2"
-	statesSpacing = "100ms"
+	agentAddress = "127.83.71.1:18500"
+	recordedSite = "former"
+	leftZone     = "z2"
+	saveInterval = "100ms"
 )
 
 var upstreamAddresses = []string{"127.83.71.2:18501", "127.83.71.3:18501", "127.83.71.4:18501"}
 
 var recordFormerState = flag.Bool("record-former-state", false, "record "+formerState+" again, with the former build")
 
-// newFormerSetup is a program with the configuration under which the state was recorded, on a state folder.
-func newFormerSetup(t *testing.T, folder string) (k *kept, listen string) {
+// newRecordedBalancer returns a balancer with the configuration under which the state was recorded, on a state folder,
+// and its address for clients.
+func newRecordedBalancer(t *testing.T, folder string) (b *statefulBalancer, address string) {
 	t.Helper()
-	k = newKept(t)
-	listen = free(t)
-	fleet := fmt.Sprintf("[state]\nfolder = %q\nsite = %q\nevery = %q\n", folder, recordedSite, statesSpacing)
-	for path, text := range map[string]string{k.config: fmt.Sprintf(config, listen, agentAddress), k.fleet: fleet} {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	return k, listen
+	b = newStatefulBalancer(t)
+	address = free(t)
+	b.stateFolder = folder
+	fleet := fmt.Sprintf("[state]\nfolder = %q\nsite = %q\nevery = %q\n", folder, recordedSite, saveInterval)
+	b.writeFiles(t, fmt.Sprintf(config, address, agentAddress), fleet)
+	return b, address
 }
 
 // learntPayload is what of a learnt record has to outlive the change of builds. The keys are those on disk.
@@ -117,22 +115,22 @@
 func recordState(t *testing.T) {
 	t.Helper()
 	folder := filepath.Join(t.TempDir(), "state")
-	k, listen := newFormerSetup(t, folder)
-	k.path = buildFormer(t)
+	b, address := newRecordedBalancer(t, folder)
+	b.program = buildFormer(t)
 	var served atomic.Int64
 	endpoints := startUpstreams(t, upstreamAddresses, &served)
 	startAgent(t, agentAddress, endpoints)
-	cmd, _ := k.start(t)
+	cmd, _ := b.start(t)
 	waitFor(t, "the list has come", func() bool { return newestRecord(t, folder, "list").Payload != nil })
 	client := &http.Client{}
 	defer client.CloseIdleConnections()
 	for id := range uint64(200) {
-		if err := sendRequest(client, listen, id+1); err != nil {
+		if err := sendRequest(client, address, id+1); err != nil {
 			t.Error(err)
 		}
 	}
-	wantAnswer(t, k.operators, "zone-leave "+leftZone, "YES left")
-	wantAnswer(t, k.operators, "drain-on", "YES draining")
+	wantAnswer(t, b.management, "zone-leave "+leftZone, "YES left")
+	wantAnswer(t, b.management, "drain-on", "YES draining")
 	before, _ := newestLearnt(t, folder)
 	waitFor(t, "what was learnt is saved", func() bool {
 		after, learnt := newestLearnt(t, folder)
@@ -210,13 +208,13 @@
 	var served atomic.Int64
 	startUpstreams(t, upstreamAddresses, &served) // nobody is at the agent's address: the list is the recorded one
 
-	k, listen := newFormerSetup(t, folder)
-	cmd, check := k.start(t)
+	b, address := newRecordedBalancer(t, folder)
+	cmd, check := b.start(t)
 	if check != "YES draining" {
 		t.Errorf("started with the order to drain: %q", check)
 	}
-	wantZoneLeft(t, k.operators)
-	wantLogged(t, k.log.Name(),
+	wantZoneLeft(t, b.management)
+	wantLogged(t, b.log.Name(),
 		fmt.Sprintf(`upstreams known from before.* upstreams=%d revision=%d`, len(upstreamAddresses), listRevision),
 		fmt.Sprintf(`knowledge from before.* upstreams=%d`, len(upstreamAddresses)),
 		`orders from before.* serial=2 drain=true left=`+leftZone)
@@ -226,22 +224,22 @@
 	})
 	_, learnt := newestLearnt(t, folder)
 	wantSameLearnt(t, learnt, formerLearnt)
-	if err := sendRequest(http.DefaultClient, listen, 1); err != nil || served.Load() != 1 {
+	if err := sendRequest(http.DefaultClient, address, 1); err != nil || served.Load() != 1 {
 		t.Errorf("an upstream of the recorded list served %d requests, want 1: %v", served.Load(), err)
 	}
-	wantAnswer(t, k.operators, "drain-off", "YES serving")
+	wantAnswer(t, b.management, "drain-off", "YES serving")
 	terminate(t, cmd)
 
 	verify := exec.Command("go", "run", "../balancerctl", "state", "verify", folder)
 	if out, err := verify.CombinedOutput(); err != nil {
 		t.Errorf("state verify: %v\n%s", err, out)
 	}
-	cmd, check = k.start(t)
+	cmd, check = b.start(t)
 	if check != "YES serving" {
 		t.Errorf("started after drain-off: %q", check)
 	}
-	wantZoneLeft(t, k.operators)
-	wantLogged(t, k.log.Name(), `orders from before.* serial=3 drain=false left=`+leftZone)
+	wantZoneLeft(t, b.management)
+	wantLogged(t, b.log.Name(), `orders from before.* serial=3 drain=false left=`+leftZone)
 	terminate(t, cmd)
 	newestRecord(t, folder, "list") // and with it that every record is readable
 }
--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -1,6 +1,7 @@
-// Command balancer is a load balancer for a fleet of HTTP servers. It is told what
-// to do by the RELAY_ environment variables, reads the address of discovery anew on
-// SIGHUP, and ends in good order on SIGTERM.
+// Command balancer is a load balancer for a fleet of HTTP servers. It is configured by the RELAY_ environment variables,
+// reads the address of discovery again on SIGHUP, and shuts down gracefully on SIGTERM.
+//
+// It ends with exit code 0 after SIGTERM, and with 1 and one line on standard error if it can't start or serve.
 package main
 
 import (
@@ -21,6 +22,14 @@
 	"sprucehill/internal/proxy"
 )
 
+const (
+	// maxCores is how many cores the program uses: the platform gives it one.
+	maxCores = 1
+	// gcPercent is the heap growth, in percent, at which garbage is collected. Collecting later than Go's default of 100
+	// saves time and costs memory, which the soft memory limit bounds.
+	gcPercent = 400
+)
+
 func main() {
 	if err := run(); err != nil {
 		fmt.Fprintln(os.Stderr, "balancer:", err)
@@ -28,89 +37,132 @@
 	}
 }
 
+// run serves until SIGTERM or an interrupt.
 func run() error {
-	reloads := make(chan os.Signal, 1)
-	signal.Notify(reloads, syscall.SIGHUP) // first of all: it must not end the program at any time
-	c, err := proxy.LoadConfig(os.Getenv)
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP) // before all else: without it the signal would end the program
+	config, file, err := loadConfiguration()
 	if err != nil {
 		return err
 	}
-	file, err := fleet.Load(os.Getenv)
+	closeState, err := openState(&config, file)
 	if err != nil {
 		return err
 	}
-	if h := file.Log.Handler(); h != nil {
-		slog.SetDefault(slog.New(h))
-	}
-	c.SetLocalities(file.Localities())
-	if file.State.Folder != "" {
-		keeper, err := durable.StartWriter(durable.Options{Path: file.State.Folder, Owner: c.Name + "@" + file.State.Site,
-			MinInterval: file.State.SaveInterval(), OrderKinds: proxy.OrderKinds, Log: slog.Info}, kinds())
-		if err != nil {
-			return fmt.Errorf("%s: %w", os.Getenv(fleet.EnvironmentVariable), err)
-		}
-		defer keeper.Close()
-		c.Keeper = keeper
-	}
-	// The machine has one core. Collecting later costs memory, which the soft limit bounds, and saves time.
-	runtime.GOMAXPROCS(1)
-	debug.SetGCPercent(400)
-	debug.SetMemoryLimit(c.SoftMemory())
+	defer closeState()
+	limitResources(config)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	slog.Info("starting", "name", c.Name, "listen", c.Listen, "known", len(c.Known.Members))
-	listener, err := c.OpenListener()
+	slog.Info("starting", "name", config.Name, "listen", config.Listen, "known", len(config.Known.Members))
+	listener, err := config.OpenListener()
 	if err != nil {
 		return err
 	}
-	server := proxy.New(c, listener)
-	member, err := joinFleet(&c, file, server)
+	server := proxy.New(config, listener)
+	member, err := joinFleet(&config, file, server)
 	if err != nil {
-		return fmt.Errorf("%s: %w", os.Getenv(fleet.EnvironmentVariable), err)
+		return fleetFileError(err)
 	}
 	defer member.close()
-	if c.Management != "" {
-		operators, err := net.Listen("tcp", c.Management)
-		if err != nil {
-			return fmt.Errorf("listening for operators: %w", err)
-		}
-		defer manage(operators, managementTarget{server, member})()
+	stopManagement, err := startManagement(config.Management, managementTarget{server, member})
+	if err != nil {
+		return err
 	}
-	moves := make(chan string)
-	go reload(ctx, reloads, moves)
-	if err := server.Run(ctx, moves); err != nil {
+	defer stopManagement()
+	discoveryAddresses := make(chan string)
+	go reloadDiscovery(ctx, reloadSignals, discoveryAddresses)
+	if err := server.Run(ctx, discoveryAddresses); err != nil {
 		return err
 	}
-	slog.Info("stopped", "name", c.Name)
+	slog.Info("stopped", "name", config.Name)
 	return nil
 }
 
-// kinds is what is read of the state folder: the balancer's and the membership's.
-func kinds() map[string]uint16 {
-	all := maps.Clone(proxy.StateKinds)
-	all[kindMembers] = versionMembers
-	return all
+// loadConfiguration reads the configuration and the fleet file, and sets the logger that the latter asks for.
+func loadConfiguration() (proxy.Config, fleet.File, error) {
+	config, err := proxy.LoadConfig(os.Getenv)
+	if err != nil {
+		return config, fleet.File{}, err
+	}
+	file, err := fleet.Load(os.Getenv)
+	if err != nil {
+		return config, file, err
+	}
+	if handler := file.Log.Handler(); handler != nil {
+		slog.SetDefault(slog.New(handler))
+	}
+	config.SetLocalities(file.Localities())
+	return config, file, nil
 }
 
-// manage answers operators' calls until the function that it returns is called, which waits for their end. They are
-// answered while clients are sent away, too.
-func manage(operators net.Listener, balancer management.Balancer) (end func()) {
+// openState opens the state folder, if the fleet file names one, and sets the configuration's Keeper. The function that
+// it returns saves what is pending and releases the folder.
+func openState(config *proxy.Config, file fleet.File) (closeState func(), err error) {
+	if file.State.Folder == "" {
+		return func() {}, nil
+	}
+	options := durable.Options{
+		Path:        file.State.Folder,
+		Owner:       config.Name + "@" + file.State.Site,
+		MinInterval: file.State.SaveInterval(),
+		OrderKinds:  proxy.OrderKinds,
+		Log:         slog.Info,
+	}
+	writer, err := durable.StartWriter(options, stateVersions())
+	if err != nil {
+		return nil, fleetFileError(err)
+	}
+	config.Keeper = writer
+	return writer.Close, nil
+}
+
+// stateVersions returns the kinds of records that are read from the state folder, with the version of each: those of the
+// proxy and of the membership.
+func stateVersions() map[string]uint16 {
+	versions := maps.Clone(proxy.StateKinds)
+	versions[kindMembers] = versionMembers
+	return versions
+}
+
+// fleetFileError names the fleet file in an error that its content caused.
+func fleetFileError(err error) error {
+	return fmt.Errorf("%s: %w", os.Getenv(fleet.EnvironmentVariable), err)
+}
+
+// limitResources sets the limits of the Go runtime for the process.
+func limitResources(config proxy.Config) {
+	runtime.GOMAXPROCS(maxCores)
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(config.SoftMemory())
+}
+
+// startManagement serves operators' calls at an address, if it is not empty, until the function that it returns is
+// called, which waits for the end. Calls are also answered while the proxy shuts down.
+func startManagement(address string, target management.Balancer) (stop func(), err error) {
+	if address == "" {
+		return func() {}, nil
+	}
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		return nil, fmt.Errorf("listening for operators: %w", err)
+	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if err := management.Serve(ctx, operators, balancer); err != nil {
+		if err := management.Serve(ctx, listener, target); err != nil {
 			slog.Error("operators are not answered any more", "err", err)
 		}
 	}()
 	return func() {
 		cancel()
 		<-done
-	}
+	}, nil
 }
 
-// reload passes on the address of discovery at each signal until ctx ends. A file that can't be read changes nothing.
-func reload(ctx context.Context, signals <-chan os.Signal, moves chan<- string) {
+// reloadDiscovery reads the address of discovery again at each signal and sends it, until ctx ends. If the configuration
+// can't be read nothing changes.
+func reloadDiscovery(ctx context.Context, signals <-chan os.Signal, addresses chan<- string) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -123,7 +175,7 @@
 			continue
 		}
 		select {
-		case moves <- address:
+		case addresses <- address:
 		case <-ctx.Done():
 		}
 	}
--- a/cmd/balancer/standin_test.go
+++ b/cmd/balancer/standin_test.go
@@ -164,7 +164,7 @@
 	var ids atomic.Uint64
 	for range senders {
 		x.senders.Go(func() {
-			client := &http.Client{Transport: &http.Transport{}}
+			client := &http.Client{Transport: &http.Transport{}, Timeout: processTimeout}
 			defer client.CloseIdleConnections()
 			tick := time.NewTicker(5 * time.Millisecond)
 			defer tick.Stop()
--- a/cmd/balancer/state_test.go
+++ b/cmd/balancer/state_test.go
@@ -17,227 +17,302 @@
 	"time"
 )
 
-var kills = flag.Int("kills", 40, "how often TestOrdersOutliveKills kills the program")
+var killCount = flag.Int("kills", 40, "how often TestOrdersOutliveKills kills the program")
 
-// call makes an operators' call; "" where nobody answers.
+const (
+	// callTimeout bounds a management call.
+	callTimeout = 10 * time.Second
+	// answerPollInterval is how often a call is repeated until it has the answer that a test waits for.
+	answerPollInterval = 2 * time.Millisecond
+	// maxLoggedBytes is how much of a balancer's log a failed test shows.
+	maxLoggedBytes = 6000
+	// unprivilegedUser is the user "nobody".
+	unprivilegedUser = 65534
+)
+
+// call makes a management call and returns the first line of its answer, or "" if there is no answer.
 func call(address, line string) string {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return ""
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(10 * time.Second))
+	c.SetDeadline(time.Now().Add(callTimeout))
 	fmt.Fprintln(c, line)
 	answer, err := bufio.NewReader(c).ReadString('\n')
-	if err != nil && err != io.EOF {
+	if err != nil && !errors.Is(err, io.EOF) {
 		return ""
 	}
 	return strings.TrimSpace(answer)
 }
 
-// kept is a program that keeps its state in a folder.
-type kept struct {
-	path, config, fleet, operators string
+// statefulBalancer starts a balancer any number of times on one state folder.
+type statefulBalancer struct {
+	program, configPath, fleetPath string
+	stateFolder                    string
+	management                     string // address for operators' calls
 	log                            *os.File
-	user                           int // that it runs as, if not as the test
+	user                           int // that the balancer runs as; 0: the test's own
 }
 
-func newKept(t *testing.T) *kept {
+// newStatefulBalancer writes the configuration of a balancer with a state folder, which does not exist yet.
+func newStatefulBalancer(t *testing.T) *statefulBalancer {
 	t.Helper()
 	dir := t.TempDir()
-	k := &kept{path: program(t).Path, config: filepath.Join(dir, "config.json"), fleet: filepath.Join(dir, "fleet.toml"), operators: free(t)}
+	b := &statefulBalancer{
+		program:     program(t).Path,
+		configPath:  filepath.Join(dir, "config.json"),
+		fleetPath:   filepath.Join(dir, "fleet.toml"),
+		stateFolder: filepath.Join(dir, "state"),
+		management:  free(t),
+	}
 	if os.Getenv("RUN") != "" {
 		t.Skip("this needs the program itself, not a shell about it")
 	}
-	write := func(path, text string) {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	write(k.config, fmt.Sprintf(config, free(t), free(t)))
-	write(k.fleet, fmt.Sprintf("[state]\nfolder = %q\nsite = \"test\"\n", filepath.Join(dir, "state")))
+	b.writeFiles(t, fmt.Sprintf(config, free(t), free(t)), fmt.Sprintf("[state]\nfolder = %q\nsite = \"test\"\n", b.stateFolder))
 	var err error
-	if k.log, err = os.Create(filepath.Join(dir, "log")); err != nil {
+	b.log, err = os.Create(filepath.Join(dir, "log"))
+	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if text, _ := os.ReadFile(k.log.Name()); t.Failed() {
-			t.Logf("log:\n%s", text[max(0, len(text)-6000):])
+		if text, _ := os.ReadFile(b.log.Name()); t.Failed() {
+			t.Logf("log:\n%s", text[max(0, len(text)-maxLoggedBytes):])
 		}
-		k.log.Close()
+		b.log.Close()
 	})
-	return k
+	return b
 }
 
-// start starts the program and waits until it answers operators; it returns what check says.
-func (k *kept) start(t *testing.T) (cmd *exec.Cmd, check string) {
+// writeFiles writes the configuration and the fleet file.
+func (b *statefulBalancer) writeFiles(t *testing.T, configText, fleetText string) {
 	t.Helper()
-	cmd = exec.Command(k.path)
-	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+k.config, "RELAY_FLEET="+k.fleet, "RELAY_MANAGEMENT="+k.operators)
-	cmd.Stdout, cmd.Stderr = k.log, k.log
-	if k.user != 0 {
-		cmd.SysProcAttr = &syscall.SysProcAttr{Credential: &syscall.Credential{Uid: uint32(k.user), Gid: uint32(k.user)}}
+	for path, text := range map[string]string{b.configPath: configText, b.fleetPath: fleetText} {
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// command returns the command that starts the balancer.
+func (b *statefulBalancer) command() *exec.Cmd {
+	cmd := exec.Command(b.program)
+	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+b.configPath, "RELAY_FLEET="+b.fleetPath, "RELAY_MANAGEMENT="+b.management)
+	return cmd
+}
+
+// start starts the balancer and waits until it is ready; it returns the answer to check.
+func (b *statefulBalancer) start(t *testing.T) (cmd *exec.Cmd, check string) {
+	t.Helper()
+	cmd = b.command()
+	cmd.Stdout = b.log
+	cmd.Stderr = b.log
+	if b.user != 0 {
+		cmd.SysProcAttr = &syscall.SysProcAttr{Credential: &syscall.Credential{Uid: uint32(b.user), Gid: uint32(b.user)}}
 	}
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	limit := time.Now().Add(30 * time.Second)
-	for check = call(k.operators, "check"); !strings.HasPrefix(check, "YES"); check = call(k.operators, "check") {
+	limit := time.Now().Add(processTimeout)
+	for {
+		check = call(b.management, "check")
+		if strings.HasPrefix(check, "YES") {
+			return cmd, check
+		}
 		if time.Now().After(limit) {
-			cmd.Process.Kill()
-			cmd.Wait()
+			kill(cmd)
 			t.Fatalf("never ready: %q", check)
 		}
-		time.Sleep(2 * time.Millisecond)
+		time.Sleep(answerPollInterval)
 	}
-	return cmd, check
 }
 
-// timeOrder repeats the order that holds already and returns how long its answer took. It is what an order takes on this
-// machine now: a disk under load needs tens of times what an idle one does.
-func (k *kept) timeOrder(t *testing.T, check string) time.Duration {
+// kill ends a process by SIGKILL.
+func kill(cmd *exec.Cmd) {
+	cmd.Process.Kill()
+	cmd.Wait()
+}
+
+// orderDuration repeats the order that is in force already and returns how long its answer took. That is what an order
+// takes on this machine now: a disk under load needs tens of times what an idle one does.
+func (b *statefulBalancer) orderDuration(t *testing.T, check string) time.Duration {
 	t.Helper()
 	order := "drain-off"
 	if check == "YES draining" {
 		order = "drain-on"
 	}
-	begun := time.Now()
-	if answer := call(k.operators, order); answer != check {
+	start := time.Now()
+	if answer := call(b.management, order); answer != check {
 		t.Fatalf("%s got %q, want %q", order, answer, check)
 	}
-	return time.Since(begun)
+	return time.Since(start)
 }
 
-// What got a YES holds after SIGKILL at any moment; an order that got none may hold or not. The moments of the kills are
-// spread over twice what an order takes, so that some come before its answer also where a disk is slow.
+// An order that got a YES is in force after SIGKILL at any moment; one that got no answer may be or not. The moments of
+// the kills are spread over twice the duration of an order, so that some come before its answer also if the disk is slow.
 func TestOrdersOutliveKills(t *testing.T) {
 	const seed = 3
 	rng := rand.New(rand.NewPCG(seed, 0))
-	k := newKept(t)
-	may := map[string]bool{"YES serving": true}
-	ordered := 0
-	for i := range *kills {
-		cmd, check := k.start(t)
-		if !may[check] {
-			t.Errorf("seed %d, start %d: %q, want one of %v", seed, i, check, may)
+	b := newStatefulBalancer(t)
+	allowed := map[string]bool{"YES serving": true} // answers to check after the next start
+	confirmed := 0
+	for i := range *killCount {
+		cmd, check := b.start(t)
+		if !allowed[check] {
+			t.Errorf("seed %d, start %d: %q, want one of %v", seed, i, check, allowed)
 		}
-		may = map[string]bool{check: true}
-		state, want := "drain-on", "YES draining"
+		allowed = map[string]bool{check: true}
+		order, want := "drain-on", "YES draining"
 		if rng.IntN(2) == 0 {
-			state, want = "drain-off", "YES serving"
+			order, want = "drain-off", "YES serving"
 		}
-		k.timeOrder(t, check) // a life's first order takes longer than those after it
-		wait := time.Duration(rng.Int64N(int64(2 * k.timeOrder(t, check))))
+		b.orderDuration(t, check) // the first order of a process takes longer than the others
+		delay := time.Duration(rng.Int64N(int64(2 * b.orderDuration(t, check))))
 		killed := make(chan struct{})
 		go func() {
 			defer close(killed)
-			time.Sleep(wait)
+			time.Sleep(delay)
 			cmd.Process.Kill()
 		}()
-		switch answer := call(k.operators, state); answer {
+		switch answer := call(b.management, order); answer {
 		case want:
-			ordered++
-			may = map[string]bool{want: true}
+			confirmed++
+			allowed = map[string]bool{want: true}
 		case "": // killed before it answered
-			may[want] = true
+			allowed[want] = true
 		default:
-			t.Errorf("seed %d, start %d: %s got %q", seed, i, state, answer)
+			t.Errorf("seed %d, start %d: %s got %q", seed, i, order, answer)
 		}
 		<-killed
 		cmd.Wait()
 	}
-	if ordered < *kills/4 {
-		t.Errorf("%d of %d orders got a YES: the moments ask too little", ordered, *kills)
+	if confirmed < *killCount/4 {
+		t.Errorf("%d of %d orders got a YES: too few to show anything", confirmed, *killCount)
 	}
-	t.Logf("%d kills, %d orders got a YES, all of them held", *kills, ordered)
+	t.Logf("%d kills, %d orders got a YES, all of them in force afterwards", *killCount, confirmed)
 }
 
-// A folder that can't be used ends the start with one line that names the fleet file.
-func TestBadStateFolderSaysWhy(t *testing.T) {
-	k := newKept(t)
+// A folder that can't be used fails the start with one line that names the fleet file.
+func TestUnusableStateFolder(t *testing.T) {
+	b := newStatefulBalancer(t)
 	dir := t.TempDir()
-	if err := os.Symlink(dir, filepath.Join(dir, "link")); err != nil {
+	link := filepath.Join(dir, "link")
+	if err := os.Symlink(dir, link); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(k.fleet, fmt.Appendf(nil, "[state]\nfolder = %q\n", filepath.Join(dir, "link")), 0o600); err != nil {
+	if err := os.WriteFile(b.fleetPath, fmt.Appendf(nil, "[state]\nfolder = %q\n", link), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.Command(k.path)
-	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+k.config, "RELAY_FLEET="+k.fleet)
-	out, err := cmd.CombinedOutput()
+	out, err := b.command().CombinedOutput()
 	if text := strings.TrimSpace(string(out)); err == nil || strings.Count(text, "\n") > 1 || !strings.Contains(text, "fleet.toml: state folder: ") {
 		t.Errorf("got %v, %s", err, out)
 	}
 }
 
-// A disk that is full, hangs or is read-only costs what would be kept, never service: orders are carried out and say that they
-// were not kept, and are kept again once the disk is well.
-func TestDiskTroubleCostsNoService(t *testing.T) {
-	for _, c := range []struct {
-		name, want string
-		spoil      func(folder string) error
-		mend       func(folder string) error
-	}{
-		{"full", "no space left", func(folder string) error { // what is written to this device gets ENOSPC
-			return syscall.Mknod(filepath.Join(folder, "orders.new"), syscall.S_IFCHR|0o600, 1<<8|7)
-		}, func(string) error { return nil }},
-		{"hangs", "not kept", func(folder string) error { // nobody reads from it, so that opening it waits
-			return syscall.Mkfifo(filepath.Join(folder, "orders.new"), 0o600)
-		}, func(folder string) error {
-			f, err := os.OpenFile(filepath.Join(folder, "orders.new"), os.O_RDONLY|syscall.O_NONBLOCK, 0)
+// diskFault is a way in which a disk fails to save the orders, and how it recovers.
+type diskFault struct {
+	name         string
+	answer       string // part of the answer to an order during the fault
+	inject, heal func(stateFolder string) error
+}
+
+// ordersTemporary is the file that an order is written to before it gets its name.
+func ordersTemporary(stateFolder string) string { return filepath.Join(stateFolder, "orders.new") }
+
+var diskFaults = []diskFault{
+	{
+		name:   "full",
+		answer: "no space left",
+		inject: func(folder string) error { // a write to the device /dev/full fails with ENOSPC
+			return syscall.Mknod(ordersTemporary(folder), syscall.S_IFCHR|0o600, 1<<8|7)
+		},
+		heal: func(string) error { return nil }, // the balancer itself removes what it failed to write
+	},
+	{
+		name:   "hangs",
+		answer: "not kept",
+		inject: func(folder string) error { // opening a pipe that nobody reads from waits
+			return syscall.Mkfifo(ordersTemporary(folder), 0o600)
+		},
+		heal: func(folder string) error {
+			reader, err := os.OpenFile(ordersTemporary(folder), os.O_RDONLY|syscall.O_NONBLOCK, 0)
 			if err == nil {
-				time.AfterFunc(time.Minute, func() { f.Close() })
+				time.AfterFunc(time.Minute, func() { reader.Close() })
 			}
 			return err
-		}},
-		{"read-only", "not kept", func(folder string) error { return os.Chmod(folder, 0o500) },
-			func(folder string) error { return os.Chmod(folder, 0o700) }},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			k := newKept(t)
-			folder := filepath.Join(filepath.Dir(k.config), "state")
-			if os.Getuid() == 0 && c.name == "read-only" { // rights do not bind root
-				k.user = 65534
-				for _, path := range []string{k.path, k.config} {
-					for dir := filepath.Dir(path); dir != os.TempDir(); dir = filepath.Dir(dir) {
-						if err := os.Chmod(dir, 0o755); err != nil {
-							t.Fatal(err)
-						}
-					}
-				}
-				if err := errors.Join(os.Mkdir(folder, 0o700), os.Chown(folder, k.user, -1), os.Chmod(k.config, 0o644), os.Chmod(k.fleet, 0o644)); err != nil {
-					t.Fatal(err)
-				}
-			}
-			cmd, _ := k.start(t)
-			defer func() { cmd.Process.Kill(); cmd.Wait() }()
-			if err := c.spoil(folder); errors.Is(err, syscall.EPERM) {
-				t.Skip("this needs the right to make a device: ", err)
-			} else if err != nil {
-				t.Fatal(err)
-			}
-			if answer := call(k.operators, "drain-on"); !strings.HasPrefix(answer, "NO draining") || !strings.Contains(answer, c.want) {
-				t.Errorf("an order that can't be kept got %q", answer)
-			}
-			if answer := call(k.operators, "check"); answer != "YES draining" {
-				t.Errorf("it was not carried out: %q", answer)
-			}
-			if err := c.mend(folder); err != nil {
+		},
+	},
+	{
+		name:   "read-only",
+		answer: "not kept",
+		inject: func(folder string) error { return os.Chmod(folder, 0o500) },
+		heal:   func(folder string) error { return os.Chmod(folder, 0o700) },
+	},
+}
+
+// A disk that is full, hangs or is read-only costs what would be saved, but no service: orders are carried out, their
+// answers say that they were not saved, and orders are saved again once the disk has recovered.
+func TestDiskFaultsCostNoService(t *testing.T) {
+	for _, fault := range diskFaults {
+		t.Run(fault.name, func(t *testing.T) { testDiskFault(t, fault) })
+	}
+}
+
+func testDiskFault(t *testing.T, fault diskFault) {
+	b := newStatefulBalancer(t)
+	if os.Getuid() == 0 && fault.name == "read-only" { // permissions do not bind root
+		b.runUnprivileged(t)
+	}
+	cmd, _ := b.start(t)
+	defer func() { kill(cmd) }()
+	if err := fault.inject(b.stateFolder); errors.Is(err, syscall.EPERM) {
+		t.Skip("this needs the right to make a device: ", err)
+	} else if err != nil {
+		t.Fatal(err)
+	}
+	if answer := call(b.management, "drain-on"); !strings.HasPrefix(answer, "NO draining") || !strings.Contains(answer, fault.answer) {
+		t.Errorf("an order that can't be saved got %q", answer)
+	}
+	if answer := call(b.management, "check"); answer != "YES draining" {
+		t.Errorf("it was not carried out: %q", answer)
+	}
+	if err := fault.heal(b.stateFolder); err != nil {
+		t.Fatal(err)
+	}
+	b.waitUntilSaved(t, "drain-on", "YES draining")
+	kill(cmd)
+	var check string
+	if cmd, check = b.start(t); check != "YES draining" {
+		t.Errorf("after a restart: %q", check)
+	}
+}
+
+// waitUntilSaved repeats an order until it has the answer that says that it is saved.
+func (b *statefulBalancer) waitUntilSaved(t *testing.T, order, want string) {
+	t.Helper()
+	limit := time.Now().Add(processTimeout)
+	for answer := ""; answer != want; answer = call(b.management, order) {
+		if time.Now().After(limit) {
+			t.Fatalf("orders are not saved on a disk that has recovered: %q", answer)
+		}
+		time.Sleep(50 * time.Millisecond)
+	}
+}
+
+// runUnprivileged has the balancer run as another user, who can read its files and owns its state folder.
+func (b *statefulBalancer) runUnprivileged(t *testing.T) {
+	t.Helper()
+	b.user = unprivilegedUser
+	for _, path := range []string{b.program, b.configPath} {
+		for dir := filepath.Dir(path); dir != os.TempDir(); dir = filepath.Dir(dir) {
+			if err := os.Chmod(dir, 0o755); err != nil {
 				t.Fatal(err)
 			}
-			limit := time.Now().Add(30 * time.Second)
-			for answer := ""; answer != "YES draining"; answer = call(k.operators, "drain-on") {
-				if time.Now().After(limit) {
-					t.Fatalf("orders are not kept on a disk that is well again: %q", answer)
-				}
-				time.Sleep(50 * time.Millisecond)
-			}
-			cmd.Process.Kill()
-			cmd.Wait()
-			var check string
-			if cmd, check = k.start(t); check != "YES draining" {
-				t.Errorf("after a restart: %q", check)
-			}
-		})
+		}
+	}
+	err := errors.Join(os.Mkdir(b.stateFolder, 0o700), os.Chown(b.stateFolder, b.user, -1),
+		os.Chmod(b.configPath, 0o644), os.Chmod(b.fleetPath, 0o644))
+	if err != nil {
+		t.Fatal(err)
 	}
 }
