--- a/cmd/balancerctl/compare.go
+++ b/cmd/balancerctl/compare.go
@@ -132,7 +132,7 @@
 		return "", end, err
 	}
 	end = func() {
-		exec.Command("git", "worktree", "remove", "--force", dir).Run() // what fails here is told by git worktree list
+		_ = exec.Command("git", "worktree", "remove", "--force", dir).Run() // a worktree that is left over shows in git worktree list
 		os.RemoveAll(dir)
 	}
 	if out, err := exec.CommandContext(ctx, "git", "worktree", "add", "--detach", dir, rev).CombinedOutput(); err != nil {
--- a/cmd/balancerctl/operators_test.go
+++ b/cmd/balancerctl/operators_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"io"
 	"net"
 	"slices"
 	"strings"
@@ -22,7 +23,7 @@
 	go func() {
 		for c, err := l.Accept(); err == nil; c, err = l.Accept() {
 			line, _ := bufio.NewReader(c).ReadString('\n')
-			c.Write([]byte(answers[strings.TrimSpace(line)]))
+			_, _ = io.WriteString(c, answers[strings.TrimSpace(line)]) // a short answer fails the assertions on it
 			c.Close()
 		}
 	}()
--- a/internal/lab/bad/main.go
+++ b/internal/lab/bad/main.go
@@ -20,6 +20,13 @@
 	"time"
 )
 
+const (
+	// defaultTimeout is for requests that carry no deadline.
+	defaultTimeout = time.Second
+	// answerMargin is how long before its client's deadline a request is given up.
+	answerMargin = 20 * time.Millisecond
+)
+
 // member is an entry of discovery's list.
 type member struct {
 	ID       string `json:"id"`
@@ -85,7 +92,7 @@
 		}
 		b.leaving.Store(true)
 		time.Sleep(500 * time.Millisecond)
-		s.Shutdown(context.Background())
+		_ = s.Shutdown(context.Background()) // its error is of the context, which never ends
 	}()
 	if err := s.ListenAndServe(); err != http.ErrServerClosed {
 		log.Fatal(err)
@@ -181,34 +188,45 @@
 	if err != nil {
 		return
 	}
+	b.forward(w, r, body, n)
+}
+
+// timeoutOf is how long a client waits for the answer to its request.
+func timeoutOf(r *http.Request) time.Duration {
 	ms, err := strconv.Atoi(r.Header.Get("X-Deadline-Ms"))
 	if err != nil {
-		ms = 1000
+		return defaultTimeout
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(ms-20)*time.Millisecond)
+	return time.Duration(ms) * time.Millisecond
+}
+
+// forward sends the n-th request on and answers it, with the fault of its mode.
+func (b *balancer) forward(w http.ResponseWriter, r *http.Request, body []byte, n int64) {
+	timeout := timeoutOf(r)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout-answerMargin)
 	defer cancel()
+	id := r.Header.Get("X-Request-Id")
 	switch {
 	case b.mode == "silent" && n%20 == 0:
-		time.Sleep(time.Duration(ms)*time.Millisecond + 2*time.Second)
+		time.Sleep(timeout + 2*time.Second)
 	case b.mode == "forger" && n%20 == 0:
 		fmt.Fprintf(w, "%s 0 0\n", "0123456789abcdef")
 		return
 	case b.mode == "inventor" && n%20 == 0:
 		b.send(ctx, r, body, "00000000000000aa", 0)
+	case b.mode == "copier" && r.Method == http.MethodGet && n%5 == 0:
+		go b.send(ctx, r, body, id, 1)
 	}
-	if b.mode == "copier" && r.Method == http.MethodGet && n%5 == 0 {
-		go b.send(ctx, r, body, r.Header.Get("X-Request-Id"), 1)
-	}
-	status, answer := b.send(ctx, r, body, r.Header.Get("X-Request-Id"), 0)
+	status, answer := b.send(ctx, r, body, id, 0)
 	if b.mode == "repeater" && r.Method == http.MethodPost && n%5 == 0 {
-		b.send(ctx, r, body, r.Header.Get("X-Request-Id"), 1)
+		b.send(ctx, r, body, id, 1)
 	}
 	if b.mode == "twice" && n%20 == 0 && status == http.StatusOK {
 		b.answerTwice(w, answer)
 		return
 	}
 	w.WriteHeader(status)
-	w.Write(answer)
+	_, _ = w.Write(answer) // a client that has disconnected gets nothing
 }
 
 // end ends the process as nobody asked for, once 60 requests have come and what it had to answer is on its way.
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -169,7 +169,7 @@
 			break
 		}
 		i := int(e.Fault)
-		if !c.paths.OnLinks(i) || !(c.paths.Hits(i, zone, b) || c.paths.Hits(i, b, zone)) {
+		if !c.paths.OnLinks(i) || (!c.paths.Hits(i, zone, b) && !c.paths.Hits(i, b, zone)) {
 			continue
 		}
 		on[e.Fault] = e.Kind == history.FaultOn
--- a/internal/lab/day/check.go
+++ b/internal/lab/day/check.go
@@ -32,8 +32,12 @@
 	if d.Window <= 0 {
 		return problem("window", "must be over 0")
 	}
-	for _, f := range []func() error{d.checkFleet, d.checkModels, d.checkNetwork, d.checkClients, d.checkFaults} {
-		if err := f(); err != nil {
+	checks := []func() error{
+		d.checkFleet, d.checkModels, d.checkNetwork, d.checkBalancer,
+		d.checkClasses, d.checkTenants, d.checkClients, d.checkLoad, d.checkFaults,
+	}
+	for _, check := range checks {
+		if err := check(); err != nil {
 			return err
 		}
 	}
@@ -121,6 +125,10 @@
 			return problem(key, "delay must not be negative, loss a share from 0 to 0.5")
 		}
 	}
+	return nil
+}
+
+func (d *Day) checkBalancer() error {
 	b := d.Balancer
 	if b.MemoryMB < 16 || b.Sockets < 64 || b.MaxAttempts < 1 || b.TipMultiple <= 0 || b.TipAfter <= 0 ||
 		b.ConnectTimeout <= 0 || b.KeepAlive <= 0 || b.DrainGrace <= 0 || b.RetryAfter < 0 || b.Notice < 0 {
@@ -132,7 +140,7 @@
 	return nil
 }
 
-func (d *Day) checkClients() error {
+func (d *Day) checkClasses() error {
 	if len(d.Classes) == 0 {
 		return problem("class", "no [[class]] stands in the file")
 	}
@@ -161,17 +169,29 @@
 		}
 		names[c.Name] = true
 	}
-	names = map[string]bool{}
+	return nil
+}
+
+func (d *Day) checkTenants() error {
+	names := map[string]bool{}
 	for i, t := range d.Tenants {
 		if t.Name == "" || names[t.Name] || t.Share < 0 || t.Quota < 0 {
 			return problem(fmt.Sprintf("tenant[%d]", i+1), "the name is empty or stands twice, or a figure is negative")
 		}
 		names[t.Name] = true
 	}
+	return nil
+}
+
+func (d *Day) checkClients() error {
 	c := d.Clients
 	if c.Retries < 0 || c.Wait < 0 || c.Budget < 0 || !part(c.Impatience) || !part(c.Honour) || c.Keys < 1 {
 		return problem("clients", "impatience and honour are shares from 0 to 1, the rest is not negative")
 	}
+	return nil
+}
+
+func (d *Day) checkLoad() error {
 	l := d.Load
 	if l.Rate <= 0 || l.Rate*time.Duration(d.Length).Seconds() > maxArrivals {
 		return problem("load.rate", "%v a second is not over 0 and at most %.0f requests a day", l.Rate, maxArrivals)
--- a/internal/lab/day/fleet.go
+++ b/internal/lab/day/fleet.go
@@ -212,6 +212,6 @@
 // none of another.
 func stream(purpose string, index int) uint64 {
 	h := fnv.New64a()
-	io.WriteString(h, purpose) // never fails
+	_, _ = io.WriteString(h, purpose) // a hash never returns an error
 	return h.Sum64() + uint64(index)
 }
--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -208,7 +208,7 @@
 // Reset closes the connection at once, also under what is being sent.
 func (c *Conn) Reset() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
-		t.SetLinger(0) // an error means that it is closed already
+		_ = t.SetLinger(0) // an error means that it is closed already
 	}
 	c.Close()
 }
@@ -320,7 +320,7 @@
 			l.tcp.SetDeadline(time.Unix(1, 0))
 			return
 		}
-		c.SetLinger(0)
+		_ = c.SetLinger(0) // an error means that it is closed already
 		c.Close()
 	}
 }
@@ -370,7 +370,8 @@
 	if err != nil {
 		return // it is closed
 	}
-	raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
+	// An error means that the listener was closed meanwhile.
+	_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) })
 }
 
 // Close ends the listener: new connections are refused.
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -70,7 +70,7 @@
 // passes tells whether a byte from one end has come to the other within a time.
 func passes(t *testing.T, from io.Writer, to net.Conn, within time.Duration) bool {
 	t.Helper()
-	go from.Write([]byte("x"))
+	go func() { _, _ = io.WriteString(from, "x") }() // a byte that is not written does not arrive
 	got := make(chan error, 1)
 	go func() {
 		_, err := io.ReadFull(to, make([]byte, 1))
@@ -95,7 +95,9 @@
 	}
 	n.Set(0, true, false)
 	got := make(chan error, 1)
-	far.Write([]byte("x"))
+	if _, err := io.WriteString(far, "x"); err != nil {
+		t.Fatal(err)
+	}
 	go func() {
 		_, err := io.ReadFull(near, make([]byte, 1))
 		got <- err
--- a/internal/lab/live/clients.go
+++ b/internal/lab/live/clients.go
@@ -98,7 +98,7 @@
 func sleepUntil(t time.Time) {
 	for d := time.Until(t); d > 0; d = time.Until(t) {
 		ts := syscall.NsecToTimespec(int64(d))
-		syscall.Nanosleep(&ts, nil) // a signal may end it early
+		_ = syscall.Nanosleep(&ts, nil) // a signal may end it early: the loop then sleeps for the rest
 	}
 }
 
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -132,7 +132,7 @@
 
 // wait notes the end of a process.
 func (n *node) wait(cmd *exec.Cmd, ended chan struct{}) {
-	cmd.Wait() // how it ended is read below
+	_ = cmd.Wait() // how it ended is read from ProcessState below
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	text := ""
@@ -262,8 +262,8 @@
 // end ends the process after the day.
 func (n *node) end(patience time.Duration) {
 	if p, _, over := n.state(); !over {
-		p.Signal(syscall.SIGCONT) // one that was frozen to the end can't hear SIGTERM
-		n.terminate(patience)
+		_ = p.Signal(syscall.SIGCONT) // a process that is still stopped does not handle SIGTERM; one that has ended needs neither
+		_ = n.terminate(patience)     // its only error says that the process has ended
 	}
 }
 
@@ -285,7 +285,7 @@
 		return
 	}
 	n.note(history.Orphan, 0, fmt.Sprintf("process group %d", p.Pid))
-	syscall.Kill(-p.Pid, syscall.SIGKILL)
+	_ = syscall.Kill(-p.Pid, syscall.SIGKILL) // an error means that the group has ended
 }
 
 // lastLog is the end of what the process has logged.
--- a/internal/lab/live/registry.go
+++ b/internal/lab/live/registry.go
@@ -67,7 +67,7 @@
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { g.answer(b, w, r) }),
 		ReadHeaderTimeout: 10 * time.Second}
 	g.servers = append(g.servers, s)
-	go s.Serve(l) // ends with Close
+	go func() { _ = s.Serve(l) }() // returns once the server is closed
 	return nil
 }
 
@@ -221,7 +221,7 @@
 	g.written[b] = max(g.written[b], g.revision)
 	g.mu.Unlock()
 	if text, err := json.Marshal(list); err == nil {
-		w.Write(text) // a caller that has left is not told
+		_, _ = w.Write(text) // a caller that has disconnected gets nothing
 		for _, e := range told {
 			g.run.note(e)
 		}
--- a/internal/lab/live/upstream.go
+++ b/internal/lab/live/upstream.go
@@ -152,7 +152,7 @@
 		u.run.note(e)
 	}
 	x.conn.SetReadDeadline(time.Now().Add(u.run.day.Balancer.KeepAlive.D()))
-	x.conn.Write(b.Bytes()) // if it fails the reader of the connection sees its end
+	_, _ = x.conn.Write(b.Bytes()) // if it fails the reader of the connection sees its end
 }
 
 // accept takes connections of balancer b.
@@ -215,7 +215,7 @@
 		}
 		x := u.receive(q, body, c, b, first)
 		if x == nil {
-			c.Write([]byte("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"))
+			_, _ = io.WriteString(c, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n") // if it fails the next read fails too
 			continue
 		}
 		if !u.await(in, x) {
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -9,8 +9,6 @@
 	"slices"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"sprucehill/internal/lab/check"
 	"sprucehill/internal/lab/client"
 	"sprucehill/internal/lab/day"
@@ -66,12 +64,6 @@
 	inShare  bool
 }
 
-// Latency is a distribution, in milliseconds.
-type Latency struct {
-	P50, P90, P99, P999, Max float64
-	Count                    int64
-}
-
 // Window is a stretch of the day.
 type Window struct {
 	At                               float64 // seconds, its begin
@@ -83,7 +75,7 @@
 	Upstream                         []int   // attempts by upstream
 	Zones                            [][]int // attempts from zone to zone
 	asked, served                    float64 // worth
-	latency                          *hdrhistogram.Histogram
+	latency                          *histogram
 }
 
 // Recovery is how service took one fault.
@@ -141,16 +133,6 @@
 	Void                      string  // why the day does not count; empty: it does
 }
 
-func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)
-}
-
-// latencyOf reads a histogram of microseconds.
-func latencyOf(h *hdrhistogram.Histogram) Latency {
-	at := func(p float64) float64 { return float64(h.ValueAtPercentile(p)) / 1000 }
-	return Latency{at(50), at(90), at(99), at(99.9), float64(h.Max()) / 1000, h.TotalCount()}
-}
-
 // Requests tells what became of each arrival.
 func Requests(d *day.Day, arrivals []day.Arrival, events []history.Event) []Request {
 	all := make([]Request, len(arrivals))
@@ -277,10 +259,11 @@
 		t.add(r)
 		p.Share[r.End.String()] += 1 / float64(len(requests))
 		if r.End <= Late {
-			h.RecordValue(r.Latency.Microseconds())
+			h.record(r.Latency)
 		}
 	}
-	p.Served, p.Latency = ratio(t.served, t.asked), latencyOf(h)
+	p.Served = ratio(t.served, t.asked)
+	p.Latency = h.latency()
 	return p
 }
 
@@ -357,7 +340,7 @@
 		t.add(r)
 		w.asked, w.served = w.asked+t.asked, w.served+t.served
 		if r.End <= Late {
-			w.latency.RecordValue(r.Latency.Microseconds())
+			w.latency.record(r.Latency)
 		}
 	}
 	for _, e := range events {
@@ -380,7 +363,8 @@
 		if w.Share = -1; w.asked > 0 {
 			w.Share = w.served / w.asked
 		}
-		w.P50, w.P99 = float64(w.latency.ValueAtPercentile(50))/1000, float64(w.latency.ValueAtPercentile(99))/1000
+		w.P50 = w.latency.percentile(50)
+		w.P99 = w.latency.percentile(99)
 		w.latency = nil
 	}
 	return all
@@ -477,9 +461,9 @@
 func LabOf(late []time.Duration, seconds float64, lab, nodes time.Duration, crossed int) *Lab {
 	h := newHistogram()
 	for _, l := range late {
-		h.RecordValue(max(1, l.Microseconds()))
+		h.record(max(l, time.Microsecond))
 	}
-	x := latencyOf(h)
+	x := h.latency()
 	out := &Lab{LateP50: x.P50, LateP99: x.P99, LateMax: x.Max, LabCores: lab.Seconds() / seconds,
 		NodeCores: nodes.Seconds() / seconds, Crossed: crossed}
 	switch {
--- a/internal/lab/measure/starts.go
+++ b/internal/lab/measure/starts.go
@@ -40,9 +40,9 @@
 			end(e.Balancer)
 		case e.Kind == history.Ready && open && waits[e.Balancer]:
 			waits[e.Balancer] = false
-			ready.RecordValue(max(1, (e.At - at).Microseconds()))
+			ready.record(max(e.At-at, time.Microsecond))
 		case e.Kind == history.Answered && e.Result == client.Served && open:
-			served.RecordValue(max(1, (e.At - at).Microseconds()))
+			served.record(max(e.At-at, time.Microsecond))
 			delete(began, e.Balancer)
 		}
 	}
@@ -52,7 +52,9 @@
 	if s.Count == 0 {
 		return nil
 	}
-	r, v := latencyOf(ready), latencyOf(served)
-	s.ReadyP50, s.ReadyP99, s.ServedP50, s.ServedP99 = r.P50/1000, r.P99/1000, v.P50/1000, v.P99/1000
+	s.ReadyP50 = ready.percentile(50) / 1000
+	s.ReadyP99 = ready.percentile(99) / 1000
+	s.ServedP50 = served.percentile(50) / 1000
+	s.ServedP99 = served.percentile(99) / 1000
 	return s
 }
--- a/internal/lab/measure/zones.go
+++ b/internal/lab/measure/zones.go
@@ -169,7 +169,7 @@
 					continue
 				}
 				if at, left := t.leftAt(of[b], z, fault.At.D(), t.end(i)); left {
-					h.RecordValue(max(1, (at - fault.At.D()).Microseconds()))
+					h.record(max(at-fault.At.D(), time.Microsecond))
 					out.Count++
 				} else {
 					out.Never++
@@ -180,7 +180,7 @@
 	if out.Count+out.Never == 0 {
 		return nil
 	}
-	l := latencyOf(h)
+	l := h.latency()
 	out.P50, out.P99, out.Max = l.P50/1000, l.P99/1000, l.Max/1000
 	return out
 }
--- a/internal/lab/model/policy.go
+++ b/internal/lab/model/policy.go
@@ -154,7 +154,8 @@
 	case o.Status == balancer.OK || o.RequestClosed:
 		delete(b.requests, o.ID)
 	default:
-		r.ran = r.ran || !(o.Status == balancer.Rejected || o.Status == balancer.ConnectFailed || o.Status == balancer.NotSent)
+		notRun := o.Status == balancer.Rejected || o.Status == balancer.ConnectFailed || o.Status == balancer.NotSent
+		r.ran = r.ran || !notRun
 		b.try(now, o.ID, r)
 	}
 }
--- a/internal/lab/model/sim.go
+++ b/internal/lab/model/sim.go
@@ -140,7 +140,6 @@
 	out    []message // sent in this step
 	held   []parcel  // sent over a way that is cut
 	events []history.Event
-	frozen bool
 	index  int // in the heap of actors
 }
 
--- a/internal/lab/model/truth.go
+++ b/internal/lab/model/truth.go
@@ -53,39 +53,61 @@
 	return best
 }
 
-// power is what an upstream can do for this balancer now: cores by their speed. 0: no answer of it comes.
+// power is what an upstream can do for this balancer now, in cores by their speed; 0: no answer comes from it.
 func (x *seer) power(u int) float64 {
-	s, now := x.node.sim, x.node.now
-	model := s.day.Models[s.fleet.Upstreams[u].Model]
-	power := s.fleet.Upstreams[u].Size
-	for i, f := range s.day.Faults {
-		hit, end := s.hits[i], f.At.D()+f.For.D()
-		if f.For == 0 {
-			end = s.day.Length.D()
+	power := x.node.sim.fleet.Upstreams[u].Size
+	for i := range x.node.sim.day.Faults {
+		power *= x.faultFactor(i, u)
+	}
+	return power
+}
+
+// faultFactor is the part of an upstream's power that a fault leaves for this balancer now.
+func (x *seer) faultFactor(i, u int) float64 {
+	s := x.node.sim
+	now := x.node.now
+	fault := s.day.Faults[i]
+	end := fault.At.D() + fault.For.D()
+	if fault.For == 0 {
+		end = s.day.Length.D()
+	}
+	active := now >= fault.At.D() && now < end
+	hit := s.hits[i]
+	switch {
+	case now < fault.At.D():
+		return 1
+	case hit.Scope == day.OnLinks && active && fault.Kind == "cut":
+		if x.node.hit(i, day.Party{Kind: day.UpstreamParty, Index: u}) {
+			return 0
+		}
+		return 1
+	case hit.Scope != day.OnUpstreams || !slices.Contains(hit.Targets, u):
+		return 1
+	}
+	switch fault.Kind {
+	case "down", "vanish":
+		if active {
+			return 0
 		}
-		on := now >= f.At.D() && now < end
-		switch {
-		case now < f.At.D():
-		case hit.Scope == day.OnLinks && on && f.Kind == "cut":
-			b, p := x.node.party, day.Party{Kind: day.UpstreamParty, Index: u}
-			if s.paths.Hits(i, b, p) || s.paths.Hits(i, p, b) {
-				return 0
-			}
-		case hit.Scope != day.OnUpstreams || !slices.Contains(hit.Targets, u):
-		case f.Kind == "down" || f.Kind == "vanish":
-			if on {
-				return 0
-			}
-			if since := now - end; since < model.Warm.D() { // it is cold
-				power *= model.ColdFrom + (1-model.ColdFrom)*float64(since)/float64(model.Warm.D())
-			}
-		case on && (f.Kind == "errors" || f.Kind == "neighbour"):
-			power *= 1 - f.Size
-		case on && f.Kind == "drain":
+		return warmth(s.day.Models[s.fleet.Upstreams[u].Model], now-end)
+	case "errors", "neighbour":
+		if active {
+			return 1 - fault.Size
+		}
+	case "drain":
+		if active {
 			return 0
 		}
 	}
-	return power
+	return 1
+}
+
+// warmth is the part of its full power that a server has a time after it started.
+func warmth(m day.Model, since time.Duration) float64 {
+	if since >= m.Warm.D() {
+		return 1
+	}
+	return m.ColdFrom + (1-m.ColdFrom)*float64(since)/float64(m.Warm.D())
 }
 
 // Timer looks after what is out: an attempt whose answer can't come is stopped, and the request tried elsewhere as its
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -99,7 +99,8 @@
 	if err != nil {
 		return err
 	}
-	b.Color, b.LineStyle.Width = fill, 0
+	b.Color = fill
+	b.Width = 0
 	p.Add(b)
 	return nil
 }
