--- /dev/null
+++ b/internal/lab/model/actor.go
@@ -0,0 +1,113 @@
+package model
+
+import (
+	"cmp"
+	"container/heap"
+	"math/rand/v2"
+	"time"
+
+	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/history"
+)
+
+// messageSize is the bytes of a message with its head, on links that have a rate.
+const messageSize = 400
+
+// handler is what an actor does with its messages.
+type handler interface{ handle(m message) }
+
+// actor is one party with its queue. Only the worker that handles it touches it.
+type actor struct {
+	sim       *sim
+	id        int32 // index in sim.actors
+	party     day.Party
+	rng       *rand.Rand
+	handler   handler
+	now       time.Duration
+	queue     messageQueue
+	seq       uint64
+	outbox    []message     // sent in this step
+	held      []heldMessage // sent over a link that is cut
+	events    []history.Event
+	heapIndex int // in the queue of actors; -1: not in it
+}
+
+// heldMessage is a message that waits until its link is up again.
+type heldMessage struct {
+	to *actor
+	m  message
+}
+
+func (a *actor) nextSeq() uint64 {
+	a.seq++
+	return a.seq
+}
+
+// handleUntil handles the messages that are due before a time.
+func (a *actor) handleUntil(until time.Duration) {
+	for len(a.queue) > 0 && a.queue[0].at < until {
+		m := heap.Pop(&a.queue).(message)
+		a.now = m.at
+		a.handler.handle(m)
+	}
+}
+
+// send sends a message to another actor. Over a link that is cut it is held until the link is up again.
+func (a *actor) send(to *actor, m message) {
+	conditions := a.sim.paths.Now(a.party, to.party)
+	if conditions.Cut {
+		a.held = append(a.held, heldMessage{to, m})
+		return
+	}
+	delay := conditions.Lag(messageSize, a.rng.Float64)
+	m.at = a.now + max(delay, a.sim.minDelay)
+	m.from = a.id
+	m.to = to.id
+	m.seq = a.nextSeq()
+	a.outbox = append(a.outbox, m)
+}
+
+// after sends the actor a message to itself. It does not go through the outbox, as it may be due within this step.
+func (a *actor) after(d time.Duration, m message) {
+	m.at = a.now + max(d, 0)
+	m.from = a.id
+	m.to = a.id
+	m.seq = a.nextSeq()
+	heap.Push(&a.queue, m)
+}
+
+// record adds an event to the history, with the time of now.
+func (a *actor) record(e history.Event) {
+	e.At = a.now
+	a.events = append(a.events, e)
+}
+
+// actorQueue is all actors that have a message, ordered by its time.
+type actorQueue []*actor
+
+func (q actorQueue) Len() int { return len(q) }
+func (q actorQueue) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(q[i].queue[0].at, q[j].queue[0].at), cmp.Compare(q[i].id, q[j].id)) < 0
+}
+func (q actorQueue) Swap(i, j int) {
+	q[i], q[j] = q[j], q[i]
+	q[i].heapIndex = i
+	q[j].heapIndex = j
+}
+
+// Push is for container/heap.
+func (q *actorQueue) Push(x any) {
+	a := x.(*actor)
+	a.heapIndex = len(*q)
+	*q = append(*q, a)
+}
+
+// Pop is for container/heap.
+func (q *actorQueue) Pop() any {
+	last := len(*q) - 1
+	a := (*q)[last]
+	(*q)[last] = nil
+	*q = (*q)[:last]
+	a.heapIndex = -1
+	return a
+}
--- /dev/null
+++ b/internal/lab/model/discovery.go
@@ -0,0 +1,127 @@
+package model
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"sprucehill/balancer"
+	"sprucehill/internal/lab/history"
+)
+
+// fetchRetryDelay is when a balancer retries a call to discovery that has failed, in the model.
+const fetchRetryDelay = 500 * time.Millisecond
+
+// endpointUpdate is a change of discovery's list.
+type endpointUpdate struct {
+	upstreams []int
+	phase     string        // a key of endpointStates
+	startedAt time.Duration // of the upstreams' processes, in the day's time; 0: long past
+}
+
+// endpointStates are discovery's phases.
+var endpointStates = map[string]balancer.EndpointState{"up": balancer.Active, "draining": balancer.Draining, "removed": balancer.Removed}
+
+// phaseNames are discovery's phases by the module's states.
+var phaseNames = [...]string{balancer.Active: "up", balancer.Draining: "draining", balancer.Removed: "removed"}
+
+// fetchEndpoints calls the agent for the list of now, until it answers.
+func (n *node) fetchEndpoints() {
+	switch {
+	case n.agentSilent > 0:
+		n.fetchWaitsForAgent = true
+	case n.agentCallFails():
+		n.after(fetchRetryDelay, message{kind: msgEndpointUpdate, incarnation: n.incarnation})
+	default:
+		n.applyFullList()
+	}
+}
+
+// agentCallFails draws whether a call to the agent fails.
+func (n *node) agentCallFails() bool {
+	return n.agentErrorRate > 0 && n.rng.Float64() < n.agentErrorRate
+}
+
+// endpointByClock is an endpoint as this machine's clock has it.
+func (n *node) endpointByClock(e balancer.Endpoint) balancer.Endpoint {
+	if e.StartedAt > 0 {
+		e.StartedAt -= n.clockOffset
+	}
+	return e
+}
+
+// onAgentUpdate takes an update at the agent, which passes it on at once to a process that runs.
+func (n *node) onAgentUpdate(update *endpointUpdate) {
+	if n.agentSilent > 0 {
+		n.missedUpdates = append(n.missedUpdates, update)
+		return
+	}
+	if n.agentCallFails() {
+		n.after(fetchRetryDelay, message{kind: msgEndpointUpdate, update: update})
+		return
+	}
+	changed := make([]balancer.Endpoint, 0, len(update.upstreams))
+	for _, upstream := range update.upstreams {
+		e := &n.agentEndpoints[upstream]
+		e.State = endpointStates[update.phase]
+		if update.startedAt > 0 && e.State == balancer.Active {
+			e.StartedAt = clockOrigin + update.startedAt
+		}
+		changed = append(changed, n.endpointByClock(*e))
+	}
+	if n.module == nil || n.stopped {
+		return
+	}
+	n.onEndpointUpdate(update, changed)
+}
+
+// onEndpointUpdate passes an update on to the module. Upstreams that are no longer active lose their idle connections
+// and the attempts that still wait for one.
+func (n *node) onEndpointUpdate(update *endpointUpdate, changed []balancer.Endpoint) {
+	for i, upstream := range update.upstreams {
+		n.recordPhase(upstream, update.phase)
+		n.endpoints[upstream].state = changed[i].State
+		if changed[i].State == balancer.Active {
+			continue
+		}
+		n.CloseIdle(balancer.EndpointID(upstream))
+		n.cancelConnecting(upstream)
+	}
+	n.module.OnEndpointUpdate(n.clock(), balancer.UpdateDelta, changed)
+	n.deliverOutcomes()
+}
+
+// cancelConnecting ends the attempts that wait for a connection to an upstream.
+func (n *node) cancelConnecting(upstream int) {
+	for _, id := range slices.Sorted(maps.Keys(n.requests)) {
+		for _, a := range n.requests[id].attempts {
+			if a.upstream == upstream && !a.connected && !a.ended {
+				n.pending = append(n.pending, pendingOutcome{a, balancer.NotSent})
+			}
+		}
+	}
+}
+
+// applyFullList passes the agent's whole list on to the module.
+func (n *node) applyFullList() {
+	if n.module == nil {
+		return
+	}
+	var present []balancer.Endpoint
+	for upstream, e := range n.agentEndpoints {
+		if n.endpoints[upstream].state != e.State {
+			n.recordPhase(upstream, phaseNames[e.State])
+		}
+		n.endpoints[upstream].state = e.State
+		if e.State != balancer.Removed {
+			present = append(present, n.endpointByClock(e))
+		}
+	}
+	n.module.OnEndpointUpdate(n.clock(), balancer.UpdateComplete, present)
+	n.deliverOutcomes()
+}
+
+// recordPhase records that the process knows an upstream to be in a phase.
+func (n *node) recordPhase(upstream int, phase string) {
+	n.record(history.Event{Kind: history.Told, Balancer: int32(n.index), Upstream: int32(upstream), Arrival: history.None, Text: phase})
+}
--- /dev/null
+++ b/internal/lab/model/faults.go
@@ -0,0 +1,116 @@
+package model
+
+import (
+	"maps"
+	"slices"
+
+	"sprucehill/balancer"
+	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/history"
+)
+
+// beginFault begins a fault that hits this node.
+func (n *node) beginFault(i int) {
+	fault := n.sim.day.Faults[i]
+	switch fault.Kind {
+	case "kill":
+		if n.module != nil {
+			n.recordProcess(history.Killed)
+			n.exit()
+		}
+	case "term", "restart":
+		if n.module != nil {
+			n.drain(fault.Kind == "restart")
+		}
+	case "freeze":
+		n.stop()
+	case "clock":
+		n.clockOffset = fault.Delay.D()
+	case "discovery-silent":
+		n.agentSilent++
+	case "discovery-overbooked":
+		n.agentErrorRate = fault.Size
+	case "reset":
+		n.resetConns(i)
+	}
+}
+
+// endFault ends a fault that hits this node.
+func (n *node) endFault(i int) {
+	fault := n.sim.day.Faults[i]
+	switch fault.Kind {
+	case "kill":
+		if fault.State == "lose" {
+			n.loseDisk()
+		}
+		n.after(startupTime, message{kind: msgBoot})
+	case "term":
+		n.after(startupTime, message{kind: msgBoot})
+	case "freeze":
+		n.resume()
+	case "clock":
+		n.clockOffset = 0
+	case "discovery-silent":
+		n.agentSilent--
+		if n.agentSilent == 0 {
+			n.agentAnswersAgain()
+		}
+	case "discovery-overbooked":
+		n.agentErrorRate = 0
+	case "reset":
+		n.resetConns(i)
+	}
+}
+
+// agentAnswersAgain handles what the agent could not answer while it was silent.
+func (n *node) agentAnswersAgain() {
+	for _, update := range n.missedUpdates {
+		n.onAgentUpdate(update)
+	}
+	n.missedUpdates = nil
+	if n.fetchWaitsForAgent {
+		n.fetchWaitsForAgent = false
+		n.fetchEndpoints()
+	}
+}
+
+// resetConns breaks the connections that a fault on links hits.
+func (n *node) resetConns(i int) {
+	if n.module == nil {
+		return
+	}
+	for _, id := range slices.Sorted(maps.Keys(n.requests)) {
+		if r := n.requests[id]; r != nil { // what comes before may have ended it
+			n.resetRequest(i, r)
+		}
+	}
+	for upstream := range n.endpoints {
+		if n.onLinkFault(i, n.sim.servers[upstream].party) {
+			n.CloseIdle(balancer.EndpointID(upstream))
+		}
+	}
+	if front := n.zoneFront(); n.onLinkFault(i, front.party) {
+		n.send(front, message{kind: msgIdleClosed})
+	}
+	n.deliverOutcomes()
+}
+
+// resetRequest breaks the connections of a request that a fault on links hits.
+func (n *node) resetRequest(i int, r *openRequest) {
+	front := n.sim.actors[r.front]
+	if !r.closed && n.onLinkFault(i, front.party) {
+		n.send(front, message{kind: msgReset, id: r.client.id, requestRead: true})
+		n.disconnectClient(r)
+	}
+	for _, a := range r.attempts {
+		if a.connected && !a.ended && n.onLinkFault(i, n.sim.servers[a.upstream].party) {
+			n.abandon(a)
+			n.deliverOutcome(a, balancer.Reset, message{})
+		}
+	}
+}
+
+// onLinkFault tells whether a fault on links hits one between this node and another party.
+func (n *node) onLinkFault(i int, p day.Party) bool {
+	return n.sim.paths.Hits(i, n.party, p) || n.sim.paths.Hits(i, p, n.party)
+}
--- a/internal/lab/model/front.go
+++ b/internal/lab/model/front.go
@@ -9,42 +9,50 @@
 	"sprucehill/internal/lab/history"
 )
 
-// askEvery is how often a front asks for a balancer's health, as live fronts do.
-const askEvery = 100 * time.Millisecond
+// healthCheckInterval is how often a front checks a balancer's health, as live fronts do.
+const healthCheckInterval = 100 * time.Millisecond
 
-// front is the clients of a zone with the front that spreads them over its balancers.
+// front is the clients of a zone with the front that spreads them over the zone's balancers.
 type front struct {
 	*actor
-	zone    int
-	clients *client.Zone
-	turn    int
-	nodes   []int // of the zone
-	by      map[int32]int
-	idle    []int // connections, by place in nodes
-	heard   []time.Duration
-	admits  []bool
-	tries   map[uint64]*pending
-}
-
-// pending is a try that has no end yet.
-type pending struct {
-	*try
-	place int // of its balancer
-	sent  bool
-	kept  bool
-	fresh bool // it has met a closed connection already
+	zone         int
+	clients      *client.Zone
+	next         int           // round-robin position
+	nodes        []int         // the zone's balancers; their places here index the slices below
+	placeOfNode  map[int32]int // by actor
+	idle         []int         // idle connections
+	lastHealthAt []time.Duration
+	healthy      []bool
+	pending      map[uint64]*frontRequest
+}
+
+// frontRequest is a client's request that has not ended yet.
+type frontRequest struct {
+	*clientRequest
+	place        int  // of its balancer
+	sent         bool // written on a connection
+	reused       bool // its connection has served before
+	retriedOnNew bool // it met a connection that had just been closed, and was sent again on a new one
 }
 
 func newFront(a *actor, zone int) *front {
-	f := &front{actor: a, zone: zone, clients: client.NewZone(a.sim.day), nodes: a.sim.fleet.Zones[zone].Balancers,
-		by: map[int32]int{}, tries: map[uint64]*pending{}}
-	for i, b := range f.nodes {
-		f.by[a.sim.nodes[b].id] = i
-		a.after(time.Duration(a.rng.Float64()*float64(askEvery)), message{kind: askTick, n: int32(i)})
+	nodes := a.sim.fleet.Zones[zone].Balancers
+	f := &front{
+		actor:        a,
+		zone:         zone,
+		clients:      client.NewZone(a.sim.day),
+		nodes:        nodes,
+		placeOfNode:  map[int32]int{},
+		idle:         make([]int, len(nodes)),
+		lastHealthAt: make([]time.Duration, len(nodes)),
+		healthy:      make([]bool, len(nodes)),
+		pending:      map[uint64]*frontRequest{},
 	}
-	f.idle, f.heard, f.admits = make([]int, len(f.nodes)), make([]time.Duration, len(f.nodes)), make([]bool, len(f.nodes))
-	for i := range f.admits {
-		f.admits[i] = true // clients come once all balancers are ready
+	for i, b := range nodes {
+		f.placeOfNode[a.sim.nodes[b].id] = i
+		f.healthy[i] = true // clients come once all balancers are ready
+		phase := time.Duration(a.rng.Float64() * float64(healthCheckInterval))
+		a.after(phase, message{kind: msgHealthCheckDue, index: int32(i)})
 	}
 	return f
 }
@@ -52,162 +60,191 @@
 func (f *front) node(place int) *actor { return f.sim.nodes[f.nodes[place]] }
 
 func (f *front) handle(m message) {
-	p := f.tries[m.id]
 	switch m.kind {
-	case arrive:
+	case msgArrival:
 		f.clients.First()
-		f.try(m.n, 0)
-	case again:
-		f.try(m.n, int32(m.status))
-	case askTick:
-		f.ask(m)
-	case health:
-		i := f.by[m.from]
-		if f.heard[i] = f.now; m.on && !f.admits[i] {
-			f.note(history.Event{Kind: history.Ready, Balancer: int32(f.nodes[i]), Upstream: history.None, Arrival: history.None})
-		}
-		f.admits[i] = m.on
-	case hangup:
-		f.idle[f.by[m.from]] = 0
-	case synAck:
-		if p != nil && !p.sent {
-			f.put(p)
-		}
-	case rst:
-		if p != nil {
-			f.broken(p, m.on)
-		}
-	case answer:
-		if p != nil {
-			f.answered(p, m)
+		f.startRequest(m.index, 0)
+	case msgRetry:
+		f.startRequest(m.index, m.number)
+	case msgHealthCheckDue:
+		f.checkHealth(m.index)
+	case msgHealth:
+		f.onHealth(f.placeOfNode[m.from], m.healthy)
+	case msgIdleClosed:
+		f.idle[f.placeOfNode[m.from]] = 0
+	default:
+		if r := f.pending[m.id]; r != nil {
+			f.handleRequest(r, m)
 		}
-	case clients:
-		if p != nil {
-			f.impatient(p)
+	}
+}
+
+// handleRequest handles a message about a request that has not ended.
+func (f *front) handleRequest(r *frontRequest, m message) {
+	switch m.kind {
+	case msgConnected:
+		if !r.sent {
+			f.write(r)
 		}
+	case msgReset:
+		f.onReset(r, m.requestRead)
+	case msgResponse:
+		f.onResponse(r, m)
+	case msgClientTimeout:
+		f.onClientTimeout(r)
 	}
 }
 
-// ask asks a balancer for its health. One that has not been heard of for the time that it takes to notice gets nobody.
-func (f *front) ask(m message) {
-	i := int(m.n)
-	if f.now-f.heard[i] >= f.sim.day.Balancer.Notice.D() {
-		f.admits[i] = false
+// checkHealth checks a balancer's health. One that has not answered for the notice time gets no more requests.
+func (f *front) checkHealth(index int32) {
+	i := int(index)
+	if f.now-f.lastHealthAt[i] >= f.sim.day.Balancer.Notice.D() {
+		f.healthy[i] = false
 	}
-	f.send(f.node(i), message{kind: ask})
-	f.after(askEvery, message{kind: askTick, n: m.n})
+	f.send(f.node(i), message{kind: msgHealthCheck})
+	f.after(healthCheckInterval, message{kind: msgHealthCheckDue, index: index})
 }
 
-// try begins a try of an arrival.
-func (f *front) try(arrival, number int32) {
+func (f *front) onHealth(place int, healthy bool) {
+	f.lastHealthAt[place] = f.now
+	if healthy && !f.healthy[place] {
+		f.record(history.Event{Kind: history.Ready, Balancer: int32(f.nodes[place]), Upstream: history.None, Arrival: history.None})
+	}
+	f.healthy[place] = healthy
+}
+
+// startRequest begins a client's request for an arrival; number counts its retries.
+func (f *front) startRequest(arrival, number int32) {
 	a := f.sim.arrivals[arrival]
 	class := f.sim.day.Classes[a.Class]
-	p := &pending{try: &try{id: f.sim.day.TryID(int(arrival), int(number)), arrival: arrival, number: number,
-		deadline: a.At + class.Deadline.D()}}
+	r := &frontRequest{clientRequest: &clientRequest{
+		id:       f.sim.day.TryID(int(arrival), int(number)),
+		arrival:  arrival,
+		number:   number,
+		deadline: a.At + class.Deadline.D(),
+	}}
 	if a.Leaves > 0 && number == 0 {
-		p.leaves = a.At + a.Leaves
+		r.leavesAt = a.At + a.Leaves
 	}
-	f.tries[p.id] = p
-	f.attempt(p)
-	patience := p.deadline + check.Grace
-	if p.leaves > 0 {
-		patience = p.leaves
-	} else {
-		f.after(p.deadline-f.now, message{kind: clients, id: p.id}) // a connection is not waited for beyond it
+	f.pending[r.id] = r
+	f.assign(r)
+	if r.leavesAt > 0 {
+		f.after(r.leavesAt-f.now, message{kind: msgClientTimeout, id: r.id})
+		return
 	}
-	f.after(patience-f.now, message{kind: clients, id: p.id})
+	f.after(r.deadline-f.now, message{kind: msgClientTimeout, id: r.id}) // a connection is not waited for beyond it
+	f.after(r.deadline+check.Grace-f.now, message{kind: msgClientTimeout, id: r.id})
 }
 
-// attempt sends a try to the balancer whose turn it is.
-func (f *front) attempt(p *pending) {
+// assign sends a request to the next healthy balancer, round robin.
+func (f *front) assign(r *frontRequest) {
 	for range f.nodes {
-		f.turn++
-		if i := f.turn % len(f.nodes); f.admits[i] {
-			p.place, p.sent, p.kept = i, false, false
-			if f.idle[i] > 0 && !p.fresh {
-				f.idle[i]--
-				p.kept = true
-				f.put(p)
-			} else {
-				f.send(f.node(i), message{kind: syn, id: p.id})
-			}
-			return
+		f.next++
+		place := f.next % len(f.nodes)
+		if !f.healthy[place] {
+			continue
+		}
+		r.place = place
+		r.sent = false
+		r.reused = f.idle[place] > 0 && !r.retriedOnNew
+		if r.reused {
+			f.idle[place]--
+			f.write(r)
+		} else {
+			f.send(f.node(place), message{kind: msgConnect, id: r.id})
 		}
+		return
 	}
-	f.finish(p, client.Unreached, 0)
+	f.finish(r, client.Unreached, 0)
 }
 
-// put writes the request.
-func (f *front) put(p *pending) {
-	p.sent = true
-	e := f.event(p, history.Asked)
-	e.Limit = p.deadline
-	f.note(e)
-	f.send(f.node(p.place), message{kind: request, id: p.id, try: p.try, kept: p.kept, span: p.deadline - f.now})
+// write sends the request on its connection.
+func (f *front) write(r *frontRequest) {
+	r.sent = true
+	event := f.event(r, history.Asked)
+	event.Limit = r.deadline
+	f.record(event)
+	f.send(f.node(r.place), message{kind: msgRequest, id: r.id, request: r.clientRequest, duration: r.deadline - f.now})
 }
 
-// event is one of a try.
-func (f *front) event(p *pending, kind history.Kind) history.Event {
-	return history.Event{Kind: kind, Req: p.id, Arrival: p.arrival, Try: int8(p.number), Class: int16(f.sim.arrivals[p.arrival].Class),
-		Balancer: int32(f.nodes[p.place]), Upstream: history.None}
+// event is an event of a request.
+func (f *front) event(r *frontRequest, kind history.Kind) history.Event {
+	return history.Event{
+		Kind:     kind,
+		Req:      r.id,
+		Arrival:  r.arrival,
+		Try:      int8(r.number),
+		Class:    int16(f.sim.arrivals[r.arrival].Class),
+		Balancer: int32(f.nodes[r.place]),
+		Upstream: history.None,
+	}
 }
 
-// broken ends a try whose connection ended; taken: its balancer had read it.
-func (f *front) broken(p *pending, taken bool) {
+// onReset ends a request whose connection broke; requestRead: its balancer had read it.
+func (f *front) onReset(r *frontRequest, requestRead bool) {
 	switch {
-	case !p.sent:
-		f.note(f.event(p, history.Refused))
-		f.finish(p, client.Unreached, 0)
-	case p.kept && !taken && !p.fresh: // closed between requests
-		p.fresh = true
-		f.attempt(p)
+	case !r.sent:
+		f.record(f.event(r, history.Refused))
+		f.finish(r, client.Unreached, 0)
+	case r.reused && !requestRead && !r.retriedOnNew: // the balancer closed it between requests
+		r.retriedOnNew = true
+		f.assign(r)
 	default:
-		f.note(f.event(p, history.Broken))
-		f.finish(p, client.Failed, 0)
+		f.record(f.event(r, history.Broken))
+		f.finish(r, client.Failed, 0)
 	}
 }
 
-func (f *front) answered(p *pending, m message) {
-	if m.on {
-		f.idle[p.place]++
+func (f *front) onResponse(r *frontRequest, m message) {
+	if m.keepAlive {
+		f.idle[r.place]++
 	}
-	e := f.event(p, history.Answered)
-	e.Status, e.Result = m.status, client.Failed
+	event := f.event(r, history.Answered)
+	event.Status = m.status
 	switch m.status {
 	case statusOK:
-		e.Result, e.Upstream, e.Serial = client.Served, m.n, int32(m.wave)
+		event.Result = client.Served
+		event.Upstream = m.index
+		event.Serial = m.number
 	case statusRefused:
-		e.Result = client.Refused
+		event.Result = client.Refused
+	default:
+		event.Result = client.Failed
 	}
-	f.note(e)
-	f.finish(p, e.Result, m.span)
+	f.record(event)
+	f.finish(r, event.Result, m.duration)
 }
 
-// impatient ends a try whose client waits no more.
-func (f *front) impatient(p *pending) {
+// onClientTimeout ends a request whose client waits no longer.
+func (f *front) onClientTimeout(r *frontRequest) {
 	switch {
-	case p.leaves > 0 && f.now >= p.leaves:
-		if p.sent {
-			f.note(f.event(p, history.Left))
-			f.send(f.node(p.place), message{kind: gone, id: p.id})
+	case r.leavesAt > 0 && f.now >= r.leavesAt:
+		if r.sent {
+			f.disconnect(r, history.Left)
 		}
-		f.finish(p, client.Left, 0)
-	case !p.sent && f.now >= p.deadline:
-		f.note(f.event(p, history.Refused))
-		f.finish(p, client.Unreached, 0)
-	case p.sent && f.now >= p.deadline+check.Grace:
-		f.note(f.event(p, history.Silent))
-		f.send(f.node(p.place), message{kind: gone, id: p.id})
-		f.finish(p, client.Failed, 0)
+		f.finish(r, client.Left, 0)
+	case !r.sent && f.now >= r.deadline:
+		f.record(f.event(r, history.Refused))
+		f.finish(r, client.Unreached, 0)
+	case r.sent && f.now >= r.deadline+check.Grace:
+		f.disconnect(r, history.Silent)
+		f.finish(r, client.Failed, 0)
 	}
 }
 
-// finish ends a try; its client may come again.
-func (f *front) finish(p *pending, r client.Result, advice time.Duration) {
-	delete(f.tries, p.id)
-	a := f.sim.arrivals[p.arrival]
-	coin := rand.New(rand.NewPCG(f.sim.day.Seed, uint64(p.arrival)<<8|uint64(p.number))).Float64()
-	if wait, more := f.clients.Again(a.Class, r, int(p.number)+1, p.deadline-f.now, advice, coin); more {
-		f.after(wait, message{kind: again, n: p.arrival, status: int16(p.number + 1)})
+// disconnect closes the connection of a request that has been sent.
+func (f *front) disconnect(r *frontRequest, why history.Kind) {
+	f.record(f.event(r, why))
+	f.send(f.node(r.place), message{kind: msgClientGone, id: r.id})
+}
+
+// finish ends a request; its client may retry.
+func (f *front) finish(r *frontRequest, result client.Result, retryAfter time.Duration) {
+	delete(f.pending, r.id)
+	a := f.sim.arrivals[r.arrival]
+	draw := rand.New(rand.NewPCG(f.sim.day.Seed, uint64(r.arrival)<<8|uint64(r.number))).Float64()
+	wait, retries := f.clients.Again(a.Class, result, int(r.number)+1, r.deadline-f.now, retryAfter, draw)
+	if retries {
+		f.after(wait, message{kind: msgRetry, index: r.arrival, number: r.number + 1})
 	}
 }
--- a/internal/lab/model/policy.go
+++ b/internal/lab/model/policy.go
@@ -12,161 +12,188 @@
 	"sprucehill/internal/lab/day"
 )
 
-// newPolicy makes what decides for a balancer.
-type newPolicy func(s balancer.Settings, seed uint64, now time.Duration, host balancer.Effects) (balancer.Events, error)
+// newPolicy makes what decides for a balancer: the program's decision module, or a baseline with the same interface.
+type newPolicy func(s balancer.Settings, seed uint64, now time.Duration, effects balancer.Effects) (balancer.Events, error)
 
-// Policies names what a day can be modelled with: the program's own module, and plain baselines to set it against.
-var Policies = []string{own, "round-robin", "least-loaded", "random-of-two", "true-state"}
+// Policies names what a day can be modelled with: the program's own module, and baselines to compare it with.
+var Policies = []string{ownPolicy, "round-robin", "least-loaded", "random-of-two", "true-state"}
 
-const own = "sprucehill"
+const ownPolicy = "sprucehill"
 
-func policyOf(name string) (newPolicy, error) {
+func policyNamed(name string) (newPolicy, error) {
 	switch name {
-	case "", own:
-		return func(s balancer.Settings, seed uint64, now time.Duration, host balancer.Effects) (balancer.Events, error) {
-			return balancer.New(s, seed, now, host)
+	case "", ownPolicy:
+		return func(s balancer.Settings, seed uint64, now time.Duration, effects balancer.Effects) (balancer.Events, error) {
+			return balancer.New(s, seed, now, effects)
 		}, nil
 	case "round-robin":
-		return plain((*baseline).inTurn), nil
+		return newBaseline((*baseline).roundRobin), nil
 	case "least-loaded":
-		return plain((*baseline).leastLoaded), nil
+		return newBaseline((*baseline).leastLoaded), nil
 	case "random-of-two":
-		return plain((*baseline).randomOfTwo), nil
+		return newBaseline((*baseline).randomOfTwo), nil
 	case "true-state":
-		return newSeer, nil
+		return newTrueState, nil
 	}
 	return nil, fmt.Errorf("%w: policy %q is not one of %s", day.ErrInput, name, strings.Join(Policies, ", "))
 }
 
-// baseline picks by one plain rule among the upstreams that its list calls up. It keeps the rules on repeats, tries
-// another upstream where one proves that it did not run a request, and knows nothing of cold ones, use or silence.
+// baseline chooses by one plain rule among the active endpoints. It retries only what is idempotent or was not run, on
+// another endpoint where there is one, and has no slow start, no load reports and no outlier detection.
 type baseline struct {
-	settings balancer.Settings
-	host     balancer.Effects
-	rng      *rand.Rand
-	choose   func(b *baseline, up []balancer.Endpoint) balancer.EndpointID
-	classes  map[string]balancer.Class
-	list     []balancer.Endpoint // in order of ids
-	up       []balancer.Endpoint
-	out      map[balancer.EndpointID]int
-	requests map[balancer.RequestID]*tried
-	turn     int
+	settings  balancer.Settings
+	effects   balancer.Effects
+	rng       *rand.Rand
+	choose    func(b *baseline, active []balancer.Endpoint) balancer.EndpointID
+	classes   map[string]balancer.Class
+	endpoints []balancer.Endpoint // by id
+	active    []balancer.Endpoint
+	inFlight  map[balancer.EndpointID]int
+	requests  map[balancer.RequestID]*baselineRequest
+	next      int // round-robin position
 }
 
-// tried is a request that has no answer yet.
-type tried struct {
-	class    balancer.Class
-	deadline time.Duration
-	attempts int
-	last     balancer.EndpointID
-	ran      bool // it may have
+// baselineRequest is a request that has no response yet.
+type baselineRequest struct {
+	class        balancer.Class
+	deadline     time.Duration
+	attempts     int
+	lastEndpoint balancer.EndpointID
+	mayHaveRun   bool // an attempt of it may have run
 }
 
-func plain(choose func(*baseline, []balancer.Endpoint) balancer.EndpointID) newPolicy {
-	return func(s balancer.Settings, seed uint64, _ time.Duration, host balancer.Effects) (balancer.Events, error) {
-		b := &baseline{settings: s, host: host, rng: rand.New(rand.NewPCG(seed, 0)), choose: choose,
-			classes: map[string]balancer.Class{}, out: map[balancer.EndpointID]int{}, requests: map[balancer.RequestID]*tried{}}
+// newBaseline returns a policy with a rule.
+func newBaseline(choose func(*baseline, []balancer.Endpoint) balancer.EndpointID) newPolicy {
+	return func(s balancer.Settings, seed uint64, _ time.Duration, effects balancer.Effects) (balancer.Events, error) {
+		b := &baseline{
+			settings: s,
+			effects:  effects,
+			rng:      rand.New(rand.NewPCG(seed, 0)),
+			choose:   choose,
+			classes:  map[string]balancer.Class{},
+			inFlight: map[balancer.EndpointID]int{},
+			requests: map[balancer.RequestID]*baselineRequest{},
+		}
 		for _, c := range s.Classes {
 			b.classes[c.Name] = c
 		}
-		b.turn = b.rng.IntN(math.MaxInt32) // or all begin with the same one
+		b.next = b.rng.IntN(math.MaxInt32) // so that not all balancers begin with the same endpoint
 		return b, nil
 	}
 }
 
-func (b *baseline) inTurn(up []balancer.Endpoint) balancer.EndpointID {
-	b.turn++
-	return up[b.turn%len(up)].ID
+func (b *baseline) roundRobin(active []balancer.Endpoint) balancer.EndpointID {
+	b.next++
+	return active[b.next%len(active)].ID
 }
 
-func (b *baseline) leastLoaded(up []balancer.Endpoint) balancer.EndpointID {
-	at := b.rng.IntN(len(up)) // of equals, any
-	best := up[at]
-	for i := range up {
-		if u := up[(at+i)%len(up)]; float64(b.out[u.ID])/u.Weight < float64(b.out[best.ID])/best.Weight {
-			best = u
+// load is an endpoint's requests in flight by its weight.
+func (b *baseline) load(e balancer.Endpoint) float64 { return float64(b.inFlight[e.ID]) / e.Weight }
+
+func (b *baseline) leastLoaded(active []balancer.Endpoint) balancer.EndpointID {
+	first := b.rng.IntN(len(active)) // of equals, any
+	best := active[first]
+	for i := range active {
+		if e := active[(first+i)%len(active)]; b.load(e) < b.load(best) {
+			best = e
 		}
 	}
 	return best.ID
 }
 
-func (b *baseline) randomOfTwo(up []balancer.Endpoint) balancer.EndpointID {
-	x, y := up[b.rng.IntN(len(up))], up[b.rng.IntN(len(up))]
-	if float64(b.out[y.ID])/y.Weight < float64(b.out[x.ID])/x.Weight {
-		x = y
+func (b *baseline) randomOfTwo(active []balancer.Endpoint) balancer.EndpointID {
+	one := active[b.rng.IntN(len(active))]
+	other := active[b.rng.IntN(len(active))]
+	if b.load(other) < b.load(one) {
+		return other.ID
 	}
-	return x.ID
+	return one.ID
 }
 
-// Members takes what discovery says.
+// OnEndpointUpdate takes discovery's list.
 func (b *baseline) OnEndpointUpdate(_ time.Duration, mode balancer.UpdateMode, list []balancer.Endpoint) {
 	if mode == balancer.UpdateFailed {
 		return
 	}
 	if mode != balancer.UpdateDelta {
-		b.list = nil
+		b.endpoints = nil
 	}
-	for _, u := range list {
-		i, known := slices.BinarySearchFunc(b.list, u.ID, func(x balancer.Endpoint, id balancer.EndpointID) int { return int(x.ID) - int(id) })
+	for _, e := range list {
+		i, known := slices.BinarySearchFunc(b.endpoints, e.ID, func(x balancer.Endpoint, id balancer.EndpointID) int { return int(x.ID) - int(id) })
 		if known {
-			b.list[i] = u
+			b.endpoints[i] = e
 		} else {
-			b.list = slices.Insert(b.list, i, u)
+			b.endpoints = slices.Insert(b.endpoints, i, e)
 		}
 	}
-	b.up = slices.DeleteFunc(slices.Clone(b.list), func(u balancer.Endpoint) bool { return u.State != balancer.Active })
+	b.active = slices.DeleteFunc(slices.Clone(b.endpoints), func(e balancer.Endpoint) bool { return e.State != balancer.Active })
 }
 
-// Request takes a client's request.
-func (b *baseline) OnRequest(now time.Duration, q balancer.Request) {
-	r := &tried{class: b.classes[q.Class], deadline: now + q.Timeout}
-	b.requests[q.ID] = r
-	b.try(now, q.ID, r)
+// OnRequest takes a client's request.
+func (b *baseline) OnRequest(now time.Duration, request balancer.Request) {
+	r := &baselineRequest{class: b.classes[request.Class], deadline: now + request.Timeout}
+	b.requests[request.ID] = r
+	b.tryNext(now, request.ID, r)
 }
 
-func (b *baseline) try(now time.Duration, id balancer.RequestID, r *tried) {
-	safe := !r.ran || r.class.Idempotency == balancer.Idempotent
+// tryNext makes another attempt of a request, or responds where none is allowed.
+func (b *baseline) tryNext(now time.Duration, id balancer.RequestID, r *baselineRequest) {
+	repeatable := !r.mayHaveRun || r.class.Idempotency == balancer.Idempotent
 	switch {
-	case len(b.up) > 0 && now < r.deadline && r.attempts < b.settings.Limits.MaxAttempts && safe:
-		up := b.up
-		if others := slices.DeleteFunc(slices.Clone(up), func(u balancer.Endpoint) bool { return u.ID == r.last }); r.attempts > 0 && len(others) > 0 {
-			up = others
-		}
-		r.last = b.choose(b, up)
+	case len(b.active) > 0 && now < r.deadline && r.attempts < b.settings.Limits.MaxAttempts && repeatable:
+		r.lastEndpoint = b.choose(b, b.candidates(r))
 		r.attempts++
-		b.out[r.last]++
-		b.host.Send(id, r.last, 0)
-	case safe:
+		b.inFlight[r.lastEndpoint]++
+		b.effects.Send(id, r.lastEndpoint, 0)
+	case repeatable:
 		delete(b.requests, id)
-		b.host.Reject(id, 0)
+		b.effects.Reject(id, 0)
 	default:
 		delete(b.requests, id)
-		b.host.Fail(id)
+		b.effects.Fail(id)
+	}
+}
+
+// candidates is the active endpoints without the one of the last attempt, if there are others.
+func (b *baseline) candidates(r *baselineRequest) []balancer.Endpoint {
+	if r.attempts == 0 {
+		return b.active
+	}
+	others := slices.DeleteFunc(slices.Clone(b.active), func(e balancer.Endpoint) bool { return e.ID == r.lastEndpoint })
+	if len(others) == 0 {
+		return b.active
 	}
+	return others
 }
 
-// Outcome takes the end of an attempt.
-func (b *baseline) OnAttemptResult(now time.Duration, o balancer.AttemptResult) {
-	b.out[o.Endpoint]--
-	r := b.requests[o.ID]
+// OnAttemptResult takes the outcome of an attempt.
+func (b *baseline) OnAttemptResult(now time.Duration, result balancer.AttemptResult) {
+	b.inFlight[result.Endpoint]--
+	r := b.requests[result.ID]
 	switch {
 	case r == nil:
-	case o.Status == balancer.OK || o.RequestClosed:
-		delete(b.requests, o.ID)
+	case result.Status == balancer.OK || result.RequestClosed:
+		delete(b.requests, result.ID)
 	default:
-		notRun := o.Status == balancer.Rejected || o.Status == balancer.ConnectFailed || o.Status == balancer.NotSent
-		r.ran = r.ran || !notRun
-		b.try(now, o.ID, r)
+		notRun := result.Status == balancer.Rejected || result.Status == balancer.ConnectFailed || result.Status == balancer.NotSent
+		r.mayHaveRun = r.mayHaveRun || !notRun
+		b.tryNext(now, result.ID, r)
 	}
 }
 
-// Gone drops a request whose client has left.
+// OnClientDisconnected drops a request whose client has gone.
 func (b *baseline) OnClientDisconnected(_ time.Duration, id balancer.RequestID) {
 	delete(b.requests, id)
 }
 
-// The rest tells a baseline nothing.
-func (b *baseline) OnBodySent(time.Duration, balancer.RequestID, int)             {}
-func (b *baseline) OnStreamStarted(time.Duration, balancer.RequestID, int)        {}
+// OnBodySent does nothing.
+func (b *baseline) OnBodySent(time.Duration, balancer.RequestID, int) {}
+
+// OnStreamStarted does nothing.
+func (b *baseline) OnStreamStarted(time.Duration, balancer.RequestID, int) {}
+
+// OnHealthCheckResult does nothing.
 func (b *baseline) OnHealthCheckResult(time.Duration, balancer.HealthCheckResult) {}
-func (b *baseline) OnTimer(now time.Duration, token uint64)                       {}
+
+// OnTimer does nothing.
+func (b *baseline) OnTimer(time.Duration, uint64) {}
--- /dev/null
+++ b/internal/lab/model/process.go
@@ -0,0 +1,168 @@
+package model
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"sprucehill/balancer"
+	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/history"
+)
+
+const (
+	// startupTime is how long a process takes from its start until it answers.
+	startupTime = 50 * time.Millisecond
+	// drainNotice is how long a process still takes requests after SIGTERM.
+	drainNotice = 500 * time.Millisecond
+	// snapshotInterval is how often a balancer that saves its state does so, in the model.
+	snapshotInterval = 2 * time.Second
+)
+
+// snapshotter is a module that can be started with another's state. The baselines cannot.
+type snapshotter interface {
+	TakeSnapshot(now time.Duration) balancer.Snapshot
+	Restore(now time.Duration, snapshot balancer.Snapshot)
+}
+
+// start starts the process with what its machine holds.
+func (n *node) start() error {
+	n.incarnation++
+	n.requests = map[balancer.RequestID]*openRequest{}
+	n.byClientID = map[uint64]*openRequest{}
+	n.pending = nil
+	n.conns = 0
+	n.endpoints = make([]endpointConns, len(n.agentEndpoints))
+	n.zoneStates = make([]balancer.ZoneState, len(n.sim.fleet.Zones))
+	n.draining = false
+	seed := n.sim.day.Seed<<24 + uint64(n.incarnation)<<12 + uint64(n.index)
+	module, err := n.newModule(n.settings, seed, n.clock(), n)
+	if err != nil {
+		return fmt.Errorf("%w: %s: %w", day.ErrInput, n.sim.fleet.Balancers[n.index].Name, err)
+	}
+	n.module = module
+	n.recordProcess(history.Started)
+	var present []balancer.Endpoint
+	for i, e := range n.startEndpoints() {
+		n.endpoints[i].state = e.State
+		if e.State != balancer.Removed {
+			present = append(present, n.endpointByClock(e))
+		}
+	}
+	n.module.OnEndpointUpdate(n.clock(), balancer.UpdateCached, present)
+	if s, ok := n.module.(snapshotter); ok && n.snapshotAt > 0 {
+		s.Restore(n.clock(), n.snapshot)
+	}
+	n.deliverOutcomes()
+	if n.savedEndpoints != nil || n.configuredAtBegin() {
+		n.fetchEndpoints()
+	}
+	return nil
+}
+
+// configuredAtBegin tells whether the configuration has the endpoint list of the day's begin rather than of now.
+func (n *node) configuredAtBegin() bool { return n.sim.day.Balancer.Known == "begin" }
+
+// startEndpoints is the list that a process starts with: the saved one, or the one in its configuration.
+func (n *node) startEndpoints() []balancer.Endpoint {
+	switch {
+	case n.savedEndpoints != nil:
+		return n.savedEndpoints
+	case n.configuredAtBegin():
+		if n.configured == nil {
+			n.configured = slices.Clone(n.agentEndpoints)
+		}
+		return n.configured
+	}
+	return n.agentEndpoints
+}
+
+// saveSnapshot saves the module's state from time to time, where the day has balancers do so.
+func (n *node) saveSnapshot() {
+	s, ok := n.module.(snapshotter)
+	if !ok || !n.sim.day.Balancer.State || n.now-n.snapshotAt < snapshotInterval {
+		return
+	}
+	n.snapshot = s.TakeSnapshot(n.clock())
+	n.snapshotAt = n.now
+	n.savedEndpoints = slices.Clone(n.agentEndpoints)
+}
+
+// loseDisk drops what was saved.
+func (n *node) loseDisk() {
+	n.snapshotAt = 0
+	n.savedEndpoints = nil
+}
+
+// recordProcess records an event of the process.
+func (n *node) recordProcess(kind history.Kind) {
+	n.record(history.Event{Kind: kind, Balancer: int32(n.index), Upstream: history.None, Arrival: history.None})
+}
+
+// drain begins a graceful shutdown.
+func (n *node) drain(restarts bool) {
+	n.recordProcess(history.Signalled)
+	n.draining = true
+	n.restarts = restarts
+	n.after(drainNotice, message{kind: msgDrained, incarnation: n.incarnation})
+}
+
+// exitIfDrained ends a process that shuts down, once no request is open.
+func (n *node) exitIfDrained() {
+	if !n.draining || len(n.requests) > 0 || n.module == nil {
+		return
+	}
+	n.exit()
+	if n.restarts {
+		n.after(startupTime, message{kind: msgBoot})
+	}
+}
+
+// exit ends the process, and all its connections with it.
+func (n *node) exit() {
+	n.module = nil
+	for _, id := range slices.Sorted(maps.Keys(n.requests)) {
+		r := n.requests[id]
+		if !r.closed {
+			n.send(n.sim.actors[r.front], message{kind: msgReset, id: r.client.id, requestRead: true})
+		}
+		for _, a := range r.attempts {
+			if a.connected && !a.ended {
+				n.send(n.sim.servers[a.upstream], message{kind: msgAbandon, id: r.client.id, number: a.number})
+			}
+		}
+	}
+	for upstream := range n.endpoints {
+		for range n.endpoints[upstream].idle {
+			n.send(n.sim.servers[upstream], message{kind: msgConnClosed})
+		}
+	}
+	n.send(n.zoneFront(), message{kind: msgIdleClosed})
+	n.recordProcess(history.Exited)
+	n.requests = map[balancer.RequestID]*openRequest{}
+	n.byClientID = map[uint64]*openRequest{}
+	n.pending = nil
+}
+
+// stop stops the process, as SIGSTOP does.
+func (n *node) stop() {
+	n.stopped = true
+	n.recordProcess(history.Frozen)
+}
+
+// resume continues a stopped process: it handles what came meanwhile.
+func (n *node) resume() {
+	n.stopped = false
+	n.recordProcess(history.Thawed)
+	missed := n.whileStopped
+	n.whileStopped = nil
+	for _, m := range missed {
+		if n.module == nil {
+			n.handleWithoutProcess(m)
+		} else {
+			n.handleInProcess(m)
+		}
+	}
+	n.applyFullList()
+}
--- a/internal/lab/model/upstream.go
+++ b/internal/lab/model/upstream.go
@@ -11,241 +11,274 @@
 	"sprucehill/internal/lab/server"
 )
 
-// upstream is an emulated server among actors.
+// upstream is an emulated upstream's machine: the pure core of its server, and its connections.
 type upstream struct {
 	*actor
-	index  int
-	core   *server.Server // nil: no process runs
-	away   bool           // the machine has vanished
-	jobs   map[server.JobID]job
-	byTry  map[jobKey]server.JobID
-	serial server.JobID
-	conns  int
-	linked map[int32]int // connections by balancer
-	lost   []job         // what came for a machine that has vanished
-	wakeAt time.Duration
-	faults []day.Fault
-}
-
-// jobKey names an attempt.
-type jobKey struct {
-	node int32
-	id   uint64
-	n    int32
+	index       int
+	server      *server.Server // nil: no process runs
+	vanished    bool           // the machine answers nothing
+	jobs        map[server.JobID]job
+	byAttempt   map[attemptKey]server.JobID
+	lastJob     server.JobID
+	conns       int
+	connsByNode map[int32]int // open connections, by the balancer's actor
+	unanswered  []job         // attempts without a server, whose connections are still to be reset
+	wakeAt      time.Duration // when the next wake-up is due; math.MaxInt64: none is
+	faults      []day.Fault   // that act now
 }
 
+// attemptKey identifies an attempt.
+type attemptKey struct {
+	node   int32 // the balancer's actor
+	id     uint64
+	number int32
+}
+
+// job is an attempt at this upstream.
 type job struct {
-	jobKey
-	try *try
+	attemptKey
+	request *clientRequest
 }
 
 func newUpstream(a *actor, index int) *upstream {
-	u := &upstream{actor: a, index: index, jobs: map[server.JobID]job{}, byTry: map[jobKey]server.JobID{}, linked: map[int32]int{},
-		wakeAt: math.MaxInt64}
+	u := &upstream{
+		actor:       a,
+		index:       index,
+		jobs:        map[server.JobID]job{},
+		byAttempt:   map[attemptKey]server.JobID{},
+		connsByNode: map[int32]int{},
+		wakeAt:      math.MaxInt64,
+	}
 	u.start(false)
 	return u
 }
 
 func (u *upstream) model() day.Model { return u.sim.day.Models[u.sim.fleet.Upstreams[u.index].Model] }
 
+// start starts the server's process; cold: it has to warm up.
 func (u *upstream) start(cold bool) {
-	u.core = server.New(u.model(), u.sim.day.Balancer, u.sim.day.Seed<<16+uint64(u.index), u.now, cold)
-	u.core.Suffer(u.faults)
-	u.rouse()
+	seed := u.sim.day.Seed<<16 + uint64(u.index)
+	u.server = server.New(u.model(), u.sim.day.Balancer, seed, u.now, cold)
+	u.server.Suffer(u.faults)
+	u.scheduleWake()
 }
 
-// rouse sees to it that the actor wakes when its core has something to do.
-func (u *upstream) rouse() {
-	if u.core == nil {
+// scheduleWake sees to it that the actor is called when its server next has something to do.
+func (u *upstream) scheduleWake() {
+	if u.server == nil {
 		return
 	}
-	if next := u.core.Next(); next < u.wakeAt {
+	if next := u.server.Next(); next < u.wakeAt {
 		u.wakeAt = next
-		u.after(next-u.now, message{kind: wake})
+		u.after(next-u.now, message{kind: msgWake})
 	}
 }
 
 func (u *upstream) handle(m message) {
-	if u.core != nil {
-		for _, d := range u.core.Advance(u.now) {
-			u.ended(d)
+	if u.server != nil {
+		for _, done := range u.server.Advance(u.now) {
+			u.onDone(done)
 		}
 	}
 	switch m.kind {
-	case wake:
+	case msgWake:
 		if u.now >= u.wakeAt {
 			u.wakeAt = math.MaxInt64
 		}
-	case syn:
-		u.knocked(m)
-	case attempt:
-		u.asked(job{jobKey{m.from, m.id, m.n}, m.try})
-	case abandon:
-		u.unlink(m.from)
-		u.abandoned(jobKey{m.from, m.id, m.n})
-	case closed:
-		u.unlink(m.from)
-	case begin, end:
-		u.change(u.sim.day.Faults[m.n], m.kind == begin)
-	}
-	u.rouse()
-}
-
-func (u *upstream) unlink(node int32) {
-	if u.linked[node] > 0 {
-		u.linked[node]--
+	case msgConnect:
+		u.onConnect(m)
+	case msgAttempt:
+		u.onAttempt(job{attemptKey{m.from, m.id, m.number}, m.request})
+	case msgAbandon:
+		u.onConnClosed(m.from)
+		u.onAbandon(attemptKey{m.from, m.id, m.number})
+	case msgConnClosed:
+		u.onConnClosed(m.from)
+	case msgFaultBegins:
+		u.beginFault(u.sim.day.Faults[m.index])
+	case msgFaultEnds:
+		u.endFault(u.sim.day.Faults[m.index])
+	}
+	u.scheduleWake()
+}
+
+func (u *upstream) onConnClosed(node int32) {
+	if u.connsByNode[node] > 0 {
+		u.connsByNode[node]--
 		u.conns--
 	}
 }
 
-// knocked takes a connection. Where as many are open as the model takes, or nobody is there, it never comes up.
-func (u *upstream) knocked(m message) {
-	most := u.model().Connections
+// onConnect accepts a connection. At the model's limit of connections, or on a machine that has vanished, it gets no
+// answer.
+func (u *upstream) onConnect(m message) {
+	limit := u.model().Connections
 	switch {
-	case u.away || (most > 0 && u.conns >= most):
-	case u.core == nil:
-		u.send(u.sim.all[m.from], message{kind: rst, id: m.id, n: m.n})
+	case u.vanished || (limit > 0 && u.conns >= limit):
+	case u.server == nil:
+		u.send(u.sim.actors[m.from], message{kind: msgReset, id: m.id, number: m.number})
 	default:
 		u.conns++
-		u.linked[m.from]++
-		u.core.Knock()
-		u.send(u.sim.all[m.from], message{kind: synAck, id: m.id, n: m.n})
+		u.connsByNode[m.from]++
+		u.server.Knock()
+		u.send(u.sim.actors[m.from], message{kind: msgConnected, id: m.id, number: m.number})
 	}
 }
 
-// asked takes a request.
-func (u *upstream) asked(j job) {
-	switch {
-	case u.away:
-		u.lost = append(u.lost, j)
+// onAttempt takes a request.
+func (u *upstream) onAttempt(j job) {
+	if u.vanished {
+		u.unanswered = append(u.unanswered, j)
 		return
-	case u.core == nil:
+	}
+	if u.server == nil {
 		u.reset(j)
 		return
 	}
-	a := u.sim.arrivals[j.try.arrival]
-	u.serial++
-	taken, fell := u.core.Arrive(u.serial, a.Work, a.Wait)
+	arrival := u.sim.arrivals[j.request.arrival]
+	u.lastJob++
+	taken, toppled := u.server.Arrive(u.lastJob, arrival.Work, arrival.Wait)
 	kind := history.Turned
 	if taken {
 		kind = history.Arrived
-		u.jobs[u.serial], u.byTry[j.jobKey] = j, u.serial
+		u.jobs[u.lastJob] = j
+		u.byAttempt[j.attemptKey] = u.lastJob
 	}
-	e := u.event(j, kind)
-	e.First, e.Work = u.now, float32(a.Work.Seconds())
-	u.note(e)
+	event := u.attemptEvent(j, kind)
+	event.First = u.now
+	event.Work = float32(arrival.Work.Seconds())
+	u.record(event)
 	if !taken {
 		u.reply(j, statusRefused)
 	}
-	if fell {
-		u.note(u.plain(history.Toppled))
+	if toppled {
+		u.record(u.processEvent(history.Toppled))
 	}
 }
 
-func (u *upstream) event(j job, kind history.Kind) history.Event {
-	return history.Event{Kind: kind, Req: j.id, Arrival: j.try.arrival, Try: int8(j.try.number),
-		Class: int16(u.sim.arrivals[j.try.arrival].Class), Balancer: int32(u.sim.all[j.node].party.Index), Upstream: int32(u.index), Serial: j.n}
+// attemptEvent is an event of an attempt.
+func (u *upstream) attemptEvent(j job, kind history.Kind) history.Event {
+	return history.Event{
+		Kind:     kind,
+		Req:      j.id,
+		Arrival:  j.request.arrival,
+		Try:      int8(j.request.number),
+		Class:    int16(u.sim.arrivals[j.request.arrival].Class),
+		Balancer: int32(u.sim.actors[j.node].party.Index),
+		Upstream: int32(u.index),
+		Serial:   j.number,
+	}
 }
 
-func (u *upstream) plain(kind history.Kind) history.Event {
+// processEvent is an event of the server's process.
+func (u *upstream) processEvent(kind history.Kind) history.Event {
 	return history.Event{Kind: kind, Upstream: int32(u.index), Balancer: history.None, Arrival: history.None}
 }
 
-// ended answers a request that has run.
-func (u *upstream) ended(d server.Done) {
-	j, ok := u.jobs[d.Job]
+// onDone replies to an attempt that the server has run.
+func (u *upstream) onDone(done server.Done) {
+	j, ok := u.jobs[done.Job]
 	if !ok {
 		return
 	}
-	delete(u.jobs, d.Job)
-	delete(u.byTry, j.jobKey)
+	delete(u.jobs, done.Job)
+	delete(u.byAttempt, j.attemptKey)
 	status := statusOK
-	if d.Failed {
+	if done.Failed {
 		status = statusError
 	}
-	e := u.event(j, history.Replied)
-	e.Status = status
-	u.note(e)
+	event := u.attemptEvent(j, history.Replied)
+	event.Status = status
+	u.record(event)
 	u.reply(j, status)
 }
 
 func (u *upstream) reply(j job, status int16) {
-	m := message{kind: reply, id: j.id, n: j.n, status: status}
-	m.load, m.loaded = u.core.Load()
-	u.send(u.sim.all[j.node], m)
+	m := message{kind: msgReply, id: j.id, number: j.number, status: status}
+	m.load, m.hasLoad = u.server.Load()
+	u.send(u.sim.actors[j.node], m)
 }
 
 // reset breaks the connection of an attempt.
-func (u *upstream) reset(j job) { u.send(u.sim.all[j.node], message{kind: rst, id: j.id, n: j.n}) }
+func (u *upstream) reset(j job) {
+	u.send(u.sim.actors[j.node], message{kind: msgReset, id: j.id, number: j.number})
+}
 
-// abandoned drops a request whose balancer has given up.
-func (u *upstream) abandoned(k jobKey) {
-	id, ok := u.byTry[k]
+// onAbandon drops an attempt that its balancer has given up.
+func (u *upstream) onAbandon(key attemptKey) {
+	id, ok := u.byAttempt[key]
 	if !ok {
 		return
 	}
-	u.note(u.event(u.jobs[id], history.Abandoned))
+	u.record(u.attemptEvent(u.jobs[id], history.Abandoned))
 	delete(u.jobs, id)
-	delete(u.byTry, k)
-	if u.core != nil {
-		u.core.Cancel(id)
+	delete(u.byAttempt, key)
+	if u.server != nil {
+		u.server.Cancel(id)
 	}
 }
 
-// change begins or ends a fault.
-func (u *upstream) change(fault day.Fault, on bool) {
-	if on {
-		u.faults = append(u.faults, fault)
-	} else {
-		i := slices.IndexFunc(u.faults, func(f day.Fault) bool { return f.Kind == fault.Kind && f.At == fault.At })
-		u.faults = slices.Delete(u.faults, i, i+1)
+func (u *upstream) beginFault(fault day.Fault) {
+	u.faults = append(u.faults, fault)
+	u.applyFaults()
+	if fault.Kind == "down" || fault.Kind == "vanish" {
+		u.stop(fault.Kind == "vanish")
 	}
-	if u.core != nil {
-		u.core.Suffer(u.faults)
+}
+
+func (u *upstream) endFault(fault day.Fault) {
+	i := slices.IndexFunc(u.faults, func(f day.Fault) bool { return f.Kind == fault.Kind && f.At == fault.At })
+	u.faults = slices.Delete(u.faults, i, i+1)
+	u.applyFaults()
+	if fault.Kind == "down" || fault.Kind == "vanish" {
+		u.restart()
 	}
-	switch {
-	case fault.Kind != "down" && fault.Kind != "vanish":
-	case on:
-		u.die(fault.Kind == "vanish")
-	default:
-		u.revive()
+}
+
+// applyFaults makes the server behave as the faults of now have it.
+func (u *upstream) applyFaults() {
+	if u.server != nil {
+		u.server.Suffer(u.faults)
 	}
 }
 
-// die ends the process. What is out is reset, or stays silent where the machine has vanished.
-func (u *upstream) die(silent bool) {
-	u.core, u.away, u.wakeAt = nil, silent, math.MaxInt64
-	u.note(u.plain(history.Died))
+// stop ends the process. Its attempts are reset, or get no answer where the machine has vanished.
+func (u *upstream) stop(vanished bool) {
+	u.server = nil
+	u.vanished = vanished
+	u.wakeAt = math.MaxInt64
+	u.record(u.processEvent(history.Died))
 	for _, id := range slices.Sorted(maps.Keys(u.jobs)) {
 		j := u.jobs[id]
-		u.note(u.event(j, history.Abandoned))
-		u.lost = append(u.lost, j)
+		u.record(u.attemptEvent(j, history.Abandoned))
+		u.unanswered = append(u.unanswered, j)
 	}
 	clear(u.jobs)
-	clear(u.byTry)
-	if !silent {
-		u.disown()
+	clear(u.byAttempt)
+	if !vanished {
+		u.resetAll()
 	}
 }
 
-// disown resets every connection.
-func (u *upstream) disown() {
-	for _, j := range u.lost {
+// resetAll resets every connection.
+func (u *upstream) resetAll() {
+	for _, j := range u.unanswered {
 		u.reset(j)
 	}
-	for _, node := range slices.Sorted(maps.Keys(u.linked)) {
-		if u.linked[node] > 0 {
-			u.send(u.sim.all[node], message{kind: hangup, n: int32(u.index)})
+	for _, node := range slices.Sorted(maps.Keys(u.connsByNode)) {
+		if u.connsByNode[node] > 0 {
+			u.send(u.sim.actors[node], message{kind: msgIdleClosed, index: int32(u.index)})
 		}
 	}
-	clear(u.linked)
-	u.lost, u.conns = nil, 0
+	clear(u.connsByNode)
+	u.unanswered = nil
+	u.conns = 0
 }
 
-// revive starts the process anew, cold.
-func (u *upstream) revive() {
-	u.away = false
-	u.disown()
+// restart starts the process again, cold.
+func (u *upstream) restart() {
+	u.vanished = false
+	u.resetAll()
 	u.start(true)
-	u.note(u.plain(history.Began))
+	u.record(u.processEvent(history.Began))
 }
