--- /dev/null
+++ b/internal/lab/live/config.go
@@ -0,0 +1,88 @@
+package live
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+
+	"sprucehill/internal/lab/day"
+)
+
+// logSection is the part of a balancer's fleet file on its log, which is read after the day.
+const logSection = "[log]\nformat = \"json\"\n"
+
+// processConfig is the configuration that a balancer is started with, in the platform's form.
+type processConfig struct {
+	Discovery  string          `json:"discovery"`
+	Known      listing         `json:"known"`
+	Limits     processLimits   `json:"limits"`
+	Listen     string          `json:"listen"`
+	Management string          `json:"management"`
+	Name       string          `json:"name"`
+	Seed       string          `json:"seed"`
+	Settings   json.RawMessage `json:"settings"`
+}
+
+type processLimits struct {
+	Cores    int `json:"cores"`
+	MemoryMB int `json:"memory_mb"`
+	Sockets  int `json:"sockets"`
+}
+
+// newNode makes the folder and the fleet file of a balancer, and opens its log.
+func (r *run) newNode(b int, s *starter) (*node, error) {
+	dir := r.folder(b)
+	n := &node{run: r, index: b, starter: s, config: filepath.Join(dir, "config.json")}
+	if err := os.MkdirAll(n.stateDir(), 0o755); err != nil {
+		return nil, fmt.Errorf("%w: %w", day.ErrInput, err)
+	}
+	fleetFile := filepath.Join(dir, "fleet.toml")
+	n.env = append(os.Environ(),
+		"RELAY_CONFIG="+n.config,
+		"RELAY_NAME="+n.name(),
+		"RELAY_LISTEN="+r.clientsAt(b),
+		"RELAY_DISCOVERY="+r.agentAt(b),
+		"RELAY_MANAGEMENT="+r.operatorsAt(b),
+		"TMPDIR="+n.stateDir(),
+		"RELAY_FD=",
+		"RELAY_FLEET="+fleetFile,
+	)
+	text := logSection
+	if r.day.Balancer.State {
+		text += fmt.Sprintf("[state]\nfolder = %q\nsite = %q\n", filepath.Join(n.stateDir(), "kept"), r.day.Name)
+	}
+	if err := os.WriteFile(fleetFile, []byte(text), 0o644); err != nil {
+		return nil, fmt.Errorf("%w: %w", day.ErrInput, err)
+	}
+	log, err := os.Create(filepath.Join(dir, "log"))
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", day.ErrInput, err)
+	}
+	n.log = log
+	return n, nil
+}
+
+// writeConfig writes the configuration for the next start. Its endpoint list is the one that the agent has now, or the
+// one of the first start where the day has it so.
+func (n *node) writeConfig() error {
+	r := n.run
+	if n.incarnation == 1 || r.day.Balancer.Known == "now" {
+		n.known = r.registry.initialList(n.index)
+	}
+	seed := r.day.Seed<<24 + uint64(n.incarnation)<<12 + uint64(n.index)
+	text, err := json.Marshal(processConfig{
+		Discovery:  r.agentAt(n.index),
+		Known:      n.known,
+		Limits:     processLimits{Cores: 1, MemoryMB: r.day.Balancer.MemoryMB, Sockets: r.day.Balancer.Sockets},
+		Listen:     r.clientsAt(n.index),
+		Management: r.operatorsAt(n.index),
+		Name:       n.name(),
+		Seed:       fmt.Sprintf("%016x", seed),
+		Settings:   r.day.Settings(r.fleet, n.index),
+	})
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(n.config, text, 0o644)
+}
--- /dev/null
+++ b/internal/lab/live/limits.go
@@ -0,0 +1,76 @@
+package live
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"strconv"
+	"strings"
+	"syscall"
+	"time"
+
+	"sprucehill/internal/lab/history"
+)
+
+// limitCheckInterval is how often the memory and descriptors of processes are looked at.
+const limitCheckInterval = 500 * time.Millisecond
+
+// watchLimits records every process that is over a limit of memory or descriptors, until ctx ends.
+func (r *run) watchLimits(ctx context.Context) {
+	tick := time.NewTicker(limitCheckInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+		for _, n := range r.nodes {
+			r.checkNodeLimits(n)
+		}
+	}
+}
+
+func (r *run) checkNodeLimits(n *node) {
+	p, _, ended := n.processState()
+	if ended {
+		return
+	}
+	memoryMB, descriptors, err := processUsage(p.Pid)
+	if err != nil {
+		return // it has just ended
+	}
+	if limit := r.day.Balancer.MemoryMB; memoryMB > limit {
+		n.record(history.Over, memoryMB, fmt.Sprintf("memory, of %d MB", limit))
+	}
+	if limit := r.day.Balancer.Sockets; descriptors > limit {
+		n.record(history.Over, descriptors, fmt.Sprintf("descriptors, of %d", limit))
+	}
+}
+
+// processUsage is the resident memory, in MB, and the descriptors that a process has now.
+func processUsage(pid int) (memoryMB, descriptors int, err error) {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
+	if err != nil {
+		return 0, 0, err
+	}
+	fields := strings.Fields(string(text))
+	if len(fields) < 2 {
+		return 0, 0, fmt.Errorf("statm of %d has no resident size", pid)
+	}
+	pages, err := strconv.Atoi(fields[1])
+	if err != nil {
+		return 0, 0, err
+	}
+	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+	return pages * os.Getpagesize() >> 20, len(open), err
+}
+
+// labCPUTime is the processor time of this process.
+func labCPUTime() time.Duration {
+	var u syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+		return 0
+	}
+	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+}
--- a/internal/lab/live/log.go
+++ b/internal/lab/live/log.go
@@ -9,16 +9,16 @@
 	"sprucehill/internal/lab/history"
 )
 
-// logLine is what the lab reads of a balancer's log: its lines on zones.
-type logLine struct {
+// zoneLogLine is what the lab reads of a balancer's log: its lines on zones.
+type zoneLogLine struct {
 	Time  time.Time `json:"time"`
 	Msg   string    `json:"msg"`
 	Zone  string    `json:"zone"`
 	State string    `json:"state"`
 }
 
-// zones reads from the log what the balancer made of its zones. A program that writes no such lines tells nothing.
-func (n *node) zones(origin time.Time) []history.Event {
+// zoneEvents reads from the log how the balancer judged its zones. A program that writes no such lines gives none.
+func (n *node) zoneEvents(origin time.Time) []history.Event {
 	f, err := os.Open(n.log.Name())
 	if err != nil {
 		return nil
@@ -27,14 +27,23 @@
 	var events []history.Event
 	lines := bufio.NewScanner(f)
 	for lines.Scan() {
-		var l logLine
-		if json.Unmarshal(lines.Bytes(), &l) != nil || l.Msg != "zone" {
+		var line zoneLogLine
+		if err := json.Unmarshal(lines.Bytes(), &line); err != nil || line.Msg != "zone" {
 			continue
 		}
-		if z := n.run.fleet.ZoneNamed(l.Zone); z >= 0 {
-			events = append(events, history.Event{At: max(0, l.Time.Sub(origin)), Kind: history.Zoned, Balancer: int32(n.index),
-				Upstream: history.None, Arrival: history.None, Zone: int16(z), Text: l.State})
+		z := n.run.fleet.ZoneNamed(line.Zone)
+		if z < 0 {
+			continue
 		}
+		events = append(events, history.Event{
+			At:       max(0, line.Time.Sub(origin)),
+			Kind:     history.Zoned,
+			Balancer: int32(n.index),
+			Upstream: history.None,
+			Arrival:  history.None,
+			Zone:     int16(z),
+			Text:     line.State,
+		})
 	}
 	return events
 }
--- a/internal/lab/live/registry.go
+++ b/internal/lab/live/registry.go
@@ -14,46 +14,65 @@
 	"sprucehill/internal/lab/history"
 )
 
-// toldAnyway is how long after an agent holds news its balancer counts as told though it has not asked, as long as the
-// agent would have answered.
-const toldAnyway = 6 * time.Second
+const (
+	// undeliveredAfter is how long after an agent has an update its balancer counts as notified though it has not asked,
+	// as long as the agent would have answered.
+	undeliveredAfter = 6 * time.Second
+	// agentHeaderTimeout is how long a call to an agent may take to send its header.
+	agentHeaderTimeout = 10 * time.Second
+	// maxWatch is the longest that an agent holds a call back for an update.
+	maxWatch = time.Minute
+	// registryStream sets the registry's random draws apart from other uses of the day's seed.
+	registryStream = 0x64697363
+	// cellsPerZone numbers the cells of all zones apart, as the model engine does.
+	cellsPerZone = 1000
+)
 
-// entry is what discovery has of an upstream.
-type entry struct {
-	phase    string // up, draining or removed
-	upSince  time.Time
-	revision uint64
+// listEntry is what discovery has of an upstream.
+type listEntry struct {
+	phase     string    // up, draining or removed
+	startedAt time.Time // zero: long past
+	revision  uint64
 }
 
-// registry is discovery with its agents, one on each balancer's machine. An agent answers at once with what it has been
-// sent.
+// registry is discovery with its agents, one on each balancer's machine. An agent answers at once with what it has.
 type registry struct {
-	run      *run
+	run     *run
+	servers []*http.Server
+	ended   chan struct{} // closed at the end of the day
+
 	mu       sync.Mutex
 	revision uint64
-	entries  []entry
-	changed  chan struct{}
-	silent   []int     // faults on, by agent
-	fails    []float64 // the share of calls that an agent fails
+	entries  []listEntry   // by upstream
+	changed  chan struct{} // closed at the next revision
+	agents   []agent       // by balancer
 	rng      *rand.Rand
-	offsets  []time.Duration // of the balancer's clock
-	open     []chan struct{} // closed when an agent speaks again
-	written  []uint64        // the newest revision that each agent has told
-	servers  []*http.Server
-	ended    chan struct{}
+}
+
+// agent is one balancer's agent.
+type agent struct {
+	silenced          int           // faults that silence it now
+	answering         chan struct{} // closed while it is not silenced
+	errorRate         float64       // share of calls that it fails
+	clockOffset       time.Duration // of the balancer's clock against discovery's
+	deliveredRevision uint64        // the newest that it has answered with
 }
 
 func newRegistry(r *run) *registry {
-	g := &registry{run: r, revision: 1, changed: make(chan struct{}), silent: make([]int, len(r.fleet.Balancers)),
-		fails: make([]float64, len(r.fleet.Balancers)), rng: rand.New(rand.NewPCG(r.day.Seed, 0x64697363)),
-		offsets: make([]time.Duration, len(r.fleet.Balancers)), written: make([]uint64, len(r.fleet.Balancers)), ended: make(chan struct{})}
+	g := &registry{
+		run:      r,
+		ended:    make(chan struct{}),
+		revision: 1,
+		changed:  make(chan struct{}),
+		rng:      rand.New(rand.NewPCG(r.day.Seed, registryStream)),
+	}
 	for range r.fleet.Balancers {
-		open := make(chan struct{})
-		close(open)
-		g.open = append(g.open, open)
+		answering := make(chan struct{})
+		close(answering)
+		g.agents = append(g.agents, agent{answering: answering})
 	}
 	for range r.fleet.Upstreams {
-		g.entries = append(g.entries, entry{phase: "up", revision: 1})
+		g.entries = append(g.entries, listEntry{phase: "up", revision: 1})
 	}
 	return g
 }
@@ -64,8 +83,10 @@
 	if err != nil {
 		return fmt.Errorf("an emulated address is not free: %w", err)
 	}
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { g.answer(b, w, r) }),
-		ReadHeaderTimeout: 10 * time.Second}
+	s := &http.Server{
+		Handler:           http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { g.handleList(b, w, r) }),
+		ReadHeaderTimeout: agentHeaderTimeout,
+	}
 	g.servers = append(g.servers, s)
 	go func() { _ = s.Serve(l) }() // returns once the server is closed
 	return nil
@@ -78,122 +99,133 @@
 	}
 }
 
-// tell lets every agent know of an upstream after a delay.
-func (g *registry) tell(u int, phase string, since time.Time, delay time.Duration) {
+// announce gives every agent an upstream's new phase after a delay.
+func (g *registry) announce(u int, phase string, startedAt time.Time, delay time.Duration) {
 	time.AfterFunc(delay, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.revision++
-		e := entry{phase, since, g.revision}
+		e := listEntry{phase, startedAt, g.revision}
 		g.entries[u] = e
 		close(g.changed)
 		g.changed = make(chan struct{})
-		time.AfterFunc(toldAnyway, func() { g.overdue(u, e) })
+		time.AfterFunc(undeliveredAfter, func() { g.recordUndelivered(u, e) })
 	})
 }
 
-// overdue notes who has not asked for an entry in all the time that it could have.
-func (g *registry) overdue(u int, e entry) {
+// recordUndelivered records as notified who has not asked for an entry in all the time that it could have.
+func (g *registry) recordUndelivered(u int, e listEntry) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for b, revision := range g.written {
-		if revision < e.revision && g.silent[b] == 0 && g.fails[b] == 0 {
-			g.run.note(toldEvent(b, u, e.phase))
+	for b, a := range g.agents {
+		if a.deliveredRevision < e.revision && a.silenced == 0 && a.errorRate == 0 {
+			g.run.record(phaseEvent(b, u, e.phase))
 		}
 	}
 }
 
-// toldEvent says that balancer b knows upstream u to be in a phase.
-func toldEvent(b, u int, phase string) history.Event {
+// phaseEvent says that balancer b knows upstream u to be in a phase.
+func phaseEvent(b, u int, phase string) history.Event {
 	return history.Event{Kind: history.Told, Balancer: int32(b), Upstream: int32(u), Arrival: history.None, Text: phase}
 }
 
-// silence makes an agent answer nothing, or speak again.
-func (g *registry) silence(b int, on bool) {
+// onUpstreamFault announces what a fault does to an upstream, as discovery learns of it.
+func (g *registry) onUpstreamFault(u int, fault day.Fault, on bool, at time.Time) {
+	phase, delay, cold := g.run.day.Announced(fault, on)
+	if phase == "" {
+		return
+	}
+	startedAt := time.Time{}
+	if cold {
+		startedAt = at
+	}
+	g.announce(u, phase, startedAt, delay)
+}
+
+// setSilent makes an agent answer nothing, or answer again. Silences overlap.
+func (g *registry) setSilent(b int, silent bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
+	a := &g.agents[b]
 	switch {
-	case on:
-		if g.silent[b]++; g.silent[b] == 1 {
-			g.open[b] = make(chan struct{})
+	case silent:
+		a.silenced++
+		if a.silenced == 1 {
+			a.answering = make(chan struct{})
 		}
-	case g.silent[b] > 0:
-		if g.silent[b]--; g.silent[b] == 0 {
-			close(g.open[b])
+	case a.silenced > 0:
+		a.silenced--
+		if a.silenced == 0 {
+			close(a.answering)
 		}
 	}
 }
 
-// overbook makes an agent fail a share of its calls; 0: none.
-func (g *registry) overbook(b int, share float64) {
+// setErrorRate makes an agent fail a share of its calls; 0: none.
+func (g *registry) setErrorRate(b int, share float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.fails[b] = share
+	g.agents[b].errorRate = share
 }
 
-// skew sets the offset of a balancer's clock against discovery's.
-func (g *registry) skew(b int, by time.Duration) {
+// setClockOffset sets the offset of a balancer's clock against discovery's.
+func (g *registry) setClockOffset(b int, offset time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.offsets[b] = by
+	g.agents[b].clockOffset = offset
 }
 
-// answer answers a call of balancer b.
-func (g *registry) answer(b int, w http.ResponseWriter, r *http.Request) {
+// handleList answers a call of balancer b for the list.
+func (g *registry) handleList(b int, w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/v1/servers" || r.Method != http.MethodGet {
 		http.NotFound(w, r)
 		return
 	}
-	g.mu.Lock()
-	open, failed := g.open[b], g.fails[b] > 0 && g.rng.Float64() < g.fails[b]
-	g.mu.Unlock()
-	if !g.wait(r, open) {
+	answering, fails := g.drawCall(b)
+	if !g.waitFor(r, answering) {
 		return
 	}
-	if failed {
+	if fails {
 		http.Error(w, "overbooked", http.StatusServiceUnavailable)
 		return
 	}
-	since, watch := uint64(0), r.URL.Query().Has("since")
-	if watch {
-		var err error
-		if since, err = strconv.ParseUint(r.URL.Query().Get("since"), 10, 64); err != nil {
-			http.Error(w, "since is no revision", http.StatusBadRequest)
-			return
-		}
-		ms, _ := strconv.ParseInt(r.URL.Query().Get("timeout_ms"), 10, 64) // none: no wait
-		limit := time.NewTimer(min(time.Duration(ms)*time.Millisecond, time.Minute))
-		defer limit.Stop()
-		for due := false; !due; {
-			g.mu.Lock()
-			news, changed := g.revision > since, g.changed
-			g.mu.Unlock()
-			if due = news; !news {
-				select {
-				case <-changed:
-				case <-limit.C:
-					due = true
-				case <-r.Context().Done():
-					return
-				case <-g.ended:
-					return
-				}
-			}
-		}
-		g.mu.Lock()
-		open = g.open[b]
-		g.mu.Unlock()
-		if !g.wait(r, open) {
-			return
-		}
+	if !r.URL.Query().Has("since") {
+		g.writeFull(b, w)
+		return
+	}
+	since, err := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
+	if err != nil {
+		http.Error(w, "since is no revision", http.StatusBadRequest)
+		return
+	}
+	ms, _ := strconv.ParseInt(r.URL.Query().Get("timeout_ms"), 10, 64) // none: no wait
+	if !g.waitForRevision(r, since, min(time.Duration(ms)*time.Millisecond, maxWatch)) {
+		return
 	}
-	g.write(b, w, since, watch)
+	if !g.waitFor(r, g.answeringOf(b)) { // it may have been silenced meanwhile
+		return
+	}
+	g.writeSince(b, w, since)
+}
+
+// drawCall is a channel that is closed while the agent answers, and whether it fails this call.
+func (g *registry) drawCall(b int) (answering <-chan struct{}, fails bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	a := &g.agents[b]
+	return a.answering, a.errorRate > 0 && g.rng.Float64() < a.errorRate
 }
 
-// wait waits for a channel; false: the call has ended.
-func (g *registry) wait(r *http.Request, open <-chan struct{}) bool {
+func (g *registry) answeringOf(b int) <-chan struct{} {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.agents[b].answering
+}
+
+// waitFor waits for a channel to be closed; false: the call has ended.
+func (g *registry) waitFor(r *http.Request, closed <-chan struct{}) bool {
 	select {
-	case <-open:
+	case <-closed:
 		return true
 	case <-r.Context().Done():
 	case <-g.ended:
@@ -201,40 +233,91 @@
 	return false
 }
 
-// write writes the whole list, or what has changed since a revision. What is written counts as told.
-func (g *registry) write(b int, w http.ResponseWriter, since uint64, delta bool) {
-	g.mu.Lock()
-	delta = delta && since <= g.revision
-	list := g.list(b, func(e entry) bool {
-		if delta {
-			return e.revision > since
+// waitForRevision waits for a revision after since, or for the timeout; false: the call has ended.
+func (g *registry) waitForRevision(r *http.Request, since uint64, timeout time.Duration) bool {
+	limit := time.NewTimer(timeout)
+	defer limit.Stop()
+	for {
+		g.mu.Lock()
+		newer := g.revision > since
+		changed := g.changed
+		g.mu.Unlock()
+		if newer {
+			return true
 		}
-		return e.phase != "removed"
-	})
-	list.Revision, list.Complete = g.revision, !delta
+		select {
+		case <-changed:
+		case <-limit.C:
+			return true
+		case <-r.Context().Done():
+			return false
+		case <-g.ended:
+			return false
+		}
+	}
+}
+
+// writeFull writes the whole list.
+func (g *registry) writeFull(b int, w http.ResponseWriter) {
+	g.mu.Lock()
+	list := g.listFor(b, present)
+	told := g.deliver(b, 0)
+	g.mu.Unlock()
+	g.write(w, list, told)
+}
+
+// writeSince writes what has changed since a revision, or the whole list where that revision is not known.
+func (g *registry) writeSince(b int, w http.ResponseWriter, since uint64) {
+	g.mu.Lock()
+	var list listing
+	if since <= g.revision {
+		list = g.listFor(b, func(e listEntry) bool { return e.revision > since })
+		list.Complete = false
+	} else {
+		list = g.listFor(b, present)
+	}
+	told := g.deliver(b, since)
+	g.mu.Unlock()
+	g.write(w, list, told)
+}
+
+// deliver counts the list as delivered to balancer b, and returns the events of the entries after a revision. g.mu is
+// held.
+func (g *registry) deliver(b int, since uint64) []history.Event {
 	var told []history.Event
 	for u, e := range g.entries {
 		if e.revision > since {
-			told = append(told, toldEvent(b, u, e.phase))
+			told = append(told, phaseEvent(b, u, e.phase))
 		}
 	}
-	g.written[b] = max(g.written[b], g.revision)
-	g.mu.Unlock()
-	if text, err := json.Marshal(list); err == nil {
-		_, _ = w.Write(text) // a caller that has disconnected gets nothing
-		for _, e := range told {
-			g.run.note(e)
-		}
+	a := &g.agents[b]
+	a.deliveredRevision = max(a.deliveredRevision, g.revision)
+	return told
+}
+
+// write writes a list, and records that its balancer knows it.
+func (g *registry) write(w http.ResponseWriter, list listing, told []history.Event) {
+	text, err := json.Marshal(list)
+	if err != nil {
+		return
+	}
+	_, _ = w.Write(text) // a caller that has disconnected gets nothing
+	for _, e := range told {
+		g.run.record(e)
 	}
 }
 
-// listing is discovery's form, also of what a configuration calls known.
+// present tells whether an entry stands in a whole list.
+func present(e listEntry) bool { return e.phase != "removed" }
+
+// listing is discovery's form of the list, also of what a configuration calls known.
 type listing struct {
 	Revision uint64   `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []member `json:"members"`
 }
 
+// member is an upstream in a listing.
 type member struct {
 	ID        string  `json:"id"`
 	HostPort  string  `json:"host_port"`
@@ -246,39 +329,35 @@
 	UpSinceMS int64   `json:"up_since_ms"`
 }
 
-// list has the entries that some function keeps, as balancer b is to see them. g.mu is held.
-func (g *registry) list(b int, keep func(entry) bool) listing {
-	l := listing{Revision: g.revision, Complete: true, Members: []member{}}
-	f := g.run.fleet
+// listFor has the entries that a function selects, as balancer b is to see them. g.mu is held.
+func (g *registry) listFor(b int, selected func(listEntry) bool) listing {
+	list := listing{Revision: g.revision, Complete: true, Members: []member{}}
+	fleet := g.run.fleet
 	for u, e := range g.entries {
-		if !keep(e) {
+		if !selected(e) {
 			continue
 		}
-		up := f.Upstreams[u]
-		m := member{ID: up.ID, HostPort: g.run.upstreamAt(b, u), Locality: f.Locality(up.Zone), Flavor: up.Model,
-			Cell: up.Zone*1000 + up.Cell, Phase: e.phase, Size: up.Size}
-		if !e.upSince.IsZero() {
-			m.UpSinceMS = e.upSince.Add(-g.offsets[b]).UnixMilli()
+		up := fleet.Upstreams[u]
+		m := member{
+			ID:       up.ID,
+			HostPort: g.run.upstreamAt(b, u),
+			Locality: fleet.Locality(up.Zone),
+			Flavor:   up.Model,
+			Cell:     up.Zone*cellsPerZone + up.Cell,
+			Phase:    e.phase,
+			Size:     up.Size,
 		}
-		l.Members = append(l.Members, m)
+		if !e.startedAt.IsZero() {
+			m.UpSinceMS = e.startedAt.Add(-g.agents[b].clockOffset).UnixMilli()
+		}
+		list.Members = append(list.Members, m)
 	}
-	return l
+	return list
 }
 
-// known is the list that a balancer is started with.
-func (g *registry) known(b int) listing {
+// initialList is the list that a balancer is started with.
+func (g *registry) initialList(b int) listing {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.list(b, func(e entry) bool { return e.phase != "removed" })
-}
-
-// upstreamChange tells of an upstream's fate as discovery learns of it.
-func (g *registry) upstreamChange(u int, fault day.Fault, on bool, since time.Time) {
-	phase, delay, cold := g.run.day.Announced(fault, on)
-	if !cold {
-		since = time.Time{}
-	}
-	if phase != "" {
-		g.tell(u, phase, since, delay)
-	}
+	return g.listFor(b, present)
 }
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -1,20 +1,16 @@
 // Package live plays a day with real processes of the balancer on loopback addresses. Upstreams, discovery's agents,
-// fronts, clients and the network between them are in this process; only the balancers are not. It writes down what
-// happened and judges nothing.
+// fronts, clients and the network between them are in this process; only the balancers are not. It records what happened
+// and judges nothing.
 package live
 
 import (
 	"cmp"
 	"context"
-	"errors"
 	"fmt"
-	"log/slog"
-	"net"
 	"os"
 	"path/filepath"
 	"slices"
 	"sync"
-	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -24,14 +20,18 @@
 )
 
 const (
-	// firstCalls is how long all balancers together may take to be ready before clients come.
-	firstCalls = 30 * time.Second
-	// lastCalls is how long after SIGTERM and the longest deadline a process may take to end.
-	lastCalls = 5 * time.Second
+	// startTimeout is how long all balancers together may take to be ready before clients come.
+	startTimeout = 30 * time.Second
+	// readyPollInterval is how often the lab looks whether they are.
+	readyPollInterval = 20 * time.Millisecond
+	// exitMargin is how long after SIGTERM and the longest deadline a process may take to end.
+	exitMargin = 5 * time.Second
 	// maxBalancers bounds a live fleet: each has addresses of its own within 127.x.0.0/16.
 	maxBalancers = 250
 	// connsPerPair is how many connections between a balancer and an upstream are planned for.
 	connsPerPair = 3
+	// spareDescriptors is how many descriptors are planned for all else in this process.
+	spareDescriptors = 100
 )
 
 // Options is how a live day is run.
@@ -39,7 +39,7 @@
 	Command []string // starts a balancer
 	Dir     string   // where it is started
 	Work    string   // folder for configurations, state and logs; it is kept
-	// Progress is told of each second that has gone by. It may be nil.
+	// Progress is called for each second of the day that has passed. It may be nil.
 	Progress func(at time.Duration)
 }
 
@@ -49,45 +49,48 @@
 	Lateness []time.Duration // of arrivals: how much after its time each was begun
 	LabCPU   time.Duration   // of this process
 	NodeCPU  time.Duration   // of all balancers together
-	Crossed  int             // requests that met the close of their kept connection and were sent once more
+	Crossed  int             // requests that met a connection which had just been closed, and were sent once more
 }
 
 // run is a day being played.
 type run struct {
-	day      *day.Day
-	fleet    *day.Fleet
-	options  Options
-	net      *link.Net
-	base     int // second byte of all addresses
-	arrivals []day.Arrival
-	epoch    time.Time // of the upstreams' own time
-	origin   time.Time // of the day's time: when clients begin to come
-	begun    bool
+	day          *day.Day
+	fleet        *day.Fleet
+	options      Options
+	net          *link.Net
+	base         int // second byte of all addresses
+	arrivals     []day.Arrival
+	serverOrigin time.Time // of the upstreams' own time
+	origin       time.Time // of the day's time: when clients begin to come
+	begun        bool
 
 	registry  *registry
 	upstreams []*upstream
 	nodes     []*node
 	fronts    []*front
 
-	mu       sync.Mutex
-	events   []history.Event
-	serial   int32
-	crossed  int
-	lateness []time.Duration
-	tries    map[uint64]*try // that clients have sent and upstreams may see
+	mu         sync.Mutex
+	events     []history.Event
+	serial     int32 // of attempts at upstreams
+	staleConns int
+	lateness   []time.Duration
+	requests   map[uint64]*clientRequest // that clients have sent and upstreams may see
 }
 
 // Play runs a day. It checks what can be known before anything starts. When ctx ends the day is broken off, and nothing
 // is left behind.
 func Play(ctx context.Context, d *day.Day, o Options) (*Outcome, error) {
-	r := &run{day: d, fleet: d.Fleet(), options: o, tries: map[uint64]*try{}}
-	if err := r.plan(); err != nil {
+	r := &run{day: d, fleet: d.Fleet(), options: o, requests: map[uint64]*clientRequest{}}
+	if err := r.checkLimits(); err != nil {
+		return nil, err
+	}
+	if err := r.pickAddresses(); err != nil {
 		return nil, err
 	}
 	r.net = link.New(d.NewPaths(r.fleet), d.Seed)
 	r.arrivals = d.Arrivals()
-	r.epoch = time.Now()
-	r.origin = r.epoch
+	r.serverOrigin = time.Now()
+	r.origin = r.serverOrigin
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	starter, endStarter := newStarter()
@@ -96,28 +99,35 @@
 	if err := r.start(ctx, starter); err != nil {
 		return nil, err
 	}
-	labBefore := selfCPU()
+	labBefore := labCPUTime()
 	if err := r.play(ctx); err != nil {
 		return nil, err
 	}
-	o2 := &Outcome{LabCPU: selfCPU() - labBefore}
-	r.end()
-	for _, n := range r.nodes {
-		o2.NodeCPU += n.used
-	}
+	labCPU := labCPUTime() - labBefore
+	r.endNodes()
+	return r.outcome(labCPU), nil
+}
+
+// outcome gathers what the day leaves, once its processes have ended.
+func (r *run) outcome(labCPU time.Duration) *Outcome {
+	o := &Outcome{LabCPU: labCPU}
 	for _, n := range r.nodes {
-		r.events = append(r.events, n.zones(r.origin)...)
+		o.NodeCPU += n.cpuTime
+		r.events = append(r.events, n.zoneEvents(r.origin)...)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	slices.SortStableFunc(r.events, func(a, b history.Event) int { return cmp.Compare(a.At, b.At) })
-	o2.Events, o2.Lateness, o2.Crossed = r.events, r.lateness, r.crossed
-	return o2, nil
+	o.Events = r.events
+	o.Lateness = r.lateness
+	o.Crossed = r.staleConns
+	return o
 }
 
-// plan refuses what can't work, before anything starts.
-func (r *run) plan() error {
-	balancers, upstreams := len(r.fleet.Balancers), len(r.fleet.Upstreams)
+// checkLimits refuses a day that this machine can't play.
+func (r *run) checkLimits() error {
+	balancers := len(r.fleet.Balancers)
+	upstreams := len(r.fleet.Upstreams)
 	if balancers > maxBalancers {
 		return fmt.Errorf("%w: a live day takes %d balancers at most, this has %d: use the model engine", day.ErrInput, maxBalancers, balancers)
 	}
@@ -126,7 +136,7 @@
 		return fmt.Errorf("reading the limit of descriptors: %w", err)
 	}
 	// A listener and connections for each pair, two listeners and connections of clients for each balancer.
-	need := uint64(balancers*upstreams*(1+connsPerPair) + balancers*(2+r.day.Balancer.Sockets/2) + 100)
+	need := uint64(balancers*upstreams*(1+connsPerPair) + balancers*(2+r.day.Balancer.Sockets/2) + spareDescriptors)
 	if need > limit.Cur {
 		return fmt.Errorf("%w: the day needs about %d descriptors and this process may have %d: raise ulimit -n, or make the fleet smaller",
 			day.ErrInput, need, limit.Cur)
@@ -134,40 +144,14 @@
 	if _, err := os.Stat(r.options.Dir); err != nil {
 		return fmt.Errorf("%w: %w", day.ErrInput, err)
 	}
-	return r.addresses()
-}
-
-// plays counts the days that this process has begun: each looks elsewhere for its addresses.
-var plays atomic.Int64
-
-// addresses finds a net in 127.0.0.0/8 that nobody on this machine uses.
-func (r *run) addresses() error {
-	var last error
-	for range 40 {
-		r.base = 20 + (os.Getpid()+37*int(plays.Add(1)))%200
-		l, err := net.Listen("tcp", r.clientsAt(0))
-		if err != nil {
-			last = err
-			continue
-		}
-		return l.Close()
-	}
-	return fmt.Errorf("no free addresses in 127.0.0.0/8: %w", last)
-}
-
-// The addresses of balancer b: where its clients and operators call, and where it finds its agent and each upstream.
-func (r *run) clientsAt(b int) string   { return fmt.Sprintf("127.%d.1.%d:7070", r.base, b+1) }
-func (r *run) operatorsAt(b int) string { return fmt.Sprintf("127.%d.1.%d:7071", r.base, b+1) }
-func (r *run) agentAt(b int) string     { return fmt.Sprintf("127.%d.2.%d:8500", r.base, b+1) }
-func (r *run) upstreamAt(b, u int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", r.base, 3+u/20000, b+1, 10000+u%20000)
+	return nil
 }
 
 // now is the day's time.
 func (r *run) now() time.Duration { return time.Since(r.origin) }
 
-// note writes an event down, with the time if it has none. What happens before the clients come is at 0.
-func (r *run) note(e history.Event) {
+// record adds an event to the history, with the time if it has none. What happens before the clients come is at 0.
+func (r *run) record(e history.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e.At == 0 && r.begun {
@@ -176,7 +160,15 @@
 	r.events = append(r.events, e)
 }
 
-// start brings the fleet up.
+// nextSerial numbers the attempts that upstreams receive.
+func (r *run) nextSerial() int32 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.serial++
+	return r.serial
+}
+
+// start brings the fleet up and returns when all balancers are ready.
 func (r *run) start(ctx context.Context, s *starter) error {
 	if err := os.MkdirAll(r.options.Work, 0o755); err != nil {
 		return fmt.Errorf("%w: %w", day.ErrInput, err)
@@ -207,64 +199,70 @@
 	for z := range r.fleet.Zones {
 		r.fronts = append(r.fronts, r.newFront(ctx, z))
 	}
-	limit := time.After(firstCalls)
+	return r.waitReady(ctx)
+}
+
+// waitReady waits until every balancer has been healthy.
+func (r *run) waitReady(ctx context.Context) error {
+	timeout := time.After(startTimeout)
 	for {
-		waiting := ""
 		for _, n := range r.nodes {
-			if _, _, ended := n.state(); ended {
+			if _, _, ended := n.processState(); ended {
 				return fmt.Errorf("%s has ended before it was ready; its log: %s", n.name(), n.lastLog())
 			}
 		}
+		waitsFor := ""
 		for _, f := range r.fronts {
-			if b, all := f.all(); !all {
-				waiting = r.fleet.Balancers[b].Name
+			if b, found := f.unready(); found {
+				waitsFor = r.fleet.Balancers[b].Name
 			}
 		}
-		if waiting == "" {
+		if waitsFor == "" {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-limit:
-			return fmt.Errorf("%s was not ready within %v", waiting, firstCalls)
-		case <-time.After(20 * time.Millisecond):
+		case <-timeout:
+			return fmt.Errorf("%s was not ready within %v", waitsFor, startTimeout)
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
-// play lets the clients come and the faults happen, until all is answered.
+// play lets the clients come and the faults happen, until all requests have ended.
 func (r *run) play(ctx context.Context) error {
 	r.mu.Lock()
-	r.origin, r.begun = time.Now(), true
+	r.origin = time.Now()
+	r.begun = true
 	r.mu.Unlock()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var side sync.WaitGroup
-	side.Go(func() { r.timetable(ctx) })
-	side.Go(func() { r.watchLimits(ctx) })
-	side.Go(func() { r.progress(ctx) })
+	var background sync.WaitGroup
+	background.Go(func() { r.runTimetable(ctx) })
+	background.Go(func() { r.watchLimits(ctx) })
+	background.Go(func() { r.reportProgress(ctx) })
 	done := make(chan struct{})
-	go func() {
+	go func() { // sendArrivals locks its goroutine to a thread
 		defer close(done)
-		r.clients(ctx)
+		r.sendArrivals(ctx)
 	}()
 	<-done
 	err := context.Cause(ctx)
 	cancel()
-	side.Wait()
+	background.Wait()
 	return err
 }
 
-// end ends the processes in good order.
-func (r *run) end() {
+// endNodes ends the processes gracefully, all at once.
+func (r *run) endNodes() {
 	var all sync.WaitGroup
 	for _, n := range r.nodes {
-		all.Go(func() { n.end(r.day.Longest() + lastCalls) })
+		all.Go(n.end)
 	}
 	all.Wait()
 	for _, n := range r.nodes {
-		n.leftover()
+		n.killOrphans()
 	}
 }
 
@@ -284,8 +282,8 @@
 	}
 }
 
-// progress tells of the time that goes by.
-func (r *run) progress(ctx context.Context) {
+// reportProgress calls Progress for each second that passes, until ctx ends.
+func (r *run) reportProgress(ctx context.Context) {
 	if r.options.Progress == nil {
 		return
 	}
@@ -301,56 +299,5 @@
 	}
 }
 
-// timetable carries the faults out.
-func (r *run) timetable(ctx context.Context) {
-	changes, hits := r.day.Timetable()
-	for _, c := range changes {
-		select {
-		case <-ctx.Done():
-			return
-		case <-time.After(c.At - r.now()):
-		}
-		kind := history.FaultOff
-		if c.On {
-			kind = history.FaultOn
-		}
-		r.note(history.Event{Kind: kind, Fault: int32(c.Fault), Arrival: history.None, Balancer: history.None, Upstream: history.None})
-		r.change(c, hits[c.Fault])
-	}
-}
-
-// change begins or ends a fault.
-func (r *run) change(c day.Change, hit day.Hit) {
-	fault := r.day.Faults[c.Fault]
-	switch hit.Scope {
-	case day.OnLinks:
-		r.net.Set(c.Fault, c.On, fault.Kind == "reset")
-	case day.OnUpstreams:
-		for _, u := range hit.Targets {
-			r.upstreams[u].change(fault, c.On)
-		}
-	case day.OnBalancers:
-		for _, b := range hit.Targets {
-			go func() {
-				if err := r.nodes[b].change(fault, c.On); err != nil && !errors.Is(err, os.ErrProcessDone) {
-					slog.Error("fault not carried out", "kind", fault.Kind, "balancer", r.nodes[b].name(), "err", err)
-				}
-			}()
-		}
-	case day.OnDiscovery:
-		for _, b := range hit.Targets {
-			if fault.Kind == "discovery-silent" {
-				r.registry.silence(b, c.On)
-				continue
-			}
-			share := fault.Size
-			if !c.On {
-				share = 0
-			}
-			r.registry.overbook(b, share)
-		}
-	}
-}
-
-// folder is one for a balancer's things.
+// folder is where a balancer's files are.
 func (r *run) folder(b int) string { return filepath.Join(r.options.Work, r.fleet.Balancers[b].Name) }
--- /dev/null
+++ b/internal/lab/live/timetable.go
@@ -0,0 +1,73 @@
+package live
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"os"
+	"time"
+
+	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/history"
+)
+
+// runTimetable carries the faults out, each at its time, until ctx ends.
+func (r *run) runTimetable(ctx context.Context) {
+	changes, hits := r.day.Timetable()
+	for _, c := range changes {
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(c.At - r.now()):
+		}
+		kind := history.FaultOff
+		if c.On {
+			kind = history.FaultOn
+		}
+		r.record(history.Event{Kind: kind, Fault: int32(c.Fault), Arrival: history.None, Balancer: history.None, Upstream: history.None})
+		r.applyChange(c, hits[c.Fault])
+	}
+}
+
+// applyChange begins or ends a fault.
+func (r *run) applyChange(c day.Change, hit day.Hit) {
+	fault := r.day.Faults[c.Fault]
+	switch hit.Scope {
+	case day.OnLinks:
+		r.net.Set(c.Fault, c.On, fault.Kind == "reset")
+	case day.OnUpstreams:
+		for _, u := range hit.Targets {
+			r.upstreams[u].applyFault(fault, c.On)
+		}
+	case day.OnBalancers:
+		for _, b := range hit.Targets {
+			go r.applyNodeFault(b, fault, c.On) // it may wait for the process's end
+		}
+	case day.OnDiscovery:
+		for _, b := range hit.Targets {
+			r.applyDiscoveryFault(b, fault, c.On)
+		}
+	}
+}
+
+func (r *run) applyNodeFault(b int, fault day.Fault, on bool) {
+	n := r.nodes[b]
+	apply := n.endFault
+	if on {
+		apply = n.beginFault
+	}
+	if err := apply(fault); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		slog.Error("fault not carried out", "kind", fault.Kind, "balancer", n.name(), "err", err)
+	}
+}
+
+func (r *run) applyDiscoveryFault(b int, fault day.Fault, on bool) {
+	switch {
+	case fault.Kind == "discovery-silent":
+		r.registry.setSilent(b, on)
+	case on:
+		r.registry.setErrorRate(b, fault.Size)
+	default:
+		r.registry.setErrorRate(b, 0)
+	}
+}
