--- a/cmd/balancerctl/main_test.go
+++ b/cmd/balancerctl/main_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"sprucehill/internal/lab/labtest"
 	"sprucehill/internal/lab/measure"
 )
 
@@ -24,10 +25,11 @@
 	if err != nil {
 		panic(err)
 	}
-	command, balancer = filepath.Join(dir, "balancerctl"), filepath.Join(dir, "balancer")
+	command = filepath.Join(dir, "balancerctl")
+	balancer = filepath.Join(dir, "balancer")
 	for path, pkg := range map[string]string{command: ".", balancer: "../balancer"} {
-		if out, err := exec.Command("go", "build", "-o", path, pkg).CombinedOutput(); err != nil {
-			fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
+		if err := labtest.BuildAt(path, pkg); err != nil {
+			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
 	}
@@ -70,18 +72,10 @@
 	return path
 }
 
-func example(t *testing.T, name string) string {
-	t.Helper()
-	path, err := filepath.Abs(filepath.Join("..", "..", "examples", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return path
-}
-
 // 0 is good, 1 a claim that failed, 2 input that can't be used, with one plain line.
 func TestExitCodes(t *testing.T) {
-	quick, fire := example(t, "quickstart.toml"), example(t, "zone-fire.toml")
+	quick := labtest.ExampleFile(t, "quickstart.toml")
+	fire := labtest.ExampleFile(t, "zone-fire.toml")
 	bad := write(t, filepath.Join(t.TempDir(), "bad.toml"), "length = \"1s\"\nsede = 3\n")
 	for _, c := range []struct {
 		args []string
@@ -94,7 +88,7 @@
 		{[]string{"lab", "run", bad}, exitInput, "unknown key"},
 		{[]string{"lab", "run", quick, "--engine", "model"}, exitGood, "no rule was broken"},
 		{[]string{"lab", "run", quick, "--engine", "model", "--policy", "best"}, exitInput, `policy "best"`},
-		{[]string{"lab", "run", example(t, "fleet-500.toml"), "--program", tree(t, "exec true")}, exitInput, "use the model engine"},
+		{[]string{"lab", "run", labtest.ExampleFile(t, "fleet-500.toml"), "--program", tree(t, "exec true")}, exitInput, "use the model engine"},
 		{[]string{"lab", "run", quick, "--program", t.TempDir()}, exitInput, "deploy/balancer.toml is neither in"},
 		{[]string{"lab", "run", quick, "--program", tree(t, "exec false")}, exitInput, "ended before it was ready"},
 		{[]string{"lab", "run", quick, "--program", tree(t, "exec true"), "--engine", "nothing"}, exitInput, "--engine"},
@@ -120,7 +114,7 @@
 
 // A day that needs more descriptors than this process may have is refused before anything starts.
 func TestTooFewDescriptors(t *testing.T) {
-	cmd := exec.Command("/bin/sh", "-c", "ulimit -n 300 && exec "+command+" lab run "+example(t, "quickstart.toml")+" --program "+tree(t, "exec "+balancer)+" --out "+t.TempDir())
+	cmd := exec.Command("/bin/sh", "-c", "ulimit -n 300 && exec "+command+" lab run "+labtest.ExampleFile(t, "quickstart.toml")+" --program "+tree(t, "exec "+balancer)+" --out "+t.TempDir())
 	out, err := cmd.CombinedOutput()
 	if err == nil || cmd.ProcessState.ExitCode() != exitInput || !strings.Contains(string(out), "descriptors and this process may have 300") {
 		t.Errorf("%v: %s", err, out)
@@ -129,7 +123,7 @@
 
 // A summary as JSON is the whole summary.
 func TestJSON(t *testing.T) {
-	out, _, code := call(t, "lab", "run", example(t, "quickstart.toml"), "--engine", "model", "--json")
+	out, _, code := call(t, "lab", "run", labtest.ExampleFile(t, "quickstart.toml"), "--engine", "model", "--json")
 	var s measure.Summary
 	if err := json.Unmarshal([]byte(out), &s); err != nil || code != exitGood {
 		t.Fatalf("exit %d: %v", code, err)
@@ -171,7 +165,7 @@
 // A lab that is killed takes its balancers along.
 func TestKilledLabLeavesNothing(t *testing.T) {
 	out := t.TempDir()
-	cmd := exec.Command(command, "lab", "run", example(t, "quickstart.toml"), "--program", tree(t, "exec "+balancer), "--out", out)
+	cmd := exec.Command(command, "lab", "run", labtest.ExampleFile(t, "quickstart.toml"), "--program", tree(t, "exec "+balancer), "--out", out)
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"sprucehill/internal/lab/client"
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
+	"sprucehill/internal/lab/labtest"
 )
 
 const text = `
@@ -87,10 +87,7 @@
 
 // Each history breaks the rule that it stands beside, or none.
 func TestHistories(t *testing.T) {
-	d, err := day.Parse("check.toml", []byte(text))
-	if err != nil {
-		t.Fatal(err)
-	}
+	d := labtest.Day(t, text)
 	onB2 := func(t tale) tale {
 		for i := range t {
 			t[i].Balancer = 1
@@ -140,10 +137,7 @@
 
 // Pushing a cold upstream over is a breach of those who knew of its start, and of nobody else.
 func TestColdStartNeedsKnowledge(t *testing.T) {
-	d, err := day.Parse("check.toml", []byte(text))
-	if err != nil {
-		t.Fatal(err)
-	}
+	d := labtest.Day(t, text)
 	for _, knew := range []bool{true, false} {
 		h := tale{}.add(0, history.Began, func(e *history.Event) { e.Upstream = 0 })
 		if knew {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -3,12 +3,12 @@
 import (
 	"context"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"testing"
 
 	"sprucehill/internal/lab/check"
 	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/labtest"
 	"sprucehill/internal/lab/live"
 )
 
@@ -61,36 +61,23 @@
 target = ["balancer:z-b1"]
 `
 
-// build builds a command of this module.
-func build(t *testing.T, pkg string) string {
+// play plays a day live with a program. If the test fails it logs the processes' logs.
+func play(t *testing.T, d *day.Day, command ...string) *Result {
 	t.Helper()
-	path := filepath.Join(t.TempDir(), filepath.Base(pkg))
-	if out, err := exec.Command("go", "build", "-o", path, pkg).CombinedOutput(); err != nil {
-		t.Fatalf("build: %v\n%s", err, out)
-	}
-	return path
-}
-
-// play plays the proof day with a program; env goes before its command.
-func play(t *testing.T, command ...string) *Result {
-	t.Helper()
-	d, err := day.Parse("proof.toml", []byte(proofDay))
-	if err != nil {
-		t.Fatal(err)
-	}
 	work := t.TempDir()
+	t.Cleanup(func() { logProcesses(t, d, work) })
 	r, err := Live(context.Background(), d, live.Options{Command: command, Dir: ".", Work: work})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if t.Cleanup(func() { tellLogs(t, d, work) }); len(r.Events) == 0 {
+	if len(r.Events) == 0 {
 		t.Fatal("nothing happened")
 	}
 	return r
 }
 
-// tellLogs writes seed and logs of a day that did not come out as it should.
-func tellLogs(t *testing.T, d *day.Day, work string) {
+// logProcesses logs the seed and the ends of the processes' logs of a failed test.
+func logProcesses(t *testing.T, d *day.Day, work string) {
 	if !t.Failed() {
 		return
 	}
@@ -101,9 +88,10 @@
 	}
 }
 
-// Each bad balancer is caught by its own rule and by no other, and the good ones by none.
+// Each faulty balancer is caught by its own rule and by no other, and the good ones by none.
 func TestCheckerCatches(t *testing.T) {
-	bad, real := build(t, "./bad"), build(t, "../../cmd/balancer")
+	faulty := labtest.Build(t, "./faulty")
+	real := labtest.Build(t, "../../cmd/balancer")
 	for _, c := range []struct {
 		mode string
 		rule check.Rule
@@ -116,11 +104,11 @@
 	} {
 		t.Run(c.mode, func(t *testing.T) {
 			t.Parallel()
-			command := []string{"/usr/bin/env", "BAD=" + c.mode, bad}
+			command := []string{"/usr/bin/env", "BAD=" + c.mode, faulty}
 			if c.mode == "balancer" {
 				command = []string{real}
 			}
-			r := play(t, command...)
+			r := play(t, labtest.Day(t, proofDay), command...)
 			caught := false
 			for _, v := range r.Violations {
 				if caught = caught || v.Rule == c.rule; v.Rule == c.rule {
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/labtest"
 )
 
 const cutDay = `
@@ -44,10 +45,7 @@
 // pair returns a network and the two ends of a connection over it: the balancer's own, and the upstream's.
 func pair(t *testing.T) (*Net, *Listener, net.Conn, *Conn) {
 	t.Helper()
-	d, err := day.Parse("cut.toml", []byte(cutDay))
-	if err != nil {
-		t.Fatal(err)
-	}
+	d := labtest.Day(t, cutDay)
 	n := New(d.NewPaths(d.Fleet()), 1)
 	l, err := n.Listen(u, b, "127.0.0.1:0")
 	if err != nil {
--- a/internal/lab/measure/measure_test.go
+++ b/internal/lab/measure/measure_test.go
@@ -10,6 +10,7 @@
 	"sprucehill/internal/lab/client"
 	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
+	"sprucehill/internal/lab/labtest"
 )
 
 const text = `
@@ -51,10 +52,7 @@
 // made returns a day of one request a tenth of a second, each answered after a time that of says, or failed for 0.
 func made(t *testing.T, of func(i int, a day.Arrival) (latency time.Duration, upstream int32)) (*day.Day, []day.Arrival, []history.Event) {
 	t.Helper()
-	d, err := day.Parse("m.toml", []byte(text))
-	if err != nil {
-		t.Fatal(err)
-	}
+	d := labtest.Day(t, text)
 	var arrivals []day.Arrival
 	var events []history.Event
 	for i := range 200 {
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -2,10 +2,9 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"path/filepath"
 	"reflect"
+	"strings"
 	"testing"
 	"time"
 
@@ -13,6 +12,7 @@
 	"sprucehill/internal/lab/client"
 	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
+	"sprucehill/internal/lab/labtest"
 )
 
 // everything is a day with every kind of fault, some of them over each other.
@@ -104,11 +104,7 @@
 	} {
 		text += fmt.Sprintf("[[fault]]\nat = \"%dms\"\nfor = \"2s\"\n%s\n", 2000+450*i, f)
 	}
-	d, err := day.Parse("everything.toml", []byte(text))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return d
+	return labtest.Day(t, text)
 }
 
 func play(t *testing.T, d *day.Day, o Options) []history.Event {
@@ -174,25 +170,19 @@
 
 // The module breaks no rule on any example, whichever of three seeds draws it.
 func TestExamplesKeepTheRules(t *testing.T) {
-	files, err := filepath.Glob("../../../examples/*.toml")
-	special, specialErr := filepath.Glob("../../../examples/*/*.toml")
-	plain := len(files)
-	files = append(files, special...)
-	if err = errors.Join(err, specialErr); err != nil || len(files) < 20 {
-		t.Fatalf("%d examples: %v", len(files), err)
+	names := labtest.Examples(t)
+	if len(names) < 20 {
+		t.Fatalf("%d examples", len(names))
 	}
-	for i, file := range files {
-		d, err := day.LoadFile(file)
-		if err != nil {
-			t.Fatal(err)
-		}
+	for _, name := range names {
+		d := labtest.Example(t, name)
 		if len(d.Fleet().Balancers) > 50 { // its own time is measured in docs/lab.md
 			continue
 		}
-		t.Run(filepath.Base(file), func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			seeds := uint64(3)
-			if i >= plain {
+			if strings.Contains(name, "/") { // in a folder of its own
 				seeds = 1
 			}
 			for d.Seed = 1; d.Seed <= seeds; d.Seed++ {
@@ -206,10 +196,7 @@
 
 // The policy that sees the true state serves more than the module on a day whose fault no balancer can see at once.
 func TestTrueStateIsAboveAll(t *testing.T) {
-	d, err := day.LoadFile("../../../examples/zones/two.toml")
-	if err != nil {
-		t.Fatal(err)
-	}
+	d := labtest.Example(t, "zones/two.toml")
 	served := func(policy string) float64 {
 		good, asked := 0, 0
 		for _, e := range play(t, d, Options{Workers: 2, Policy: policy}) {
@@ -237,10 +224,7 @@
 target = ["upstream:*"]
 part = 0.8
 `
-	d, err := day.Parse("cold.toml", []byte(text))
-	if err != nil {
-		t.Fatal(err)
-	}
+	d := labtest.Day(t, text)
 	d.Load.Rate *= 3
 	broken := func(policy string) int {
 		n := 0
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -10,18 +10,14 @@
 	"testing"
 
 	"sprucehill/internal/lab"
-	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/labtest"
 	"sprucehill/internal/lab/model"
 )
 
 // A report is one file with no outside parts; it has every plot with its axes named, the timetable, and the histories of
 // the worst requests. The plots stand beside it as pictures that can be read.
 func TestReportIsWhole(t *testing.T) {
-	d, err := day.LoadFile("../../../examples/zone-fire.toml")
-	if err != nil {
-		t.Fatal(err)
-	}
-	r, err := lab.Model(context.Background(), d, model.Options{})
+	r, err := lab.Model(context.Background(), labtest.Example(t, "zone-fire.toml"), model.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/zones_test.go
+++ b/internal/lab/zones_test.go
@@ -1,14 +1,12 @@
 package lab
 
 import (
-	"context"
 	"fmt"
 	"slices"
 	"testing"
 
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
-	"sprucehill/internal/lab/live"
+	"sprucehill/internal/lab/labtest"
 )
 
 // zoneDay is a fleet; each %s is its zones, and its faults.
@@ -63,7 +61,7 @@
 	for _, name := range []string{"a", "b", "c", "d"} {
 		zones += fmt.Sprintf("[[region.zone]]\nname = %q\nbalancers = 1\nupstreams = [{model = \"m\", count = 4}]\n", name)
 	}
-	real := build(t, "../../cmd/balancer")
+	real := labtest.Build(t, "../../cmd/balancer")
 	for _, c := range []struct {
 		name, faults string
 		// mustLeave says that its own balancer has to leave zone b. Elsewhere it may: chance can make a half look like
@@ -83,16 +81,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			d, err := day.Parse("zones.toml", fmt.Appendf(nil, zoneDay, zones, c.faults))
-			if err != nil {
-				t.Fatal(err)
-			}
-			work := t.TempDir()
-			t.Cleanup(func() { tellLogs(t, d, work) })
-			r, err := Live(context.Background(), d, live.Options{Command: []string{real}, Dir: ".", Work: work})
-			if err != nil {
-				t.Fatal(err)
-			}
+			r := play(t, labtest.Day(t, fmt.Sprintf(zoneDay, zones, c.faults)), real)
 			for _, v := range r.Violations {
 				t.Errorf("%s at %v: %s", v.Rule, v.At, v.What)
 			}
