--- a/cmd/balancerctl/text.go
+++ b/cmd/balancerctl/text.go
@@ -91,9 +91,9 @@
 	for _, c := range changes {
 		what, about := "ends", ""
 		if c.On {
-			what, about = "begins", day.About(d.Faults[c.Fault].Kind)
+			what, about = "begins", day.DescribeFault(d.Faults[c.Fault].Kind)
 		}
-		rows = append(rows, []any{c.At, what, d.Faults[c.Fault].Kind, d.Whom(f, c.Fault, hits[c.Fault]), about})
+		rows = append(rows, []any{c.At, what, d.Faults[c.Fault].Kind, d.TargetNames(f, c.Fault, hits[c.Fault]), about})
 	}
 	table(w, rows...)
 }
--- /dev/null
+++ b/internal/lab/check/fleet.go
@@ -0,0 +1,149 @@
+package check
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/history"
+)
+
+// checkDraining checks Drained of the attempts of one request.
+func (c *checker) checkDraining(trace []history.Event) {
+	for _, e := range trace {
+		if !isArrival(e) {
+			continue
+		}
+		since, draining := c.drainingSince(e)
+		limit := since + c.day.Balancer.DrainGrace.D() + tolerance + c.maxDelay(e)
+		if draining && e.FirstByteAt > limit {
+			c.add(Drained, e.At, fmt.Sprintf("sent %v after its balancer was told", e.FirstByteAt-since), trace)
+		}
+	}
+}
+
+// drainingSince is since when the process that made an attempt knew that its upstream drains or is removed.
+func (c *checker) drainingSince(attempt history.Event) (since time.Duration, draining bool) {
+	started := c.processStart(attempt) // a process that has started again knows only what it was notified of since
+	for _, phase := range c.phases[endpointView{attempt.Balancer, attempt.Upstream}] {
+		if phase.At > attempt.FirstByteAt {
+			break
+		}
+		if phase.At < started {
+			continue
+		}
+		active := phase.Text == "up"
+		if !active && !draining {
+			since = phase.At
+		}
+		draining = !active
+	}
+	return since, draining
+}
+
+// processStart is when the process that made an attempt took over: the end of the one before; 0: there was none.
+func (c *checker) processStart(attempt history.Event) time.Duration {
+	var start time.Duration
+	for _, e := range c.processes[attempt.Balancer] {
+		if e.Kind == history.Exited && e.At <= attempt.At {
+			start = e.At
+		}
+	}
+	return start
+}
+
+// maxDelay is the longest that an attempt may have been in transit.
+func (c *checker) maxDelay(attempt history.Event) time.Duration {
+	b := day.Party{Kind: day.BalancerParty, Index: int(attempt.Balancer)}
+	u := day.Party{Kind: day.UpstreamParty, Index: int(attempt.Upstream)}
+	d := c.paths.Condition(b, u).Delay
+	for i, fault := range c.day.Faults {
+		if fault.At.D() > attempt.At || !c.paths.OnLinks(i) || !c.paths.Hits(i, b, u) {
+			continue
+		}
+		switch fault.Kind {
+		case "delay":
+			d += fault.Delay.D()
+		case "cut", "slow", "lossy": // what was written before may come once the fault has ended
+			d += max(fault.For.D(), c.day.Length.D()-fault.At.D())
+		}
+	}
+	return d
+}
+
+// checkColdStarts checks ColdStart of what happened to one upstream.
+func (c *checker) checkColdStarts(trace []history.Event) {
+	var started *history.Event
+	for i, e := range trace {
+		switch e.Kind {
+		case history.UpstreamStarted:
+			started = &trace[i]
+		case history.Collapsed:
+			c.checkCollapse(trace[:i+1], started)
+		}
+	}
+}
+
+// checkCollapse checks the work that came to an upstream before it collapsed, which is the last event of the trace.
+// started is when it started; nil: before the day.
+func (c *checker) checkCollapse(trace []history.Event, started *history.Event) {
+	last := len(trace) - 1
+	collapse := trace[last]
+	span := c.day.Balancer.TipAfter.D()
+	from := last
+	for from > 0 && trace[from-1].At > collapse.At-span {
+		from--
+	}
+	var work, fromThoseWhoKnew float64
+	for _, e := range trace[from:last] {
+		if !isArrival(e) {
+			continue
+		}
+		work += float64(e.Work)
+		if c.knewOfStart(e, started) {
+			fromThoseWhoKnew += float64(e.Work)
+		}
+	}
+	if work == 0 || fromThoseWhoKnew < knewShare*work {
+		return
+	}
+	c.add(ColdStart, collapse.At, fmt.Sprintf("%s was pushed over while cold by %.2f s of work within %v, %.0f%% of it from balancers that knew",
+		c.fleet.Upstreams[collapse.Upstream].Name, work, span, 100*fromThoseWhoKnew/work), trace[from:])
+}
+
+// knewOfStart tells whether the balancer of an attempt had been notified of the upstream's start.
+func (c *checker) knewOfStart(attempt history.Event, started *history.Event) bool {
+	if started == nil {
+		return false
+	}
+	return slices.ContainsFunc(c.phases[endpointView{attempt.Balancer, attempt.Upstream}], func(phase history.Event) bool {
+		return phase.At >= started.At && phase.At <= attempt.At && phase.Text == "up"
+	})
+}
+
+// checkProcess checks Limits, NoCrash and NoLeftover of one balancer's processes.
+func (c *checker) checkProcess(trace []history.Event) {
+	reported := map[string]bool{} // limits
+	exitExpected := false
+	for _, e := range trace {
+		name := c.fleet.Balancers[e.Balancer].Name
+		switch e.Kind {
+		case history.Started:
+			exitExpected = false
+		case history.Signalled, history.Killed:
+			exitExpected = true
+		case history.Exited:
+			if !exitExpected || e.Text != "" {
+				c.add(NoCrash, e.At, fmt.Sprintf("%s ended with code %d %s", name, e.Status, e.Text), trace)
+			}
+		case history.OverLimit:
+			if !reported[e.Text] {
+				c.add(Limits, e.At, name+": "+e.Text, []history.Event{e})
+			}
+			reported[e.Text] = true
+		case history.Orphan:
+			c.add(NoLeftover, e.At, name+" is still there: "+e.Text, []history.Event{e})
+		}
+	}
+}
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -18,7 +18,7 @@
 )
 
 // level is the chance that any measure at all is called different though none is.
-const level = 0.05
+const familyError = 0.05
 
 // Side plays a day, drawn by a seed.
 type Side interface {
@@ -154,13 +154,13 @@
 		as, bs = append(as, pair[0]), append(bs, pair[1])
 	}
 	for _, m := range Measures {
-		r.Rows = append(r.Rows, row(m, as, bs))
+		r.Rows = append(r.Rows, compareMeasure(m, as, bs))
 	}
 	return r, nil
 }
 
 // row compares one measure.
-func row(m Measure, as, bs []*measure.Summary) Row {
+func compareMeasure(m Measure, as, bs []*measure.Summary) Row {
 	r := Row{Measure: m.Name, Unit: m.Unit, Low: math.Inf(1), High: math.Inf(-1)}
 	var a, b, diffs []float64
 	for i := range as {
@@ -177,7 +177,7 @@
 	if math.IsInf(r.Low, 1) {
 		r.Low, r.High = 0, 0
 	}
-	r.Diff, r.Half = interval(diffs, level/float64(len(Measures)))
+	r.Diff, r.Half = interval(diffs, familyError/float64(len(Measures)))
 	r.Beyond = math.Abs(r.Diff) > r.Half
 	r.Better = r.Beyond && (r.Diff > 0) == m.More
 	return r
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -55,7 +55,7 @@
 			called++
 		}
 	}
-	if share := float64(called) / 200; share > level {
+	if share := float64(called) / 200; share > familyError {
 		t.Errorf("sides that are the same were called different in %.0f%% of comparisons", 100*share)
 	}
 }
--- a/internal/lab/day/day.go
+++ b/internal/lab/day/day.go
@@ -1,6 +1,8 @@
-// Package day reads a day file: a fleet in regions and zones, its clients, and a timetable of faults. It draws from
-// one seed all that chance decides before a day begins, so that the same file and seed give the same arrivals, the
-// same choices of who is hit, and the same timetable in both engines. It is pure: no clock, no sockets.
+// Package day reads a day file, which describes an experiment: a fleet in regions and zones, its clients, and a timetable
+// of faults. It draws from one seed all that chance decides before a day begins, so that the same file and seed give the
+// same arrivals, the same choices of who is hit, and the same timetable in both engines. It has no clock and no sockets.
+//
+// The exported fields of a Day and its parts are the keys of its JSON form: they keep their names.
 package day
 
 import (
@@ -176,7 +178,7 @@
 	State  string   `toml:"state"` // of a restart: keep or lose the state folder
 }
 
-// LoadFile reads a day file, fills in what it leaves out and checks it whole.
+// LoadFile reads a day file, sets defaults for what it leaves out and checks it.
 func LoadFile(path string) (*Day, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -191,15 +193,15 @@
 	if err := tomlfile.Decode(path, text, d); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInput, err)
 	}
-	d.fill()
+	d.setDefaults()
 	if err := d.check(); err != nil {
 		return nil, fmt.Errorf("%w: %s: %w", ErrInput, path, err)
 	}
 	return d, nil
 }
 
-// orElse fills in a value that a file has left out.
-func orElse[T comparable](to *T, value T) {
+// setDefault sets a value that a file has left out.
+func setDefault[T comparable](to *T, value T) {
 	var zero T
 	if *to == zero {
 		*to = value
@@ -208,66 +210,79 @@
 
 const ms = Duration(time.Millisecond)
 
-// fill sets what the file leaves out: the figures of a small site with usual rules.
-func (d *Day) fill() {
-	orElse(&d.Name, strings.TrimSuffix(lastPart(d.Path), ".toml"))
-	orElse(&d.Seed, 1)
-	orElse(&d.Settle, min(5000*ms, d.Length/4))
-	orElse(&d.Window, 1000*ms)
-	orElse(&d.Network.SameZone, ms/4)
-	orElse(&d.Network.CrossZone, 4*d.Network.SameZone)
-	orElse(&d.Network.CrossRegion, 10*d.Network.CrossZone)
-	orElse(&d.Discovery.Delay, 500*ms)
-	b := &d.Balancer
-	orElse(&b.MemoryMB, 128)
-	orElse(&b.Sockets, 512)
-	orElse(&b.MaxAttempts, 5)
-	orElse(&b.ConnectTimeout, 250*ms)
-	orElse(&b.KeepAlive, 15000*ms)
-	orElse(&b.DrainGrace, 500*ms)
-	orElse(&b.TipMultiple, 2.5)
-	orElse(&b.TipAfter, 2000*ms)
-	orElse(&b.Notice, 2000*ms)
-	orElse(&b.Known, "now")
-	orElse(&d.Clients.Keys, 1000)
-	orElse(&d.Load.Shape, "flat")
-	orElse(&d.Load.Period, max(d.Length/2, ms))
+// setDefaults sets what the file leaves out: the figures of a small site with usual rules.
+func (d *Day) setDefaults() {
+	setDefault(&d.Name, strings.TrimSuffix(baseName(d.Path), ".toml"))
+	setDefault(&d.Seed, 1)
+	setDefault(&d.Settle, min(5000*ms, d.Length/4))
+	setDefault(&d.Window, 1000*ms)
+	setDefault(&d.Network.SameZone, ms/4)
+	setDefault(&d.Network.CrossZone, 4*d.Network.SameZone)
+	setDefault(&d.Network.CrossRegion, 10*d.Network.CrossZone)
+	setDefault(&d.Discovery.Delay, 500*ms)
+	d.Balancer.setDefaults()
+	setDefault(&d.Clients.Keys, 1000)
+	setDefault(&d.Load.Shape, "flat")
+	setDefault(&d.Load.Period, max(d.Length/2, ms))
 	for name, m := range d.Models {
-		orElse(&m.Cores, 2)
-		orElse(&m.Speed, 1)
-		orElse(&m.Slots, 16*m.Cores)
-		orElse(&m.Queue, 16*m.Cores)
-		orElse(&m.ColdFrom, 0.2)
-		orElse(&m.Warm, 10000*ms)
-		orElse(&m.ReportEvery, 500*ms)
-		orElse(&m.ReportDelay, 200*ms)
+		m.setDefaults()
 		d.Models[name] = m
 	}
 	for r := range d.Regions {
 		for z := range d.Regions[r].Zones {
-			zone := &d.Regions[r].Zones[z]
-			orElse(&zone.Share, float64(zone.Balancers))
-			for g := range zone.Groups {
-				orElse(&zone.Groups[g].Count, 1)
-			}
+			d.Regions[r].Zones[z].setDefaults()
 		}
 	}
 	for i := range d.Classes {
-		c := &d.Classes[i]
-		orElse(&c.Share, 1)
-		orElse(&c.Repeat, "safe")
-		orElse(&c.Group, "all")
-		orElse(&c.Memory, 7500*ms)
-		orElse(&c.Worth, 1)
+		d.Classes[i].setDefaults()
 	}
 	for i := range d.Faults {
-		orElse(&d.Faults[i].Part, 1)
-		orElse(&d.Faults[i].State, "keep")
+		setDefault(&d.Faults[i].Part, 1)
+		setDefault(&d.Faults[i].State, "keep")
 	}
 }
 
-// Longest is the longest that a client waits.
-func (d *Day) Longest() time.Duration {
+func (b *Balancers) setDefaults() {
+	setDefault(&b.MemoryMB, 128)
+	setDefault(&b.Sockets, 512)
+	setDefault(&b.MaxAttempts, 5)
+	setDefault(&b.ConnectTimeout, 250*ms)
+	setDefault(&b.KeepAlive, 15000*ms)
+	setDefault(&b.DrainGrace, 500*ms)
+	setDefault(&b.TipMultiple, 2.5)
+	setDefault(&b.TipAfter, 2000*ms)
+	setDefault(&b.Notice, 2000*ms)
+	setDefault(&b.Known, "now")
+}
+
+func (m *Model) setDefaults() {
+	setDefault(&m.Cores, 2)
+	setDefault(&m.Speed, 1)
+	setDefault(&m.Slots, 16*m.Cores)
+	setDefault(&m.Queue, 16*m.Cores)
+	setDefault(&m.ColdFrom, 0.2)
+	setDefault(&m.Warm, 10000*ms)
+	setDefault(&m.ReportEvery, 500*ms)
+	setDefault(&m.ReportDelay, 200*ms)
+}
+
+func (z *Zone) setDefaults() {
+	setDefault(&z.Share, float64(z.Balancers))
+	for g := range z.Groups {
+		setDefault(&z.Groups[g].Count, 1)
+	}
+}
+
+func (c *Class) setDefaults() {
+	setDefault(&c.Share, 1)
+	setDefault(&c.Repeat, "safe")
+	setDefault(&c.Group, "all")
+	setDefault(&c.Memory, 7500*ms)
+	setDefault(&c.Worth, 1)
+}
+
+// MaxDeadline is the longest that a client waits.
+func (d *Day) MaxDeadline() time.Duration {
 	var longest time.Duration
 	for _, c := range d.Classes {
 		longest = max(longest, c.Deadline.D())
@@ -275,4 +290,5 @@
 	return longest
 }
 
-func lastPart(path string) string { return path[strings.LastIndexByte(path, '/')+1:] }
+// baseName is the last part of a path.
+func baseName(path string) string { return path[strings.LastIndexByte(path, '/')+1:] }
--- a/internal/lab/day/day_test.go
+++ b/internal/lab/day/day_test.go
@@ -125,22 +125,22 @@
 	f := d.Fleet()
 	p := d.NewPaths(f)
 	there, back := Party{BalancerParty, 0}, Party{UpstreamParty, 3}
-	base := p.Now(there, back).Delay
+	base := p.Condition(there, back).Delay
 	for i := range 3 {
 		p.Set(i, true)
 	}
-	if c := p.Now(there, back); c.Delay != base+12*time.Millisecond || !c.Cut {
+	if c := p.Condition(there, back); c.Delay != base+12*time.Millisecond || !c.Cut {
 		t.Errorf("there: %+v", c)
 	}
-	if c := p.Now(back, there); c.Delay != base+5*time.Millisecond || !c.Cut {
+	if c := p.Condition(back, there); c.Delay != base+5*time.Millisecond || !c.Cut {
 		t.Errorf("back: %+v", c)
 	}
-	if c := p.Now(Party{BalancerParty, 1}, back); c.Cut {
+	if c := p.Condition(Party{BalancerParty, 1}, back); c.Cut {
 		t.Error("the cut hits a balancer that it does not name")
 	}
 	p.Set(2, false)
 	p.Set(0, false)
-	if c := p.Now(there, back); c.Delay != base+7*time.Millisecond || c.Cut {
+	if c := p.Condition(there, back); c.Delay != base+7*time.Millisecond || c.Cut {
 		t.Errorf("after two ends: %+v", c)
 	}
 }
--- a/internal/lab/day/fault.go
+++ b/internal/lab/day/fault.go
@@ -24,16 +24,16 @@
 	OnLoad
 )
 
-// kind is what a kind of fault acts on and the figures that it wants.
-type kind struct {
+// faultKind is what a kind of fault acts on and the figures that it needs.
+type faultKind struct {
 	scope       Scope
 	least, most float64 // of size; most 0: size is not used
-	delay, rate bool    // wanted
+	delay, rate bool    // needed
 	about       string
 }
 
-// kinds has every kind of fault. What each does is told once, here; the engines carry it out.
-var kinds = map[string]kind{
+// faultKinds is every kind of fault. The engines carry out what about says.
+var faultKinds = map[string]faultKind{
 	"cut":   {scope: OnLinks, about: "nothing passes: open connections fall silent, new ones do not come up"},
 	"delay": {scope: OnLinks, delay: true, about: "messages take longer by delay"},
 	"slow":  {scope: OnLinks, rate: true, about: "bytes pass at rate"},
@@ -58,24 +58,32 @@
 	"burst":                {scope: OnLoad, least: 0.01, most: 100, about: "arrivals times size"},
 }
 
-func kindNames() string { return strings.Join(slices.Sorted(maps.Keys(kinds)), ", ") }
-
-// silentNotice is how much later discovery learns of a machine that has vanished than of a process that has ended.
-const silentNotice = 4 * time.Second
-
-// Announced is what discovery comes to list the upstreams of a fault as when that begins or ends, and after how long its
-// agents have it. "": nothing, since discovery knows only of processes. cold: they have started anew.
-func (d *Day) Announced(fault Fault, on bool) (phase string, delay time.Duration, cold bool) {
-	begun := map[string]string{"drain": "draining", "vanish": "removed", "down": "removed"}[fault.Kind]
-	switch delay = d.Discovery.Delay.D(); {
-	case begun == "":
+func faultKindNames() string { return strings.Join(slices.Sorted(maps.Keys(faultKinds)), ", ") }
+
+// vanishDetectionDelay is how much later discovery learns of a machine that has vanished than of a process that has ended.
+const vanishDetectionDelay = 4 * time.Second
+
+// EndpointPhase is the phase in which discovery lists the upstreams of a fault once that begins or ends, and after how
+// long its agents have it. "": it does not change, since discovery knows only of processes. cold: they have started again.
+func (d *Day) EndpointPhase(fault Fault, on bool) (phase string, delay time.Duration, cold bool) {
+	delay = d.Discovery.Delay.D()
+	switch fault.Kind {
+	case "drain":
+		phase = "draining"
+	case "down":
+		phase = "removed"
+	case "vanish":
+		phase = "removed"
+		if on {
+			delay += vanishDetectionDelay
+		}
+	default:
 		return "", 0, false
-	case !on:
+	}
+	if !on {
 		return "up", delay, fault.Kind != "drain"
-	case fault.Kind == "vanish":
-		delay += silentNotice
 	}
-	return begun, delay, false
+	return phase, delay, false
 }
 
 // Hit is whom a fault acts on.
@@ -88,20 +96,17 @@
 // resolve draws whom fault i hits.
 func (d *Day) resolve(f *Fleet, i int) (Hit, error) {
 	fault := d.Faults[i]
-	h := Hit{Scope: kinds[fault.Kind].scope}
+	h := Hit{Scope: faultKinds[fault.Kind].scope}
 	if h.Scope == OnLinks {
-		return f.links(h, fault)
+		return f.resolveLinks(h, fault)
 	}
 	if len(fault.From)+len(fault.To) > 0 {
 		return h, fmt.Errorf("from and to are for links; %s has a target", fault.Kind)
 	}
-	if h.Scope == OnDiscovery && len(fault.Target) == 0 {
-		fault.Target = []string{"all"}
-	}
-	if h.Scope == OnLoad && len(fault.Target) == 0 {
+	if (h.Scope == OnDiscovery || h.Scope == OnLoad) && len(fault.Target) == 0 {
 		fault.Target = []string{"all"}
 	}
-	parties, err := f.parties(fault.Target)
+	parties, err := f.selectParties(fault.Target)
 	if err != nil {
 		return h, fmt.Errorf("target: %w", err)
 	}
@@ -115,15 +120,15 @@
 	if len(h.Targets) == 0 {
 		return h, fmt.Errorf("target: %v names nobody that %s could hit", fault.Target, fault.Kind)
 	}
-	rng := rand.New(rand.NewPCG(d.Seed, stream("fault", i)))
+	rng := rand.New(rand.NewPCG(d.Seed, randomStream("fault", i)))
 	rng.Shuffle(len(h.Targets), func(a, b int) { h.Targets[a], h.Targets[b] = h.Targets[b], h.Targets[a] })
 	h.Targets = h.Targets[:int(math.Ceil(fault.Part*float64(len(h.Targets))))]
 	slices.Sort(h.Targets)
 	return h, nil
 }
 
-// links resolves the two sides of a fault on links.
-func (f *Fleet) links(h Hit, fault Fault) (Hit, error) {
+// resolveLinks resolves the two sides of a fault on links.
+func (f *Fleet) resolveLinks(h Hit, fault Fault) (Hit, error) {
 	if len(fault.Target) > 0 {
 		return h, errors.New("target: a fault on links has from and to")
 	}
@@ -135,7 +140,7 @@
 		if len(side.of) == 0 {
 			return h, fmt.Errorf("%s: is missing", side.key)
 		}
-		parties, err := f.parties(side.of)
+		parties, err := f.selectParties(side.of)
 		if err != nil {
 			return h, fmt.Errorf("%s: %w", side.key, err)
 		}
@@ -170,13 +175,13 @@
 		}
 	}
 	slices.SortStableFunc(changes, func(a, b Change) int {
-		return cmp.Or(cmp.Compare(a.At, b.At), compareBool(a.On, b.On), cmp.Compare(a.Fault, b.Fault))
+		return cmp.Or(cmp.Compare(a.At, b.At), endsFirst(a.On, b.On), cmp.Compare(a.Fault, b.Fault))
 	})
 	return changes, hits
 }
 
-// compareBool has false first.
-func compareBool(a, b bool) int {
+// endsFirst orders a fault's end (false) before a fault's begin (true).
+func endsFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -186,11 +191,11 @@
 	return 1
 }
 
-// About tells what kind of fault does.
-func About(kind string) string { return kinds[kind].about }
+// DescribeFault is what a kind of fault does, for people.
+func DescribeFault(kind string) string { return faultKinds[kind].about }
 
-// Whom names those that fault i hits, for people.
-func (d *Day) Whom(f *Fleet, i int, hit Hit) string {
+// TargetNames names those that fault i hits, for people.
+func (d *Day) TargetNames(f *Fleet, i int, hit Hit) string {
 	fault := d.Faults[i]
 	if hit.Scope == OnLinks {
 		arrow := "<->"
--- a/internal/lab/day/fleet.go
+++ b/internal/lab/day/fleet.go
@@ -19,7 +19,7 @@
 	ClientsParty // all clients of a zone with their front
 )
 
-// Party is one end of a link.
+// Party is one end of a link. It can be a map key.
 type Party struct {
 	Kind  PartyKind
 	Index int // of its kind, in the fleet's order
@@ -50,14 +50,14 @@
 // Upstream is one server.
 type Upstream struct {
 	Name  string
-	ID    string // as discovery has it: it tells nothing of zone or kind
+	ID    string // as discovery has it; neither zone nor model can be read from it
 	Zone  int
 	Cell  int
 	Model string
 	Size  float64 // nominal: cores by their speed
 }
 
-// cellSize is how many upstreams of a zone share which keys they have met.
+// cellSize is how many upstreams of a zone share the idempotency keys that they know.
 const cellSize = 6
 
 // Fleet lists who takes part.
@@ -119,8 +119,8 @@
 	return f.Regions[z.Region] + "/" + z.Name
 }
 
-// ZoneNamed is the index of the zone of a locality; -1: there is none.
-func (f *Fleet) ZoneNamed(locality string) int {
+// ZoneByLocality is the index of the zone of a locality; -1: there is none.
+func (f *Fleet) ZoneByLocality(locality string) int {
 	for z := range f.Zones {
 		if f.Locality(z) == locality {
 			return z
@@ -151,10 +151,10 @@
 	return p.Index
 }
 
-// parties lists whom selectors name, each once: balancers, then upstreams, then clients. A selector is "all", or
+// selectParties lists whom selectors name, each once: balancers, then upstreams, then clients. A selector is "all", or
 // zone:, region:, balancer:, upstream: or clients: with a name or a pattern of path.Match. One that names nobody is an
 // error.
-func (f *Fleet) parties(selectors []string) ([]Party, error) {
+func (f *Fleet) selectParties(selectors []string) ([]Party, error) {
 	var all []Party
 	for i := range f.Balancers {
 		all = append(all, Party{BalancerParty, i})
@@ -173,8 +173,9 @@
 		}
 		found := false
 		for _, p := range all {
-			if f.named(p, what, pattern) {
-				chosen[p], found = true, true
+			if f.matches(p, what, pattern) {
+				chosen[p] = true
+				found = true
 			}
 		}
 		if !found {
@@ -184,10 +185,10 @@
 	return slices.DeleteFunc(all, func(p Party) bool { return !chosen[p] }), nil
 }
 
-// named tells whether a selector of the kind what, with a pattern that is valid, names p.
-func (f *Fleet) named(p Party, what, pattern string) bool {
+// matches tells whether a selector of the kind what, with a pattern that is valid, selects p.
+func (f *Fleet) matches(p Party, what, pattern string) bool {
 	match := func(name string) bool {
-		ok, _ := path.Match(pattern, name) // checked by parties
+		ok, _ := path.Match(pattern, name) // selectParties has checked the pattern
 		return ok
 	}
 	zone := f.Zones[f.ZoneOf(p)]
@@ -208,9 +209,9 @@
 	return false
 }
 
-// stream is the number of a row of random draws with a name of its own, so that one more draw for one purpose moves
-// none of another.
-func stream(purpose string, index int) uint64 {
+// randomStream is the number of a random stream for a purpose, so that one more draw for one purpose changes none of
+// another's.
+func randomStream(purpose string, index int) uint64 {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, purpose) // a hash never returns an error
 	return h.Sum64() + uint64(index)
--- a/internal/lab/day/paths.go
+++ b/internal/lab/day/paths.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Condition is what one way between two parties is like at a moment.
+// Condition is what one direction of the link between two parties is like at a moment.
 type Condition struct {
 	Delay time.Duration
 	Loss  float64
@@ -14,15 +14,15 @@
 	Cut   bool
 }
 
-// resend is how long a lost message takes to be sent again, the least retransmission time of TCP on Linux. Each further
-// loss of the same message doubles it.
-const resend = 200 * time.Millisecond
+// minRetransmitTimeout is how long after a loss a message is sent again: TCP_RTO_MIN of Linux. Each further loss of the
+// same message doubles it.
+const minRetransmitTimeout = 200 * time.Millisecond
 
-// Lag is how long a message of size bytes takes on a way that is not cut; coin draws from 0 to 1.
-func (c Condition) Lag(size float64, coin func() float64) time.Duration {
+// Lag is how long a message of size bytes takes where the link is not cut; draw draws from 0 to 1.
+func (c Condition) Lag(size float64, draw func() float64) time.Duration {
 	d := c.Delay
-	for again := resend; c.Loss > 0 && coin() < c.Loss; again *= 2 {
-		d += again
+	for timeout := minRetransmitTimeout; c.Loss > 0 && draw() < c.Loss; timeout *= 2 {
+		d += timeout
 	}
 	if c.Rate > 0 {
 		d += time.Duration(size / c.Rate * float64(time.Second))
@@ -30,21 +30,22 @@
 	return d
 }
 
-// Paths tells the condition of every way between parties: the network's own, and on it the faults that are on. Faults
-// that overlap add up: delays and losses join, the lowest rate counts, and a way stays cut until the last cut ends.
+// Paths is the condition of every link between parties: the network's own, and on it the faults that are active. Faults
+// that overlap add up: delays and losses join, the lowest rate counts, and a link stays cut until the last cut ends.
+// Its owner guards it against concurrent use.
 type Paths struct {
-	day   *Day
-	fleet *Fleet
-	hits  []Hit
-	on    []bool
-	any   int           // faults on links that are on
-	base  [][]Condition // by zone and zone
+	day          *Day
+	fleet        *Fleet
+	hits         []Hit
+	active       []bool
+	activeFaults int           // how many faults on links are active
+	base         [][]Condition // by zone and zone
 }
 
-// NewPaths returns the ways of a day with no fault on.
+// NewPaths returns the links of a day with no fault active.
 func (d *Day) NewPaths(f *Fleet) *Paths {
 	_, hits := d.Timetable()
-	p := &Paths{day: d, fleet: f, hits: hits, on: make([]bool, len(d.Faults))}
+	p := &Paths{day: d, fleet: f, hits: hits, active: make([]bool, len(d.Faults))}
 	for from, a := range f.Zones {
 		row := make([]Condition, len(f.Zones))
 		for to, b := range f.Zones {
@@ -56,7 +57,7 @@
 				c.Delay = d.Network.CrossZone.D()
 			}
 			for _, l := range d.Network.Links {
-				if from != to && f.lies(a, l.From) && f.lies(b, l.To) {
+				if from != to && f.inSelector(a, l.From) && f.inSelector(b, l.To) {
 					c.Delay, c.Loss = l.Delay.D(), l.Loss
 				}
 			}
@@ -67,8 +68,8 @@
 	return p
 }
 
-// lies tells whether a zone is meant by zone:NAME or region:NAME.
-func (f *Fleet) lies(z FleetZone, selector string) bool {
+// inSelector tells whether a zone is selected by zone:NAME or region:NAME.
+func (f *Fleet) inSelector(z FleetZone, selector string) bool {
 	what, pattern, _ := strings.Cut(selector, ":")
 	name := z.Name
 	if what == "region" {
@@ -80,13 +81,14 @@
 
 // Set begins or ends fault i, if it is one on links.
 func (p *Paths) Set(i int, on bool) {
-	if p.hits[i].Scope != OnLinks || p.on[i] == on {
+	if p.hits[i].Scope != OnLinks || p.active[i] == on {
 		return
 	}
-	if p.on[i] = on; on {
-		p.any++
+	p.active[i] = on
+	if on {
+		p.activeFaults++
 	} else {
-		p.any--
+		p.activeFaults--
 	}
 }
 
@@ -99,13 +101,13 @@
 	return (h.From[from] && h.To[to]) || (!p.day.Faults[i].OneWay && h.From[to] && h.To[from])
 }
 
-// Now is the condition of the way from one party to another.
-func (p *Paths) Now(from, to Party) Condition {
+// Condition is that of the link from one party to another.
+func (p *Paths) Condition(from, to Party) Condition {
 	c := p.base[p.fleet.ZoneOf(from)][p.fleet.ZoneOf(to)]
-	if p.any == 0 {
+	if p.activeFaults == 0 {
 		return c
 	}
-	for i, on := range p.on {
+	for i, on := range p.active {
 		if !on || !p.Hits(i, from, to) {
 			continue
 		}
@@ -126,8 +128,8 @@
 	return c
 }
 
-// Least is the shortest delay between any two parties, whatever fault is on.
-func (p *Paths) Least() time.Duration {
+// MinDelay is the shortest delay between any two parties, whatever faults are active.
+func (p *Paths) MinDelay() time.Duration {
 	least := p.base[0][0].Delay
 	for _, row := range p.base {
 		for _, c := range row {
--- a/internal/lab/day/schedule.go
+++ b/internal/lab/day/schedule.go
@@ -9,7 +9,13 @@
 	"time"
 )
 
-// Arrival is a client's first try, with everything about it that chance decides.
+// The Zipf distribution of the keys of requests: the k-th has a probability proportional to (keyOffset+k)^-keyExponent.
+const (
+	keyExponent = 1.2
+	keyOffset   = 8
+)
+
+// Arrival is a client's first request, with everything about it that chance decides.
 type Arrival struct {
 	At     time.Duration
 	Zone   int // of the client
@@ -22,42 +28,53 @@
 	Leaves time.Duration // an impatient client leaves after it; 0: it stays
 }
 
-// Arrivals draws the day's first tries, in order of time. They come whether or not earlier ones are answered.
+// Arrivals draws the day's first requests, in order of time. They come whether or not earlier ones are answered.
 func (d *Day) Arrivals() []Arrival {
 	f := d.Fleet()
 	_, hits := d.Timetable()
 	var all []Arrival
-	classes, tenants := cumulated(d.Classes, func(c Class) float64 { return c.Share }),
-		cumulated(d.Tenants, func(t Tenant) float64 { return t.Share })
 	for z := range f.Zones {
-		rng := rand.New(rand.NewPCG(d.Seed, stream("arrivals", z)))
-		keys := rand.NewZipf(rng, 1.2, 8, uint64(d.Clients.Keys-1))
-		top := d.peak(hits, z) * f.Zones[z].Share
-		if top == 0 {
-			continue
-		}
-		for at := 0.0; ; { // thinning: candidates at the highest rate, kept as the rate of their moment has it
-			at += rng.ExpFloat64() / top
-			when := time.Duration(at * float64(time.Second))
-			if when >= d.Length.D() {
-				break
-			}
-			a := Arrival{At: when, Zone: z, Class: pickBy(rng, classes), Tenant: pickBy(rng, tenants)}
-			class := d.Classes[a.Class]
-			a.Work, a.Wait = drawn(rng, class.Work), drawn(rng, class.Wait)
-			a.HasKey, a.Key = class.Repeat == "keyed", keys.Uint64()
-			if rng.Float64() < d.Clients.Impatience {
-				a.Leaves = time.Duration(rng.Float64() * float64(class.Aim))
-			}
-			if keep := rng.Float64(); keep*top < d.rate(hits, z, when)*f.Zones[z].Share {
-				all = append(all, a)
-			}
-		}
+		all = append(all, d.zoneArrivals(hits, z, f.Zones[z].Share)...)
 	}
 	slices.SortStableFunc(all, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 	return all
 }
 
+// zoneArrivals draws the first requests of a zone, which has a share of the load. It thins a Poisson process: candidates
+// come at the highest rate, and are kept as the rate of their moment has it.
+func (d *Day) zoneArrivals(hits []Hit, zone int, share float64) []Arrival {
+	rng := rand.New(rand.NewPCG(d.Seed, randomStream("arrivals", zone)))
+	keys := rand.NewZipf(rng, keyExponent, keyOffset, uint64(d.Clients.Keys-1))
+	classes := cumulative(d.Classes, func(c Class) float64 { return c.Share })
+	tenants := cumulative(d.Tenants, func(t Tenant) float64 { return t.Share })
+	highest := d.peak(hits, zone) * share
+	if highest == 0 {
+		return nil
+	}
+	var arrivals []Arrival
+	for seconds := 0.0; ; {
+		seconds += rng.ExpFloat64() / highest
+		at := time.Duration(seconds * float64(time.Second))
+		if at >= d.Length.D() {
+			return arrivals
+		}
+		a := Arrival{At: at, Zone: zone}
+		a.Class = drawIndex(rng, classes)
+		a.Tenant = drawIndex(rng, tenants)
+		class := d.Classes[a.Class]
+		a.Work = drawDuration(rng, class.Work)
+		a.Wait = drawDuration(rng, class.Wait)
+		a.HasKey = class.Repeat == "keyed"
+		a.Key = keys.Uint64()
+		if rng.Float64() < d.Clients.Impatience {
+			a.Leaves = time.Duration(rng.Float64() * float64(class.Aim))
+		}
+		if rng.Float64()*highest < d.rate(hits, zone, at)*share {
+			arrivals = append(arrivals, a)
+		}
+	}
+}
+
 // rate is how many requests a second would come at a moment if all clients were in one zone, z.
 func (d *Day) rate(hits []Hit, z int, at time.Duration) float64 {
 	r := d.Load.Rate
@@ -87,8 +104,8 @@
 	return r
 }
 
-// cumulated sums up shares.
-func cumulated[T any](of []T, share func(T) float64) []float64 {
+// cumulative sums up shares.
+func cumulative[T any](of []T, share func(T) float64) []float64 {
 	sums := make([]float64, len(of))
 	var sum float64
 	for i, x := range of {
@@ -98,8 +115,8 @@
 	return sums
 }
 
-// pickBy draws an index by its share; -1 of none.
-func pickBy(rng *rand.Rand, sums []float64) int {
+// drawIndex draws an index by its share; -1: there is none.
+func drawIndex(rng *rand.Rand, sums []float64) int {
 	x := rng.Float64()
 	if len(sums) == 0 || sums[len(sums)-1] == 0 {
 		return -1
@@ -107,18 +124,19 @@
 	return min(sort.SearchFloat64s(sums, x*sums[len(sums)-1]), len(sums)-1)
 }
 
-func drawn(rng *rand.Rand, r Range) time.Duration {
+// drawDuration draws evenly from a range.
+func drawDuration(rng *rand.Rand, r Range) time.Duration {
 	return r[0].D() + time.Duration(rng.Float64()*float64(r[1]-r[0]))
 }
 
-// tryBits is room for the number of a try beside that of its arrival.
+// tryBits is how many bits of a request's id are for the number of the retry, beside that of its arrival.
 const tryBits = 5
 
-// MaxTries is how many tries of one arrival can be told apart.
+// MaxTries is how many requests, first and retries, one arrival can have.
 const MaxTries = 1 << tryBits
 
-// TryID is the id that a client puts on a try: fresh on each, different for each seed, and never one of another try of
-// the day, since the mixing can be undone.
+// TryID is the id that a client gives to a request; try counts its retries. It differs for each seed, and from that of
+// every other request of the day, since the mixing (of SplitMix64) can be inverted.
 func (d *Day) TryID(arrival, try int) uint64 {
 	x := uint64(arrival)<<tryBits | uint64(try)
 	x += d.Seed * 0x9e3779b97f4a7c15
--- a/internal/lab/day/settings.go
+++ b/internal/lab/day/settings.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// repeats names, for each kind of repeat in a day file, that of the settings.
-var repeats = map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
+// repeatNames are, for each kind of repeat in a day file, that of the settings.
+var repeatNames = map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
 
 // Settings is the settings object that balancer b reads from its configuration, in the form of the platform. Both
 // engines hand it to the program through the same decoder.
@@ -22,7 +22,7 @@
 	}
 	profiles := []object{}
 	for _, c := range d.Classes {
-		profiles = append(profiles, object{"name": c.Name, "repeat": repeats[c.Repeat], "group": c.Group,
+		profiles = append(profiles, object{"name": c.Name, "repeat": repeatNames[c.Repeat], "group": c.Group,
 			"memory_span_us": us(c.Memory), "target_us": us(c.Aim), "give_up_us": us(c.Deadline), "worth": c.Worth,
 			"late_worth": 0.0, "stream": false})
 	}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := judged(d, "live", out.Events)
+	r := newResult(d, "live", out.Events)
 	r.Summary.Lab = measure.LabOf(out.Lateness, d.Length.D().Seconds(), out.LabCPU, out.NodeCPU, out.Crossed)
 	return r, nil
 }
@@ -45,11 +45,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return judged(d, "model", events), nil
+	return newResult(d, "model", events), nil
 }
 
 // judged makes a result of a history.
-func judged(d *day.Day, engine string, events []history.Event) *Result {
+func newResult(d *day.Day, engine string, events []history.Event) *Result {
 	r := &Result{Day: d, Fleet: d.Fleet(), Arrivals: d.Arrivals(), Events: events}
 	r.Violations = check.Judge(d, r.Fleet, events)
 	r.Summary = measure.Summarize(d, r.Fleet, engine, r.Arrivals, events, r.Violations)
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -43,7 +43,7 @@
 var b, u = day.Party{Kind: day.BalancerParty}, day.Party{Kind: day.UpstreamParty}
 
 // pair returns a network and the two ends of a connection over it: the balancer's own, and the upstream's.
-func pair(t *testing.T) (*Net, *Listener, net.Conn, *Conn) {
+func pair(t *testing.T) (*Network, *Listener, net.Conn, *Conn) {
 	t.Helper()
 	d := labtest.Day(t, cutDay)
 	n := New(d.NewPaths(d.Fleet()), 1)
--- /dev/null
+++ b/internal/lab/link/network.go
@@ -0,0 +1,157 @@
+// Package link carries the connections of an emulated network. What a connection passes on takes as long as the link
+// between its two parties takes at that moment; where the link is cut it falls silent without being reset, and new
+// connections do not come up. A connection has the kernel's own buffers and order; this package only delays its bytes.
+package link
+
+import (
+	"context"
+	"math/rand/v2"
+	"net"
+	"sync"
+	"time"
+
+	"sprucehill/internal/lab/day"
+)
+
+// lossStream sets the network's random draws apart from other uses of the day's seed.
+const lossStream = 0x6c696e6b
+
+// Network is the network of one day.
+type Network struct {
+	mu        sync.Mutex
+	paths     *day.Paths
+	rng       *rand.Rand
+	vanished  map[day.Party]bool // machines
+	changed   chan struct{}      // closed at the next change
+	conns     map[*Conn]struct{}
+	listeners map[*Listener]struct{}
+}
+
+// New returns a network whose links are as paths has them.
+func New(paths *day.Paths, seed uint64) *Network {
+	return &Network{
+		paths:     paths,
+		rng:       rand.New(rand.NewPCG(seed, lossStream)),
+		vanished:  map[day.Party]bool{},
+		changed:   make(chan struct{}),
+		conns:     map[*Conn]struct{}{},
+		listeners: map[*Listener]struct{}{},
+	}
+}
+
+// Set begins or ends fault i. reset tells that the fault resets open connections.
+func (n *Network) Set(i int, on, reset bool) {
+	n.mu.Lock()
+	n.paths.Set(i, on)
+	var hit []*Conn
+	if on && reset {
+		hit = n.connsWhere(func(c *Conn) bool { return n.paths.Hits(i, c.near, c.far) || n.paths.Hits(i, c.far, c.near) })
+	}
+	n.notifyChange()
+	n.mu.Unlock()
+	resetConns(hit)
+	n.updateListeners()
+}
+
+// Vanish takes a machine off the network, or brings it back. Back, it resets what others still hold open to it.
+func (n *Network) Vanish(p day.Party, on bool) {
+	if !on { // before anything that is held back could still arrive
+		n.ResetAll(p)
+	}
+	n.mu.Lock()
+	n.vanished[p] = on
+	n.notifyChange()
+	n.mu.Unlock()
+	n.updateListeners()
+}
+
+// ResetAll resets every connection of a party, as when its process dies.
+func (n *Network) ResetAll(p day.Party) {
+	n.mu.Lock()
+	hit := n.connsWhere(func(c *Conn) bool { return c.near == p || c.far == p })
+	n.mu.Unlock()
+	resetConns(hit)
+}
+
+// connsWhere is the open connections that a function selects. n.mu is held.
+func (n *Network) connsWhere(selected func(*Conn) bool) []*Conn {
+	var conns []*Conn
+	for c := range n.conns {
+		if selected(c) {
+			conns = append(conns, c)
+		}
+	}
+	return conns
+}
+
+func resetConns(conns []*Conn) {
+	for _, c := range conns {
+		c.Reset()
+	}
+}
+
+// notifyChange wakes those who wait for a change. n.mu is held.
+func (n *Network) notifyChange() {
+	close(n.changed)
+	n.changed = make(chan struct{})
+}
+
+// updateListeners makes listeners take connections or not, as the links are now.
+func (n *Network) updateListeners() {
+	n.mu.Lock()
+	all := make([]*Listener, 0, len(n.listeners))
+	for l := range n.listeners {
+		all = append(all, l)
+	}
+	n.mu.Unlock()
+	for _, l := range all {
+		l.update()
+	}
+}
+
+// isCut tells whether a connection between two parties can't come up. n.mu is held.
+func (n *Network) isCut(a, b day.Party) bool {
+	return n.vanished[a] || n.vanished[b] || n.paths.Condition(a, b).Cut || n.paths.Condition(b, a).Cut
+}
+
+// transit is what becomes of a message that sets out now.
+type transit struct {
+	delay   time.Duration
+	cut     bool            // it does not pass: look again at a change
+	changed <-chan struct{} // closed at the next change
+}
+
+// transit is how a message of size bytes passes one way.
+func (n *Network) transit(from, to day.Party, size int) transit {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	c := n.paths.Condition(from, to)
+	if c.Cut || n.vanished[from] || n.vanished[to] {
+		return transit{cut: true, changed: n.changed}
+	}
+	return transit{delay: c.Lag(float64(size), n.rng.Float64), changed: n.changed}
+}
+
+// Dial opens a connection from near to far at an address. It waits while the link is cut, until ctx ends.
+func (n *Network) Dial(ctx context.Context, near, far day.Party, address string) (*Conn, error) {
+	for {
+		n.mu.Lock()
+		cut := n.isCut(near, far)
+		changed := n.changed
+		n.mu.Unlock()
+		if !cut {
+			break
+		}
+		select {
+		case <-changed:
+		case <-ctx.Done():
+			return nil, ctx.Err()
+		}
+	}
+	var d net.Dialer
+	c, err := d.DialContext(ctx, "tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	return n.Wrap(c, near, far), nil
+}
--- a/internal/lab/live/clients.go
+++ b/internal/lab/live/clients.go
@@ -32,13 +32,13 @@
 // event is an event of this request.
 func (q *clientRequest) event(kind history.Kind) history.Event {
 	return history.Event{
-		Kind:     kind,
-		Req:      q.id,
-		Arrival:  int32(q.arrival),
-		Try:      int8(q.number),
-		Class:    int16(q.class),
-		Balancer: int32(q.balancer),
-		Upstream: history.None,
+		Kind:      kind,
+		RequestID: q.id,
+		Arrival:   int32(q.arrival),
+		Retry:     int8(q.number),
+		Class:     int16(q.class),
+		Balancer:  int32(q.balancer),
+		Upstream:  history.None,
 	}
 }
 
@@ -59,14 +59,14 @@
 func (z *zoneClients) arrive() {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.zone.First()
+	z.zone.AddRequest()
 }
 
 // retry tells whether a client retries, and after how long.
 func (z *zoneClients) retry(class int, result client.Result, tries int, left, retryAfter time.Duration, draw float64) (time.Duration, bool) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	return z.zone.Again(class, result, tries, left, retryAfter, draw)
+	return z.zone.Retry(class, result, tries, left, retryAfter, draw)
 }
 
 // sendArrivals begins each arrival at its time, whatever became of those before, and returns when all have ended.
--- a/internal/lab/live/exchange.go
+++ b/internal/lab/live/exchange.go
@@ -34,13 +34,13 @@
 	for newConn := false; ; newConn = true {
 		b, ok := f.nextBalancer()
 		if !ok {
-			return requestEnd{result: client.Unreached}
+			return requestEnd{result: client.NotConnected}
 		}
 		q.balancer = b
 		c, err := f.connect(ctx, b, newConn, q.deadline)
 		if err != nil {
-			r.record(q.event(history.Refused))
-			return requestEnd{result: client.Unreached}
+			r.record(q.event(history.NotConnected))
+			return requestEnd{result: client.NotConnected}
 		}
 		end := r.exchange(q, c, f)
 		if !end.staleConn || newConn {
@@ -56,15 +56,15 @@
 func (r *run) exchange(q *clientRequest, c *clientConn, f *front) requestEnd {
 	message := r.encode(q)
 	reused := c.reused
-	asked := q.event(history.Asked)
-	asked.Limit = q.deadline
+	asked := q.event(history.Sent)
+	asked.Deadline = q.deadline
 	if _, err := c.Write(message); err != nil {
 		c.Close()
 		if reused {
-			return requestEnd{result: client.Unreached, staleConn: true}
+			return requestEnd{result: client.NotConnected, staleConn: true}
 		}
-		r.record(q.event(history.Refused)) // the request was not sent in full
-		return requestEnd{result: client.Unreached}
+		r.record(q.event(history.NotConnected)) // the request was not sent in full
+		return requestEnd{result: client.NotConnected}
 	}
 	q.wroteAt = r.now()
 	asked.At = q.wroteAt
@@ -112,15 +112,15 @@
 func (r *run) endWithoutAnswer(q *clientRequest, reused bool, err error) requestEnd {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		if q.leavesAt > 0 {
-			r.record(q.event(history.Left))
-			return requestEnd{result: client.Left}
+			r.record(q.event(history.ClientLeft))
+			return requestEnd{result: client.Disconnected}
 		}
-		r.record(q.event(history.Silent))
+		r.record(q.event(history.TimedOut))
 		return requestEnd{result: client.Failed}
 	}
 	stale := reused && r.now()-q.wroteAt < staleConnWindow && !q.seenUpstream.Load() && !r.nodes[q.balancer].wasKilled()
 	if stale {
-		return requestEnd{result: client.Unreached, staleConn: true}
+		return requestEnd{result: client.NotConnected, staleConn: true}
 	}
 	r.record(q.event(history.Broken))
 	return requestEnd{result: client.Failed}
@@ -147,7 +147,7 @@
 		answered.Result = client.Served
 		answered.Upstream, answered.Serial, answered.Text = parseBody(q.id, body)
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		answered.Result = client.Refused
+		answered.Result = client.Rejected
 		retryAfter = retryAfterOf(resp.Header)
 	default:
 		answered.Result = client.Failed
--- a/internal/lab/live/limits.go
+++ b/internal/lab/live/limits.go
@@ -41,10 +41,10 @@
 		return // it has just ended
 	}
 	if limit := r.day.Balancer.MemoryMB; memoryMB > limit {
-		n.record(history.Over, memoryMB, fmt.Sprintf("memory, of %d MB", limit))
+		n.record(history.OverLimit, memoryMB, fmt.Sprintf("memory, of %d MB", limit))
 	}
 	if limit := r.day.Balancer.Sockets; descriptors > limit {
-		n.record(history.Over, descriptors, fmt.Sprintf("descriptors, of %d", limit))
+		n.record(history.OverLimit, descriptors, fmt.Sprintf("descriptors, of %d", limit))
 	}
 }
 
--- a/internal/lab/live/log.go
+++ b/internal/lab/live/log.go
@@ -31,13 +31,13 @@
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil || line.Msg != "zone" {
 			continue
 		}
-		z := n.run.fleet.ZoneNamed(line.Zone)
+		z := n.run.fleet.ZoneByLocality(line.Zone)
 		if z < 0 {
 			continue
 		}
 		events = append(events, history.Event{
 			At:       max(0, line.Time.Sub(origin)),
-			Kind:     history.Zoned,
+			Kind:     history.ZoneState,
 			Balancer: int32(n.index),
 			Upstream: history.None,
 			Arrival:  history.None,
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -144,7 +144,7 @@
 		}
 		return n.restart(fault)
 	case "freeze":
-		return n.signal(syscall.SIGSTOP, history.Frozen)
+		return n.signal(syscall.SIGSTOP, history.Paused)
 	case "clock":
 		n.run.registry.setClockOffset(n.index, fault.Delay.D())
 	}
@@ -160,7 +160,7 @@
 		n.kill()
 		return n.restart(fault)
 	case "freeze":
-		return n.signal(syscall.SIGCONT, history.Thawed)
+		return n.signal(syscall.SIGCONT, history.Resumed)
 	case "clock":
 		n.run.registry.setClockOffset(n.index, 0)
 	}
@@ -168,7 +168,7 @@
 }
 
 // exitTimeout is how long after SIGTERM a process may take to end.
-func (n *node) exitTimeout() time.Duration { return n.run.day.Longest() + exitMargin }
+func (n *node) exitTimeout() time.Duration { return n.run.day.MaxDeadline() + exitMargin }
 
 // restart starts the process again after a fault, without its saved state where the fault loses it.
 func (n *node) restart(fault day.Fault) error {
--- a/internal/lab/live/registry.go
+++ b/internal/lab/live/registry.go
@@ -126,12 +126,12 @@
 
 // phaseEvent says that balancer b knows upstream u to be in a phase.
 func phaseEvent(b, u int, phase string) history.Event {
-	return history.Event{Kind: history.Told, Balancer: int32(b), Upstream: int32(u), Arrival: history.None, Text: phase}
+	return history.Event{Kind: history.Notified, Balancer: int32(b), Upstream: int32(u), Arrival: history.None, Text: phase}
 }
 
 // onUpstreamFault announces what a fault does to an upstream, as discovery learns of it.
 func (g *registry) onUpstreamFault(u int, fault day.Fault, on bool, at time.Time) {
-	phase, delay, cold := g.run.day.Announced(fault, on)
+	phase, delay, cold := g.run.day.EndpointPhase(fault, on)
 	if phase == "" {
 		return
 	}
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -57,7 +57,7 @@
 	day          *day.Day
 	fleet        *day.Fleet
 	options      Options
-	net          *link.Net
+	net          *link.Network
 	base         int // second byte of all addresses
 	arrivals     []day.Arrival
 	serverOrigin time.Time // of the upstreams' own time
--- a/internal/lab/live/timetable.go
+++ b/internal/lab/live/timetable.go
@@ -20,9 +20,9 @@
 			return
 		case <-time.After(c.At - r.now()):
 		}
-		kind := history.FaultOff
+		kind := history.FaultEnded
 		if c.On {
-			kind = history.FaultOn
+			kind = history.FaultBegan
 		}
 		r.record(history.Event{Kind: kind, Fault: int32(c.Fault), Arrival: history.None, Balancer: history.None, Upstream: history.None})
 		r.applyChange(c, hits[c.Fault])
--- a/internal/lab/live/upstream.go
+++ b/internal/lab/live/upstream.go
@@ -59,7 +59,7 @@
 	defer u.mu.Unlock()
 	seed := u.run.day.Seed<<16 + uint64(u.index)
 	u.server = server.New(u.model(), u.run.day.Balancer, seed, u.clock(), cold)
-	u.server.Suffer(u.faults)
+	u.server.SetFaults(u.faults)
 	if u.listeners != nil {
 		return nil
 	}
@@ -158,7 +158,7 @@
 	}
 	if u.server != nil {
 		u.advance()
-		u.server.Suffer(u.faults)
+		u.server.SetFaults(u.faults)
 	}
 }
 
@@ -185,7 +185,7 @@
 	if !vanishes {
 		u.run.net.ResetAll(u.party)
 	}
-	u.run.record(u.processEvent(history.Died))
+	u.run.record(u.processEvent(history.UpstreamStopped))
 }
 
 // restart starts the process again, cold.
@@ -198,11 +198,11 @@
 		listeners := slices.Clone(u.listeners)
 		u.mu.Unlock()
 		for _, l := range listeners {
-			l.Forget()
+			l.ResetPending()
 		}
 		u.run.net.Vanish(u.party, false)
 	}
-	u.run.record(u.processEvent(history.Began))
+	u.run.record(u.processEvent(history.UpstreamStarted))
 	u.wakeLoop()
 }
 
--- a/internal/lab/live/upstreamconn.go
+++ b/internal/lab/live/upstreamconn.go
@@ -34,21 +34,21 @@
 // event is an event of this attempt.
 func (a *upstreamAttempt) event(u *upstream, kind history.Kind) history.Event {
 	return history.Event{
-		Kind:     kind,
-		Req:      a.id,
-		Arrival:  int32(a.request.arrival),
-		Try:      int8(a.request.number),
-		Class:    int16(a.request.class),
-		Balancer: int32(a.balancer),
-		Upstream: int32(u.index),
-		Serial:   a.serial,
+		Kind:      kind,
+		RequestID: a.id,
+		Arrival:   int32(a.request.arrival),
+		Retry:     int8(a.request.number),
+		Class:     int16(a.request.class),
+		Balancer:  int32(a.balancer),
+		Upstream:  int32(u.index),
+		Serial:    a.serial,
 	}
 }
 
 // arrivalEvent is the event of an attempt that has come: taken or turned away.
 func (u *upstream) arrivalEvent(a *upstreamAttempt, kind history.Kind) history.Event {
 	event := a.event(u, kind)
-	event.First = a.firstByteAt
+	event.FirstByteAt = a.firstByteAt
 	event.Work = float32(u.run.arrivals[a.request.arrival].Work.Seconds())
 	return event
 }
@@ -75,7 +75,7 @@
 	if u.server == nil {
 		return false
 	}
-	u.server.Knock()
+	u.server.AcceptConn()
 	u.conns[c] = struct{}{}
 	u.limitConns()
 	return true
@@ -96,7 +96,7 @@
 	}
 	full := len(u.conns) >= limit
 	for _, l := range u.listeners {
-		l.Full(full)
+		l.SetFull(full)
 	}
 }
 
@@ -174,14 +174,14 @@
 	a.job = u.lastJob
 	taken, toppled := u.server.Arrive(a.job, arrival.Work, arrival.Wait)
 	if !taken {
-		u.run.record(u.arrivalEvent(a, history.Turned))
+		u.run.record(u.arrivalEvent(a, history.Rejected))
 		go u.reply(a, http.StatusServiceUnavailable, u.loadReport())
 		return
 	}
 	u.jobs[a.job] = a
 	u.run.record(u.arrivalEvent(a, history.Arrived))
 	if toppled {
-		u.run.record(u.processEvent(history.Toppled))
+		u.run.record(u.processEvent(history.Collapsed))
 	}
 	u.wakeLoop()
 }
--- a/internal/lab/measure/measure_test.go
+++ b/internal/lab/measure/measure_test.go
@@ -59,7 +59,7 @@
 		a := day.Arrival{At: time.Duration(i) * 100 * time.Millisecond, Class: i % 2, Tenant: -1}
 		arrivals = append(arrivals, a)
 		latency, u := of(i, a)
-		e := history.Event{At: a.At, Kind: history.Asked, Req: uint64(i), Arrival: int32(i), Upstream: history.None}
+		e := history.Event{At: a.At, Kind: history.Sent, RequestID: uint64(i), Arrival: int32(i), Upstream: history.None}
 		events = append(events, e)
 		e.Kind, e.Upstream, e.Work = history.Arrived, u, 0.01
 		events = append(events, e)
@@ -115,10 +115,10 @@
 func TestRequestsAreFollowed(t *testing.T) {
 	d, arrivals, _ := made(t, func(int, day.Arrival) (time.Duration, int32) { return time.Millisecond, 0 })
 	at := func(ms int, kind history.Kind, try int8, r client.Result) history.Event {
-		return history.Event{At: time.Duration(ms) * time.Millisecond, Kind: kind, Try: try, Result: r}
+		return history.Event{At: time.Duration(ms) * time.Millisecond, Kind: kind, Retry: try, Result: r}
 	}
-	r := Requests(d, arrivals[:1], []history.Event{at(0, history.Asked, 0, 0), at(5, history.Answered, 0, client.Refused),
-		at(9, history.Asked, 1, 0), at(500, history.Answered, 1, client.Served), at(600, history.Answered, 1, client.Failed)})[0]
+	r := Requests(d, arrivals[:1], []history.Event{at(0, history.Sent, 0, 0), at(5, history.Answered, 0, client.Rejected),
+		at(9, history.Sent, 1, 0), at(500, history.Answered, 1, client.Served), at(600, history.Answered, 1, client.Failed)})[0]
 	if r.End != InTime || r.Tries != 2 || r.Latency != 500*time.Millisecond {
 		t.Errorf("got %+v", r)
 	}
@@ -141,7 +141,7 @@
 	d, arrivals, events := made(t, func(i int, _ day.Arrival) (time.Duration, int32) { return 50 * time.Millisecond, int32(i / 150) })
 	d.Faults[0].Target = []string{"zone:b"}
 	told := func(at time.Duration, balancer int32, zone int16, state string) {
-		events = append(events, history.Event{At: at, Kind: history.Zoned, Balancer: balancer, Zone: zone, Upstream: history.None,
+		events = append(events, history.Event{At: at, Kind: history.ZoneState, Balancer: balancer, Zone: zone, Upstream: history.None,
 			Arrival: history.None, Text: state})
 	}
 	told(10*time.Second+400*time.Millisecond, 0, 1, "failed")
@@ -189,7 +189,7 @@
 	}
 	s := startsOf([]history.Event{of(0, history.Started, 0, 0), of(5, history.Ready, 0, 0), of(50, history.Answered, 0, client.Served),
 		of(1000, history.Started, 0, 0), of(1000, history.Started, 1, 0), of(1020, history.Ready, 0, 0), of(1030, history.Ready, 0, 0),
-		of(1100, history.Answered, 0, client.Refused), of(1250, history.Answered, 0, client.Served), of(1300, history.Answered, 0, client.Served),
+		of(1100, history.Answered, 0, client.Rejected), of(1250, history.Answered, 0, client.Served), of(1300, history.Answered, 0, client.Served),
 		of(1400, history.Exited, 1, 0), of(2000, history.Exited, 0, 0)})
 	if s == nil || s.Count != 2 || s.Never != 1 || math.Abs(s.ReadyP99-0.02) > 1e-3 || math.Abs(s.ServedP99-0.25) > 1e-3 {
 		t.Errorf("%+v, want 2 starts, one of which served nobody, ready after 0.02 s, served after 0.25", s)
--- a/internal/lab/measure/requests.go
+++ b/internal/lab/measure/requests.go
@@ -73,19 +73,19 @@
 // apply takes an event of the request, which came at arrivedAt and has a latency objective.
 func (r *Request) apply(e history.Event, arrivedAt, objective time.Duration) {
 	switch e.Kind {
-	case history.Asked:
-		r.Tries = max(r.Tries, int(e.Try)+1)
+	case history.Sent:
+		r.Tries = max(r.Tries, int(e.Retry)+1)
 		if !r.served() {
 			r.End = Failed
 		}
-	case history.Refused:
-		r.Tries = max(r.Tries, int(e.Try)+1)
+	case history.NotConnected:
+		r.Tries = max(r.Tries, int(e.Retry)+1)
 		if !r.served() {
 			r.End = Unreached
 		}
-	case history.Arrived, history.Turned:
+	case history.Arrived, history.Rejected:
 		r.Attempts++
-	case history.Left:
+	case history.ClientLeft:
 		r.End = Left
 	case history.Answered:
 		if r.served() { // the first good answer counts
@@ -102,7 +102,7 @@
 // endOf is how an answered request ended.
 func endOf(result client.Result, latency, objective time.Duration) End {
 	switch {
-	case result == client.Refused:
+	case result == client.Rejected:
 		return Refused
 	case result != client.Served:
 		return Failed
--- a/internal/lab/measure/series.go
+++ b/internal/lab/measure/series.go
@@ -47,7 +47,7 @@
 		windowAt(arrivals[i].At).addRequest(r)
 	}
 	for _, e := range events {
-		if e.Kind == history.Arrived || e.Kind == history.Turned {
+		if e.Kind == history.Arrived || e.Kind == history.Rejected {
 			windowAt(e.At).addAttempt(f, e)
 		}
 	}
--- a/internal/lab/measure/zones.go
+++ b/internal/lab/measure/zones.go
@@ -11,13 +11,13 @@
 
 const (
 	// zoneHit is the part of a zone's upstreams that a fault has to hit for a balancer to be right to leave the zone.
-	zoneHit = 0.75
+	zoneLost = 0.75
 	// halfHit is the part from which on it is no mistake to doubt it.
-	halfHit = 0.5
+	zoneDoubtful = 0.5
 	// evidenceLags is how long after a fault's end a balancer may still leave a zone for it: reports and answers lag.
-	evidenceLags = 5 * time.Second
+	evidenceLag = 5 * time.Second
 	// swingBin is the least stretch over which a zone's part of the attempts is taken: less is chance.
-	swingBin = 5 * time.Second
+	swingWidth = 5 * time.Second
 )
 
 // Zone is what a zone carried after the first stretch.
@@ -57,7 +57,7 @@
 		all += float64(m.Cores) * m.Speed * seconds
 	}
 	for _, e := range events {
-		if e.At < d.Settle.D() || (e.Kind != history.Arrived && e.Kind != history.Turned) {
+		if e.At < d.Settle.D() || (e.Kind != history.Arrived && e.Kind != history.Rejected) {
 			continue
 		}
 		to := f.Upstreams[e.Upstream].Zone
@@ -75,22 +75,22 @@
 			z.Fullest = max(z.Fullest, z.All[i].Use/(done/all))
 		}
 	}
-	z.Swing = swing(d, f, series)
+	z.Swing = zoneSwing(d, f, series)
 	_, hits := d.Timetable()
-	t := truth{d, f, d.NewPaths(f), hits}
-	if slices.ContainsFunc(events, func(e history.Event) bool { return e.Kind == history.Zoned }) {
-		z.Leave, z.Wrongly = t.leave(events), t.wrongly(events)
+	t := faultTruth{d, f, d.NewPaths(f), hits}
+	if slices.ContainsFunc(events, func(e history.Event) bool { return e.Kind == history.ZoneState }) {
+		z.Leave, z.Wrongly = t.leaveTimes(events), t.wronglyDoubted(events)
 	}
 	return z
 }
 
 // swing is how far a zone's part of all attempts moves, peak to peak, after the first stretch.
-func swing(d *day.Day, f *day.Fleet, series []Window) (most float64) {
+func zoneSwing(d *day.Day, f *day.Fleet, series []Window) (most float64) {
 	low, high := make([]float64, len(f.Zones)), make([]float64, len(f.Zones))
 	for i := range low {
 		low[i] = math.Inf(1)
 	}
-	width := max(1, int(swingBin/d.Window.D()))
+	width := max(1, int(swingWidth/d.Window.D()))
 	first := int((d.Settle + d.Window - 1) / d.Window)
 	for at := first; at+width <= len(series); at += width {
 		sent, all := make([]float64, len(f.Zones)), 0.0
@@ -110,7 +110,7 @@
 }
 
 // truth is what the timetable does to zones, as a balancer at its place could know it at best.
-type truth struct {
+type faultTruth struct {
 	day   *day.Day
 	fleet *day.Fleet
 	paths *day.Paths
@@ -118,20 +118,20 @@
 }
 
 // hit is the part of a zone's upstreams that fault i takes away from a balancer.
-func (t truth) hit(i, balancer, zone int) float64 {
+func (t faultTruth) hitShare(i, balancer, zone int) float64 {
 	n, bad := 0.0, 0.0
 	for u, up := range t.fleet.Upstreams {
 		if up.Zone != zone {
 			continue
 		}
-		if n++; t.takes(i, t.hits[i], balancer, u) {
+		if n++; t.takesAway(i, t.hits[i], balancer, u) {
 			bad++
 		}
 	}
 	return ratio(bad, n)
 }
 
-func (t truth) takes(i int, hit day.Hit, balancer, upstream int) bool {
+func (t faultTruth) takesAway(i int, hit day.Hit, balancer, upstream int) bool {
 	switch kind := t.day.Faults[i].Kind; {
 	case hit.Scope == day.OnUpstreams && (kind == "down" || kind == "vanish" || kind == "errors"):
 		return slices.Contains(hit.Targets, upstream)
@@ -143,7 +143,7 @@
 }
 
 // end is when a fault ends.
-func (t truth) end(i int) time.Duration {
+func (t faultTruth) faultEnd(i int) time.Duration {
 	f := t.day.Faults[i]
 	if f.For == 0 {
 		return t.day.Length.D()
@@ -153,22 +153,22 @@
 
 // leave takes, for each fault and each balancer from which it takes most of a zone, the time until that balancer has
 // left the zone, or has been told by discovery that all of it is gone.
-func (t truth) leave(events []history.Event) *Leave {
+func (t faultTruth) leaveTimes(events []history.Event) *Leave {
 	h := newHistogram()
 	out := &Leave{}
 	of := make([][]history.Event, len(t.fleet.Balancers))
 	for _, e := range events {
-		if e.Kind == history.Zoned || e.Kind == history.Told {
+		if e.Kind == history.ZoneState || e.Kind == history.Notified {
 			of[e.Balancer] = append(of[e.Balancer], e)
 		}
 	}
 	for i, fault := range t.day.Faults {
 		for b := range t.fleet.Balancers {
 			for z := range t.fleet.Zones {
-				if t.hit(i, b, z) < zoneHit {
+				if t.hitShare(i, b, z) < zoneLost {
 					continue
 				}
-				if at, left := t.leftAt(of[b], z, fault.At.D(), t.end(i)); left {
+				if at, left := t.leftAt(of[b], z, fault.At.D(), t.faultEnd(i)); left {
 					h.record(max(at-fault.At.D(), time.Microsecond))
 					out.Count++
 				} else {
@@ -186,7 +186,7 @@
 }
 
 // leftAt finds among the events of one balancer when it had left a zone.
-func (t truth) leftAt(events []history.Event, zone int, from, to time.Duration) (time.Duration, bool) {
+func (t faultTruth) leftAt(events []history.Event, zone int, from, to time.Duration) (time.Duration, bool) {
 	gone, size := map[int32]bool{}, 0
 	for _, u := range t.fleet.Upstreams {
 		if u.Zone == zone {
@@ -198,9 +198,9 @@
 		case e.At < from:
 		case e.At >= to:
 			return 0, false
-		case e.Kind == history.Zoned && int(e.Zone) == zone && e.Text == "failed":
+		case e.Kind == history.ZoneState && int(e.Zone) == zone && e.Text == "failed":
 			return e.At, true
-		case e.Kind == history.Told && t.fleet.Upstreams[e.Upstream].Zone == zone:
+		case e.Kind == history.Notified && t.fleet.Upstreams[e.Upstream].Zone == zone:
 			if gone[e.Upstream] = e.Text == "removed"; !gone[e.Upstream] {
 				delete(gone, e.Upstream)
 			}
@@ -213,16 +213,16 @@
 }
 
 // wrongly is the part of pairs of balancers and well upstreams in whose zone the balancer lost faith without a reason.
-func (t truth) wrongly(events []history.Event) float64 {
+func (t faultTruth) wronglyDoubted(events []history.Event) float64 {
 	wrong := map[[2]int]bool{}
 	for _, e := range events {
-		if e.Kind != history.Zoned || (e.Text != "failed" && e.Text != "doubtful") {
+		if e.Kind != history.ZoneState || (e.Text != "failed" && e.Text != "doubtful") {
 			continue
 		}
 		reason := false
 		for i, fault := range t.day.Faults {
-			within := e.At >= fault.At.D() && e.At < t.end(i)+evidenceLags
-			reason = reason || (within && t.hit(i, int(e.Balancer), int(e.Zone)) >= halfHit)
+			within := e.At >= fault.At.D() && e.At < t.faultEnd(i)+evidenceLag
+			reason = reason || (within && t.hitShare(i, int(e.Balancer), int(e.Zone)) >= zoneDoubtful)
 		}
 		if !reason {
 			wrong[[2]int{int(e.Balancer), int(e.Zone)}] = true
--- a/internal/lab/model/actor.go
+++ b/internal/lab/model/actor.go
@@ -54,7 +54,7 @@
 
 // send sends a message to another actor. Over a link that is cut it is held until the link is up again.
 func (a *actor) send(to *actor, m message) {
-	conditions := a.sim.paths.Now(a.party, to.party)
+	conditions := a.sim.paths.Condition(a.party, to.party)
 	if conditions.Cut {
 		a.held = append(a.held, heldMessage{to, m})
 		return
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -123,5 +123,5 @@
 
 // recordPhase records that the process knows an upstream to be in a phase.
 func (n *node) recordPhase(upstream int, phase string) {
-	n.record(history.Event{Kind: history.Told, Balancer: int32(n.index), Upstream: int32(upstream), Arrival: history.None, Text: phase})
+	n.record(history.Event{Kind: history.Notified, Balancer: int32(n.index), Upstream: int32(upstream), Arrival: history.None, Text: phase})
 }
--- a/internal/lab/model/front.go
+++ b/internal/lab/model/front.go
@@ -62,7 +62,7 @@
 func (f *front) handle(m message) {
 	switch m.kind {
 	case msgArrival:
-		f.clients.First()
+		f.clients.AddRequest()
 		f.startRequest(m.index, 0)
 	case msgRetry:
 		f.startRequest(m.index, m.number)
@@ -155,14 +155,14 @@
 		}
 		return
 	}
-	f.finish(r, client.Unreached, 0)
+	f.finish(r, client.NotConnected, 0)
 }
 
 // write sends the request on its connection.
 func (f *front) write(r *frontRequest) {
 	r.sent = true
-	event := f.event(r, history.Asked)
-	event.Limit = r.deadline
+	event := f.event(r, history.Sent)
+	event.Deadline = r.deadline
 	f.record(event)
 	f.send(f.node(r.place), message{kind: msgRequest, id: r.id, request: r.clientRequest, duration: r.deadline - f.now})
 }
@@ -170,13 +170,13 @@
 // event is an event of a request.
 func (f *front) event(r *frontRequest, kind history.Kind) history.Event {
 	return history.Event{
-		Kind:     kind,
-		Req:      r.id,
-		Arrival:  r.arrival,
-		Try:      int8(r.number),
-		Class:    int16(f.sim.arrivals[r.arrival].Class),
-		Balancer: int32(f.nodes[r.place]),
-		Upstream: history.None,
+		Kind:      kind,
+		RequestID: r.id,
+		Arrival:   r.arrival,
+		Retry:     int8(r.number),
+		Class:     int16(f.sim.arrivals[r.arrival].Class),
+		Balancer:  int32(f.nodes[r.place]),
+		Upstream:  history.None,
 	}
 }
 
@@ -184,8 +184,8 @@
 func (f *front) onReset(r *frontRequest, requestRead bool) {
 	switch {
 	case !r.sent:
-		f.record(f.event(r, history.Refused))
-		f.finish(r, client.Unreached, 0)
+		f.record(f.event(r, history.NotConnected))
+		f.finish(r, client.NotConnected, 0)
 	case r.reused && !requestRead && !r.retriedOnNew: // the balancer closed it between requests
 		r.retriedOnNew = true
 		f.assign(r)
@@ -207,7 +207,7 @@
 		event.Upstream = m.index
 		event.Serial = m.number
 	case statusRefused:
-		event.Result = client.Refused
+		event.Result = client.Rejected
 	default:
 		event.Result = client.Failed
 	}
@@ -220,14 +220,14 @@
 	switch {
 	case r.leavesAt > 0 && f.now >= r.leavesAt:
 		if r.sent {
-			f.disconnect(r, history.Left)
+			f.disconnect(r, history.ClientLeft)
 		}
-		f.finish(r, client.Left, 0)
+		f.finish(r, client.Disconnected, 0)
 	case !r.sent && f.now >= r.deadline:
-		f.record(f.event(r, history.Refused))
-		f.finish(r, client.Unreached, 0)
+		f.record(f.event(r, history.NotConnected))
+		f.finish(r, client.NotConnected, 0)
 	case r.sent && f.now >= r.deadline+check.Grace:
-		f.disconnect(r, history.Silent)
+		f.disconnect(r, history.TimedOut)
 		f.finish(r, client.Failed, 0)
 	}
 }
@@ -243,7 +243,7 @@
 	delete(f.pending, r.id)
 	a := f.sim.arrivals[r.arrival]
 	draw := rand.New(rand.NewPCG(f.sim.day.Seed, uint64(r.arrival)<<8|uint64(r.number))).Float64()
-	wait, retries := f.clients.Again(a.Class, result, int(r.number)+1, r.deadline-f.now, retryAfter, draw)
+	wait, retries := f.clients.Retry(a.Class, result, int(r.number)+1, r.deadline-f.now, retryAfter, draw)
 	if retries {
 		f.after(wait, message{kind: msgRetry, index: r.arrival, number: r.number + 1})
 	}
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -147,14 +147,14 @@
 	for _, e := range play(t, d, Options{Workers: 4}) {
 		switch e.Kind {
 		case history.Arrived:
-			open[key{e.Req, e.Upstream, e.Serial}] = e
+			open[key{e.RequestID, e.Upstream, e.Serial}] = e
 		case history.Replied, history.Abandoned:
-			delete(open, key{e.Req, e.Upstream, e.Serial})
-		case history.Asked:
-			asked[e.Req] = e
-		case history.Answered, history.Broken, history.Silent, history.Left:
-			delete(asked, e.Req)
-		case history.Toppled:
+			delete(open, key{e.RequestID, e.Upstream, e.Serial})
+		case history.Sent:
+			asked[e.RequestID] = e
+		case history.Answered, history.Broken, history.TimedOut, history.ClientLeft:
+			delete(asked, e.RequestID)
+		case history.Collapsed:
 			toppled[e.Upstream] = true
 		}
 	}
@@ -202,7 +202,7 @@
 		for _, e := range play(t, d, Options{Workers: 2, Policy: policy}) {
 			if e.Kind == history.Answered && e.Result == client.Served {
 				good++
-			} else if e.Kind == history.Asked && e.Try == 0 {
+			} else if e.Kind == history.Sent && e.Retry == 0 {
 				asked++
 			}
 		}
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -185,13 +185,13 @@
 		return
 	}
 	for _, z := range module.ZoneStatuses(n.clock()) {
-		i := n.sim.fleet.ZoneNamed(z.Name)
+		i := n.sim.fleet.ZoneByLocality(z.Name)
 		if i < 0 || n.zoneStates[i] == z.State {
 			continue
 		}
 		n.zoneStates[i] = z.State
 		n.record(history.Event{
-			Kind:     history.Zoned,
+			Kind:     history.ZoneState,
 			Balancer: int32(n.index),
 			Upstream: history.None,
 			Arrival:  history.None,
--- a/internal/lab/model/process.go
+++ b/internal/lab/model/process.go
@@ -148,13 +148,13 @@
 // stop stops the process, as SIGSTOP does.
 func (n *node) stop() {
 	n.stopped = true
-	n.recordProcess(history.Frozen)
+	n.recordProcess(history.Paused)
 }
 
 // resume continues a stopped process: it handles what came meanwhile.
 func (n *node) resume() {
 	n.stopped = false
-	n.recordProcess(history.Thawed)
+	n.recordProcess(history.Resumed)
 	missed := n.whileStopped
 	n.whileStopped = nil
 	for _, m := range missed {
--- a/internal/lab/model/sim.go
+++ b/internal/lab/model/sim.go
@@ -65,7 +65,7 @@
 	s := &sim{day: d, fleet: d.Fleet(), arrivals: d.Arrivals()}
 	s.paths = d.NewPaths(s.fleet)
 	_, s.hits = d.Timetable()
-	s.minDelay = s.paths.Least()
+	s.minDelay = s.paths.MinDelay()
 	if err := s.populate(policy); err != nil {
 		return nil, err
 	}
@@ -137,7 +137,7 @@
 // run plays the day, a step at a time.
 func (s *sim) run(ctx context.Context, o Options) error {
 	changes, _ := s.day.Timetable()
-	over := s.day.Length.D() + s.day.Longest() + dayTail
+	over := s.day.Length.D() + s.day.MaxDeadline() + dayTail
 	reported := time.Duration(0)
 	workers := newPool(max(1, o.Workers))
 	defer workers.close()
@@ -213,10 +213,10 @@
 func (s *sim) applyChange(c day.Change) {
 	fault := s.day.Faults[c.Fault]
 	hit := s.hits[c.Fault]
-	event := history.Event{At: c.At, Kind: history.FaultOff, Fault: int32(c.Fault), Arrival: history.None, Balancer: history.None, Upstream: history.None}
+	event := history.Event{At: c.At, Kind: history.FaultEnded, Fault: int32(c.Fault), Arrival: history.None, Balancer: history.None, Upstream: history.None}
 	m := message{at: c.At, kind: msgFaultEnds, index: int32(c.Fault)}
 	if c.On {
-		event.Kind = history.FaultOn
+		event.Kind = history.FaultBegan
 		m.kind = msgFaultBegins
 	}
 	s.faultEvents = append(s.faultEvents, event)
@@ -253,7 +253,7 @@
 
 // announceUpdate sends every balancer's agent the effect of a fault on the endpoint list, when discovery learns of it.
 func (s *sim) announceUpdate(c day.Change, fault day.Fault, hit day.Hit) {
-	phase, delay, cold := s.day.Announced(fault, c.On)
+	phase, delay, cold := s.day.EndpointPhase(fault, c.On)
 	if phase == "" {
 		return
 	}
--- a/internal/lab/model/upstream.go
+++ b/internal/lab/model/upstream.go
@@ -59,7 +59,7 @@
 func (u *upstream) start(cold bool) {
 	seed := u.sim.day.Seed<<16 + uint64(u.index)
 	u.server = server.New(u.model(), u.sim.day.Balancer, seed, u.now, cold)
-	u.server.Suffer(u.faults)
+	u.server.SetFaults(u.faults)
 	u.scheduleWake()
 }
 
@@ -120,7 +120,7 @@
 	default:
 		u.conns++
 		u.connsByNode[m.from]++
-		u.server.Knock()
+		u.server.AcceptConn()
 		u.send(u.sim.actors[m.from], message{kind: msgConnected, id: m.id, number: m.number})
 	}
 }
@@ -138,35 +138,35 @@
 	arrival := u.sim.arrivals[j.request.arrival]
 	u.lastJob++
 	taken, toppled := u.server.Arrive(u.lastJob, arrival.Work, arrival.Wait)
-	kind := history.Turned
+	kind := history.Rejected
 	if taken {
 		kind = history.Arrived
 		u.jobs[u.lastJob] = j
 		u.byAttempt[j.attemptKey] = u.lastJob
 	}
 	event := u.attemptEvent(j, kind)
-	event.First = u.now
+	event.FirstByteAt = u.now
 	event.Work = float32(arrival.Work.Seconds())
 	u.record(event)
 	if !taken {
 		u.reply(j, statusRefused)
 	}
 	if toppled {
-		u.record(u.processEvent(history.Toppled))
+		u.record(u.processEvent(history.Collapsed))
 	}
 }
 
 // attemptEvent is an event of an attempt.
 func (u *upstream) attemptEvent(j job, kind history.Kind) history.Event {
 	return history.Event{
-		Kind:     kind,
-		Req:      j.id,
-		Arrival:  j.request.arrival,
-		Try:      int8(j.request.number),
-		Class:    int16(u.sim.arrivals[j.request.arrival].Class),
-		Balancer: int32(u.sim.actors[j.node].party.Index),
-		Upstream: int32(u.index),
-		Serial:   j.number,
+		Kind:      kind,
+		RequestID: j.id,
+		Arrival:   j.request.arrival,
+		Retry:     int8(j.request.number),
+		Class:     int16(u.sim.arrivals[j.request.arrival].Class),
+		Balancer:  int32(u.sim.actors[j.node].party.Index),
+		Upstream:  int32(u.index),
+		Serial:    j.number,
 	}
 }
 
@@ -238,7 +238,7 @@
 // applyFaults makes the server behave as the faults of now have it.
 func (u *upstream) applyFaults() {
 	if u.server != nil {
-		u.server.Suffer(u.faults)
+		u.server.SetFaults(u.faults)
 	}
 }
 
@@ -247,7 +247,7 @@
 	u.server = nil
 	u.vanished = vanished
 	u.wakeAt = math.MaxInt64
-	u.record(u.processEvent(history.Died))
+	u.record(u.processEvent(history.UpstreamStopped))
 	for _, id := range slices.Sorted(maps.Keys(u.jobs)) {
 		j := u.jobs[id]
 		u.record(u.attemptEvent(j, history.Abandoned))
@@ -280,5 +280,5 @@
 	u.vanished = false
 	u.resetAll()
 	u.start(true)
-	u.record(u.processEvent(history.Began))
+	u.record(u.processEvent(history.UpstreamStarted))
 }
--- a/internal/lab/report/cost.go
+++ b/internal/lab/report/cost.go
@@ -26,14 +26,14 @@
 		for k, y := range of.ys {
 			points = append(points, plotter.XY{X: c.Size[k], Y: y})
 		}
-		if err := line(p, of.name, i, points); err != nil {
+		if err := addLine(p, of.name, i, points); err != nil {
 			return err
 		}
 		dots, err := plotter.NewScatter(points)
 		if err != nil {
 			return err
 		}
-		dots.Color = inks[i]
+		dots.Color = lineColors[i]
 		p.Add(dots)
 	}
 	return writePNG(path, figure{"cost", p, plotHeight})
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -18,7 +18,7 @@
 
 // The look of all plots: dark lines that differ in dashes too, so that they can be told apart in print.
 var (
-	inks = []color.RGBA{{0x1b, 0x6c, 0xa8, 255}, {0xc0, 0x39, 0x2b, 255}, {0x1e, 0x84, 0x49, 255}, {0x7d, 0x3c, 0x98, 255},
+	lineColors = []color.RGBA{{0x1b, 0x6c, 0xa8, 255}, {0xc0, 0x39, 0x2b, 255}, {0x1e, 0x84, 0x49, 255}, {0x7d, 0x3c, 0x98, 255},
 		{0xb9, 0x77, 0x0e, 255}, {0x34, 0x49, 0x5e, 255}, {0x11, 0x7a, 0x65, 255}, {0x6e, 0x2c, 0x00, 255}}
 	dashes = [][]vg.Length{nil, {vg.Points(6), vg.Points(3)}, {vg.Points(2), vg.Points(2)}, {vg.Points(8), vg.Points(3), vg.Points(2), vg.Points(3)}}
 	shade  = color.NRGBA{0xd3, 0x54, 0x00, 0x1c}
@@ -36,12 +36,12 @@
 )
 
 // legendRoom is how far the axis of time goes on beyond the day, so that the legend stands beside the lines.
-const legendRoom = 1.2
+const legendSpace = 1.2
 
 // within has ticks for the day's time only.
-type within struct{ seconds float64 }
+type dayTicks struct{ seconds float64 }
 
-func (w within) Ticks(lo, _ float64) []plot.Tick { return plot.DefaultTicks{}.Ticks(lo, w.seconds) }
+func (w dayTicks) Ticks(lo, _ float64) []plot.Tick { return plot.DefaultTicks{}.Ticks(lo, w.seconds) }
 
 // newPlot is a plot over the day's time with its axes.
 func newPlot(title, y string, seconds float64) *plot.Plot {
@@ -49,8 +49,8 @@
 	p.Title.Text = title
 	p.X.Label.Text = "time of the day, s"
 	p.Y.Label.Text = y
-	p.X.Min, p.X.Max = 0, seconds*legendRoom
-	p.X.Tick.Marker = within{seconds}
+	p.X.Min, p.X.Max = 0, seconds*legendSpace
+	p.X.Tick.Marker = dayTicks{seconds}
 	p.Title.Padding = vg.Points(6)
 	p.Legend.Top, p.Legend.XOffs = true, -vg.Points(6)
 	p.Legend.Padding = vg.Points(2)
@@ -59,19 +59,19 @@
 }
 
 // line adds a line of a number of its own.
-func line(p *plot.Plot, name string, index int, points plotter.XYs) error {
+func addLine(p *plot.Plot, name string, index int, points plotter.XYs) error {
 	l, err := plotter.NewLine(points)
 	if err != nil {
 		return fmt.Errorf("plotting %s: %w", name, err)
 	}
-	l.Color, l.Width, l.Dashes = inks[index%len(inks)], vg.Points(1.5), dashes[(index+index/len(inks))%len(dashes)]
+	l.Color, l.Width, l.Dashes = lineColors[index%len(lineColors)], vg.Points(1.5), dashes[(index+index/len(lineColors))%len(dashes)]
 	p.Add(l)
 	p.Legend.Add(name, l)
 	return nil
 }
 
 // over takes a figure of each window.
-func over(series []measure.Window, of func(measure.Window) (float64, bool)) plotter.XYs {
+func points(series []measure.Window, of func(measure.Window) (float64, bool)) plotter.XYs {
 	var points plotter.XYs
 	for _, w := range series {
 		if y, ok := of(w); ok {
@@ -82,7 +82,7 @@
 }
 
 // span is when a fault is on, within the day.
-func span(d *day.Day, f day.Fault) (from, to float64) {
+func faultSpan(d *day.Day, f day.Fault) (from, to float64) {
 	from, to = f.At.D().Seconds(), d.Length.D().Seconds()
 	if f.For > 0 {
 		to = min(to, (f.At + f.For).D().Seconds())
@@ -94,7 +94,7 @@
 }
 
 // box is a filled rectangle.
-func box(p *plot.Plot, x0, x1, y0, y1 float64, fill color.Color) error {
+func addBox(p *plot.Plot, x0, x1, y0, y1 float64, fill color.Color) error {
 	b, err := plotter.NewPolygon(plotter.XYs{{X: x0, Y: y0}, {X: x1, Y: y0}, {X: x1, Y: y1}, {X: x0, Y: y1}})
 	if err != nil {
 		return err
@@ -111,13 +111,13 @@
 	p := newPlot(fmt.Sprintf("%s, %s engine: worth served in time", s.Day, s.Engine), "share of the worth that came", s.Seconds)
 	top := 1.02
 	for i, f := range r.Day.Faults {
-		from, to := span(r.Day, f)
+		from, to := faultSpan(r.Day, f)
 		y := 1.04 + float64(i)*stripRow
-		ink := inks[(i+1)%len(inks)]
-		if err := box(p, from, to, y, y+stripRow*0.7, color.NRGBA{ink.R, ink.G, ink.B, 0x99}); err != nil {
+		ink := lineColors[(i+1)%len(lineColors)]
+		if err := addBox(p, from, to, y, y+stripRow*0.7, color.NRGBA{ink.R, ink.G, ink.B, 0x99}); err != nil {
 			return nil, err
 		}
-		if err := box(p, from, to, 0, 1, shade); err != nil {
+		if err := addBox(p, from, to, 0, 1, shade); err != nil {
 			return nil, err
 		}
 		labels, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: to + s.Seconds*0.005, Y: y + stripRow*0.1}}, Labels: []string{f.Kind}})
@@ -131,15 +131,15 @@
 	p.Y.Tick.Marker = plot.ConstantTicks([]plot.Tick{{Value: 0, Label: "0%"}, {Value: 0.25, Label: "25%"}, {Value: 0.5, Label: "50%"},
 		{Value: 0.75, Label: "75%"}, {Value: 1, Label: "100%"}})
 	p.Legend.Top, p.Legend.YOffs = false, vg.Points(12)
-	return p, line(p, "served in time", 0, over(s.Series, func(w measure.Window) (float64, bool) { return w.Share, w.Share >= 0 }))
+	return p, addLine(p, "served in time", 0, points(s.Series, func(w measure.Window) (float64, bool) { return w.Share, w.Share >= 0 }))
 }
 
 // shaded adds when faults are on to a plot whose y axis ends at top.
-func shaded(p *plot.Plot, d *day.Day, top float64) error {
+func shadeFaults(p *plot.Plot, d *day.Day, top float64) error {
 	p.Y.Min, p.Y.Max = 0, top
 	for _, f := range d.Faults {
-		from, to := span(d, f)
-		if err := box(p, from, to, 0, top, shade); err != nil {
+		from, to := faultSpan(d, f)
+		if err := addBox(p, from, to, 0, top, shade); err != nil {
 			return err
 		}
 	}
@@ -155,11 +155,11 @@
 			top = max(top, of(w, i))
 		}
 	}
-	if err := shaded(p, r.Day, max(top*1.25, 1e-6)); err != nil {
+	if err := shadeFaults(p, r.Day, max(top*1.25, 1e-6)); err != nil {
 		return nil, err
 	}
 	for i, name := range names {
-		if err := line(p, name, i, over(r.Summary.Series, func(w measure.Window) (float64, bool) { return of(w, i), true })); err != nil {
+		if err := addLine(p, name, i, points(r.Summary.Series, func(w measure.Window) (float64, bool) { return of(w, i), true })); err != nil {
 			return nil, err
 		}
 	}
@@ -315,4 +315,4 @@
 }
 
 // drawn draws a plot on a canvas.
-func drawn(f figure, c vg.CanvasSizer) { f.plot.Draw(draw.New(c)) }
+func drawFigure(f figure, c vg.CanvasSizer) { f.plot.Draw(draw.New(c)) }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -46,7 +46,7 @@
 	page := page{Result: r, Classes: shareRows(r.Summary.Class), Tenants: shareRows(r.Summary.Tenant)}
 	for _, f := range all {
 		svg := vgsvg.New(plotWidth, f.height)
-		drawn(f, svg)
+		drawFigure(f, svg)
 		var text bytes.Buffer
 		if _, err := svg.WriteTo(&text); err != nil {
 			return "", fmt.Errorf("drawing %s: %w", f.name, err)
@@ -68,7 +68,7 @@
 
 func writePNG(path string, f figure) error {
 	c := vgimg.NewWith(vgimg.UseWH(plotWidth, f.height), vgimg.UseDPI(dots))
-	drawn(f, c)
+	drawFigure(f, c)
 	file, err := os.Create(path)
 	if err != nil {
 		return err
@@ -88,8 +88,8 @@
 	Classes    []shareRow
 	Tenants    []shareRow
 	Rules      []ruleRow
-	Breaches   []story
-	Worst      []story
+	Breaches   []eventLog
+	Worst      []eventLog
 	Timetable  []faultRow
 	Recoveries []recoveryRow
 }
@@ -110,7 +110,7 @@
 	Broken int
 }
 
-type story struct {
+type eventLog struct {
 	Title string
 	Lines []string
 }
@@ -143,7 +143,7 @@
 		p.Rules = append(p.Rules, ruleRow{rule, s.Broken[rule]})
 	}
 	for _, v := range p.Violations[:min(len(p.Violations), shownViolations)] {
-		p.Breaches = append(p.Breaches, p.story(fmt.Sprintf("%s at %v: %s", v.Rule, v.At.Round(time.Millisecond), v.What), v.Trace))
+		p.Breaches = append(p.Breaches, p.eventLog(fmt.Sprintf("%s at %v: %s", v.Rule, v.At.Round(time.Millisecond), v.What), v.Trace))
 	}
 	byArrival := map[int32][]history.Event{}
 	for _, r := range s.WorstRequests {
@@ -161,7 +161,7 @@
 		if r.Latency > 0 {
 			title += fmt.Sprintf(", %.0f ms", r.Latency.Seconds()*1000)
 		}
-		p.Worst = append(p.Worst, p.story(title, byArrival[int32(r.Arrival)]))
+		p.Worst = append(p.Worst, p.eventLog(title, byArrival[int32(r.Arrival)]))
 	}
 	_, hits := p.Day.Timetable()
 	for i, f := range p.Day.Faults {
@@ -169,7 +169,7 @@
 		if f.For > 0 {
 			to = (f.At + f.For).D().String()
 		}
-		p.Timetable = append(p.Timetable, faultRow{f.At.D().String(), to, f.Kind, p.Day.Whom(p.Fleet, i, hits[i]), day.About(f.Kind)})
+		p.Timetable = append(p.Timetable, faultRow{f.At.D().String(), to, f.Kind, p.Day.TargetNames(p.Fleet, i, hits[i]), day.DescribeFault(f.Kind)})
 	}
 	for _, r := range s.Recoveries {
 		row := recoveryRow{r.Fault, fmt.Sprintf("%.1f s", r.At), "the end", percent(r.Before), percent(r.Least), "not within the day"}
@@ -184,8 +184,8 @@
 }
 
 // story is a history as lines.
-func (p *page) story(title string, trace []history.Event) story {
-	s := story{Title: title}
+func (p *page) eventLog(title string, trace []history.Event) eventLog {
+	s := eventLog{Title: title}
 	for _, e := range trace[max(0, len(trace)-shownEvents):] {
 		s.Lines = append(s.Lines, e.Describe(p.Day, p.Fleet))
 	}
--- a/internal/lab/server/server.go
+++ b/internal/lab/server/server.go
@@ -1,13 +1,13 @@
-// Package server is an emulated upstream: cores that share their work, slots and a queue, a cold start, pauses,
-// errors, late reports, and the fall of a cold server that is pushed over. It is a pure core: its owner tells it the
-// time and what arrives, and asks when to come back. Both engines use it, so a day means the same in each.
+// Package server is an emulated upstream: cores that share their work, slots and a queue, a cold start, pauses, errors,
+// load reports that lag, and the collapse of a cold server that gets too much. It is a pure core without a clock: its
+// owner calls it with the time and with what arrives, and asks when to come back. Both engines use it, so a day means
+// the same in each. It is not safe for concurrent use.
 //
-// A request that is taken holds a slot. First it waits on others, which takes no core; then it works, and all that
-// work share the cores evenly, none faster than one core. When it is done its slot goes to the head of the queue.
+// A request that is taken holds a slot. First it waits on others, which takes no core; then it works, and all that work
+// share the cores evenly, none faster than one core. When it is done its slot goes to the head of the queue.
 package server
 
 import (
-	"cmp"
 	"container/heap"
 	"math"
 	"math/rand/v2"
@@ -17,128 +17,83 @@
 )
 
 const (
-	// rampStep is how often the capacity of a server that warms up is looked at.
-	rampStep = 50 * time.Millisecond
-	// tipSlack is work, in seconds of a core of speed 1, that a cold server bears beyond its budget: one request more
+	// warmupStep is how often the capacity of a server that warms up is updated.
+	warmupStep = 50 * time.Millisecond
+	// coldSlack is work, in seconds of a core of speed 1, that a cold server bears beyond its budget: one request more
 	// or less is chance.
-	tipSlack = 0.3
-	// probeWork is what a probe or a new connection costs, in seconds of a core of speed 1.
-	probeWork = 0.0003
+	coldSlack = 0.3
+	// connWork is what a new connection or a health check costs, in seconds of a core of speed 1.
+	connWork = 0.0003
+	// finishTolerance is for rounding in attained service, in seconds of a core of speed 1.
+	finishTolerance = 1e-9
 )
 
-// JobID names a request at the server. The owner chooses it; it must not be in use.
-type JobID uint64
-
 // Done is a request that has ended.
 type Done struct {
 	Job    JobID
 	Failed bool // answered with an error
 }
 
-// Report is a load report.
-type Report struct {
-	Util   float64 // share of the cores' time that was used
-	Errors float64 // a second
-	Queue  float64 // requests that wait
-}
-
-// job is a request in work.
-type job struct {
-	id     JobID
-	work   float64 // seconds of a core of speed 1
-	wait   time.Duration
-	fails  bool
-	ready  time.Duration // its wait is over
-	finish float64       // on the server's clock of attained service
-	serial uint64
-	index  int // in the heap that holds it; -1: none
-	at     *jobs
-}
-
-// jobs is a heap of requests by a figure.
-type jobs struct {
-	of []*job
-	by func(*job) float64
-}
-
-func (h *jobs) Len() int { return len(h.of) }
-func (h *jobs) Less(i, j int) bool {
-	a, b := h.of[i], h.of[j]
-	return cmp.Or(cmp.Compare(h.by(a), h.by(b)), cmp.Compare(a.serial, b.serial)) < 0
-}
-func (h *jobs) Swap(i, j int) {
-	h.of[i], h.of[j] = h.of[j], h.of[i]
-	h.of[i].index, h.of[j].index = i, j
-}
-func (h *jobs) Push(x any) {
-	j := x.(*job)
-	j.index, j.at = len(h.of), h
-	h.of = append(h.of, j)
-}
-func (h *jobs) Pop() any {
-	last := len(h.of) - 1
-	j := h.of[last]
-	h.of[last], h.of = nil, h.of[:last]
-	j.index, j.at = -1, nil
-	return j
-}
-
-// sent is work that has reached a cold server.
-type sent struct {
+// coldArrival is work that has reached a cold server.
+type coldArrival struct {
 	at   time.Duration
-	work float64
+	work float64 // seconds of a core of speed 1
 }
 
 // Server is one upstream while its process runs.
 type Server struct {
-	model   day.Model
-	rules   day.Balancers
-	rng     *rand.Rand
-	began   time.Duration // cold from then on
-	warm    bool          // it was never cold
-	now     time.Duration
-	service float64 // attained by each request in work, seconds of a core of speed 1
-	waiting jobs    // in a slot, on others
-	working jobs
-	queue   []*job
-	held    map[JobID]*job
-	serial  uint64
-
-	failing, taken float64 // faults: share of requests that fail at once, share of the machine taken
-	late           time.Duration
-	pauseAt        time.Duration // next pause; math.MaxInt64: none
-	pauseEnd       time.Duration
-	toppled        bool
-	cold           []sent // within the last TipAfter
-
-	used, usedAt float64 // seconds of cores used since the report before; when that was
-	errors       float64
-	reports      []dated
-	reportAt     time.Duration
-	done, told   []Done // ended since the last Advance; what that returned
-}
-
-// dated is a report with the time from which it is seen.
-type dated struct {
-	Report
-	from time.Duration
+	model      day.Model
+	balancers  day.Balancers // the rules on cold servers are theirs
+	rng        *rand.Rand
+	startedAt  time.Duration // cold from then on
+	alwaysWarm bool          // it was never cold
+	now        time.Duration
+	attained   float64 // service of each request in work, seconds of a core of speed 1
+	waiting    jobHeap // hold a slot and wait on others
+	working    jobHeap
+	queue      []*job
+	jobs       map[JobID]*job
+	serial     uint64        // of the next job
+	pauseAt    time.Duration // next pause; math.MaxInt64: none
+	pauseEnd   time.Duration
+	coldWork   []coldArrival // within the last TipAfter
+	collapsed  bool          // it got too much while cold, and does nothing more
+
+	// Faults.
+	errorShare float64       // of requests that fail at once
+	takenShare float64       // of the machine, by other programs
+	reportLag  time.Duration // of load reports, on top of the model's
+
+	reports  reporter
+	finished []Done // since the last Advance
+	returned []Done // by the last Advance; its memory is used again
 }
 
 // New returns a server that starts at now, cold or long warm.
-func New(m day.Model, rules day.Balancers, seed uint64, now time.Duration, cold bool) *Server {
-	s := &Server{model: m, rules: rules, rng: rand.New(rand.NewPCG(seed, uint64(now))), began: now, warm: !cold, now: now,
-		held: map[JobID]*job{}, pauseAt: math.MaxInt64, usedAt: now.Seconds()}
-	s.waiting.by = func(j *job) float64 { return float64(j.ready) }
-	s.working.by = func(j *job) float64 { return j.finish }
+func New(m day.Model, balancers day.Balancers, seed uint64, now time.Duration, cold bool) *Server {
+	s := &Server{
+		model:      m,
+		balancers:  balancers,
+		rng:        rand.New(rand.NewPCG(seed, uint64(now))),
+		startedAt:  now,
+		alwaysWarm: !cold,
+		now:        now,
+		jobs:       map[JobID]*job{},
+		pauseAt:    math.MaxInt64,
+		reports:    reporter{lastAt: now.Seconds()},
+	}
+	s.waiting.key = func(j *job) float64 { return float64(j.readyAt) }
+	s.working.key = func(j *job) float64 { return j.finish }
 	if m.PauseEvery > 0 {
-		s.pauseAt = now + s.nextPause()
+		s.pauseAt = now + s.drawPauseGap()
 	}
 	// Reports of several servers must not come in step.
-	s.reportAt = now + time.Duration(s.rng.Float64()*float64(m.ReportEvery))
+	s.reports.nextAt = now + time.Duration(s.rng.Float64()*float64(m.ReportEvery))
 	return s
 }
 
-func (s *Server) nextPause() time.Duration {
+// drawPauseGap draws the time until another pause.
+func (s *Server) drawPauseGap() time.Duration {
 	return time.Duration(s.rng.ExpFloat64() * float64(s.model.PauseEvery))
 }
 
@@ -149,43 +104,44 @@
 
 // warmth is the share of its capacity that it has now.
 func (s *Server) warmth() float64 {
-	if s.warm {
+	if s.alwaysWarm {
 		return 1
 	}
-	return Warmth(s.model, s.now-s.began)
+	return Warmth(s.model, s.now-s.startedAt)
 }
 
-// capacity is in cores of speed 1.
-func (s *Server) capacity() float64 {
-	return float64(s.model.Cores) * s.model.Speed * s.warmth() * (1 - s.taken)
-}
+// fullCapacity is that of a warm server that has its machine to itself, in cores of speed 1.
+func (s *Server) fullCapacity() float64 { return float64(s.model.Cores) * s.model.Speed }
 
-// pace is how fast each request in work gets service.
-func (s *Server) pace() float64 {
-	n := float64(len(s.working.of))
-	if n == 0 || s.toppled || s.now < s.pauseEnd {
+// capacity is that of now, in cores of speed 1.
+func (s *Server) capacity() float64 { return s.fullCapacity() * s.warmth() * (1 - s.takenShare) }
+
+// rate is how fast each request in work gets service, in cores of speed 1.
+func (s *Server) rate() float64 {
+	n := float64(len(s.working.jobs))
+	if n == 0 || s.collapsed || s.now < s.pauseEnd {
 		return 0
 	}
-	return min(s.model.Speed*s.warmth()*(1-s.taken), s.capacity()/n)
+	return min(s.model.Speed*s.warmth()*(1-s.takenShare), s.capacity()/n)
 }
 
-// Next is when the owner has to come back with Advance, if nothing arrives before.
+// Next is when the owner has to call Advance, if nothing arrives before.
 func (s *Server) Next() time.Duration {
-	if len(s.done) > 0 {
+	if len(s.finished) > 0 {
 		return s.now
 	}
-	next := min(s.reportAt, s.pauseAt)
+	next := min(s.reports.nextAt, s.pauseAt)
 	if s.now < s.pauseEnd {
 		next = min(next, s.pauseEnd)
 	}
-	if len(s.waiting.of) > 0 && !s.toppled {
-		next = min(next, s.waiting.of[0].ready)
+	if len(s.waiting.jobs) > 0 && !s.collapsed {
+		next = min(next, s.waiting.jobs[0].readyAt)
 	}
-	if p := s.pace(); p > 0 {
-		left := (s.working.of[0].finish - s.service) / p
+	if rate := s.rate(); rate > 0 {
+		left := (s.working.jobs[0].finish - s.attained) / rate
 		next = min(next, s.now+max(1, time.Duration(math.Ceil(left*float64(time.Second)))))
 		if s.warmth() < 1 {
-			next = min(next, s.now+rampStep)
+			next = min(next, s.now+warmupStep)
 		}
 	}
 	return max(next, s.now)
@@ -194,195 +150,127 @@
 // Advance brings the server to now and returns the requests that have ended since, in order. The slice holds until the
 // next call.
 func (s *Server) Advance(now time.Duration) []Done {
-	ended := s.done // at once, as it arrived
-	s.done = s.told[:0]
+	ended := s.finished // as they arrived
+	s.finished = s.returned[:0]
 	if s.Next() <= s.now { // due since something arrived at this very moment
-		s.settle()
-		ended, s.done = append(ended, s.done...), s.done[:0]
+		s.handleDue()
+		ended = append(ended, s.finished...)
+		s.finished = s.finished[:0]
 	}
 	for s.now < now {
-		s.progress(min(max(s.Next(), s.now+1), now))
-		s.settle()
-		ended, s.done = append(ended, s.done...), s.done[:0]
+		s.advanceTo(min(max(s.Next(), s.now+1), now))
+		s.handleDue()
+		ended = append(ended, s.finished...)
+		s.finished = s.finished[:0]
 	}
-	s.told, s.done = ended, s.done[:0]
+	s.returned = ended
+	s.finished = s.finished[:0]
 	return ended
 }
 
-// progress lets time go by in which the pace does not change.
-func (s *Server) progress(to time.Duration) {
-	p, dt := s.pace(), (to - s.now).Seconds()
-	s.service += p * dt
-	if full := float64(s.model.Cores) * s.model.Speed; s.now < s.pauseEnd && len(s.working.of) > 0 {
-		s.used += full * dt // whoever looks from outside sees busy cores
+// advanceTo lets time pass in which the rate does not change.
+func (s *Server) advanceTo(to time.Duration) {
+	rate := s.rate()
+	seconds := (to - s.now).Seconds()
+	s.attained += rate * seconds
+	if full := s.fullCapacity(); s.now < s.pauseEnd && len(s.working.jobs) > 0 {
+		s.reports.busySeconds += full * seconds // whoever looks from outside sees busy cores
 	} else {
-		s.used += (p*float64(len(s.working.of)) + s.taken*full) * dt
+		s.reports.busySeconds += (rate*float64(len(s.working.jobs)) + s.takenShare*full) * seconds
 	}
 	s.now = to
 }
 
-// settle does what is due at this moment.
-func (s *Server) settle() {
+// handleDue does what is due now.
+func (s *Server) handleDue() {
 	if s.now >= s.pauseAt {
-		s.pauseEnd, s.pauseAt = s.now+s.model.Pause.D(), s.now+s.model.Pause.D()+s.nextPause()
+		s.pauseEnd = s.now + s.model.Pause.D()
+		s.pauseAt = s.pauseEnd + s.drawPauseGap()
+	}
+	if s.now >= s.reports.nextAt {
+		s.renewReport()
 	}
-	if s.now >= s.reportAt {
-		s.report()
+	if s.collapsed {
+		return
 	}
-	for len(s.waiting.of) > 0 && s.waiting.of[0].ready <= s.now && !s.toppled {
+	for len(s.waiting.jobs) > 0 && s.waiting.jobs[0].readyAt <= s.now {
 		j := heap.Pop(&s.waiting).(*job)
-		j.finish = s.service + j.work
+		j.finish = s.attained + j.work
 		heap.Push(&s.working, j)
 	}
-	const rounding = 1e-9
-	for len(s.working.of) > 0 && s.working.of[0].finish <= s.service+rounding && !s.toppled {
-		j := heap.Pop(&s.working).(*job)
-		s.end(j)
-	}
-}
-
-// end ends a request that has run, and gives its slot on.
-func (s *Server) end(j *job) {
-	delete(s.held, j.id)
-	if j.fails {
-		s.errors++
-	}
-	s.done = append(s.done, Done{j.id, j.fails})
-	s.fill()
-}
-
-// fill gives free slots to those that wait.
-func (s *Server) fill() {
-	for len(s.queue) > 0 && len(s.waiting.of)+len(s.working.of) < s.model.Slots {
-		j := s.queue[0]
-		s.queue[0], s.queue = nil, s.queue[1:]
-		s.begin(j)
-	}
-}
-
-func (s *Server) begin(j *job) {
-	j.ready = s.now + j.wait
-	heap.Push(&s.waiting, j)
-}
-
-// report renews the load report, which is seen later.
-func (s *Server) report() {
-	span := max(s.now.Seconds()-s.usedAt, 1e-3)
-	r := Report{Util: min(1, s.used/(span*float64(s.model.Cores)*s.model.Speed*s.warmth())), Errors: s.errors / span,
-		Queue: float64(len(s.queue))}
-	s.used, s.usedAt, s.errors = 0, s.now.Seconds(), 0
-	s.reports = append(s.reports, dated{r, s.now + s.model.ReportDelay.D() + s.late})
-	s.reportAt = s.now + s.model.ReportEvery.D()
-}
-
-// Load is the report that is seen now, if there is one.
-func (s *Server) Load() (Report, bool) {
-	for len(s.reports) > 1 && s.reports[1].from <= s.now {
-		s.reports = s.reports[1:]
-	}
-	if len(s.reports) == 0 || s.reports[0].from > s.now {
-		return Report{}, false
+	for len(s.working.jobs) > 0 && s.working.jobs[0].finish <= s.attained+finishTolerance {
+		s.finishJob(heap.Pop(&s.working).(*job))
 	}
-	return s.reports[0].Report, true
 }
 
-// Arrive takes a request that has come whole, or turns it away. The owner has brought the server to now with Advance.
-// fell tells that a cold server has just been pushed over: it does nothing more.
-func (s *Server) Arrive(id JobID, work, wait time.Duration) (taken, fell bool) {
-	if s.toppled {
+// Arrive takes a request that has come in full, or turns it away. The owner has brought the server to now with Advance.
+// collapsed tells that this request has pushed a cold server over: it does nothing more.
+func (s *Server) Arrive(id JobID, work, wait time.Duration) (taken, collapsed bool) {
+	if s.collapsed {
 		return true, false // it hangs
 	}
-	if fell = s.press(work.Seconds()); fell {
-		s.toppled = true
+	if s.exceedsColdBudget(work.Seconds()) {
+		s.collapsed = true
 		return true, true
 	}
-	if s.rng.Float64() < s.failing { // a fast error costs next to nothing
-		j := &job{id: id, fails: true, index: -1}
-		s.held[id] = j
-		s.end(j)
+	if s.rng.Float64() < s.errorShare { // an error at once costs next to nothing
+		j := &job{id: id, failed: true, heapIndex: -1}
+		s.jobs[id] = j
+		s.finishJob(j)
 		return true, false
 	}
-	j := &job{id: id, work: work.Seconds(), wait: wait, fails: s.rng.Float64() < s.model.ErrorRate, serial: s.serial, index: -1}
+	failed := s.rng.Float64() < s.model.ErrorRate
+	j := &job{id: id, work: work.Seconds(), wait: wait, failed: failed, serial: s.serial, heapIndex: -1}
 	s.serial++
 	switch {
-	case len(s.waiting.of)+len(s.working.of) < s.model.Slots:
-		s.begin(j)
+	case s.slotsUsed() < s.model.Slots:
+		s.startJob(j)
 	case len(s.queue) < s.model.Queue:
 		s.queue = append(s.queue, j)
 	default:
 		return false, false
 	}
-	s.held[id] = j
+	s.jobs[id] = j
 	return true, false
 }
 
-// press counts work that reaches a cold server, also what it turns away, against what it bears over any TipAfter.
-func (s *Server) press(work float64) (fell bool) {
-	if s.warm || s.now-s.began >= s.model.Warm.D() {
-		s.cold = nil
+// exceedsColdBudget counts work that reaches a cold server, also what it turns away, and tells whether it is more than
+// the server bears over any TipAfter.
+func (s *Server) exceedsColdBudget(work float64) bool {
+	if s.alwaysWarm || s.now-s.startedAt >= s.model.Warm.D() {
+		s.coldWork = nil
 		return false
 	}
-	span := s.rules.TipAfter.D()
-	s.cold = append(s.cold, sent{s.now, work})
-	for len(s.cold) > 0 && s.cold[0].at <= s.now-span {
-		s.cold = s.cold[1:]
+	span := s.balancers.TipAfter.D()
+	s.coldWork = append(s.coldWork, coldArrival{s.now, work})
+	for len(s.coldWork) > 0 && s.coldWork[0].at <= s.now-span {
+		s.coldWork = s.coldWork[1:]
 	}
 	var sum float64
-	for _, x := range s.cold {
-		sum += x.work
-	}
-	bears := s.rules.TipMultiple * s.capacity() * span.Seconds()
-	return sum > bears+tipSlack
-}
-
-// Cancel stops a request whose balancer has given up. One that works or waits is dropped.
-func (s *Server) Cancel(id JobID) {
-	j := s.held[id]
-	if j == nil {
-		return
-	}
-	delete(s.held, id)
-	if j.at != nil {
-		heap.Remove(j.at, j.index)
-	} else {
-		for i, q := range s.queue {
-			if q == j {
-				s.queue = append(s.queue[:i:i], s.queue[i+1:]...)
-				break
-			}
-		}
-	}
-	if !s.toppled {
-		s.fill()
+	for _, arrival := range s.coldWork {
+		sum += arrival.work
 	}
+	budget := s.balancers.TipMultiple * s.capacity() * span.Seconds()
+	return sum > budget+coldSlack
 }
 
-// Knock is the work of a new connection or a probe.
-func (s *Server) Knock() { s.used += probeWork }
-
-// Up is when it began, or 0 if that is long past.
-func (s *Server) Up() time.Duration {
-	if s.warm {
-		return 0
-	}
-	return s.began
-}
+// AcceptConn counts the work of a new connection or a health check.
+func (s *Server) AcceptConn() { s.reports.busySeconds += connWork }
 
-// Suffer sets which faults are on. Of shares that fail the largest counts; programs that take a share of the machine
-// take it of what the others leave; delays add up.
-func (s *Server) Suffer(faults []day.Fault) {
-	s.failing, s.taken, s.late = 0, 0, 0
+// SetFaults sets which faults act. Of shares that fail the largest counts; programs that take a share of the machine
+// take it of what the others leave; lags add up.
+func (s *Server) SetFaults(faults []day.Fault) {
+	s.errorShare = 0
+	s.takenShare = 0
+	s.reportLag = 0
 	for _, f := range faults {
 		switch f.Kind {
 		case "errors":
-			s.failing = max(s.failing, f.Size)
+			s.errorShare = max(s.errorShare, f.Size)
 		case "neighbour":
-			s.taken = 1 - (1-s.taken)*(1-f.Size)
+			s.takenShare = 1 - (1-s.takenShare)*(1-f.Size)
 		case "late":
-			s.late += f.Delay.D()
+			s.reportLag += f.Delay.D()
 		}
 	}
 }
-
-// Held is how many requests it has.
-func (s *Server) Held() int { return len(s.held) }
--- a/internal/lab/server/server_test.go
+++ b/internal/lab/server/server_test.go
@@ -19,7 +19,7 @@
 // drain advances a server until it has nothing left, and tells when each job ended.
 func drain(s *Server, from time.Duration) map[JobID]time.Duration {
 	ends := map[JobID]time.Duration{}
-	for now := from; s.Held() > 0; now = max(s.Next(), now+1) {
+	for now := from; s.JobCount() > 0; now = max(s.Next(), now+1) {
 		for _, d := range s.Advance(now) {
 			ends[d.Job] = now
 		}
@@ -108,7 +108,7 @@
 				delete(open, id)
 			}
 		}
-		for i := 0; a.Held() > 0; i++ {
+		for i := 0; a.JobCount() > 0; i++ {
 			if i > 10000 {
 				t.Fatal("it never ends")
 			}
--- a/internal/lab/zones_test.go
+++ b/internal/lab/zones_test.go
@@ -89,13 +89,13 @@
 				t.Errorf("%.2f of the worth was served: %v", r.Summary.Main.Served, r.Summary.Main.Share)
 			}
 			left := slices.ContainsFunc(r.Events, func(e history.Event) bool {
-				return e.Kind == history.Zoned && e.Zone == 1 && e.Balancer == 1 && e.Text == "failed"
+				return e.Kind == history.ZoneState && e.Zone == 1 && e.Balancer == 1 && e.Text == "failed"
 			})
 			if c.mustLeave && !left {
 				t.Error("zone b was not left by its balancer")
 			}
 			for _, e := range r.Events {
-				if e.Kind == history.Zoned && e.Text == "failed" && e.Zone != 1 && c.name != "two at once" {
+				if e.Kind == history.ZoneState && e.Text == "failed" && e.Zone != 1 && c.name != "two at once" {
 					t.Errorf("at %v balancer %d left zone %d, which was well", e.At, e.Balancer, e.Zone)
 				}
 			}
