--- a/internal/lab/measure/starts.go
+++ b/internal/lab/measure/starts.go
@@ -15,40 +15,43 @@
 	Never                int     // of the starts: they served nobody before their end or the day's
 }
 
+// openStart is a start whose process has not served anybody yet.
+type openStart struct {
+	at    time.Duration
+	ready bool
+}
+
 // startsOf finds the starts after the day's begin; nil: there were none.
 func startsOf(events []history.Event) *Starts {
-	ready, served := newHistogram(), newHistogram()
-	began := map[int32]time.Duration{}
-	waits := map[int32]bool{}
+	ready := newHistogram()
+	served := newHistogram()
+	open := map[int32]*openStart{} // by balancer
 	s := &Starts{}
-	end := func(b int32) {
-		if _, open := began[b]; open {
-			s.Never++
-			delete(began, b)
-		}
-	}
 	for _, e := range events {
-		at, open := began[e.Balancer]
+		start := open[e.Balancer]
 		switch {
 		case e.Kind == history.Started:
-			end(e.Balancer)
+			delete(open, e.Balancer)
+			if start != nil {
+				s.Never++
+			}
 			if e.At > 0 {
 				s.Count++
-				began[e.Balancer], waits[e.Balancer] = e.At, true
+				open[e.Balancer] = &openStart{at: e.At}
 			}
+		case start == nil:
 		case e.Kind == history.Exited:
-			end(e.Balancer)
-		case e.Kind == history.Ready && open && waits[e.Balancer]:
-			waits[e.Balancer] = false
-			ready.record(max(e.At-at, time.Microsecond))
-		case e.Kind == history.Answered && e.Result == client.Served && open:
-			served.record(max(e.At-at, time.Microsecond))
-			delete(began, e.Balancer)
+			delete(open, e.Balancer)
+			s.Never++
+		case e.Kind == history.Ready && !start.ready:
+			start.ready = true
+			ready.record(max(e.At-start.at, time.Microsecond))
+		case e.Kind == history.Answered && e.Result == client.Served:
+			delete(open, e.Balancer)
+			served.record(max(e.At-start.at, time.Microsecond))
 		}
 	}
-	for b := range began {
-		end(b)
-	}
+	s.Never += len(open)
 	if s.Count == 0 {
 		return nil
 	}
--- a/internal/lab/measure/zones.go
+++ b/internal/lab/measure/zones.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// zoneHit is the part of a zone's upstreams that a fault has to hit for a balancer to be right to leave the zone.
+	// zoneLost is the share of a zone's upstreams that a fault has to hit for a balancer to be right to leave the zone.
 	zoneLost = 0.75
-	// halfHit is the part from which on it is no mistake to doubt it.
+	// zoneDoubtful is the share from which on it is no mistake to doubt it.
 	zoneDoubtful = 0.5
-	// evidenceLags is how long after a fault's end a balancer may still leave a zone for it: reports and answers lag.
+	// evidenceLag is how long after a fault's end a balancer may still leave a zone for it: reports and answers lag.
 	evidenceLag = 5 * time.Second
-	// swingBin is the least stretch over which a zone's part of the attempts is taken: less is chance.
+	// swingWidth is the least stretch over which a zone's share of the attempts is taken: less is chance.
 	swingWidth = 5 * time.Second
 )
 
@@ -45,71 +45,96 @@
 	Count, Never  int // those who left; those who did not before the fault's end
 }
 
-// zonesOf makes the figures of zones.
+// zoneLoad is what came to a zone after the first stretch.
+type zoneLoad struct {
+	capacity float64 // seconds of a core of speed 1 that all its cores can do
+	work     float64 // likewise, that arrived and was taken
+	attempts float64
+}
+
+// zonesOf computes the figures of zones.
 func zonesOf(d *day.Day, f *day.Fleet, events []history.Event, series []Window) *Zones {
-	z := &Zones{All: make([]Zone, len(f.Zones))}
-	capacity, work, sent := make([]float64, len(f.Zones)), make([]float64, len(f.Zones)), make([]float64, len(f.Zones))
-	var all, done, attempts, same float64
+	loads := make([]zoneLoad, len(f.Zones))
+	var total zoneLoad
 	seconds := (d.Length - d.Settle).D().Seconds()
 	for _, u := range f.Upstreams {
 		m := d.Models[u.Model]
-		capacity[u.Zone] += float64(m.Cores) * m.Speed * seconds
-		all += float64(m.Cores) * m.Speed * seconds
+		capacity := float64(m.Cores) * m.Speed * seconds
+		loads[u.Zone].capacity += capacity
+		total.capacity += capacity
 	}
+	var withinZone float64 // attempts
 	for _, e := range events {
 		if e.At < d.Settle.D() || (e.Kind != history.Arrived && e.Kind != history.Rejected) {
 			continue
 		}
 		to := f.Upstreams[e.Upstream].Zone
-		if attempts++; f.Balancers[e.Balancer].Zone == to {
-			same++
+		total.attempts++
+		loads[to].attempts++
+		if f.Balancers[e.Balancer].Zone == to {
+			withinZone++
 		}
-		if sent[to]++; e.Kind == history.Arrived {
-			work[to], done = work[to]+float64(e.Work), done+float64(e.Work)
+		if e.Kind == history.Arrived {
+			loads[to].work += float64(e.Work)
+			total.work += float64(e.Work)
 		}
 	}
-	z.Same = ratio(same, attempts)
-	for i := range z.All {
-		z.All[i] = Zone{f.Locality(i), ratio(work[i], capacity[i]), ratio(sent[i], attempts)}
-		if done > 0 && capacity[i] > 0 {
-			z.Fullest = max(z.Fullest, z.All[i].Use/(done/all))
+	z := &Zones{All: make([]Zone, len(f.Zones)), Same: ratio(withinZone, total.attempts), Swing: zoneSwing(d, f, series)}
+	for i, load := range loads {
+		z.All[i] = Zone{Name: f.Locality(i), Use: ratio(load.work, load.capacity), Part: ratio(load.attempts, total.attempts)}
+		if total.work > 0 && load.capacity > 0 {
+			z.Fullest = max(z.Fullest, z.All[i].Use/(total.work/total.capacity))
 		}
 	}
-	z.Swing = zoneSwing(d, f, series)
-	_, hits := d.Timetable()
-	t := faultTruth{d, f, d.NewPaths(f), hits}
 	if slices.ContainsFunc(events, func(e history.Event) bool { return e.Kind == history.ZoneState }) {
-		z.Leave, z.Wrongly = t.leaveTimes(events), t.wronglyDoubted(events)
+		_, hits := d.Timetable()
+		t := faultTruth{d, f, d.NewPaths(f), hits}
+		z.Leave = t.leaveTimes(events)
+		z.Wrongly = t.wronglyDoubted(events)
 	}
 	return z
 }
 
-// swing is how far a zone's part of all attempts moves, peak to peak, after the first stretch.
-func zoneSwing(d *day.Day, f *day.Fleet, series []Window) (most float64) {
-	low, high := make([]float64, len(f.Zones)), make([]float64, len(f.Zones))
-	for i := range low {
-		low[i] = math.Inf(1)
+// zoneSwing is how far a zone's share of all attempts moves, peak to peak, after the first stretch; the greatest of all
+// zones.
+func zoneSwing(d *day.Day, f *day.Fleet, series []Window) float64 {
+	lowest := make([]float64, len(f.Zones))
+	highest := make([]float64, len(f.Zones))
+	for i := range lowest {
+		lowest[i] = math.Inf(1)
 	}
 	width := max(1, int(swingWidth/d.Window.D()))
 	first := int((d.Settle + d.Window - 1) / d.Window)
+	most := 0.0
 	for at := first; at+width <= len(series); at += width {
-		sent, all := make([]float64, len(f.Zones)), 0.0
-		for _, w := range series[at : at+width] {
-			for _, row := range w.Zones {
-				for to, n := range row {
-					sent[to], all = sent[to]+float64(n), all+float64(n)
-				}
-			}
-		}
-		for i := range sent {
-			low[i], high[i] = min(low[i], ratio(sent[i], all)), max(high[i], ratio(sent[i], all))
-			most = max(most, high[i]-low[i])
+		for i, share := range zoneShares(series[at:at+width], len(f.Zones)) {
+			lowest[i] = min(lowest[i], share)
+			highest[i] = max(highest[i], share)
+			most = max(most, highest[i]-lowest[i])
 		}
 	}
 	return most
 }
 
-// truth is what the timetable does to zones, as a balancer at its place could know it at best.
+// zoneShares is each zone's share of the attempts in some windows.
+func zoneShares(windows []Window, zones int) []float64 {
+	shares := make([]float64, zones)
+	all := 0.0
+	for _, w := range windows {
+		for _, row := range w.Zones {
+			for to, n := range row {
+				shares[to] += float64(n)
+				all += float64(n)
+			}
+		}
+	}
+	for i := range shares {
+		shares[i] = ratio(shares[i], all)
+	}
+	return shares
+}
+
+// faultTruth is what the timetable does to zones, as a balancer at its place could know it at best.
 type faultTruth struct {
 	day   *day.Day
 	fleet *day.Fleet
@@ -117,32 +142,38 @@
 	hits  []day.Hit
 }
 
-// hit is the part of a zone's upstreams that fault i takes away from a balancer.
+// hitShare is the share of a zone's upstreams that fault i takes away from a balancer.
 func (t faultTruth) hitShare(i, balancer, zone int) float64 {
-	n, bad := 0.0, 0.0
+	upstreams := 0.0
+	lost := 0.0
 	for u, up := range t.fleet.Upstreams {
 		if up.Zone != zone {
 			continue
 		}
-		if n++; t.takesAway(i, t.hits[i], balancer, u) {
-			bad++
+		upstreams++
+		if t.takesAway(i, balancer, u) {
+			lost++
 		}
 	}
-	return ratio(bad, n)
+	return ratio(lost, upstreams)
 }
 
-func (t faultTruth) takesAway(i int, hit day.Hit, balancer, upstream int) bool {
-	switch kind := t.day.Faults[i].Kind; {
+// takesAway tells whether fault i takes an upstream away from a balancer.
+func (t faultTruth) takesAway(i, balancer, upstream int) bool {
+	hit := t.hits[i]
+	kind := t.day.Faults[i].Kind
+	switch {
 	case hit.Scope == day.OnUpstreams && (kind == "down" || kind == "vanish" || kind == "errors"):
 		return slices.Contains(hit.Targets, upstream)
 	case hit.Scope == day.OnLinks && kind == "cut":
-		b, u := day.Party{Kind: day.BalancerParty, Index: balancer}, day.Party{Kind: day.UpstreamParty, Index: upstream}
+		b := day.Party{Kind: day.BalancerParty, Index: balancer}
+		u := day.Party{Kind: day.UpstreamParty, Index: upstream}
 		return t.paths.Hits(i, b, u) || t.paths.Hits(i, u, b)
 	}
 	return false
 }
 
-// end is when a fault ends.
+// faultEnd is when fault i ends.
 func (t faultTruth) faultEnd(i int) time.Duration {
 	f := t.day.Faults[i]
 	if f.For == 0 {
@@ -151,48 +182,52 @@
 	return (f.At + f.For).D()
 }
 
-// leave takes, for each fault and each balancer from which it takes most of a zone, the time until that balancer has
-// left the zone, or has been told by discovery that all of it is gone.
+// leaveTimes takes, for each fault and each balancer from which it takes most of a zone, the time until that balancer has
+// left the zone, or was notified by discovery that all of it is gone. nil: there were none.
 func (t faultTruth) leaveTimes(events []history.Event) *Leave {
-	h := newHistogram()
-	out := &Leave{}
-	of := make([][]history.Event, len(t.fleet.Balancers))
+	byBalancer := make([][]history.Event, len(t.fleet.Balancers))
 	for _, e := range events {
 		if e.Kind == history.ZoneState || e.Kind == history.Notified {
-			of[e.Balancer] = append(of[e.Balancer], e)
+			byBalancer[e.Balancer] = append(byBalancer[e.Balancer], e)
 		}
 	}
+	times := newHistogram()
+	leave := &Leave{}
 	for i, fault := range t.day.Faults {
 		for b := range t.fleet.Balancers {
 			for z := range t.fleet.Zones {
 				if t.hitShare(i, b, z) < zoneLost {
 					continue
 				}
-				if at, left := t.leftAt(of[b], z, fault.At.D(), t.faultEnd(i)); left {
-					h.record(max(at-fault.At.D(), time.Microsecond))
-					out.Count++
-				} else {
-					out.Never++
+				at, left := t.leftAt(byBalancer[b], z, fault.At.D(), t.faultEnd(i))
+				if !left {
+					leave.Never++
+					continue
 				}
+				leave.Count++
+				times.record(max(at-fault.At.D(), time.Microsecond))
 			}
 		}
 	}
-	if out.Count+out.Never == 0 {
+	if leave.Count+leave.Never == 0 {
 		return nil
 	}
-	l := h.latency()
-	out.P50, out.P99, out.Max = l.P50/1000, l.P99/1000, l.Max/1000
-	return out
+	latency := times.latency()
+	leave.P50 = latency.P50 / 1000
+	leave.P99 = latency.P99 / 1000
+	leave.Max = latency.Max / 1000
+	return leave
 }
 
 // leftAt finds among the events of one balancer when it had left a zone.
-func (t faultTruth) leftAt(events []history.Event, zone int, from, to time.Duration) (time.Duration, bool) {
-	gone, size := map[int32]bool{}, 0
+func (t faultTruth) leftAt(events []history.Event, zone int, from, to time.Duration) (at time.Duration, left bool) {
+	size := 0
 	for _, u := range t.fleet.Upstreams {
 		if u.Zone == zone {
 			size++
 		}
 	}
+	removed := map[int32]bool{}
 	for _, e := range events {
 		switch {
 		case e.At < from:
@@ -201,10 +236,12 @@
 		case e.Kind == history.ZoneState && int(e.Zone) == zone && e.Text == "failed":
 			return e.At, true
 		case e.Kind == history.Notified && t.fleet.Upstreams[e.Upstream].Zone == zone:
-			if gone[e.Upstream] = e.Text == "removed"; !gone[e.Upstream] {
-				delete(gone, e.Upstream)
+			if e.Text == "removed" {
+				removed[e.Upstream] = true
+			} else {
+				delete(removed, e.Upstream)
 			}
-			if len(gone) == size {
+			if len(removed) == size {
 				return e.At, true
 			}
 		}
@@ -212,29 +249,40 @@
 	return 0, false
 }
 
-// wrongly is the part of pairs of balancers and well upstreams in whose zone the balancer lost faith without a reason.
+// zoneView is one balancer's view of one zone.
+type zoneView struct{ balancer, zone int }
+
+// wronglyDoubted is the share of pairs of a balancer and an upstream in whose zone the balancer lost confidence without a
+// reason.
 func (t faultTruth) wronglyDoubted(events []history.Event) float64 {
-	wrong := map[[2]int]bool{}
+	wrong := map[zoneView]bool{}
 	for _, e := range events {
 		if e.Kind != history.ZoneState || (e.Text != "failed" && e.Text != "doubtful") {
 			continue
 		}
-		reason := false
-		for i, fault := range t.day.Faults {
-			within := e.At >= fault.At.D() && e.At < t.faultEnd(i)+evidenceLag
-			reason = reason || (within && t.hitShare(i, int(e.Balancer), int(e.Zone)) >= zoneDoubtful)
-		}
-		if !reason {
-			wrong[[2]int{int(e.Balancer), int(e.Zone)}] = true
+		view := zoneView{int(e.Balancer), int(e.Zone)}
+		if !t.hasReason(view, e.At) {
+			wrong[view] = true
 		}
 	}
 	pairs := 0
-	for pair := range wrong {
+	for view := range wrong {
 		for _, u := range t.fleet.Upstreams {
-			if u.Zone == pair[1] {
+			if u.Zone == view.zone {
 				pairs++
 			}
 		}
 	}
 	return ratio(float64(pairs), float64(len(t.fleet.Balancers)*len(t.fleet.Upstreams)))
 }
+
+// hasReason tells whether a fault gives a balancer reason to doubt a zone at a moment.
+func (t faultTruth) hasReason(view zoneView, at time.Duration) bool {
+	for i, fault := range t.day.Faults {
+		within := at >= fault.At.D() && at < t.faultEnd(i)+evidenceLag
+		if within && t.hitShare(i, view.balancer, view.zone) >= zoneDoubtful {
+			return true
+		}
+	}
+	return false
+}
