--- a/cmd/balancerctl/lab.go
+++ b/cmd/balancerctl/lab.go
@@ -7,9 +7,6 @@
 	"os"
 	"path/filepath"
 	"runtime"
-	"time"
-
-	"golang.org/x/term"
 
 	"sprucehill/internal/lab"
 	"sprucehill/internal/lab/day"
@@ -88,6 +85,20 @@
 	if err != nil {
 		return err
 	}
+	if err := c.write(out, r); err != nil {
+		return err
+	}
+	switch {
+	case r.Summary.Lab != nil && r.Summary.Lab.Void != "":
+		return fmt.Errorf("the run is void: %s", r.Summary.Lab.Void)
+	case len(r.Violations) > 0:
+		return fmt.Errorf("%w: %d violations", errClaim, len(r.Violations))
+	}
+	return nil
+}
+
+// write writes the report into a folder, and the summary to standard output.
+func (c *runCmd) write(out string, r *lab.Result) error {
 	if c.History {
 		if err := writeHistory(filepath.Join(out, "history.txt"), r); err != nil {
 			return err
@@ -98,22 +109,14 @@
 		return err
 	}
 	if c.JSON {
-		if err := writeJSON(r.Summary); err != nil {
-			return err
-		}
-	} else {
-		showSummary(os.Stdout, r)
-		fmt.Println("report:", path)
-	}
-	switch {
-	case r.Summary.Lab != nil && r.Summary.Lab.Void != "":
-		return fmt.Errorf("the run is void: %s", r.Summary.Lab.Void)
-	case len(r.Violations) > 0:
-		return fmt.Errorf("%w: %d violations", errClaim, len(r.Violations))
+		return writeJSON(r.Summary)
 	}
+	showSummary(os.Stdout, r)
+	fmt.Println("report:", path)
 	return nil
 }
 
+// play plays the day on the engine that was asked for.
 func (c *runCmd) play(ctx context.Context, d *day.Day, out string, p *progress) (*lab.Result, error) {
 	if c.Engine == "model" {
 		if c.Workers == 0 {
@@ -135,6 +138,7 @@
 	return lab.Live(ctx, d, live.Options{Command: balancer.Command(), Dir: balancer.Root, Work: out, Progress: p.at})
 }
 
+// writeJSON writes a value to standard output.
 func writeJSON(x any) error {
 	enc := json.NewEncoder(os.Stdout)
 	enc.SetIndent("", "  ")
@@ -155,33 +159,3 @@
 	}
 	return f.Close()
 }
-
-// progress tells how far a run is, on a terminal.
-type progress struct {
-	length time.Duration
-	on     bool
-}
-
-func newProgress(d *day.Day) *progress {
-	p := &progress{on: term.IsTerminal(int(os.Stderr.Fd()))}
-	if d != nil {
-		p.length = d.Length.D()
-	}
-	return p
-}
-
-func (p *progress) say(what string) {
-	if p.on {
-		fmt.Fprintf(os.Stderr, "\r\x1b[K%s ...", what)
-	}
-}
-
-func (p *progress) at(t time.Duration) {
-	p.say(fmt.Sprintf("%3.0f%%  %v of %v", 100*t.Seconds()/p.length.Seconds(), t.Round(time.Second), p.length))
-}
-
-func (p *progress) end() {
-	if p.on {
-		fmt.Fprint(os.Stderr, "\r\x1b[K")
-	}
-}
--- a/cmd/balancerctl/main.go
+++ b/cmd/balancerctl/main.go
@@ -19,7 +19,9 @@
 
 // The exit codes.
 const (
-	exitGood, exitClaim, exitInput = 0, 1, 2
+	exitGood  = 0 // all is good
+	exitClaim = 1 // what was claimed did not hold
+	exitInput = 2 // the input can't be used, or the machine can't carry the run
 )
 
 // errClaim says that a run went through and what it was to show did not hold.
--- a/cmd/balancerctl/operators.go
+++ b/cmd/balancerctl/operators.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// callWait bounds an operators' call: a balancer owes an answer in 1 s.
-	callWait = 3 * time.Second
+	// callTimeout bounds an operators' call: a balancer has to answer within 1 s.
+	callTimeout = 3 * time.Second
 	// maxAnswer bounds what is read of an answer.
 	maxAnswer = 1 << 20
 )
@@ -45,7 +45,7 @@
 
 // callOperators makes an operators' call and returns the lines of its answer, without the END of a long one.
 func callOperators(ctx context.Context, address, line string) ([]string, error) {
-	ctx, cancel := context.WithTimeout(ctx, callWait)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -104,7 +104,7 @@
 		})
 }
 
-// watch asks and shows once and gives the verdict, or does so anew after each time, until ctx ends, if that is not 0.
+// watch asks and shows once and returns the verdict; with an interval it does so again after each, until ctx ends.
 func watch[T any](ctx context.Context, every time.Duration, asJSON bool, ask func() T, show func(io.Writer, T), verdict func(T) error) error {
 	for {
 		all := ask()
@@ -138,6 +138,7 @@
 	return all
 }
 
+// oneStatus asks one balancer for its status.
 func oneStatus(ctx context.Context, address string) balancerStatus {
 	s := balancerStatus{Address: address, Figures: map[string]int{}}
 	check, err := callOperators(ctx, address, "check")
@@ -145,25 +146,32 @@
 		s.Check = err.Error()
 		return s
 	}
-	s.Check, s.Serving = check[0], check[0] == "YES serving"
+	s.Check = check[0]
+	s.Serving = s.Check == "YES serving"
 	vars, err := callOperators(ctx, address, "vars")
 	if err != nil {
-		s.Check, s.Serving = err.Error(), false
+		s.fail(err)
 		return s
 	}
 	for _, line := range vars {
-		if err := s.figure(line); err != nil {
-			s.Check, s.Serving = err.Error(), false
+		if err := s.addMetric(line); err != nil {
+			s.fail(err)
 		}
 	}
 	return s
 }
 
-// zoneStates is the names of the values of svc_zone_state.
+// fail says why there is no status.
+func (s *balancerStatus) fail(err error) {
+	s.Check = err.Error()
+	s.Serving = false
+}
+
+// zoneStates are the names of the values of svc_zone_state.
 var zoneStates = []string{"well", "doubtful", "failed", "left", "returning"}
 
-// figure takes a line of vars: name{label="x"} n.
-func (s *balancerStatus) figure(line string) error {
+// addMetric adds a line of vars: name{label="x"} n.
+func (s *balancerStatus) addMetric(line string) error {
 	at := strings.LastIndexByte(line, ' ')
 	n, err := strconv.Atoi(line[at+1:])
 	if at < 1 || err != nil {
--- a/cmd/balancerctl/scale.go
+++ b/cmd/balancerctl/scale.go
@@ -61,7 +61,8 @@
 	points := report.Costs{Title: d.Name + ": cost of modelling against the size of the fleet"}
 	for _, x := range costs {
 		points.Size = append(points.Size, float64(x.Balancers+x.Upstreams))
-		points.Real, points.CPU = append(points.Real, x.Seconds), append(points.CPU, x.CPU)
+		points.Real = append(points.Real, x.Seconds)
+		points.CPU = append(points.CPU, x.CPU)
 	}
 	if err := points.WritePNG(path); err != nil {
 		return err
@@ -93,6 +94,8 @@
 		return x, err
 	}
 	spent := func(u syscall.Rusage) float64 { return float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9 }
-	x.Events, x.CPU, x.MemoryMB = len(events), spent(after)-spent(before), float64(after.Maxrss)/1024
+	x.Events = len(events)
+	x.CPU = spent(after) - spent(before)
+	x.MemoryMB = float64(after.Maxrss) / 1024
 	return x, nil
 }
--- a/cmd/balancerctl/text.go
+++ b/cmd/balancerctl/text.go
@@ -42,35 +42,56 @@
 		fmt.Fprintf(w, ": %s", d.About)
 	}
 	fmt.Fprint(w, "\n\n")
+	table(w, zoneRows(d, f)...)
+	fmt.Fprintln(w)
+	table(w, modelRows(d)...)
+	fmt.Fprintln(w)
+	table(w, classRows(d)...)
+	n := d.Network
+	fmt.Fprintf(w, "\none way: %v in a zone, %v between zones, %v between regions; %s lost\n", n.SameZone.D(), n.CrossZone.D(), n.CrossRegion.D(), percent(n.Loss))
+	if len(d.Faults) == 0 {
+		fmt.Fprintln(w, "\nno faults")
+		return
+	}
+	fmt.Fprintln(w)
+	table(w, faultRows(d, f)...)
+}
+
+func zoneRows(d *day.Day, f *day.Fleet) [][]any {
 	rows := [][]any{{"region", "zone", "balancers", "load", "upstreams"}}
 	for i, z := range f.Zones {
-		models := map[string]int{}
+		counts := map[string]int{} // by model
 		for _, u := range f.Upstreams {
 			if u.Zone == i {
-				models[u.Model]++
+				counts[u.Model]++
 			}
 		}
 		var parts []string
-		for _, m := range slices.Sorted(maps.Keys(models)) {
-			parts = append(parts, fmt.Sprintf("%d %s", models[m], m))
+		for _, model := range slices.Sorted(maps.Keys(counts)) {
+			parts = append(parts, fmt.Sprintf("%d %s", counts[model], model))
 		}
-		rows = append(rows, []any{f.Regions[z.Region], z.Name, len(z.Balancers), fmt.Sprintf("%.1f/s", z.Share*d.Load.Rate), strings.Join(parts, ", ")})
+		load := fmt.Sprintf("%.1f/s", z.Share*d.Load.Rate)
+		rows = append(rows, []any{f.Regions[z.Region], z.Name, len(z.Balancers), load, strings.Join(parts, ", ")})
 	}
-	table(w, rows...)
-	fmt.Fprintln(w)
-	rows = [][]any{{"model", "cores", "speed", "slots", "queue", "cold from", "warm after", "pauses", "errors", "reports"}}
+	return rows
+}
+
+func modelRows(d *day.Day) [][]any {
+	rows := [][]any{{"model", "cores", "speed", "slots", "queue", "cold from", "warm after", "pauses", "errors", "reports"}}
 	for _, name := range slices.Sorted(maps.Keys(d.Models)) {
 		m := d.Models[name]
 		pauses := "none"
 		if m.Pause > 0 {
 			pauses = fmt.Sprintf("%v every %v", m.Pause.D(), m.PauseEvery.D())
 		}
-		rows = append(rows, []any{name, m.Cores, m.Speed, m.Slots, m.Queue, percent(m.ColdFrom), m.Warm.D(), pauses, percent(m.ErrorRate),
-			fmt.Sprintf("every %v, %v late", m.ReportEvery.D(), m.ReportDelay.D())})
+		reports := fmt.Sprintf("every %v, %v late", m.ReportEvery.D(), m.ReportDelay.D())
+		rows = append(rows, []any{name, m.Cores, m.Speed, m.Slots, m.Queue, percent(m.ColdFrom), m.Warm.D(), pauses, percent(m.ErrorRate), reports})
 	}
-	table(w, rows...)
-	fmt.Fprintln(w)
-	rows = [][]any{{"class", "share", "repeat", "aim", "deadline", "worth", "work", "wait"}}
+	return rows
+}
+
+func classRows(d *day.Day) [][]any {
+	rows := [][]any{{"class", "share", "repeat", "aim", "deadline", "worth", "work", "wait"}}
 	for _, c := range d.Classes {
 		repeat := c.Repeat
 		if repeat == "keyed" {
@@ -78,24 +99,23 @@
 		}
 		rows = append(rows, []any{c.Name, c.Share, repeat, c.Aim.D(), c.Deadline.D(), c.Worth, spread(c.Work), spread(c.Wait)})
 	}
-	table(w, rows...)
-	n := d.Network
-	fmt.Fprintf(w, "\none way: %v in a zone, %v between zones, %v between regions; %s lost\n", n.SameZone.D(), n.CrossZone.D(), n.CrossRegion.D(), percent(n.Loss))
+	return rows
+}
+
+func faultRows(d *day.Day, f *day.Fleet) [][]any {
+	rows := [][]any{{"at", "", "fault", "on", "what it does"}}
 	changes, hits := d.Timetable()
-	if len(changes) == 0 {
-		fmt.Fprintln(w, "\nno faults")
-		return
-	}
-	fmt.Fprintln(w)
-	rows = [][]any{{"at", "", "fault", "on", "what it does"}}
 	for _, c := range changes {
-		what, about := "ends", ""
+		kind := d.Faults[c.Fault].Kind
+		what := "ends"
+		about := ""
 		if c.On {
-			what, about = "begins", day.DescribeFault(d.Faults[c.Fault].Kind)
+			what = "begins"
+			about = day.DescribeFault(kind)
 		}
-		rows = append(rows, []any{c.At, what, d.Faults[c.Fault].Kind, d.TargetNames(f, c.Fault, hits[c.Fault]), about})
+		rows = append(rows, []any{c.At, what, kind, d.TargetNames(f, c.Fault, hits[c.Fault]), about})
 	}
-	table(w, rows...)
+	return rows
 }
 
 func spread(r day.Range) string { return fmt.Sprintf("%v to %v", r[0].D(), r[1].D()) }
@@ -106,6 +126,22 @@
 func showSummary(w io.Writer, r *lab.Result) {
 	s := r.Summary
 	fmt.Fprintf(w, "%s, %s engine, seed %d: %d requests in %.0f s\n\n", s.Day, s.Engine, s.Seed, s.Settling.Requests+s.Main.Requests, s.Seconds)
+	table(w, partRows(s)...)
+	fmt.Fprintf(w, "\nscore %.3f: worst 10 s %s", s.Score, percent(s.Worst))
+	showShares(w, "class", s.Class)
+	showShares(w, "tenant", s.Tenant)
+	fmt.Fprintf(w, "\n%.3f attempts a request; %s of them cross a zone, %s a region\n", s.Attempts, percent(s.CrossZone), percent(s.CrossRegion))
+	showZones(w, s.Zones)
+	if starts := s.Starts; starts != nil {
+		fmt.Fprintf(w, "%d balancers started: ready after %.3f s at p50, %.3f s at p99; first answer served after %.3f s, %.3f s; %d served nobody\n",
+			starts.Count, starts.ReadyP50, starts.ReadyP99, starts.ServedP50, starts.ServedP99, starts.Never)
+	}
+	showRecoveries(w, s.Recoveries)
+	showLab(w, s.Lab)
+	showViolations(w, r)
+}
+
+func partRows(s *measure.Summary) [][]any {
 	rows := [][]any{{"", "requests", "worth served", "in time", "late", "refused", "failed", "not connected", "p50", "p99", "p99.9 ms"}}
 	for _, p := range []struct {
 		name string
@@ -115,33 +151,31 @@
 		for _, e := range []measure.End{measure.InTime, measure.Late, measure.Refused, measure.Failed, measure.Unreached} {
 			row = append(row, percent(p.Share[e.String()]))
 		}
-		rows = append(rows, append(row, fmt.Sprintf("%.1f", p.Latency.P50), fmt.Sprintf("%.1f", p.Latency.P99), fmt.Sprintf("%.1f", p.Latency.P999)))
-	}
-	table(w, rows...)
-	fmt.Fprintf(w, "\nscore %.3f: worst 10 s %s", s.Score, percent(s.Worst))
-	for _, of := range []struct {
-		what string
-		m    map[string]float64
-	}{{"class", s.Class}, {"tenant", s.Tenant}} {
-		for _, name := range slices.Sorted(maps.Keys(of.m)) {
-			fmt.Fprintf(w, "; %s %s %s", of.what, name, percent(of.m[name]))
+		for _, ms := range []float64{p.Latency.P50, p.Latency.P99, p.Latency.P999} {
+			row = append(row, fmt.Sprintf("%.1f", ms))
 		}
+		rows = append(rows, row)
 	}
-	fmt.Fprintf(w, "\n%.3f attempts a request; %s of them cross a zone, %s a region\n", s.Attempts, percent(s.CrossZone), percent(s.CrossRegion))
-	showZones(w, s.Zones)
-	if x := s.Starts; x != nil {
-		fmt.Fprintf(w, "%d balancers started: ready after %.3f s at p50, %.3f s at p99; first answer served after %.3f s, %.3f s; %d served nobody\n",
-			x.Count, x.ReadyP50, x.ReadyP99, x.ServedP50, x.ServedP99, x.Never)
+	return rows
+}
+
+// showShares writes the worth served of each class or tenant.
+func showShares(w io.Writer, what string, shares map[string]float64) {
+	for _, name := range slices.Sorted(maps.Keys(shares)) {
+		fmt.Fprintf(w, "; %s %s %s", what, name, percent(shares[name]))
 	}
-	showRecoveries(w, s.Recoveries)
-	if l := s.Lab; l != nil {
-		fmt.Fprintf(w, "the lab: arrivals late by %.2f ms at p50, %.2f at p99, %.1f at most; %.2f cores for it, %.2f for all balancers; %d requests met a closed connection and went again\n",
-			l.LateP50, l.LateP99, l.LateMax, l.LabCores, l.NodeCores, l.Crossed)
-		if l.Void != "" {
-			fmt.Fprintf(w, "VOID: %s\n", l.Void)
-		}
+}
+
+// showLab writes what a live day cost; nil: it was modelled.
+func showLab(w io.Writer, l *measure.Lab) {
+	if l == nil {
+		return
+	}
+	fmt.Fprintf(w, "the lab: arrivals late by %.2f ms at p50, %.2f at p99, %.1f at most; %.2f cores for it, %.2f for all balancers; %d requests met a closed connection and went again\n",
+		l.LateP50, l.LateP99, l.LateMax, l.LabCores, l.NodeCores, l.Crossed)
+	if l.Void != "" {
+		fmt.Fprintf(w, "VOID: %s\n", l.Void)
 	}
-	showViolations(w, r)
 }
 
 func showZones(w io.Writer, z *measure.Zones) {
@@ -162,7 +196,8 @@
 	}
 	rows := [][]any{{"", "fault", "from", "to", "served before", "least", "back after its end"}}
 	for _, r := range all {
-		to, back := "the end", "not within the day"
+		to := "the end"
+		back := "not within the day"
 		if r.End >= 0 {
 			to = fmt.Sprintf("%.1f s", r.End)
 		}
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -1,5 +1,5 @@
-// Package compare sets two sides against each other: the same days and seeds on both, in alternation, and a table of
-// ratios that says which differences are beyond noise.
+// Package compare plays the same days and seeds on two sides in alternation, and tells which differences are beyond
+// noise.
 //
 // Each play gives one pair, so what a seed does to both sides falls out. A difference is beyond noise if Student's
 // interval of the mean of the pairs' differences leaves zero out, at a level that holds for all measures together
@@ -17,7 +17,7 @@
 	"sprucehill/internal/lab/measure"
 )
 
-// level is the chance that any measure at all is called different though none is.
+// familyError is the chance that any measure at all is called different though none is.
 const familyError = 0.05
 
 // Side plays a day, drawn by a seed.
@@ -56,34 +56,43 @@
 	{"after it was back", "", func(s *measure.Summary) float64 {
 		return worstOf(s, func(r measure.Recovery) float64 { return r.Again })
 	}, true},
-	{"fullest zone", "", func(s *measure.Summary) float64 {
-		if s.Zones == nil {
-			return 0
-		}
-		return s.Zones.Fullest
-	}, false},
-	{"swing of zones", "", func(s *measure.Summary) float64 {
-		if s.Zones == nil {
-			return 0
-		}
-		return s.Zones.Swing
-	}, false},
-	{"rules broken", "", func(s *measure.Summary) float64 {
-		n := 0
-		for _, of := range s.Broken {
-			n += of
-		}
-		return float64(n)
-	}, false},
+	{"fullest zone", "", fullestZone, false},
+	{"swing of zones", "", zoneSwing, false},
+	{"rules broken", "", rulesBroken, false},
+}
+
+// fullestZone is the use of the fullest zone over the fleet's; 0: it is not known.
+func fullestZone(s *measure.Summary) float64 {
+	if s.Zones == nil {
+		return 0
+	}
+	return s.Zones.Fullest
+}
+
+// zoneSwing is how far a zone's share of the attempts moves; 0: it is not known.
+func zoneSwing(s *measure.Summary) float64 {
+	if s.Zones == nil {
+		return 0
+	}
+	return s.Zones.Swing
+}
+
+// rulesBroken is how many violations there were.
+func rulesBroken(s *measure.Summary) float64 {
+	violations := 0
+	for _, n := range s.Broken {
+		violations += n
+	}
+	return float64(violations)
 }
 
 // worstOf is the least of a figure over all faults; 1: there are none.
 func worstOf(s *measure.Summary, of func(measure.Recovery) float64) float64 {
-	low := 1.0
+	worst := 1.0
 	for _, r := range s.Recoveries {
-		low = min(low, of(r))
+		worst = min(worst, of(r))
 	}
-	return low
+	return worst
 }
 
 // recovery is the time that service took to come back, over all faults that end; where it did not, the rest of the day.
@@ -131,56 +140,62 @@
 	return true
 }
 
-// Run plays both sides in alternation; which goes first changes with every play. note is told of each play.
-func Run(ctx context.Context, a, b Side, seed uint64, plays int, note func(play int, side string, s *measure.Summary)) (*Result, error) {
+// Run plays both sides in alternation; which goes first changes with every play. progress is called after each play.
+func Run(ctx context.Context, a, b Side, seed uint64, plays int, progress func(play int, side string, s *measure.Summary)) (*Result, error) {
 	r := &Result{A: a.Name(), B: b.Name(), Plays: plays}
-	var as, bs []*measure.Summary
-	for i := range plays {
-		s := seed + uint64(i)
-		r.Seeds = append(r.Seeds, s)
-		var pair [2]*measure.Summary
-		for k := range 2 {
-			which := (i + k) % 2
-			side := [2]Side{a, b}[which]
-			sum, err := side.Play(ctx, s)
+	sides := [2]Side{a, b}
+	var summaries [2][]*measure.Summary // by side
+	for play := range plays {
+		playSeed := seed + uint64(play)
+		r.Seeds = append(r.Seeds, playSeed)
+		for turn := range sides {
+			which := (play + turn) % len(sides)
+			side := sides[which]
+			summary, err := side.Play(ctx, playSeed)
 			if err != nil {
-				return nil, fmt.Errorf("%s, seed %d: %w", side.Name(), s, err)
+				return nil, fmt.Errorf("%s, seed %d: %w", side.Name(), playSeed, err)
 			}
-			if note(i, side.Name(), sum); sum.Lab != nil && sum.Lab.Void != "" {
-				return nil, fmt.Errorf("%s, seed %d: void: %s", side.Name(), s, sum.Lab.Void)
+			progress(play, side.Name(), summary)
+			if summary.Lab != nil && summary.Lab.Void != "" {
+				return nil, fmt.Errorf("%s, seed %d: void: %s", side.Name(), playSeed, summary.Lab.Void)
 			}
-			pair[which] = sum
+			summaries[which] = append(summaries[which], summary)
 		}
-		as, bs = append(as, pair[0]), append(bs, pair[1])
 	}
 	for _, m := range Measures {
-		r.Rows = append(r.Rows, compareMeasure(m, as, bs))
+		r.Rows = append(r.Rows, compareMeasure(m, summaries[0], summaries[1]))
 	}
 	return r, nil
 }
 
-// row compares one measure.
+// compareMeasure compares one measure of the plays of both sides.
 func compareMeasure(m Measure, as, bs []*measure.Summary) Row {
-	r := Row{Measure: m.Name, Unit: m.Unit, Low: math.Inf(1), High: math.Inf(-1)}
+	row := Row{Measure: m.Name, Unit: m.Unit, Low: math.Inf(1), High: math.Inf(-1)}
 	var a, b, diffs []float64
 	for i := range as {
-		x, y := m.Of(as[i]), m.Of(bs[i])
-		a, b, diffs = append(a, x), append(b, y), append(diffs, y-x)
+		x := m.Of(as[i])
+		y := m.Of(bs[i])
+		a = append(a, x)
+		b = append(b, y)
+		diffs = append(diffs, y-x)
 		if x != 0 {
-			r.Low, r.High = min(r.Low, y/x), max(r.High, y/x)
+			row.Low = min(row.Low, y/x)
+			row.High = max(row.High, y/x)
 		}
 	}
-	r.A, r.B = stat.Mean(a, nil), stat.Mean(b, nil)
-	if r.A != 0 {
-		r.Ratio = r.B / r.A
+	row.A = stat.Mean(a, nil)
+	row.B = stat.Mean(b, nil)
+	if row.A != 0 {
+		row.Ratio = row.B / row.A
 	}
-	if math.IsInf(r.Low, 1) {
-		r.Low, r.High = 0, 0
+	if math.IsInf(row.Low, 1) { // A had 0 in every play
+		row.Low = 0
+		row.High = 0
 	}
-	r.Diff, r.Half = interval(diffs, familyError/float64(len(Measures)))
-	r.Beyond = math.Abs(r.Diff) > r.Half
-	r.Better = r.Beyond && (r.Diff > 0) == m.More
-	return r
+	row.Diff, row.Half = interval(diffs, familyError/float64(len(Measures)))
+	row.Beyond = math.Abs(row.Diff) > row.Half
+	row.Better = row.Beyond && (row.Diff > 0) == m.More
+	return row
 }
 
 // interval is the mean of some figures and half of Student's interval about it, which holds the true mean but for a
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -1,9 +1,10 @@
 package report
 
 import (
+	"cmp"
 	"fmt"
 	"image/color"
-	"math"
+	"slices"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/palette/moreland"
@@ -35,10 +36,10 @@
 	mostPairs = 9
 )
 
-// legendRoom is how far the axis of time goes on beyond the day, so that the legend stands beside the lines.
+// legendSpace is how far the axis of time goes on beyond the day, so that the legend stands beside the lines.
 const legendSpace = 1.2
 
-// within has ticks for the day's time only.
+// dayTicks has ticks for the day's time only.
 type dayTicks struct{ seconds float64 }
 
 func (w dayTicks) Ticks(lo, _ float64) []plot.Tick { return plot.DefaultTicks{}.Ticks(lo, w.seconds) }
@@ -58,19 +59,21 @@
 	return p
 }
 
-// line adds a line of a number of its own.
+// addLine adds a line with the look of its index.
 func addLine(p *plot.Plot, name string, index int, points plotter.XYs) error {
 	l, err := plotter.NewLine(points)
 	if err != nil {
 		return fmt.Errorf("plotting %s: %w", name, err)
 	}
-	l.Color, l.Width, l.Dashes = lineColors[index%len(lineColors)], vg.Points(1.5), dashes[(index+index/len(lineColors))%len(dashes)]
+	l.Color = lineColors[index%len(lineColors)]
+	l.Width = vg.Points(1.5)
+	l.Dashes = dashes[(index+index/len(lineColors))%len(dashes)]
 	p.Add(l)
 	p.Legend.Add(name, l)
 	return nil
 }
 
-// over takes a figure of each window.
+// points takes a figure of each window; false: the window has none.
 func points(series []measure.Window, of func(measure.Window) (float64, bool)) plotter.XYs {
 	var points plotter.XYs
 	for _, w := range series {
@@ -81,7 +84,7 @@
 	return points
 }
 
-// span is when a fault is on, within the day.
+// faultSpan is when a fault is active within the day, in seconds.
 func faultSpan(d *day.Day, f day.Fault) (from, to float64) {
 	from, to = f.At.D().Seconds(), d.Length.D().Seconds()
 	if f.For > 0 {
@@ -93,7 +96,7 @@
 	return from, to
 }
 
-// box is a filled rectangle.
+// addBox adds a filled rectangle.
 func addBox(p *plot.Plot, x0, x1, y0, y1 float64, fill color.Color) error {
 	b, err := plotter.NewPolygon(plotter.XYs{{X: x0, Y: y0}, {X: x1, Y: y0}, {X: x1, Y: y1}, {X: x0, Y: y1}})
 	if err != nil {
@@ -134,7 +137,7 @@
 	return p, addLine(p, "served in time", 0, points(s.Series, func(w measure.Window) (float64, bool) { return w.Share, w.Share >= 0 }))
 }
 
-// shaded adds when faults are on to a plot whose y axis ends at top.
+// shadeFaults marks when faults are active in a plot whose y axis ends at top.
 func shadeFaults(p *plot.Plot, d *day.Day, top float64) error {
 	p.Y.Min, p.Y.Max = 0, top
 	for _, f := range d.Faults {
@@ -182,7 +185,7 @@
 			pairs = append(pairs, pair{from, to, n})
 		}
 	}
-	sortBy(pairs, func(p pair) int { return -p.n })
+	slices.SortStableFunc(pairs, func(a, b pair) int { return cmp.Compare(b.n, a.n) })
 	pairs = pairs[:min(len(pairs), mostPairs)]
 	names := make([]string, len(pairs))
 	for i, p := range pairs {
@@ -269,50 +272,63 @@
 	height vg.Length
 }
 
+// rowInches is the height that a fault or an upstream takes in a plot.
+const rowInches = 0.12
+
+// rowsHeight is the height of some faults or upstreams.
+func rowsHeight(rows int) vg.Length { return vg.Length(rows) * rowInches * vg.Inch }
+
 // figures makes all plots of a day.
 func figures(r *lab.Result) ([]figure, error) {
-	served, err := servedPlot(r)
-	if err != nil {
-		return nil, err
-	}
-	latency, err := linesPlot(r, "Latency of what was served, from when it was to be sent", "milliseconds", []string{"p99", "p50"},
-		func(w measure.Window, i int) float64 { return []float64{w.P99, w.P50}[i] })
-	if err != nil {
-		return nil, err
-	}
-	kinds := []measure.End{measure.InTime, measure.Late, measure.Refused, measure.Failed, measure.Unreached}
-	names := make([]string, len(kinds))
-	for i, k := range kinds {
-		names[i] = k.String()
-	}
-	ends, err := linesPlot(r, "How requests ended", "requests a second", names, func(w measure.Window, i int) float64 { return perSecond(r, w.Ends[kinds[i]]) })
-	if err != nil {
-		return nil, err
-	}
-	share := func(n, of int) float64 {
-		if of == 0 {
-			return 0
+	servedHeight := plotHeight + rowsHeight(len(r.Day.Faults))
+	upstreams := min(len(r.Fleet.Upstreams), mostUpstreams)
+	upstreamsHeight := max(plotHeight, rowsHeight(upstreams))
+	var all []figure
+	for _, f := range []struct {
+		name   string
+		height vg.Length
+		plot   func(*lab.Result) (*plot.Plot, error)
+	}{
+		{"served", servedHeight, servedPlot},
+		{"latency", plotHeight, latencyPlot},
+		{"ends", plotHeight, endsPlot},
+		{"cross", plotHeight, crossPlot},
+		{"zones", plotHeight, zonesPlot},
+		{"upstreams", upstreamsHeight, sharesPlot},
+	} {
+		p, err := f.plot(r)
+		if err != nil {
+			return nil, err
 		}
-		return 100 * float64(n) / float64(of)
+		all = append(all, figure{f.name, p, f.height})
 	}
-	cross, err := linesPlot(r, "Attempts that leave their zone, and their region", "percent of attempts", []string{"another zone", "another region"},
-		func(w measure.Window, i int) float64 { return share([]int{w.CrossZone, w.CrossRegion}[i], w.Attempts) })
-	if err != nil {
-		return nil, err
-	}
-	zones, err := zonesPlot(r)
-	if err != nil {
-		return nil, err
-	}
-	byUpstream, err := sharesPlot(r)
-	if err != nil {
-		return nil, err
+	return all, nil
+}
+
+func latencyPlot(r *lab.Result) (*plot.Plot, error) {
+	return linesPlot(r, "Latency of what was served, from when it was to be sent", "milliseconds", []string{"p99", "p50"},
+		func(w measure.Window, i int) float64 { return []float64{w.P99, w.P50}[i] })
+}
+
+func endsPlot(r *lab.Result) (*plot.Plot, error) {
+	ends := []measure.End{measure.InTime, measure.Late, measure.Refused, measure.Failed, measure.Unreached}
+	names := make([]string, len(ends))
+	for i, e := range ends {
+		names[i] = e.String()
 	}
-	rows := math.Min(float64(len(r.Fleet.Upstreams)), mostUpstreams)
-	return []figure{{"served", served, plotHeight + vg.Length(len(r.Day.Faults))*0.12*vg.Inch}, {"latency", latency, plotHeight},
-		{"ends", ends, plotHeight}, {"cross", cross, plotHeight}, {"zones", zones, plotHeight},
-		{"upstreams", byUpstream, max(plotHeight, vg.Length(rows)*0.12*vg.Inch)}}, nil
+	return linesPlot(r, "How requests ended", "requests a second", names,
+		func(w measure.Window, i int) float64 { return perSecond(r, w.Ends[ends[i]]) })
+}
+
+func crossPlot(r *lab.Result) (*plot.Plot, error) {
+	return linesPlot(r, "Attempts that leave their zone, and their region", "percent of attempts", []string{"another zone", "another region"},
+		func(w measure.Window, i int) float64 {
+			if w.Attempts == 0 {
+				return 0
+			}
+			return 100 * float64([]int{w.CrossZone, w.CrossRegion}[i]) / float64(w.Attempts)
+		})
 }
 
-// drawn draws a plot on a canvas.
+// drawFigure draws a plot on a canvas.
 func drawFigure(f figure, c vg.CanvasSizer) { f.plot.Draw(draw.New(c)) }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -4,7 +4,6 @@
 
 import (
 	"bytes"
-	"cmp"
 	"fmt"
 	"html/template"
 	"maps"
@@ -25,18 +24,13 @@
 )
 
 const (
-	// shownViolations and shownEvents bound what a report tells of breaches: a day that breaks a rule a thousand times
-	// is told in full by history.txt.
+	// shownViolations and shownEvents bound what a report has of violations: history.txt has all of it.
 	shownViolations = 50
 	shownEvents     = 60
 	// dots is the resolution of PNG files, for an inch.
 	dots = 110
 )
 
-func sortBy[T any, K cmp.Ordered](of []T, key func(T) K) {
-	slices.SortStableFunc(of, func(a, b T) int { return cmp.Compare(key(a), key(b)) })
-}
-
 // Write writes report.html and the plots into a folder, and returns the file's path.
 func Write(dir string, r *lab.Result) (string, error) {
 	all, err := figures(r)
@@ -80,7 +74,7 @@
 	return file.Close()
 }
 
-// page is what the layout shows.
+// page is what the layout shows. The layout names its fields.
 type page struct {
 	*lab.Result
 	Plots      []template.HTML
@@ -110,6 +104,7 @@
 	Broken int
 }
 
+// eventLog is a history under a title.
 type eventLog struct {
 	Title string
 	Lines []string
@@ -132,6 +127,22 @@
 
 // fill makes the tables.
 func (p *page) fill() {
+	p.fillParts()
+	for _, rule := range check.Rules {
+		p.Rules = append(p.Rules, ruleRow{rule, p.Summary.Broken[rule]})
+	}
+	for _, v := range p.Violations[:min(len(p.Violations), shownViolations)] {
+		title := fmt.Sprintf("%s at %v: %s", v.Rule, v.At.Round(time.Millisecond), v.What)
+		p.Breaches = append(p.Breaches, p.eventLog(title, v.Trace))
+	}
+	p.fillWorst()
+	p.fillTimetable()
+	for _, r := range p.Summary.Recoveries {
+		p.Recoveries = append(p.Recoveries, newRecoveryRow(r))
+	}
+}
+
+func (p *page) fillParts() {
 	s := p.Summary
 	for _, part := range []partRow{{Name: fmt.Sprintf("first %.0f s", s.Settle), Part: s.Settling}, {Name: "after that", Part: s.Main}} {
 		for _, e := range endsShown {
@@ -139,22 +150,20 @@
 		}
 		p.Parts = append(p.Parts, part)
 	}
-	for _, rule := range check.Rules {
-		p.Rules = append(p.Rules, ruleRow{rule, s.Broken[rule]})
-	}
-	for _, v := range p.Violations[:min(len(p.Violations), shownViolations)] {
-		p.Breaches = append(p.Breaches, p.eventLog(fmt.Sprintf("%s at %v: %s", v.Rule, v.At.Round(time.Millisecond), v.What), v.Trace))
-	}
+}
+
+// fillWorst has the histories of the worst requests.
+func (p *page) fillWorst() {
 	byArrival := map[int32][]history.Event{}
-	for _, r := range s.WorstRequests {
+	for _, r := range p.Summary.WorstRequests {
 		byArrival[int32(r.Arrival)] = nil
 	}
 	for _, e := range p.Events {
-		if trace, ok := byArrival[e.Arrival]; ok && e.Kind < history.Stray {
+		if trace, wanted := byArrival[e.Arrival]; wanted && e.Kind < history.Stray {
 			byArrival[e.Arrival] = append(trace, e)
 		}
 	}
-	for _, r := range s.WorstRequests {
+	for _, r := range p.Summary.WorstRequests {
 		a := p.Arrivals[r.Arrival]
 		title := fmt.Sprintf("%s from %s at %.3f s: %s after %d tries and %d attempts", p.Day.Classes[a.Class].Name,
 			p.Fleet.Zones[a.Zone].Name, a.At.Seconds(), r.End, r.Tries, r.Attempts)
@@ -163,27 +172,44 @@
 		}
 		p.Worst = append(p.Worst, p.eventLog(title, byArrival[int32(r.Arrival)]))
 	}
+}
+
+func (p *page) fillTimetable() {
 	_, hits := p.Day.Timetable()
 	for i, f := range p.Day.Faults {
 		to := "the end"
 		if f.For > 0 {
 			to = (f.At + f.For).D().String()
 		}
-		p.Timetable = append(p.Timetable, faultRow{f.At.D().String(), to, f.Kind, p.Day.TargetNames(p.Fleet, i, hits[i]), day.DescribeFault(f.Kind)})
+		p.Timetable = append(p.Timetable, faultRow{
+			At:    f.At.D().String(),
+			To:    to,
+			Kind:  f.Kind,
+			Whom:  p.Day.TargetNames(p.Fleet, i, hits[i]),
+			About: day.DescribeFault(f.Kind),
+		})
 	}
-	for _, r := range s.Recoveries {
-		row := recoveryRow{r.Fault, fmt.Sprintf("%.1f s", r.At), "the end", percent(r.Before), percent(r.Least), "not within the day"}
-		if r.End >= 0 {
-			row.End = fmt.Sprintf("%.1f s", r.End)
-		}
-		if r.Back != nil {
-			row.Back = fmt.Sprintf("%.1f s", *r.Back)
-		}
-		p.Recoveries = append(p.Recoveries, row)
+}
+
+func newRecoveryRow(r measure.Recovery) recoveryRow {
+	row := recoveryRow{
+		Fault:  r.Fault,
+		At:     fmt.Sprintf("%.1f s", r.At),
+		End:    "the end",
+		Before: percent(r.Before),
+		Least:  percent(r.Least),
+		Back:   "not within the day",
 	}
+	if r.End >= 0 {
+		row.End = fmt.Sprintf("%.1f s", r.End)
+	}
+	if r.Back != nil {
+		row.Back = fmt.Sprintf("%.1f s", *r.Back)
+	}
+	return row
 }
 
-// story is a history as lines.
+// eventLog is the end of a history as lines.
 func (p *page) eventLog(title string, trace []history.Event) eventLog {
 	s := eventLog{Title: title}
 	for _, e := range trace[max(0, len(trace)-shownEvents):] {
@@ -193,42 +219,3 @@
 }
 
 func percent(x float64) string { return fmt.Sprintf("%.1f%%", 100*x) }
-
-var layout = template.Must(template.New("report").Funcs(template.FuncMap{"percent": percent}).Parse(`<!doctype html>
-<html lang="en"><head><meta charset="utf-8"><title>{{.Summary.Day}}: {{.Summary.Engine}} engine, seed {{.Summary.Seed}}</title>
-<style>
-body { font: 15px/1.45 Georgia, serif; max-width: 64rem; margin: 2rem auto; padding: 0 1rem; color: #222; }
-h1, h2 { font-weight: normal; } h2 { border-bottom: 1px solid #bbb; margin-top: 2rem; }
-table { border-collapse: collapse; margin: .6rem 0; } th, td { padding: .15rem .8rem .15rem 0; text-align: left; vertical-align: top; }
-th { border-bottom: 1px solid #888; font-weight: normal; color: #555; } td.n { font-variant-numeric: tabular-nums; }
-.good { color: #1e6b34; } .bad { color: #a32119; } pre { font-size: 12px; background: #f6f5f2; padding: .5rem; overflow-x: auto; }
-svg { max-width: 100%; height: auto; } summary { cursor: pointer; }
-@media print { body { max-width: none; margin: 0; } svg, table { break-inside: avoid; } }
-</style></head><body>
-<h1>{{.Summary.Day}}</h1>
-<p>{{.Day.About}} {{.Summary.Engine}} engine, seed {{.Summary.Seed}}, {{printf "%.0f" .Summary.Seconds}} s: {{len .Fleet.Balancers}} balancers,
-{{len .Fleet.Upstreams}} upstreams, {{len .Fleet.Zones}} zones.</p>
-{{with .Summary.Lab}}{{if .Void}}<p class="bad"><strong>Void: {{.Void}}.</strong></p>{{end}}{{end}}
-<table><tr><th></th><th>requests</th><th>worth served</th><th>in time</th><th>late</th><th>refused</th><th>failed</th><th>not connected</th><th>left early</th><th>p50 ms</th><th>p99 ms</th><th>p99.9 ms</th></tr>
-{{range .Parts}}<tr><td>{{.Name}}</td><td class="n">{{.Requests}}</td><td class="n">{{percent .Served}}</td>{{range .Ends}}<td class="n">{{.}}</td>{{end}}<td class="n">{{printf "%.1f" .Latency.P50}}</td><td class="n">{{printf "%.1f" .Latency.P99}}</td><td class="n">{{printf "%.1f" .Latency.P999}}</td></tr>
-{{end}}</table>
-<p>Score {{printf "%.3f" .Summary.Score}}; worst 10 s {{percent .Summary.Worst}}{{range .Classes}}; {{.Name}} {{percent .Share}}{{end}}{{range .Tenants}}; {{.Name}} {{percent .Share}} inside its share{{end}}.
-{{printf "%.3f" .Summary.Attempts}} attempts a request, {{percent .Summary.CrossZone}} of them to another zone, {{percent .Summary.CrossRegion}} to another region.</p>
-{{with .Summary.Lab}}<p>The lab: arrivals late by {{printf "%.2f" .LateP50}} ms at p50, {{printf "%.2f" .LateP99}} at p99, {{printf "%.1f" .LateMax}} at most; {{printf "%.2f" .LabCores}} cores for it, {{printf "%.2f" .NodeCores}} for all balancers.</p>{{end}}
-<h2>Rules</h2>
-<table>{{range .Rules}}<tr><td>{{.Name}}</td><td>{{if .Broken}}<span class="bad">broken {{.Broken}} times</span>{{else}}<span class="good">kept</span>{{end}}</td></tr>{{end}}</table>
-{{range .Breaches}}<details open><summary>{{.Title}}</summary><pre>{{range .Lines}}{{.}}
-{{end}}</pre></details>{{end}}
-{{if .Timetable}}<h2>Timetable</h2>
-<table><tr><th>from</th><th>to</th><th>fault</th><th>on</th><th>what it does</th></tr>
-{{range .Timetable}}<tr><td class="n">{{.At}}</td><td class="n">{{.To}}</td><td>{{.Kind}}</td><td>{{.Whom}}</td><td>{{.About}}</td></tr>{{end}}</table>
-<table><tr><th>fault</th><th>from</th><th>to</th><th>served before</th><th>least</th><th>back after its end</th></tr>
-{{range .Recoveries}}<tr><td>{{.Fault}}</td><td class="n">{{.At}}</td><td class="n">{{.End}}</td><td class="n">{{.Before}}</td><td class="n">{{.Least}}</td><td class="n">{{.Back}}</td></tr>{{end}}</table>{{end}}
-<h2>Over the day</h2>
-{{range .Plots}}{{.}}
-{{end}}
-{{if .Worst}}<h2>The worst requests</h2>
-{{range .Worst}}<details><summary>{{.Title}}</summary><pre>{{range .Lines}}{{.}}
-{{end}}</pre></details>{{end}}{{end}}
-</body></html>
-`))
