--- a/cmd/balancerctl/main_test.go
+++ b/cmd/balancerctl/main_test.go
@@ -163,7 +163,7 @@
 }
 
 // A lab that is killed takes its balancers along.
-func TestKilledLabLeavesNothing(t *testing.T) {
+func TestKilledLabLeavesNoProcesses(t *testing.T) {
 	out := t.TempDir()
 	cmd := exec.Command(command, "lab", "run", labtest.ExampleFile(t, "quickstart.toml"), "--program", tree(t, "exec "+balancer), "--out", out)
 	if err := cmd.Start(); err != nil {
--- a/cmd/balancerctl/scale.go
+++ b/cmd/balancerctl/scale.go
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// measureCost models a day and tells what that took.
+// measureCost models a day and returns what that took.
 func measureCost(ctx context.Context, d *day.Day, o model.Options) (cost, error) {
 	runtime.GC() // what came before is not this day's
 	f := d.Fleet()
--- a/internal/lab/check/answers.go
+++ b/internal/lab/check/answers.go
@@ -48,13 +48,13 @@
 	return ""
 }
 
-// excused tells whether the timetable took the answer away: it killed or paused the balancer, or hit the link to it,
+// excused reports whether the timetable took the answer away: it killed or paused the balancer, or hit the link to it,
 // between the last byte of the request and the time at which the answer was missed.
 func (c *checker) excused(sent history.Event, until time.Duration) bool {
 	return c.processExcuses(sent, until) || c.linkExcuses(sent, until)
 }
 
-// processExcuses tells whether the balancer was killed or paused.
+// processExcuses reports whether the balancer was killed or paused.
 func (c *checker) processExcuses(sent history.Event, until time.Duration) bool {
 	paused := false
 	for _, e := range c.processes[sent.Balancer] {
@@ -77,7 +77,7 @@
 	return paused
 }
 
-// linkExcuses tells whether a fault hit the link between the client and the balancer.
+// linkExcuses reports whether a fault hit the link between the client and the balancer.
 func (c *checker) linkExcuses(sent history.Event, until time.Duration) bool {
 	// Fronts lead to balancers of their own zone.
 	clients := day.Party{Kind: day.ClientsParty, Index: c.fleet.Balancers[sent.Balancer].Zone}
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -123,7 +123,7 @@
 	c.violations = append(c.violations, Violation{rule, at, what, trace})
 }
 
-// isArrival tells whether an event is an attempt that came to an upstream, taken or not.
+// isArrival reports whether an event is an attempt that came to an upstream, taken or not.
 func isArrival(e history.Event) bool { return e.Kind == history.Arrived || e.Kind == history.Rejected }
 
 // class is that of the request of an event.
--- a/internal/lab/check/effects.go
+++ b/internal/lab/check/effects.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// retryIsHarmless tells whether a client may retry a request that may have run: any upstream knows that it has.
+// retryIsHarmless reports whether a client may retry a request that may have run: any upstream knows that it has.
 func (c *checker) retryIsHarmless(e history.Event) bool {
 	class := c.class(e)
 	return class.Repeat != "unsafe" && (class.Repeat != "keyed" || class.Group == "all")
--- a/internal/lab/check/fleet.go
+++ b/internal/lab/check/fleet.go
@@ -112,7 +112,7 @@
 		c.fleet.Upstreams[collapse.Upstream].Name, work, span, 100*fromThoseWhoKnew/work), trace[from:])
 }
 
-// knewOfStart tells whether the balancer of an attempt had been notified of the upstream's start.
+// knewOfStart reports whether the balancer of an attempt had been notified of the upstream's start.
 func (c *checker) knewOfStart(attempt history.Event, started *history.Event) bool {
 	if started == nil {
 		return false
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -40,7 +40,7 @@
 // AddRequest counts a first request, which adds to the budget.
 func (z *Zone) AddRequest() { z.tokens = min(maxBudget, z.tokens+z.day.Clients.Budget) }
 
-// Retry tells whether a client retries, and after how long. sent counts its requests so far, remaining is what is left of
+// Retry reports whether a client retries, and after how long. sent counts its requests so far, remaining is what is left of
 // its deadline, retryAfter is as advised, 0 for none, and draw a draw from 0 to 1. What may have run is retried only
 // where its class permits; what was rejected or never taken always may be.
 func (z *Zone) Retry(class int, result Result, sent int, remaining, retryAfter time.Duration, draw float64) (wait time.Duration, retries bool) {
@@ -60,7 +60,7 @@
 	return wait, true
 }
 
-// harmless tells whether a retry is harmless after a result.
+// harmless reports whether a retry is harmless after a result.
 func (z *Zone) harmless(class int, result Result) bool {
 	c := z.day.Classes[class]
 	return result == Rejected || result == NotConnected || c.Repeat == "safe" || (c.Repeat == "keyed" && c.Group == "all")
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -130,7 +130,7 @@
 	Rows  []Row
 }
 
-// Same tells whether no measure differs beyond noise.
+// Same reports whether no measure differs beyond noise.
 func (r *Result) Same() bool {
 	for _, row := range r.Rows {
 		if row.Beyond {
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -45,7 +45,7 @@
 
 // A difference of five times the noise is found in ten plays although seeds differ by far more; none is found where
 // there is none, in at least the share of comparisons that is promised.
-func TestNoiseIsTold(t *testing.T) {
+func TestDifferencesBeyondNoise(t *testing.T) {
 	called := 0
 	for salt := range uint64(200) {
 		if r := run(t, 0.5, 0.55, salt); !r.Rows[0].Beyond || !r.Rows[0].Better {
--- a/internal/lab/day/check.go
+++ b/internal/lab/day/check.go
@@ -18,7 +18,7 @@
 	return fmt.Errorf("%s: %s", key, fmt.Sprintf(format, args...))
 }
 
-// isShare tells whether x is a share from 0 to 1.
+// isShare reports whether x is a share from 0 to 1.
 func isShare(x float64) bool { return x >= 0 && x <= 1 }
 
 // check names the first thing that makes the day unusable.
--- a/internal/lab/day/day.go
+++ b/internal/lab/day/day.go
@@ -72,9 +72,9 @@
 	Cores       int      `toml:"cores"`
 	Speed       float64  `toml:"speed"`        // of a core; work is stated for a speed of 1
 	Slots       int      `toml:"slots"`        // requests in work at once
-	Queue       int      `toml:"queue"`        // and waiting behind them; more are turned away unseen
+	Queue       int      `toml:"queue"`        // and waiting behind them; more are rejected
 	ColdFrom    float64  `toml:"cold_from"`    // share of its capacity at its start
-	Warm        Duration `toml:"warm"`         // rising evenly to the whole by then
+	Warm        Duration `toml:"warm"`         // and how long it takes to rise, evenly, to all of it
 	PauseEvery  Duration `toml:"pause_every"`  // mean time between pauses; 0: none
 	Pause       Duration `toml:"pause"`        // all work stands still so long
 	ErrorRate   float64  `toml:"error_rate"`   // part of requests that fail at their end
@@ -83,7 +83,7 @@
 	ReportDelay Duration `toml:"report_delay"` // and how old it is by then
 }
 
-// Network is what lies between two parties, one way.
+// Network is the delays, one way, and losses of links between parties.
 type Network struct {
 	SameZone    Duration `toml:"same_zone"`
 	CrossZone   Duration `toml:"cross_zone"`
@@ -92,7 +92,7 @@
 	Links       []Link   `toml:"link"` // pairs that differ
 }
 
-// Link is the way from one region or zone to another.
+// Link is the link from one region or zone to another.
 type Link struct {
 	From  string   `toml:"from"` // zone:NAME or region:NAME
 	To    string   `toml:"to"`
@@ -100,7 +100,7 @@
 	Loss  float64  `toml:"loss"`
 }
 
-// Discovery is the service that tells balancers of upstreams.
+// Discovery is the service from which balancers have the list of upstreams.
 type Discovery struct {
 	Delay Duration `toml:"delay"` // from a change to the agents
 }
@@ -119,7 +119,7 @@
 	TipMultiple    float64  `toml:"tip_multiple"`
 	TipAfter       Duration `toml:"tip_after"`
 	Notice         Duration `toml:"front_notice"` // after it a front learns that a balancer has died
-	State          bool     `toml:"state"`        // they keep what they know on disk
+	State          bool     `toml:"state"`        // they save their state on disk
 	Known          string   `toml:"known"`        // the list in their configuration: that of "now", or of the day's "begin"
 }
 
@@ -146,9 +146,9 @@
 
 // Clients is how clients behave.
 type Clients struct {
-	Retries    int      `toml:"retries"`    // tries after the first, at most
-	Wait       Duration `toml:"wait"`       // before another try
-	Budget     float64  `toml:"budget"`     // other tries as a part of first ones; 0: no budget
+	Retries    int      `toml:"retries"`    // at most
+	Wait       Duration `toml:"wait"`       // before a retry
+	Budget     float64  `toml:"budget"`     // retries as a part of first requests; 0: no budget
 	Impatience float64  `toml:"impatience"` // part that leave before their deadline
 	Honour     float64  `toml:"honour"`     // part that follow Retry-After
 	Keys       int      `toml:"keys"`       // distinct subjects of keyed requests
@@ -156,7 +156,7 @@
 
 // Load is how many requests come, over all zones.
 type Load struct {
-	Rate   float64  `toml:"rate"`   // first tries a second
+	Rate   float64  `toml:"rate"`   // first requests a second
 	Shape  string   `toml:"shape"`  // flat or wave
 	Swing  float64  `toml:"swing"`  // of a wave, as a part of the rate
 	Period Duration `toml:"period"` // of a wave
--- a/internal/lab/day/day_test.go
+++ b/internal/lab/day/day_test.go
@@ -45,7 +45,7 @@
 }
 
 // What is wrong with a file is said in a line that names file and key, and of an unknown key the nearest known one.
-func TestErrorsNameTheKey(t *testing.T) {
+func TestInvalidDays(t *testing.T) {
 	for _, c := range []struct{ add, want string }{
 		{"[clients]\nretry = 3\n", `d.toml:24: unknown key "clients.retry"; did you mean "retries"?`},
 		{"[model.n]\ncors = 3\n", `unknown key "model.n.cors"; did you mean "cores"?`},
@@ -67,7 +67,7 @@
 }
 
 // The same file and seed give the same arrivals and the same choice of whom a fault hits; another seed others.
-func TestSeeded(t *testing.T) {
+func TestSeedDeterminesTheDay(t *testing.T) {
 	text := small + "[[fault]]\nat=\"1s\"\nkind=\"errors\"\nsize=0.5\npart=0.4\ntarget=[\"upstream:*\"]\n"
 	a, b, c := parse(t, text), parse(t, text), parse(t, "seed = 2\n"+text)
 	_, ha := a.Timetable()
@@ -88,7 +88,7 @@
 }
 
 // Ids of tries never meet.
-func TestTryIDs(t *testing.T) {
+func TestRequestIDsAreUnique(t *testing.T) {
 	d := parse(t, small)
 	rapid.Check(t, func(t *rapid.T) {
 		d.Seed = rapid.Uint64().Draw(t, "seed")
@@ -101,7 +101,7 @@
 }
 
 // Faults on one way add up, and end one by one.
-func TestPathsOverlap(t *testing.T) {
+func TestLinkFaultsOverlap(t *testing.T) {
 	d := parse(t, small+`
 [[fault]]
 at = "1s"
--- a/internal/lab/day/fleet.go
+++ b/internal/lab/day/fleet.go
@@ -185,7 +185,7 @@
 	return slices.DeleteFunc(all, func(p Party) bool { return !chosen[p] }), nil
 }
 
-// matches tells whether a selector of the kind what, with a pattern that is valid, selects p.
+// matches reports whether a selector of the kind what, with a pattern that is valid, selects p.
 func (f *Fleet) matches(p Party, what, pattern string) bool {
 	match := func(name string) bool {
 		ok, _ := path.Match(pattern, name) // selectParties has checked the pattern
--- a/internal/lab/day/paths.go
+++ b/internal/lab/day/paths.go
@@ -68,7 +68,7 @@
 	return p
 }
 
-// inSelector tells whether a zone is selected by zone:NAME or region:NAME.
+// inSelector reports whether a zone is selected by zone:NAME or region:NAME.
 func (f *Fleet) inSelector(z FleetZone, selector string) bool {
 	what, pattern, _ := strings.Cut(selector, ":")
 	name := z.Name
@@ -92,10 +92,10 @@
 	}
 }
 
-// OnLinks tells whether fault i is one on links.
+// OnLinks reports whether fault i is one on links.
 func (p *Paths) OnLinks(i int) bool { return p.hits[i].Scope == OnLinks }
 
-// Hits tells whether fault i, on links, acts on what goes from one party to another.
+// Hits reports whether fault i, on links, acts on what goes from one party to another.
 func (p *Paths) Hits(i int, from, to Party) bool {
 	h := p.hits[i]
 	return (h.From[from] && h.To[to]) || (!p.day.Faults[i].OneWay && h.From[to] && h.To[from])
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,5 +1,5 @@
-// Package lab plays a day and tells what came of it: an engine makes a history, the checker judges it, the measures
-// count it.
+// Package lab plays a day and returns its result: an engine makes a history, the checker judges it, and its figures are
+// measured.
 package lab
 
 import (
@@ -23,7 +23,7 @@
 	Summary    *measure.Summary
 }
 
-// Good tells whether no rule was broken and the day counts.
+// Good reports whether no rule was broken and the day counts.
 func (r *Result) Good() bool {
 	return len(r.Violations) == 0 && (r.Summary.Lab == nil || r.Summary.Lab.Void == "")
 }
@@ -48,7 +48,7 @@
 	return newResult(d, "model", events), nil
 }
 
-// judged makes a result of a history.
+// newResult makes a result of a history.
 func newResult(d *day.Day, engine string, events []history.Event) *Result {
 	r := &Result{Day: d, Fleet: d.Fleet(), Arrivals: d.Arrivals(), Events: events}
 	r.Violations = check.Judge(d, r.Fleet, events)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -12,8 +12,8 @@
 	"sprucehill/internal/lab/live"
 )
 
-// proofDay has what each rule needs to be broken: an upstream that returns cold, one that drains, a restart.
-const proofDay = `
+// checkerDay has what each rule needs to be broken: an upstream that returns cold, one that drains, a restart.
+const checkerDay = `
 seed = 7
 length = "11s"
 settle = "1s"
@@ -108,7 +108,7 @@
 			if c.mode == "balancer" {
 				command = []string{real}
 			}
-			r := play(t, labtest.Day(t, proofDay), command...)
+			r := play(t, labtest.Day(t, checkerDay), command...)
 			caught := false
 			for _, v := range r.Violations {
 				if caught = caught || v.Rule == c.rule; v.Rule == c.rule {
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -42,8 +42,8 @@
 
 var b, u = day.Party{Kind: day.BalancerParty}, day.Party{Kind: day.UpstreamParty}
 
-// pair returns a network and the two ends of a connection over it: the balancer's own, and the upstream's.
-func pair(t *testing.T) (*Network, *Listener, net.Conn, *Conn) {
+// connect returns a network and the two ends of a connection over it: the balancer's own, and the upstream's.
+func connect(t *testing.T) (*Network, *Listener, net.Conn, *Conn) {
 	t.Helper()
 	d := labtest.Day(t, cutDay)
 	n := New(d.NewPaths(d.Fleet()), 1)
@@ -65,8 +65,8 @@
 	return n, l, far, near
 }
 
-// passes tells whether a byte from one end has come to the other within a time.
-func passes(t *testing.T, from io.Writer, to net.Conn, within time.Duration) bool {
+// arrives reports whether a byte from one end has come to the other within a time.
+func arrives(t *testing.T, from io.Writer, to net.Conn, within time.Duration) bool {
 	t.Helper()
 	go func() { _, _ = io.WriteString(from, "x") }() // a byte that is not written does not arrive
 	got := make(chan error, 1)
@@ -85,10 +85,10 @@
 	}
 }
 
-// A cut way keeps its connections, silent; what was sent comes when it is whole again.
+// A cut link keeps its connections, silent; what was sent comes when it is up again.
 func TestCutIsSilent(t *testing.T) {
-	n, _, far, near := pair(t)
-	if !passes(t, far, near, 10*time.Second) {
+	n, _, far, near := connect(t)
+	if !arrives(t, far, near, 10*time.Second) {
 		t.Fatal("nothing passes on a whole way")
 	}
 	n.Set(0, true, false)
@@ -111,21 +111,21 @@
 	}
 }
 
-// A way that is cut one way passes the other on.
-func TestOneWay(t *testing.T) {
-	n, _, far, near := pair(t)
+// A link that is cut in one direction passes the other.
+func TestOneWayCut(t *testing.T) {
+	n, _, far, near := connect(t)
 	n.Set(1, true, false)
-	if !passes(t, far, near, 10*time.Second) {
+	if !arrives(t, far, near, 10*time.Second) {
 		t.Error("balancer to upstream is not cut, but nothing passes")
 	}
-	if passes(t, near, far, 300*time.Millisecond) {
+	if arrives(t, near, far, 300*time.Millisecond) {
 		t.Error("upstream to balancer is cut, but a byte passes")
 	}
 }
 
 // New connections do not come up over a cut, are neither refused nor reset, and come up when it ends. Cuts overlap.
 func TestCutTakesNoConnections(t *testing.T) {
-	n, l, _, _ := pair(t)
+	n, l, _, _ := connect(t)
 	address := l.tcp.Addr().String()
 	n.Set(0, true, false)
 	n.Set(1, true, false)
--- a/internal/lab/link/network.go
+++ b/internal/lab/link/network.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// isCut tells whether a connection between two parties can't come up. n.mu is held.
+// isCut reports whether a connection between two parties can't come up. n.mu is held.
 func (n *Network) isCut(a, b day.Party) bool {
 	return n.vanished[a] || n.vanished[b] || n.paths.Condition(a, b).Cut || n.paths.Condition(b, a).Cut
 }
--- a/internal/lab/live/clients.go
+++ b/internal/lab/live/clients.go
@@ -62,7 +62,7 @@
 	z.zone.AddRequest()
 }
 
-// retry tells whether a client retries, and after how long.
+// retry reports whether a client retries, and after how long.
 func (z *zoneClients) retry(class int, result client.Result, tries int, left, retryAfter time.Duration, draw float64) (time.Duration, bool) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
--- a/internal/lab/live/front.go
+++ b/internal/lab/live/front.go
@@ -219,7 +219,7 @@
 	return c
 }
 
-// checkIdle tells whether an idle connection is good to use, and closes it if not: it may have ended, or brought what
+// checkIdle reports whether an idle connection is good to use, and closes it if not: it may have ended, or brought what
 // nobody asked for. A second answer is recorded under the request before.
 func (f *front) checkIdle(c *clientConn) bool {
 	waiting := c.reader.Buffered() > 0
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// wasKilled tells whether the process of now was ended by SIGKILL.
+// wasKilled reports whether the process of now was ended by SIGKILL.
 func (n *node) wasKilled() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/live/registry.go
+++ b/internal/lab/live/registry.go
@@ -307,7 +307,7 @@
 	}
 }
 
-// present tells whether an entry stands in a whole list.
+// present reports whether an entry stands in a whole list.
 func present(e listEntry) bool { return e.phase != "removed" }
 
 // listing is discovery's form of the list, also of what a configuration calls known.
--- a/internal/lab/measure/measure_test.go
+++ b/internal/lab/measure/measure_test.go
@@ -13,7 +13,7 @@
 	"sprucehill/internal/lab/labtest"
 )
 
-const text = `
+const handDay = `
 length = "20s"
 settle = "2s"
 [[region]]
@@ -49,10 +49,11 @@
 target = ["all"]
 `
 
-// made returns a day of one request a tenth of a second, each answered after a time that of says, or failed for 0.
-func made(t *testing.T, of func(i int, a day.Arrival) (latency time.Duration, upstream int32)) (*day.Day, []day.Arrival, []history.Event) {
+// playByHand returns a day of one request each 100 ms, each answered with the latency that of returns, or failed for 0,
+// and the history of it.
+func playByHand(t *testing.T, of func(i int, a day.Arrival) (latency time.Duration, upstream int32)) (*day.Day, []day.Arrival, []history.Event) {
 	t.Helper()
-	d := labtest.Day(t, text)
+	d := labtest.Day(t, handDay)
 	var arrivals []day.Arrival
 	var events []history.Event
 	for i := range 200 {
@@ -71,9 +72,9 @@
 	return d, arrivals, events
 }
 
-// A day by hand: from 10 to 14 s requests fail, one in ten of the rest is late, a quarter of attempts cross zones.
-func TestFiguresByHand(t *testing.T) {
-	d, arrivals, events := made(t, func(i int, a day.Arrival) (time.Duration, int32) {
+// From 10 to 14 s requests fail, one in ten of the rest is late, a quarter of attempts cross zones.
+func TestSummary(t *testing.T) {
+	d, arrivals, events := playByHand(t, func(i int, a day.Arrival) (time.Duration, int32) {
 		u := int32(0)
 		if i%4 == 3 {
 			u = 1
@@ -111,9 +112,9 @@
 	near("back", *r.Back, 1) // the fault ends at 13 s, service is back at 14
 }
 
-// A request that is answered twice counts once, and a client's later try counts for its first.
-func TestRequestsAreFollowed(t *testing.T) {
-	d, arrivals, _ := made(t, func(int, day.Arrival) (time.Duration, int32) { return time.Millisecond, 0 })
+// A request that is answered twice counts once, and a client's retry counts for its first request.
+func TestRequestsAcrossRetries(t *testing.T) {
+	d, arrivals, _ := playByHand(t, func(int, day.Arrival) (time.Duration, int32) { return time.Millisecond, 0 })
 	at := func(ms int, kind history.Kind, try int8, r client.Result) history.Event {
 		return history.Event{At: time.Duration(ms) * time.Millisecond, Kind: kind, Retry: try, Result: r}
 	}
@@ -136,9 +137,9 @@
 	}
 }
 
-// Zones: who left one that a fault took away and when, who lost faith in one that was well, and how use is spread.
+// Who left a zone that a fault took away and when, who doubted a healthy one, and how use is spread.
 func TestZones(t *testing.T) {
-	d, arrivals, events := made(t, func(i int, _ day.Arrival) (time.Duration, int32) { return 50 * time.Millisecond, int32(i / 150) })
+	d, arrivals, events := playByHand(t, func(i int, _ day.Arrival) (time.Duration, int32) { return 50 * time.Millisecond, int32(i / 150) })
 	d.Faults[0].Target = []string{"zone:b"}
 	told := func(at time.Duration, balancer int32, zone int16, state string) {
 		events = append(events, history.Event{At: at, Kind: history.ZoneState, Balancer: balancer, Zone: zone, Upstream: history.None,
@@ -162,10 +163,10 @@
 	}
 }
 
-// A second dip after service was back is told, and one that the next fault makes is not.
+// A second dip after recovery counts, and one that the next fault makes does not.
 func TestSecondDip(t *testing.T) {
 	dip := func(i int) bool { return i >= 150 && i < 180 } // 15 to 18 s; the fault ends at 13
-	d, arrivals, events := made(t, func(i int, _ day.Arrival) (time.Duration, int32) {
+	d, arrivals, events := playByHand(t, func(i int, _ day.Arrival) (time.Duration, int32) {
 		if dip(i) && i%2 == 0 {
 			return 0, 0
 		}
@@ -182,7 +183,7 @@
 	}
 }
 
-// Starts within the day are timed to the front's first look and the first client served.
+// Starts within the day are timed to the front's first successful health check and the first client served.
 func TestStarts(t *testing.T) {
 	of := func(at int, kind history.Kind, balancer int32, result client.Result) history.Event {
 		return history.Event{At: time.Duration(at) * time.Millisecond, Kind: kind, Balancer: balancer, Result: result}
--- a/internal/lab/measure/recovery.go
+++ b/internal/lab/measure/recovery.go
@@ -96,7 +96,7 @@
 	return lowest
 }
 
-// faultBetween tells whether a fault begins between two times, in seconds, both included.
+// faultBetween reports whether a fault begins between two times, in seconds, both included.
 func faultBetween(d *day.Day, from, to float64) bool {
 	return slices.ContainsFunc(d.Faults, func(f day.Fault) bool {
 		at := f.At.D().Seconds()
--- a/internal/lab/measure/requests.go
+++ b/internal/lab/measure/requests.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// served tells whether the request has had a good answer.
+// served reports whether the request has had a good answer.
 func (r *Request) served() bool { return r.End <= Late }
 
 // endOf is how an answered request ended.
@@ -119,7 +119,7 @@
 	at    time.Duration
 }
 
-// take tells whether a request is within a quota in requests a second, and counts it if it is.
+// take reports whether a request is within a quota in requests a second, and counts it if it is.
 func (b *quotaBucket) take(quota float64, now time.Duration) bool {
 	b.level = max(0, b.level-quota*(now-b.at).Seconds())
 	b.at = now
--- a/internal/lab/measure/zones.go
+++ b/internal/lab/measure/zones.go
@@ -33,9 +33,9 @@
 	Fullest float64 // use of the fullest zone over the fleet's
 	Swing   float64 // peak to peak of a zone's part of all attempts, the greatest; over stretches of 5 s
 	Same    float64 // part of attempts that stay in their zone
-	Leave   *Leave  `json:",omitempty"` // where a fault hit most of a zone and the engine tells of states
-	// Wrongly is the part of pairs of a balancer and an upstream that no fault had hit, in whose zone that balancer lost
-	// faith for a time. It needs states told, too.
+	Leave   *Leave  `json:",omitempty"` // where a fault hit most of a zone and zone states are known
+	// Wrongly is the share of pairs of a balancer and an upstream that no fault had hit, in whose zone that balancer lost
+	// confidence for a time. It needs zone states, too.
 	Wrongly float64
 }
 
@@ -158,7 +158,7 @@
 	return ratio(lost, upstreams)
 }
 
-// takesAway tells whether fault i takes an upstream away from a balancer.
+// takesAway reports whether fault i takes an upstream away from a balancer.
 func (t faultTruth) takesAway(i, balancer, upstream int) bool {
 	hit := t.hits[i]
 	kind := t.day.Faults[i].Kind
@@ -276,7 +276,7 @@
 	return ratio(float64(pairs), float64(len(t.fleet.Balancers)*len(t.fleet.Upstreams)))
 }
 
-// hasReason tells whether a fault gives a balancer reason to doubt a zone at a moment.
+// hasReason reports whether a fault gives a balancer reason to doubt a zone at a moment.
 func (t faultTruth) hasReason(view zoneView, at time.Duration) bool {
 	for i, fault := range t.day.Faults {
 		within := at >= fault.At.D() && at < t.faultEnd(i)+evidenceLag
--- a/internal/lab/model/connections.go
+++ b/internal/lab/model/connections.go
@@ -43,7 +43,7 @@
 	n.send(n.sim.servers[upstream], message{kind: msgConnClosed})
 }
 
-// reserveConn tells whether another connection may be opened. At the limit it closes the one that has idled longest.
+// reserveConn reports whether another connection may be opened. At the limit it closes the one that has idled longest.
 func (n *node) reserveConn() bool {
 	if n.conns < n.maxConns {
 		return true
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// onLinkFault tells whether a fault on links hits one between this node and another party.
+// onLinkFault reports whether a fault on links hits one between this node and another party.
 func (n *node) onLinkFault(i int, p day.Party) bool {
 	return n.sim.paths.Hits(i, n.party, p) || n.sim.paths.Hits(i, p, n.party)
 }
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -15,8 +15,8 @@
 	"sprucehill/internal/lab/labtest"
 )
 
-// everything is a day with every kind of fault, some of them over each other.
-const everything = `
+// everyFaultDay is a day for every kind of fault, some of them over each other.
+const everyFaultDay = `
 seed = 3
 length = "14s"
 [[region]]
@@ -77,10 +77,10 @@
 swing = 0.3
 `
 
-// withFaults adds one fault of each kind to everything.
-func withFaults(t *testing.T) *day.Day {
+// dayWithEveryFault adds one fault of each kind to everyFaultDay.
+func dayWithEveryFault(t *testing.T) *day.Day {
 	t.Helper()
-	text := everything
+	text := everyFaultDay
 	for i, f := range []string{
 		`kind = "cut"` + "\n" + `from = ["zone:a"]` + "\n" + `to = ["zone:b"]`,
 		`kind = "cut"` + "\n" + `from = ["balancer:a-b1"]` + "\n" + `to = ["all"]` + "\n" + `one_way = true`,
@@ -117,8 +117,8 @@
 }
 
 // One day gives one history, to the byte, whatever the number of workers and however often it is played.
-func TestSameOnAnyWorkers(t *testing.T) {
-	d := withFaults(t)
+func TestDeterministicOnAnyWorkers(t *testing.T) {
+	d := dayWithEveryFault(t)
 	one := play(t, d, Options{Workers: 1})
 	if len(one) < 5000 {
 		t.Fatalf("only %d events", len(one))
@@ -134,9 +134,9 @@
 	}
 }
 
-// Every attempt that an upstream took ends, and every request that was asked has an end.
-func TestNothingIsForgotten(t *testing.T) {
-	d := withFaults(t)
+// Every attempt that an upstream took ends, and every request that was sent ends.
+func TestEveryRequestAndAttemptEnds(t *testing.T) {
+	d := dayWithEveryFault(t)
 	type key struct {
 		req      uint64
 		upstream int32
@@ -195,7 +195,7 @@
 }
 
 // The policy that sees the true state serves more than the module on a day whose fault no balancer can see at once.
-func TestTrueStateIsAboveAll(t *testing.T) {
+func TestTrueStateServesMost(t *testing.T) {
 	d := labtest.Example(t, "zones/two.toml")
 	served := func(policy string) float64 {
 		good, asked := 0, 0
@@ -213,10 +213,10 @@
 	}
 }
 
-// A baseline that knows nothing of cold upstreams pushes one over, and the checker tells so in virtual time too. The
-// module does not.
-func TestColdUpstreamInTheModel(t *testing.T) {
-	text := everything + `
+// A baseline without slow start pushes a cold upstream over, and the checker finds it in virtual time too. The module does
+// not push one over.
+func TestRoundRobinOverloadsColdUpstream(t *testing.T) {
+	text := everyFaultDay + `
 [[fault]]
 at = "3s"
 for = "1s"
@@ -243,9 +243,9 @@
 	}
 }
 
-// A zone that is cut off hears nothing and is heard of when the cut ends: what was on its way comes then.
-func TestCutHoldsMessages(t *testing.T) {
-	d := withFaults(t)
+// A zone that is cut off gets no messages until the cut ends: those in transit come then.
+func TestCutLinkHoldsMessages(t *testing.T) {
+	d := dayWithEveryFault(t)
 	d.Faults = d.Faults[:1]
 	during := 0
 	for _, e := range play(t, d, Options{}) {
--- a/internal/lab/model/process.go
+++ b/internal/lab/model/process.go
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// configuredAtBegin tells whether the configuration has the endpoint list of the day's begin rather than of now.
+// configuredAtBegin reports whether the configuration has the endpoint list of the day's begin rather than of now.
 func (n *node) configuredAtBegin() bool { return n.sim.day.Balancer.Known == "begin" }
 
 // startEndpoints is the list that a process starts with: the saved one, or the one in its configuration.
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -14,9 +14,9 @@
 	"sprucehill/internal/lab/model"
 )
 
-// A report is one file with no outside parts; it has every plot with its axes named, the timetable, and the histories of
+// A report is one file without external resources; it has every plot with its axes named, the timetable, and the histories of
 // the worst requests. The plots stand beside it as pictures that can be read.
-func TestReportIsWhole(t *testing.T) {
+func TestReportIsComplete(t *testing.T) {
 	r, err := lab.Model(context.Background(), labtest.Example(t, "zone-fire.toml"), model.Options{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/server/server.go
+++ b/internal/lab/server/server.go
@@ -234,7 +234,7 @@
 	return true, false
 }
 
-// exceedsColdBudget counts work that reaches a cold server, also what it turns away, and tells whether it is more than
+// exceedsColdBudget counts work that reaches a cold server, also what it turns away, and reports whether it is more than
 // the server bears over any TipAfter.
 func (s *Server) exceedsColdBudget(work float64) bool {
 	if s.alwaysWarm || s.now-s.startedAt >= s.model.Warm.D() {
--- a/internal/lab/server/server_test.go
+++ b/internal/lab/server/server_test.go
@@ -11,12 +11,12 @@
 )
 
 var (
-	model = day.Model{Cores: 2, Speed: 1, Slots: 4, Queue: 2, ColdFrom: 0.2, Warm: day.Duration(10 * time.Second),
+	serverModel = day.Model{Cores: 2, Speed: 1, Slots: 4, Queue: 2, ColdFrom: 0.2, Warm: day.Duration(10 * time.Second),
 		ReportEvery: day.Duration(time.Second), ReportDelay: day.Duration(200 * time.Millisecond)}
-	rules = day.Balancers{TipMultiple: 2.5, TipAfter: day.Duration(2 * time.Second)}
+	balancers = day.Balancers{TipMultiple: 2.5, TipAfter: day.Duration(2 * time.Second)}
 )
 
-// drain advances a server until it has nothing left, and tells when each job ended.
+// drain advances a server until it has no job left, and returns when each ended.
 func drain(s *Server, from time.Duration) map[JobID]time.Duration {
 	ends := map[JobID]time.Duration{}
 	for now := from; s.JobCount() > 0; now = max(s.Next(), now+1) {
@@ -28,8 +28,8 @@
 }
 
 // Four requests of 100 ms on two cores take 200 ms each; those beyond slots and queue are turned away.
-func TestCoresAreShared(t *testing.T) {
-	s := New(model, rules, 1, 0, false)
+func TestCoresAreSharedEvenly(t *testing.T) {
+	s := New(serverModel, balancers, 1, 0, false)
 	taken := 0
 	for id := range JobID(8) {
 		if ok, _ := s.Arrive(id, 100*time.Millisecond, 0); ok {
@@ -50,10 +50,10 @@
 	}
 }
 
-// A cold server that gets more than it bears falls and ends nothing more; a warm one never does.
-func TestColdFalls(t *testing.T) {
+// A cold server that gets more than its budget collapses and ends nothing more; a warm one never does.
+func TestColdServerCollapses(t *testing.T) {
 	for _, cold := range []bool{true, false} {
-		s := New(model, rules, 1, time.Second, cold)
+		s := New(serverModel, balancers, 1, time.Second, cold)
 		fell, now := false, time.Second
 		for id := JobID(0); id < 60; id++ {
 			now += 20 * time.Millisecond
@@ -67,13 +67,13 @@
 	}
 }
 
-// Whatever arrives and is given up, each request that was taken ends once or was given up, no work is lost or made,
-// and time does not matter for it: a server that is looked at often ends the same at the same time.
-func TestWorkIsKept(t *testing.T) {
+// Whatever arrives and is cancelled, each request that was taken ends once or was cancelled, no work is lost or made, and
+// how often the server is advanced changes nothing.
+func TestEveryJobEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := model
+		m := serverModel
 		m.Pause, m.PauseEvery = day.Duration(20*time.Millisecond), day.Duration(300*time.Millisecond)
-		a, b := New(m, rules, 5, 0, false), New(m, rules, 5, 0, false)
+		a, b := New(m, balancers, 5, 0, false), New(m, balancers, 5, 0, false)
 		now := time.Duration(0)
 		open, ends := map[JobID]bool{}, 0
 		n := rapid.IntRange(1, 40).Draw(t, "n")
@@ -121,9 +121,9 @@
 	})
 }
 
-// A report tells of use, is late, and stays until the next.
-func TestReports(t *testing.T) {
-	s := New(model, rules, 1, 0, false)
+// A load report has the utilization, lags, and stays until the next.
+func TestLoadReports(t *testing.T) {
+	s := New(serverModel, balancers, 1, 0, false)
 	for now := time.Duration(0); now < 5*time.Second; now += 100 * time.Millisecond {
 		s.Advance(now)
 		s.Arrive(JobID(now), 100*time.Millisecond, 0) // one core of two
--- a/internal/lab/zones_test.go
+++ b/internal/lab/zones_test.go
@@ -55,7 +55,7 @@
 
 // Days on which zones fail, with real processes: no rule is broken, most is served, the zone's own balancer leaves it
 // where it has to, and nobody leaves one that is well.
-func TestZonesFailAndReturn(t *testing.T) {
+func TestZonesFailAndRecover(t *testing.T) {
 	const b = `target = ["upstream:b-*"]`
 	zones := ""
 	for _, name := range []string{"a", "b", "c", "d"} {
