--- a/cmd/balancerctl/compare.go
+++ b/cmd/balancerctl/compare.go
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// side makes what a side's name says. end removes what was made for it.
+// side makes the side that a name stands for. end removes what was made for it.
 func (c *compareCmd) side(ctx context.Context, name string) (s compare.Side, end func(), err error) {
 	end = func() {}
 	what, of, _ := strings.Cut(name, ":")
@@ -91,7 +91,8 @@
 	case "tree":
 		root = of
 	case "commit":
-		if root, end, err = checkout(ctx, of); err != nil {
+		root, end, err = checkout(ctx, of)
+		if err != nil {
 			return nil, end, err
 		}
 	default:
@@ -100,21 +101,31 @@
 	if _, err := day.LoadFile(file); err != nil {
 		return nil, end, err
 	}
-	if c.Engine == "model" {
-		if root == "." {
-			return &modelSide{name, file, ""}, end, nil
-		}
-		s, err := newCommandSide(ctx, name, root, file)
-		return s, end, err
+	s, err = c.sideOf(ctx, name, root, file)
+	return s, end, err
+}
+
+// sideOf makes the side that plays a day with the balancer of a work tree, on the engine that was asked for.
+func (c *compareCmd) sideOf(ctx context.Context, name, root, file string) (compare.Side, error) {
+	switch {
+	case c.Engine != "model":
+		return c.newLiveSide(ctx, name, root, file)
+	case root == ".":
+		return &modelSide{name, file, ""}, nil
 	}
+	return newCommandSide(ctx, name, root, file)
+}
+
+// newLiveSide builds the balancer of a work tree.
+func (c *compareCmd) newLiveSide(ctx context.Context, name, root, file string) (compare.Side, error) {
 	p, err := program.Find(root)
 	if err != nil {
-		return nil, end, err
+		return nil, err
 	}
 	if err := p.Build(ctx); err != nil {
-		return nil, end, err
+		return nil, err
 	}
-	return &liveSide{name, file, filepath.Join(c.Out, strings.Map(plainRune, name)), p}, end, nil
+	return &liveSide{name, file, filepath.Join(c.Out, strings.Map(plainRune, name)), p}, nil
 }
 
 // plainRune keeps a rune that is good in the name of a folder.
@@ -183,7 +194,8 @@
 // commandSide plays the model with the command of another tree, and so with its module.
 type commandSide struct{ name, file, command string }
 
-func newCommandSide(ctx context.Context, name, root, file string) (*commandSide, error) {
+// newCommandSide builds the command of a work tree.
+func newCommandSide(ctx context.Context, name, root, file string) (compare.Side, error) {
 	command := filepath.Join(root, "bin", "lab-of-side")
 	build := exec.CommandContext(ctx, "go", "build", "-o", command, commandPackage(root))
 	build.Dir = root
@@ -208,7 +220,8 @@
 	var out, problems bytes.Buffer
 	cmd := exec.CommandContext(ctx, s.command, "lab", "run", s.file, "--engine", "model", "--json", "--seed", fmt.Sprint(seed),
 		"--out", filepath.Join(filepath.Dir(s.command), "lab"))
-	cmd.Stdout, cmd.Stderr = &out, &problems
+	cmd.Stdout = &out
+	cmd.Stderr = &problems
 	var ended *exec.ExitError
 	if err := cmd.Run(); err != nil && (!errors.As(err, &ended) || ended.ExitCode() != exitClaim) { // a broken rule is a figure here
 		return nil, fmt.Errorf("%w: %s", err, strings.TrimSpace(problems.String()))
@@ -226,17 +239,32 @@
 		r.Seeds[0], r.Seeds[len(r.Seeds)-1])
 	rows := [][]any{{"", "A", "B", "B/A", "over plays", "B-A", "beyond noise"}}
 	for _, row := range r.Rows {
-		ratio, spread, verdict := "-", "-", "no"
+		ratio := "-"
+		spread := "-"
 		if row.Ratio != 0 {
-			ratio, spread = fmt.Sprintf("%.3f", row.Ratio), fmt.Sprintf("%.3f to %.3f", row.Low, row.High)
+			ratio = fmt.Sprintf("%.3f", row.Ratio)
+			spread = fmt.Sprintf("%.3f to %.3f", row.Low, row.High)
 		}
-		if row.Beyond {
-			if verdict = "yes, B is worse"; row.Better {
-				verdict = "yes, B is better"
-			}
-		}
-		rows = append(rows, []any{strings.TrimSpace(row.Measure + " " + row.Unit), fmt.Sprintf("%.4g", row.A), fmt.Sprintf("%.4g", row.B), ratio, spread,
-			fmt.Sprintf("%+.4g ± %.2g", row.Diff, row.Half), verdict})
+		rows = append(rows, []any{
+			strings.TrimSpace(row.Measure + " " + row.Unit),
+			fmt.Sprintf("%.4g", row.A),
+			fmt.Sprintf("%.4g", row.B),
+			ratio,
+			spread,
+			fmt.Sprintf("%+.4g ± %.2g", row.Diff, row.Half),
+			verdict(row),
+		})
 	}
 	table(w, rows...)
 }
+
+// verdict says whether a difference is beyond noise, and which way.
+func verdict(row compare.Row) string {
+	switch {
+	case !row.Beyond:
+		return "no"
+	case row.Better:
+		return "yes, B is better"
+	}
+	return "yes, B is worse"
+}
