--- a/cmd/balancer/former_build_test.go
+++ b/cmd/balancer/former_build_test.go
@@ -67,7 +67,7 @@
 	for _, next := range []struct {
 		name string
 		cmd  *exec.Cmd
-	}{{"this build", program(t)}, {"the former build again", exec.Command(former)}} {
+	}{{"this build", balancerCommand(t)}, {"the former build again", exec.Command(former)}} {
 		load.waitForMore(t, 100)
 		successor, management := start(next.cmd)
 		load.waitForMore(t, 100)
--- a/cmd/balancer/former_state_test.go
+++ b/cmd/balancer/former_state_test.go
@@ -39,10 +39,10 @@
 func newRecordedBalancer(t *testing.T, folder string) (b *statefulBalancer, address string) {
 	t.Helper()
 	b = newStatefulBalancer(t)
-	address = free(t)
+	address = freeAddress(t)
 	b.stateFolder = folder
 	fleet := fmt.Sprintf("[state]\nfolder = %q\nsite = %q\nevery = %q\n", folder, recordedSite, saveInterval)
-	b.writeFiles(t, fmt.Sprintf(config, address, agentAddress), fleet)
+	b.writeFiles(t, fmt.Sprintf(configTemplate, address, agentAddress), fleet)
 	return b, address
 }
 
@@ -106,7 +106,7 @@
 // wantAnswer makes an operators' call and compares its answer.
 func wantAnswer(t *testing.T, operators, line, want string) {
 	t.Helper()
-	if answer := call(operators, line); answer != want {
+	if answer := callManagement(operators, line); answer != want {
 		t.Errorf("%s: got %q, want %q", line, answer, want)
 	}
 }
--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -95,7 +95,7 @@
 	return config, file, nil
 }
 
-// openState opens the state folder, if the fleet file names one, and sets the configuration's Keeper. The function that
+// openState opens the state folder, if the fleet file names one, and sets the configuration's StateWriter. The function that
 // it returns saves what is pending and releases the folder.
 func openState(config *proxy.Config, file fleet.File) (closeState func(), err error) {
 	if file.State.Folder == "" {
@@ -112,7 +112,7 @@
 	if err != nil {
 		return nil, fleetFileError(err)
 	}
-	config.Keeper = writer
+	config.StateWriter = writer
 	return writer.Close, nil
 }
 
--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -16,7 +16,7 @@
 
 // TestSmoke starts the program, waits until it is healthy and ends it by SIGTERM. Discovery is down throughout.
 func TestSmoke(t *testing.T) {
-	startBalancer(t, free(t)).terminate(t)
+	startBalancer(t, freeAddress(t)).terminate(t)
 }
 
 // On SIGHUP the program reads the address of discovery again, from the file and not from the environment that it was
@@ -28,7 +28,7 @@
 		<-r.Context().Done()
 	}))
 	defer registry.Close()
-	p := startBalancer(t, free(t))
+	p := startBalancer(t, freeAddress(t))
 	if err := os.WriteFile(p.configPath, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -47,9 +47,9 @@
 
 // Operators reach the program at its management address, and it still ends on SIGTERM while it drains.
 func TestManagementCalls(t *testing.T) {
-	operators := free(t)
+	operators := freeAddress(t)
 	t.Setenv("RELAY_MANAGEMENT", operators)
-	p := startBalancer(t, free(t))
+	p := startBalancer(t, freeAddress(t))
 	for _, step := range []struct{ call, answer string }{
 		{"check", "YES serving"},
 		{"drain-on", "YES draining"},
@@ -76,8 +76,8 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	p := &process{Cmd: program(t), configPath: filepath.Join(t.TempDir(), "config.json")}
-	p.writeConfig(t, free(t), free(t))
+	p := &process{Cmd: balancerCommand(t), configPath: filepath.Join(t.TempDir(), "config.json")}
+	p.writeConfig(t, freeAddress(t), freeAddress(t))
 	p.Env = append(os.Environ(), "RELAY_CONFIG="+p.configPath, "RELAY_MANAGEMENT="+l.Addr().String())
 	out := wantStartFailure(t, p.Cmd, "listening for operators")
 	if strings.Contains(out, "panic") {
@@ -87,13 +87,13 @@
 
 // A bad fleet file fails the start with one line that names file and key.
 func TestBadFleetFile(t *testing.T) {
-	p := startBalancer(t, free(t)) // it has a good configuration
+	p := startBalancer(t, freeAddress(t)) // it has a good configuration
 	p.terminate(t)
 	fleet := filepath.Join(t.TempDir(), "fleet.toml")
 	if err := os.WriteFile(fleet, []byte("[regions]\nr = \"z1\"\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	cmd := program(t)
+	cmd := balancerCommand(t)
 	cmd.Env = append(p.Env, "RELAY_FLEET="+fleet)
 	out := wantStartFailure(t, cmd, "fleet.toml:2: regions.r")
 	if strings.Contains(out, "\n") {
@@ -103,7 +103,7 @@
 
 // A missing configuration fails the start with a message that names its variable.
 func TestMissingConfiguration(t *testing.T) {
-	cmd := program(t)
+	cmd := balancerCommand(t)
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG=")
 	wantStartFailure(t, cmd, "RELAY_CONFIG")
 }
--- a/cmd/balancer/members.go
+++ b/cmd/balancer/members.go
@@ -31,14 +31,14 @@
 	Balancers   int    `json:"balancers"` // divisor of budgets
 }
 
-// membershipStore persists the membershipRecord. Without a keeper it persists nothing.
-type membershipStore struct{ keeper proxy.Keeper }
+// membershipStore persists the membershipRecord. Without a writer it persists nothing.
+type membershipStore struct{ writer proxy.StateWriter }
 
 // nextRecord returns the record to start with: the next incarnation, which is on disk when this returns unless that
 // failed, and the size of the fleet before.
 func (s membershipStore) nextRecord() membershipRecord {
 	next := membershipRecord{Incarnation: uint64(time.Now().UnixMilli())}
-	if s.keeper == nil {
+	if s.writer == nil {
 		return next
 	}
 	last := s.load()
@@ -52,7 +52,7 @@
 
 // load returns the record on disk, or an empty one if there is none or it is invalid.
 func (s membershipStore) load() membershipRecord {
-	stored, ok := s.keeper.Load(kindMembers)
+	stored, ok := s.writer.Load(kindMembers)
 	if !ok {
 		return membershipRecord{}
 	}
@@ -71,16 +71,16 @@
 	if err != nil {
 		return err
 	}
-	return s.keeper.SaveSync(kindMembers, versionMembers, time.Now(), payload)
+	return s.writer.SaveSync(kindMembers, versionMembers, time.Now(), payload)
 }
 
 // save persists a record in the background.
 func (s membershipStore) save(record membershipRecord) {
-	if s.keeper == nil {
+	if s.writer == nil {
 		return
 	}
 	encode := func() ([]byte, error) { return json.Marshal(record) }
-	s.keeper.Save(kindMembers, versionMembers, time.Now(), encode)
+	s.writer.Save(kindMembers, versionMembers, time.Now(), encode)
 }
 
 // fleetMember is this balancer's part in the fleet. node is nil if the fleet file names no seeds.
@@ -88,17 +88,17 @@
 
 // joinFleet joins the fleet that the file names seeds of.
 func joinFleet(c *proxy.Config, file fleet.File, server *proxy.Proxy) (fleetMember, error) {
-	if !file.Membership.On() {
+	if !file.Membership.Enabled() {
 		return fleetMember{}, nil
 	}
-	store := membershipStore{c.Keeper}
+	store := membershipStore{c.StateWriter}
 	record := store.nextRecord()
 	node, err := membership.Start(membership.Options{
 		Self:         ownMember(c, file, record.Incarnation),
 		Listen:       file.Membership.Listen,
-		Advertise:    file.Membership.Tell,
+		Advertise:    file.Membership.Advertise,
 		Seeds:        file.Membership.Seeds,
-		KeyFile:      file.Membership.Keys,
+		KeyFile:      file.Membership.KeyFile,
 		Configured:   membership.Placement{Serving: c.Settings.Balancers, Rank: c.Settings.Rank},
 		PreviousSize: record.Balancers,
 		Log:          slog.Info,
@@ -169,9 +169,9 @@
 	member fleetMember
 }
 
-// WriteFigures writes the metrics of the proxy and of the membership.
-func (t managementTarget) WriteFigures(w io.Writer) error {
-	if err := t.Proxy.WriteFigures(w); err != nil {
+// WriteMetrics writes the metrics of the proxy and of the membership.
+func (t managementTarget) WriteMetrics(w io.Writer) error {
+	if err := t.Proxy.WriteMetrics(w); err != nil {
 		return err
 	}
 	if t.member.node == nil {
--- a/cmd/balancer/members_test.go
+++ b/cmd/balancer/members_test.go
@@ -42,7 +42,7 @@
 	if os.Getenv("RUN") != "" {
 		t.Skip("this needs the program itself, not a shell about it")
 	}
-	f := &peerFleet{t: t, program: program(t).Path, dir: t.TempDir(), seeds: []string{free(t), free(t)}}
+	f := &peerFleet{t: t, program: balancerCommand(t).Path, dir: t.TempDir(), seeds: []string{freeAddress(t), freeAddress(t)}}
 	t.Cleanup(func() {
 		for _, p := range f.all {
 			f.end(p)
@@ -68,8 +68,8 @@
 	f.t.Helper()
 	number := len(f.all)
 	path := func(file string) string { return filepath.Join(f.dir, fmt.Sprint(number, file)) }
-	p := &peer{name: name, management: free(f.t), listen: listen}
-	f.writeFile(path("config.json"), fmt.Sprintf(config, free(f.t), free(f.t)))
+	p := &peer{name: name, management: freeAddress(f.t), listen: listen}
+	f.writeFile(path("config.json"), fmt.Sprintf(configTemplate, freeAddress(f.t), freeAddress(f.t)))
 	f.writeFile(path("fleet.toml"), f.fleetFile(name, listen))
 	var err error
 	if p.log, err = os.Create(path("log")); err != nil {
@@ -194,8 +194,8 @@
 	f := newPeerFleet(t)
 	a := f.start("a", f.seeds[0])
 	b := f.start("b", f.seeds[1])
-	c := f.start("c", free(t))
-	d := f.start("d", free(t))
+	c := f.start("c", freeAddress(t))
+	d := f.start("d", freeAddress(t))
 	f.waitForView("a b c d", a, b, c, d)
 	f.waitFor("the fleet size is four", func() bool {
 		s, _ := a.view()
@@ -226,13 +226,13 @@
 // startDuplicate starts a second process under the name of one in the fleet a b c d. The older is fenced and serves on.
 func startDuplicate(f *peerFleet, older *peer) (newer *peer) {
 	f.t.Helper()
-	newer = f.start(older.name, free(f.t))
+	newer = f.start(older.name, freeAddress(f.t))
 	f.waitFor("the older process of two is fenced, the newer is not", func() bool {
 		olderStatus, names := older.view()
 		newerStatus, _ := newer.view()
 		return olderStatus.Fenced && names == "a b c d" && !newerStatus.Fenced && newerStatus.Self.Name == older.name
 	})
-	if answer := call(older.management, "check"); !strings.HasPrefix(answer, "YES") {
+	if answer := callManagement(older.management, "check"); !strings.HasPrefix(answer, "YES") {
 		f.t.Errorf("the older process does not serve on: %q", answer)
 	}
 	return newer
@@ -243,7 +243,7 @@
 func upgrade(f *peerFleet, old *peer, others []*peer, observer *peer) (successor *peer) {
 	f.t.Helper()
 	successor = f.start(old.name, old.listen)
-	f.waitFor("the successor answers", func() bool { return strings.HasPrefix(call(successor.management, "check"), "YES") })
+	f.waitFor("the successor answers", func() bool { return strings.HasPrefix(callManagement(successor.management, "check"), "YES") })
 	old.stop()
 	f.waitForView("a b c d", append(others, successor)...)
 	f.waitFor("the successor counts", func() bool {
@@ -260,7 +260,7 @@
 	f.persistent = true
 	a := f.start("a", f.seeds[0])
 	b := f.start("b", f.seeds[1])
-	c := f.start("c", free(t))
+	c := f.start("c", freeAddress(t))
 	f.waitForView("a b c", a, b, c)
 	f.waitFor("the fleet size is persisted", func() bool {
 		files, _ := filepath.Glob(filepath.Join(f.dir, "state-a", kindMembers+"-*.state"))
--- a/cmd/balancer/process_test.go
+++ b/cmd/balancer/process_test.go
@@ -14,7 +14,7 @@
 )
 
 // config is a configuration with its address for clients and that of discovery left open.
-const config = `{"name":"n0","listen":"%s","discovery":"%s","seed":"8c1f30d27a5be964",
+const configTemplate = `{"name":"n0","listen":"%s","discovery":"%s","seed":"8c1f30d27a5be964",
 "limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"revision":1,"complete":true,"members":[]},
 "settings":{"az":"z1","balancers":1,"membership_mode":"on_request","weights":"nominal","worth_by":"work",
 "limits":{"max_attempts":3,"cancel":true,"connect_timeout_us":100000,"keepalive_us":60000000},
@@ -24,7 +24,7 @@
 
 // program returns the command that starts the balancer: the deployed one if RUN has it, from the root of the repository,
 // or else a program that is built here.
-func program(t *testing.T) *exec.Cmd {
+func balancerCommand(t *testing.T) *exec.Cmd {
 	t.Helper()
 	if run := os.Getenv("RUN"); run != "" {
 		cmd := exec.Command("/bin/sh", "-c", run)
@@ -39,7 +39,7 @@
 }
 
 // free returns an address on which nothing listens.
-func free(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -70,7 +70,7 @@
 // startBalancer starts the balancer with an address of discovery and waits until it is healthy.
 func startBalancer(t *testing.T, discovery string) *process {
 	t.Helper()
-	return startProcess(t, program(t), free(t), discovery, nil)
+	return startProcess(t, balancerCommand(t), freeAddress(t), discovery, nil)
 }
 
 // startProcess starts a command of any build at an address for clients and waits until it is healthy. The process
@@ -131,7 +131,7 @@
 // writeConfig writes the configuration that the process reads.
 func (p *process) writeConfig(t *testing.T, listen, discovery string) {
 	t.Helper()
-	if err := os.WriteFile(p.configPath, fmt.Appendf(nil, config, listen, discovery), 0o600); err != nil {
+	if err := os.WriteFile(p.configPath, fmt.Appendf(nil, configTemplate, listen, discovery), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/cmd/balancer/state_test.go
+++ b/cmd/balancer/state_test.go
@@ -31,7 +31,7 @@
 )
 
 // call makes a management call and returns the first line of its answer, or "" if there is no answer.
-func call(address, line string) string {
+func callManagement(address, line string) string {
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return ""
@@ -60,16 +60,16 @@
 	t.Helper()
 	dir := t.TempDir()
 	b := &statefulBalancer{
-		program:     program(t).Path,
+		program:     balancerCommand(t).Path,
 		configPath:  filepath.Join(dir, "config.json"),
 		fleetPath:   filepath.Join(dir, "fleet.toml"),
 		stateFolder: filepath.Join(dir, "state"),
-		management:  free(t),
+		management:  freeAddress(t),
 	}
 	if os.Getenv("RUN") != "" {
 		t.Skip("this needs the program itself, not a shell about it")
 	}
-	b.writeFiles(t, fmt.Sprintf(config, free(t), free(t)), fmt.Sprintf("[state]\nfolder = %q\nsite = \"test\"\n", b.stateFolder))
+	b.writeFiles(t, fmt.Sprintf(configTemplate, freeAddress(t), freeAddress(t)), fmt.Sprintf("[state]\nfolder = %q\nsite = \"test\"\n", b.stateFolder))
 	var err error
 	b.log, err = os.Create(filepath.Join(dir, "log"))
 	if err != nil {
@@ -115,7 +115,7 @@
 	}
 	limit := time.Now().Add(processTimeout)
 	for {
-		check = call(b.management, "check")
+		check = callManagement(b.management, "check")
 		if strings.HasPrefix(check, "YES") {
 			return cmd, check
 		}
@@ -142,7 +142,7 @@
 		order = "drain-on"
 	}
 	start := time.Now()
-	if answer := call(b.management, order); answer != check {
+	if answer := callManagement(b.management, order); answer != check {
 		t.Fatalf("%s got %q, want %q", order, answer, check)
 	}
 	return time.Since(start)
@@ -174,7 +174,7 @@
 			time.Sleep(delay)
 			cmd.Process.Kill()
 		}()
-		switch answer := call(b.management, order); answer {
+		switch answer := callManagement(b.management, order); answer {
 		case want:
 			confirmed++
 			allowed = map[string]bool{want: true}
@@ -270,10 +270,10 @@
 	} else if err != nil {
 		t.Fatal(err)
 	}
-	if answer := call(b.management, "drain-on"); !strings.HasPrefix(answer, "NO draining") || !strings.Contains(answer, fault.answer) {
+	if answer := callManagement(b.management, "drain-on"); !strings.HasPrefix(answer, "NO draining") || !strings.Contains(answer, fault.answer) {
 		t.Errorf("an order that can't be saved got %q", answer)
 	}
-	if answer := call(b.management, "check"); answer != "YES draining" {
+	if answer := callManagement(b.management, "check"); answer != "YES draining" {
 		t.Errorf("it was not carried out: %q", answer)
 	}
 	if err := fault.heal(b.stateFolder); err != nil {
@@ -291,7 +291,7 @@
 func (b *statefulBalancer) waitUntilSaved(t *testing.T, order, want string) {
 	t.Helper()
 	limit := time.Now().Add(processTimeout)
-	for answer := ""; answer != want; answer = call(b.management, order) {
+	for answer := ""; answer != want; answer = callManagement(b.management, order) {
 		if time.Now().After(limit) {
 			t.Fatalf("orders are not saved on a disk that has recovered: %q", answer)
 		}
--- a/cmd/balancer/upgrade_test.go
+++ b/cmd/balancer/upgrade_test.go
@@ -32,10 +32,10 @@
 // address tells: its predecessor answers health checks at the shared address, too.
 func startOnListener(t *testing.T, cmd *exec.Cmd, address, discovery string, listener *os.File) (p *process, management string) {
 	t.Helper()
-	management = free(t)
+	management = freeAddress(t)
 	t.Setenv("RELAY_MANAGEMENT", management)
 	p = startProcess(t, cmd, address, discovery, listener)
-	waitFor(t, "the process serves", func() bool { return call(management, "check") == "YES serving" })
+	waitFor(t, "the process serves", func() bool { return callManagement(management, "check") == "YES serving" })
 	return p, management
 }
 
@@ -48,11 +48,11 @@
 	if err := os.WriteFile(filepath.Join(temporary, "stale"), []byte("left behind"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	discovery := free(t)
-	running, _ := startOnListener(t, program(t), address, discovery, listener)
+	discovery := freeAddress(t)
+	running, _ := startOnListener(t, balancerCommand(t), address, discovery, listener)
 	for range 2 {
 		wantFailureWithoutListener(t, running.configPath)
-		successor, _ := startOnListener(t, program(t), address, discovery, listener)
+		successor, _ := startOnListener(t, balancerCommand(t), address, discovery, listener)
 		successor.signal(t, syscall.SIGHUP)
 		running.terminate(t)
 		running = successor
@@ -66,7 +66,7 @@
 // wantFailureWithoutListener checks that a successor whose descriptor is no listener fails with a message.
 func wantFailureWithoutListener(t *testing.T, configPath string) {
 	t.Helper()
-	cmd := program(t)
+	cmd := balancerCommand(t)
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+configPath, "RELAY_FD=9")
 	out, err := cmd.CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "RELAY_FD") || strings.Contains(string(out), "panic") {
--- a/cmd/balancerctl/compare.go
+++ b/cmd/balancerctl/compare.go
@@ -255,7 +255,7 @@
 			verdict(row),
 		})
 	}
-	table(w, rows...)
+	writeTable(w, rows...)
 }
 
 // verdict says whether a difference is beyond noise, and which way.
--- a/cmd/balancerctl/members.go
+++ b/cmd/balancerctl/members.go
@@ -28,8 +28,8 @@
 
 // Run asks the balancers and shows their views. It returns errClaim if one gives no view or two views differ.
 func (c *membersCmd) Run(ctx context.Context) error {
-	ask := func() []memberView { return askAll(ctx, c.Addresses, fetchMemberView) }
-	return watch(ctx, c.Watch, c.JSON, ask, showMembers, checkViewsAgree)
+	ask := func() []memberView { return queryAll(ctx, c.Addresses, fetchMemberView) }
+	return showRepeatedly(ctx, c.Watch, c.JSON, ask, showMembers, checkViewsAgree)
 }
 
 // checkViewsAgree returns errClaim unless all balancers gave the same view.
@@ -67,7 +67,7 @@
 	for _, v := range views {
 		rows = append(rows, memberViewRow(v))
 	}
-	table(w, rows...)
+	writeTable(w, rows...)
 	first := slices.IndexFunc(views, func(v memberView) bool { return v.Status != nil })
 	if first < 0 {
 		return
@@ -77,7 +77,7 @@
 	for _, m := range views[first].Status.View.Members {
 		rows = append(rows, []any{m.Name, m.State, m.Zone, m.Region, m.Version, fmt.Sprintf("%x", m.Config), m.Incarnation, m.Address})
 	}
-	table(w, rows...)
+	writeTable(w, rows...)
 }
 
 // memberViewRow is the row on one balancer in the table of showMembers.
--- a/cmd/balancerctl/operators.go
+++ b/cmd/balancerctl/operators.go
@@ -95,7 +95,7 @@
 
 // Run carries it out. It exits with 1 if any balancer does not serve.
 func (c *statusCmd) Run(ctx context.Context) error {
-	return watch(ctx, c.Watch, c.JSON, func() []balancerStatus { return askAll(ctx, c.Addresses, oneStatus) }, showStatus,
+	return showRepeatedly(ctx, c.Watch, c.JSON, func() []balancerStatus { return queryAll(ctx, c.Addresses, oneStatus) }, showStatus,
 		func(all []balancerStatus) error {
 			if i := slices.IndexFunc(all, func(s balancerStatus) bool { return !s.Serving }); i >= 0 {
 				return fmt.Errorf("%w: %s: %s", errClaim, all[i].Address, all[i].Check)
@@ -105,7 +105,7 @@
 }
 
 // watch asks and shows once and returns the verdict; with an interval it does so again after each, until ctx ends.
-func watch[T any](ctx context.Context, every time.Duration, asJSON bool, ask func() T, show func(io.Writer, T), verdict func(T) error) error {
+func showRepeatedly[T any](ctx context.Context, every time.Duration, asJSON bool, ask func() T, show func(io.Writer, T), verdict func(T) error) error {
 	for {
 		all := ask()
 		if asJSON {
@@ -128,7 +128,7 @@
 }
 
 // askAll asks all at once: one that does not answer must not hold up the others.
-func askAll[T any](ctx context.Context, addresses []string, one func(ctx context.Context, address string) T) []T {
+func queryAll[T any](ctx context.Context, addresses []string, one func(ctx context.Context, address string) T) []T {
 	all := make([]T, len(addresses))
 	var asked sync.WaitGroup
 	for i, address := range addresses {
@@ -205,5 +205,5 @@
 		}
 		rows = append(rows, append(row, strings.Join(s.ZonesNotOK, ", ")))
 	}
-	table(w, rows...)
+	writeTable(w, rows...)
 }
--- a/cmd/balancerctl/operators_test.go
+++ b/cmd/balancerctl/operators_test.go
@@ -55,7 +55,7 @@
 	}
 	one, two, other := view("a", "b"), view("a", "b"), view("a")
 	off := operators(t, map[string]string{"members": "NO there is no membership\n"})
-	all := askAll(context.Background(), []string{one, off}, fetchMemberView)
+	all := queryAll(context.Background(), []string{one, off}, fetchMemberView)
 	if s := all[0].Status; s == nil || s.Self.State != membership.Draining || len(s.View.Members) != 2 ||
 		s.View.Members[1] != (membership.Member{Name: "b", Incarnation: 1 << 62, State: membership.Serving, Address: "127.0.0.1:7"}) {
 		t.Errorf("%+v", all[0])
@@ -75,7 +75,7 @@
 	vars := "svc_passed{category=\"a\"} 3\nsvc_passed{category=\"b\"} 4\nsvc_in_progress 1\nsvc_zone_state{zone=\"r/x\"} 2\nsvc_zone_share{zone=\"r/x\"} 9\n"
 	good := operators(t, map[string]string{"check": "YES serving\n", "vars": vars + "END\n", "zone-leave r/x": "NO it is not known\n"})
 	cut := operators(t, map[string]string{"check": "YES serving\n", "vars": vars})
-	all := askAll(context.Background(), []string{good, cut, "127.0.0.1:1"}, oneStatus)
+	all := queryAll(context.Background(), []string{good, cut, "127.0.0.1:1"}, oneStatus)
 	if s := all[0]; !s.Serving || s.Figures["svc_passed"] != 7 || !slices.Equal(s.ZonesNotOK, []string{"r/x failed"}) || s.Figures["svc_zone_share"] != 0 {
 		t.Errorf("%+v", s)
 	}
--- a/cmd/balancerctl/scale.go
+++ b/cmd/balancerctl/scale.go
@@ -70,7 +70,7 @@
 	if c.JSON {
 		return writeJSON(costs)
 	}
-	table(os.Stdout, rows...)
+	writeTable(os.Stdout, rows...)
 	fmt.Println("plot:", path)
 	return nil
 }
--- a/cmd/balancerctl/state.go
+++ b/cmd/balancerctl/state.go
@@ -91,7 +91,7 @@
 		}
 		rows = append(rows, []any{f.File, f.Kind, f.Owner, f.Version, f.Generation, saved, f.Bytes, f.Verdict})
 	}
-	table(os.Stdout, rows...)
+	writeTable(os.Stdout, rows...)
 	return nil
 }
 
--- a/cmd/balancerctl/text.go
+++ b/cmd/balancerctl/text.go
@@ -22,7 +22,7 @@
 const shownViolations = 5
 
 // table writes rows in columns.
-func table(w io.Writer, rows ...[]any) {
+func writeTable(w io.Writer, rows ...[]any) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, row := range rows {
 		texts := make([]string, len(row))
@@ -42,11 +42,11 @@
 		fmt.Fprintf(w, ": %s", d.About)
 	}
 	fmt.Fprint(w, "\n\n")
-	table(w, zoneRows(d, f)...)
+	writeTable(w, zoneRows(d, f)...)
 	fmt.Fprintln(w)
-	table(w, modelRows(d)...)
+	writeTable(w, modelRows(d)...)
 	fmt.Fprintln(w)
-	table(w, classRows(d)...)
+	writeTable(w, classRows(d)...)
 	n := d.Network
 	fmt.Fprintf(w, "\none way: %v in a zone, %v between zones, %v between regions; %s lost\n", n.SameZone.D(), n.CrossZone.D(), n.CrossRegion.D(), percent(n.Loss))
 	if len(d.Faults) == 0 {
@@ -54,7 +54,7 @@
 		return
 	}
 	fmt.Fprintln(w)
-	table(w, faultRows(d, f)...)
+	writeTable(w, faultRows(d, f)...)
 }
 
 func zoneRows(d *day.Day, f *day.Fleet) [][]any {
@@ -126,7 +126,7 @@
 func showSummary(w io.Writer, r *lab.Result) {
 	s := r.Summary
 	fmt.Fprintf(w, "%s, %s engine, seed %d: %d requests in %.0f s\n\n", s.Day, s.Engine, s.Seed, s.Settling.Requests+s.Main.Requests, s.Seconds)
-	table(w, partRows(s)...)
+	writeTable(w, partRows(s)...)
 	fmt.Fprintf(w, "\nscore %.3f: worst 10 s %s", s.Score, percent(s.Worst))
 	showShares(w, "class", s.Class)
 	showShares(w, "tenant", s.Tenant)
@@ -207,7 +207,7 @@
 		rows = append(rows, []any{"", r.Fault, fmt.Sprintf("%.1f s", r.At), to, percent(r.Before), percent(r.Least), back})
 	}
 	fmt.Fprintln(w)
-	table(w, rows...)
+	writeTable(w, rows...)
 	fmt.Fprintln(w)
 }
 
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -15,19 +15,19 @@
 	// Listen is the balancer's own address, for UDP and TCP.
 	Listen string `toml:"listen"`
 	// Tell is the address at which others reach it, if that is not Listen.
-	Tell string `toml:"tell"`
+	Advertise string `toml:"tell"`
 	// Seeds are the addresses of some members, 64 at most. This balancer may be among them, so that all can share the list.
 	Seeds []string `toml:"seeds"`
 	// Keys is the path of the file of encryption keys, which is read again when it changes. Without it nothing is encrypted.
-	Keys string `toml:"keys"`
+	KeyFile string `toml:"keys"`
 }
 
-// On reports whether the balancer is to take part in membership.
-func (m Membership) On() bool { return len(m.Seeds) > 0 }
+// Enabled reports whether the balancer is to take part in membership.
+func (m Membership) Enabled() bool { return len(m.Seeds) > 0 }
 
 func (m Membership) validate() error {
-	if !m.On() {
-		if m.Listen != "" || m.Tell != "" || m.Keys != "" {
+	if !m.Enabled() {
+		if m.Listen != "" || m.Advertise != "" || m.KeyFile != "" {
 			return errors.New("membership.seeds: is missing")
 		}
 		return nil
@@ -41,8 +41,8 @@
 	if err := validateAddress("listen", m.Listen); err != nil {
 		return err
 	}
-	if m.Tell != "" {
-		if err := validateAddress("tell", m.Tell); err != nil {
+	if m.Advertise != "" {
+		if err := validateAddress("tell", m.Advertise); err != nil {
 			return err
 		}
 	}
--- a/internal/management/commands.go
+++ b/internal/management/commands.go
@@ -12,7 +12,7 @@
 // commands has what executes each call that has no argument.
 var commands = map[string]func(Balancer) (answer string){
 	"check":       func(b Balancer) string { return verdict(b.Ready()) },
-	"vars":        func(b Balancer) string { return listing(b.WriteFigures) },
+	"vars":        func(b Balancer) string { return listing(b.WriteMetrics) },
 	"zone-status": func(b Balancer) string { return listing(b.WriteZones) },
 	"members":     func(b Balancer) string { return listing(b.WriteMembers) },
 	"drain-on": func(b Balancer) string {
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -38,8 +38,8 @@
 type Balancer interface {
 	// Ready reports whether clients are accepted. The state says more, in a few words.
 	Ready() (ready bool, state string)
-	// WriteFigures writes the metrics, one to a line.
-	WriteFigures(w io.Writer) error
+	// WriteMetrics writes the metrics, one to a line.
+	WriteMetrics(w io.Writer) error
 	// Drain starts draining the balancer, or stops it. The state is the one from now on, or says what went wrong.
 	// Repeating it is harmless.
 	Drain(on bool) (done bool, state string)
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -33,7 +33,7 @@
 	return true, "noted"
 }
 
-func (f *fakeBalancer) WriteFigures(w io.Writer) error {
+func (f *fakeBalancer) WriteMetrics(w io.Writer) error {
 	_, err := io.WriteString(w, "svc_a 1\nsvc_b 2\n")
 	return err
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -16,8 +16,8 @@
 // Counter counts events since the start of the process. It never decreases.
 type Counter struct{ value atomic.Int64 }
 
-// Add counts one event.
-func (c *Counter) Add() { c.value.Add(1) }
+// Inc counts one event.
+func (c *Counter) Inc() { c.value.Add(1) }
 
 // Gauge is a value that goes up and down.
 type Gauge struct{ value atomic.Int64 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -18,7 +18,7 @@
 	for range 8 {
 		writers.Go(func() {
 			for range 100 {
-				passed.Add()
+				passed.Inc()
 				open.Add(2)
 				open.Add(-1)
 			}
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -53,9 +53,9 @@
 	// Settings are for the decision module.
 	Settings balancer.Settings
 	// Links are the settings of connections to upstreams.
-	Links wire.Links
-	// Keeper saves the state that has to outlive the process. It may be nil: nothing is saved.
-	Keeper Keeper
+	Links wire.ConnectionTimeouts
+	// StateWriter saves the state that has to outlive the process. It may be nil: nothing is saved.
+	StateWriter StateWriter
 	// Localities maps zones that discovery and settings name without a region to region/zone. It may be nil.
 	Localities map[string]string
 
--- a/internal/proxy/dialer.go
+++ b/internal/proxy/dialer.go
@@ -57,7 +57,7 @@
 	if !sent.complete {
 		return d.afterPartialWrite(a, c, sent, err)
 	}
-	d.attemptsWritten.Add()
+	d.attemptsWritten.Inc()
 	if a.onBodyWritten != nil {
 		a.onBodyWritten()
 	}
--- a/internal/proxy/loopstall_test.go
+++ b/internal/proxy/loopstall_test.go
@@ -55,7 +55,7 @@
 				k := durable.StartWriterOn(slowDisk{folder, 50 * time.Millisecond}, durable.Options{Owner: "b", MinInterval: 200 * time.Millisecond,
 					Log: func(string, ...any) {}}, StateKinds)
 				b.Cleanup(k.Close)
-				c.Keeper = k
+				c.StateWriter = k
 			}, members...)
 			var longest, all []time.Duration
 			for b.Loop() {
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -52,10 +52,10 @@
 	counters := m.classes[class]
 	switch {
 	case status == http.StatusOK && complete:
-		counters.passed.Add()
+		counters.passed.Inc()
 	case status == http.StatusServiceUnavailable:
-		counters.dropped.Add()
+		counters.dropped.Inc()
 	default:
-		counters.badGateway.Add()
+		counters.badGateway.Inc()
 	}
 }
--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -12,7 +12,7 @@
 func (b *testBalancer) metric(t *testing.T, id string) (n int) {
 	t.Helper()
 	var text strings.Builder
-	if err := b.proxy.WriteFigures(&text); err != nil {
+	if err := b.proxy.WriteMetrics(&text); err != nil {
 		t.Fatal(err)
 	}
 	for line := range strings.Lines(text.String()) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -178,8 +178,8 @@
 	return p.callLoop(func(l *loop) { l.balancer.OnFleetSizeChanged(l.now(), f) })
 }
 
-// WriteFigures writes the balancer's metrics, one to a line.
-func (p *Proxy) WriteFigures(w io.Writer) error {
+// WriteMetrics writes the balancer's metrics, one to a line.
+func (p *Proxy) WriteMetrics(w io.Writer) error {
 	if err := p.loop.metrics.set.Write(w); err != nil {
 		return err
 	}
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -98,7 +98,7 @@
 		name, valueText, _ := strings.Cut(pair, "=")
 		value, err := strconv.ParseFloat(strings.TrimSpace(valueText), 64)
 		if err == nil {
-			wire.SetLoad(&report, strings.TrimSpace(name), value)
+			wire.SetLoadField(&report, strings.TrimSpace(name), value)
 		}
 	}
 	return report
--- a/internal/proxy/savedstate.go
+++ b/internal/proxy/savedstate.go
@@ -20,7 +20,7 @@
 	versionOrders   = 1
 )
 
-// StateKinds is what a Keeper has to load: the kinds and the versions of their forms.
+// StateKinds is what a StateWriter has to load: the kinds and the versions of their forms.
 var StateKinds = map[string]uint16{
 	kindList:     versionList,
 	kindSnapshot: versionSnapshot,
@@ -30,8 +30,8 @@
 // OrderKinds is which of them hold operators' orders.
 var OrderKinds = []string{kindOrders}
 
-// Keeper keeps state on a disk. Only SaveSync waits for that.
-type Keeper interface {
+// StateWriter saves state to a disk. Only SaveSync waits for the disk.
+type StateWriter interface {
 	// Load returns the last state of a kind from before this process.
 	Load(kind string) (durable.Record, bool)
 	// Save saves a state some time later, unless a newer one of its kind comes before that. encode is called then.
--- a/internal/proxy/statesaver.go
+++ b/internal/proxy/statesaver.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// snapshotEvery is the least time between two snapshots of what the decision module has learnt. The keeper's own
+	// snapshotEvery is the least time between two snapshots of what the decision module has learnt. The writer's own
 	// rate limit comes on top.
 	snapshotEvery = time.Second
 	// longestStartDelay is how long, at most, a balancer that knows its upstreams from before waits before its first call
@@ -36,11 +36,11 @@
 	return min(longestStartDelay, s.Obligations.DrainGrace/2)
 }
 
-// stateSaver saves what has to outlive the process and restores what an earlier process has saved. Its keeper is nil
+// stateSaver saves what has to outlive the process and restores what an earlier process has saved. Its writer is nil
 // where nothing is saved: its methods do nothing then. It belongs to the loop and is used on the loop's goroutine only,
 // but for the operators' orders, which have a lock: updateOrders and drainOrdered may be called from any goroutine.
 type stateSaver struct {
-	keeper    Keeper
+	writer    StateWriter
 	log       *logWriter
 	discovery string // the address of the service that is followed
 
@@ -58,14 +58,14 @@
 // newStateSaver loads the saved state, and chooses the list of endpoints to begin with.
 func newStateSaver(c *Config, log *logWriter) *stateSaver {
 	s := &stateSaver{
-		keeper:    c.Keeper,
+		writer:    c.StateWriter,
 		log:       log,
 		discovery: c.Discovery,
 		initial:   c.Known,
 		members:   map[string]endpointEntry{},
 		names:     map[balancer.EndpointID]string{},
 	}
-	if s.keeper == nil {
+	if s.writer == nil {
 		return s
 	}
 	s.load(kindOrders, &s.orders)
@@ -75,7 +75,7 @@
 
 // load reads the saved state of a kind into a value. ok is false where there is none, or it does not have the form.
 func (s *stateSaver) load(kind string, into any) (r durable.Record, ok bool) {
-	r, ok = s.keeper.Load(kind)
+	r, ok = s.writer.Load(kind)
 	if !ok {
 		return r, false
 	}
@@ -122,10 +122,10 @@
 // restore gives the decision module what an earlier process had learnt and what operators had ordered. The initial list
 // must have been applied.
 func (s *stateSaver) restore(module *balancer.Balancer, ids *endpointIDs, now func() time.Duration) {
-	if s.keeper == nil {
+	if s.writer == nil {
 		return
 	}
-	defer s.keeper.MarkRecovered()
+	defer s.writer.MarkRecovered()
 	snapshot, ok := s.loadSnapshot(ids)
 	snapshot.DrainedZones = s.orders.DrainedZones
 	if ok || len(snapshot.DrainedZones) > 0 {
@@ -161,7 +161,7 @@
 
 // saveList takes a list that has been applied, and saves what the complete one is now.
 func (s *stateSaver) saveList(ids *endpointIDs, mode balancer.UpdateMode, list endpointList) {
-	if s.keeper == nil {
+	if s.writer == nil {
 		return
 	}
 	if mode != balancer.UpdateDelta {
@@ -185,12 +185,12 @@
 		Members:  slices.SortedFunc(maps.Values(s.members), byID),
 	}
 	saved := savedList{Discovery: s.discovery, List: complete}
-	s.keeper.Save(kindList, versionList, time.Now(), func() ([]byte, error) { return json.Marshal(saved) })
+	s.writer.Save(kindList, versionList, time.Now(), func() ([]byte, error) { return json.Marshal(saved) })
 }
 
 // saveSnapshot saves what the decision module has learnt, if that is due.
 func (s *stateSaver) saveSnapshot(module *balancer.Balancer, now time.Duration) {
-	if s.keeper == nil || now < s.nextSnapshot {
+	if s.writer == nil || now < s.nextSnapshot {
 		return
 	}
 	s.nextSnapshot = now + snapshotEvery
@@ -198,7 +198,7 @@
 	for _, endpoint := range saved.Snapshot.Endpoints {
 		saved.Names = append(saved.Names, s.names[endpoint.ID])
 	}
-	s.keeper.Save(kindSnapshot, versionSnapshot, time.Now(), func() ([]byte, error) { return json.Marshal(saved) })
+	s.writer.Save(kindSnapshot, versionSnapshot, time.Now(), func() ([]byte, error) { return json.Marshal(saved) })
 }
 
 // saveLastSnapshot saves what the decision module has learnt, whenever it was saved last.
@@ -210,7 +210,7 @@
 // updateOrders changes what operators have ordered and returns once that is saved, or with an error that says why it may
 // not be. Orders are saved one after the other.
 func (s *stateSaver) updateOrders(change func(*savedOrders)) error {
-	if s.keeper == nil {
+	if s.writer == nil {
 		return nil
 	}
 	s.mu.Lock()
@@ -221,7 +221,7 @@
 	change(&next)
 	text, err := json.Marshal(next)
 	if err == nil {
-		err = s.keeper.SaveSync(kindOrders, versionOrders, time.Now(), text)
+		err = s.writer.SaveSync(kindOrders, versionOrders, time.Now(), text)
 	}
 	if err != nil && !errors.Is(err, durable.ErrTimeout) {
 		return fmt.Errorf("but not kept: %w", err)
--- a/internal/proxy/statesaver_test.go
+++ b/internal/proxy/statesaver_test.go
@@ -11,25 +11,25 @@
 	"sprucehill/internal/durable"
 )
 
-// memoryKeeper is a Keeper in memory. Full, it keeps nothing.
-type memoryKeeper struct {
+// memoryWriter is a StateWriter in memory. When it is full, saving fails.
+type memoryWriter struct {
 	mu      sync.Mutex
 	records map[string]durable.Record
 	full    bool
 }
 
-func newMemoryKeeper() *memoryKeeper {
-	return &memoryKeeper{records: map[string]durable.Record{}}
+func newMemoryWriter() *memoryWriter {
+	return &memoryWriter{records: map[string]durable.Record{}}
 }
 
-func (s *memoryKeeper) Load(kind string) (durable.Record, bool) {
+func (s *memoryWriter) Load(kind string) (durable.Record, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.records[kind]
 	return r, ok
 }
 
-func (s *memoryKeeper) Save(kind string, version uint16, at time.Time, encode func() ([]byte, error)) {
+func (s *memoryWriter) Save(kind string, version uint16, at time.Time, encode func() ([]byte, error)) {
 	text, err := encode()
 	if err != nil {
 		return
@@ -37,7 +37,7 @@
 	_ = s.SaveSync(kind, version, at, text) // a real one has no way to report it either
 }
 
-func (s *memoryKeeper) SaveSync(kind string, version uint16, at time.Time, payload []byte) error {
+func (s *memoryWriter) SaveSync(kind string, version uint16, at time.Time, payload []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.full {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-func (s *memoryKeeper) MarkRecovered() {}
+func (s *memoryWriter) MarkRecovered() {}
 
 func (b *testBalancer) stop(t *testing.T) {
 	t.Helper()
@@ -63,10 +63,10 @@
 // does what operators had ordered.
 func TestStateSurvivesARestart(t *testing.T) {
 	s := newTestUpstream(t, respondOK)
-	keeper := newMemoryKeeper()
+	writer := newMemoryWriter()
 	g := newTestDiscovery(t)
-	withKeeper := func(c *Config) { c.Keeper = keeper }
-	b := newBalancerWith(t, g, withKeeper, activeMember("s-00000009", newTestUpstream(t, respondOK)))
+	withWriter := func(c *Config) { c.StateWriter = writer }
+	b := newBalancerWith(t, g, withWriter, activeMember("s-00000009", newTestUpstream(t, respondOK)))
 	select { // discovery has another list than the configuration
 	case g.answers <- endpointList{Revision: 12, Complete: true, Members: []endpointEntry{activeMember("s-00000001", s)}}:
 	case <-time.After(30 * time.Second):
@@ -76,14 +76,14 @@
 		b.do(t, b.newRequest("checkin", ""))
 	}
 	eventually(t, "the list is saved", func() bool {
-		r, ok := keeper.Load(kindList)
+		r, ok := writer.Load(kindList)
 		return ok && strings.Contains(string(r.Payload), "s-00000001")
 	})
 	if done, state := b.proxy.Drain(true); !done || state != "draining" {
 		t.Errorf("drain-on: %v, %s", done, state)
 	}
 	b.stop(t)
-	again := newBalancerWith(t, g, withKeeper, activeMember("s-00000009", newTestUpstream(t, respondOK)))
+	again := newBalancerWith(t, g, withWriter, activeMember("s-00000009", newTestUpstream(t, respondOK)))
 	served := len(s.arrivals)
 	if status, _ := again.do(t, again.newRequest("checkin", "")); status != 200 || len(s.arrivals) != served+1 {
 		t.Errorf("restarted while discovery does not answer: %d, by the upstream of the saved list: %v", status, len(s.arrivals) > served)
@@ -99,7 +99,7 @@
 		t.Error("drain-off")
 	}
 	again.stop(t)
-	last := newBalancerWith(t, g, withKeeper)
+	last := newBalancerWith(t, g, withWriter)
 	if _, state := last.proxy.Ready(); state == "draining" {
 		t.Error("drained though drain-off got its YES")
 	}
@@ -108,9 +108,9 @@
 // On a disk that takes nothing, orders are carried out but not confirmed, since they would not outlive the process, and
 // service goes on.
 func TestOrdersOnAFullDisk(t *testing.T) {
-	keeper := newMemoryKeeper()
-	keeper.full = true
-	b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) { c.Keeper = keeper }, activeMember("s-00000001", newTestUpstream(t, respondOK)))
+	writer := newMemoryWriter()
+	writer.full = true
+	b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) { c.StateWriter = writer }, activeMember("s-00000001", newTestUpstream(t, respondOK)))
 	if status, _ := b.do(t, b.newRequest("checkin", "")); status != 200 {
 		t.Errorf("served with %d", status)
 	}
@@ -124,13 +124,13 @@
 
 // Saved state that can't be decoded is ignored, and the configuration counts.
 func TestUndecodableStateIsIgnored(t *testing.T) {
-	keeper := newMemoryKeeper()
+	writer := newMemoryWriter()
 	for kind, text := range map[string]string{kindList: `{"discovery":1}`, kindSnapshot: `{"names":["a"],"knowledge":{}}`, kindOrders: "[]"} {
-		if err := keeper.SaveSync(kind, 1, time.Now(), []byte(text)); err != nil {
+		if err := writer.SaveSync(kind, 1, time.Now(), []byte(text)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) { c.Keeper = keeper }, activeMember("s-00000001", newTestUpstream(t, respondOK)))
+	b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) { c.StateWriter = writer }, activeMember("s-00000001", newTestUpstream(t, respondOK)))
 	if status, _ := b.do(t, b.newRequest("checkin", "")); status != 200 {
 		t.Errorf("served with %d", status)
 	}
@@ -158,12 +158,12 @@
 	}
 	for _, test := range tests {
 		for seed := range uint64(50) {
-			keeper := newMemoryKeeper()
-			if err := keeper.SaveSync(kindList, versionList, time.Now(), list); err != nil {
+			writer := newMemoryWriter()
+			if err := writer.SaveSync(kindList, versionList, time.Now(), list); err != nil {
 				t.Fatal(err)
 			}
 			c := testConfig(t)
-			c.Keeper = keeper
+			c.StateWriter = writer
 			c.Seed = seed
 			c.Settings.PollDiscovery = test.polls
 			c.Settings.Obligations.DrainGrace = grace
--- a/internal/proxy/zonemetrics_test.go
+++ b/internal/proxy/zonemetrics_test.go
@@ -105,7 +105,7 @@
 	}()
 	eventually(t, "the metrics show the zones", func() bool {
 		var text strings.Builder
-		if err := b.proxy.WriteFigures(&text); err != nil {
+		if err := b.proxy.WriteMetrics(&text); err != nil {
 			t.Fatal(err)
 		}
 		got = text.String()
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -96,25 +96,25 @@
 	weighsByWork = map[string]bool{"": false, "request": false, "work": true}
 )
 
-// Links is the part of the settings that concerns connections to upstreams. The simulator acts on it by itself; a real
+// ConnectionTimeouts is the part of the settings that concerns connections to upstreams. The simulator acts on it by itself; a real
 // balancer has to.
-type Links struct {
+type ConnectionTimeouts struct {
 	KeepAlive      time.Duration // after which an upstream closes an idle connection
 	ConnectTimeout time.Duration // within which a connection has to be established
 }
 
 // DecodeSettings decodes the settings object of a start message or of a real balancer's configuration. It checks the
 // form only; balancer.Settings.Validate checks ranges.
-func DecodeSettings(text []byte) (balancer.Settings, Links, error) {
+func DecodeSettings(text []byte) (balancer.Settings, ConnectionTimeouts, error) {
 	var decoded settingsJSON
 	if err := json.Unmarshal(text, &decoded); err != nil {
-		return balancer.Settings{}, Links{}, fmt.Errorf("settings: %w", err)
+		return balancer.Settings{}, ConnectionTimeouts{}, fmt.Errorf("settings: %w", err)
 	}
 	settings, err := decoded.settings()
 	if err != nil {
-		return balancer.Settings{}, Links{}, fmt.Errorf("settings: %w", err)
+		return balancer.Settings{}, ConnectionTimeouts{}, fmt.Errorf("settings: %w", err)
 	}
-	links := Links{
+	links := ConnectionTimeouts{
 		KeepAlive:      microseconds(decoded.Limits.KeepAlive),
 		ConnectTimeout: microseconds(decoded.Limits.ConnectTimeout),
 	}
--- a/internal/wire/status.go
+++ b/internal/wire/status.go
@@ -44,14 +44,14 @@
 			f.fail(name, fmt.Sprintf("%q is not name:value", entry))
 			return report
 		}
-		SetLoad(&report, string(key), f.parseFloat(name, value))
+		SetLoadField(&report, string(key), f.parseFloat(name, value))
 	}
 	return report
 }
 
-// SetLoad sets one value of a load report. The name is the simulator's, or the short one that real upstreams send.
+// SetLoadField sets one value of a load report. The name is the simulator's, or the short one that real upstreams send.
 // Other names are ignored.
-func SetLoad(report *balancer.LoadReport, name string, value float64) {
+func SetLoadField(report *balancer.LoadReport, name string, value float64) {
 	switch name {
 	case "load_share", "util":
 		report.Utilization = value
