--- a/balancer/actions_test.go
+++ b/balancer/actions_test.go
@@ -113,7 +113,7 @@
 	case "outcome":
 		s.endAttempt(event)
 	case "timers":
-		s.fireTimers()
+		fireDueTimers(s.balancer, &s.timers, s.now)
 	case "members":
 		s.changeEndpoints(event)
 	case "list failed":
@@ -218,19 +218,6 @@
 	})
 }
 
-// fireTimers fires the timers that are due. Those that are set meanwhile wait for the next call.
-func (s *stream) fireTimers() {
-	timers := s.timers
-	s.timers = nil
-	for _, timer := range timers {
-		if timer.at <= s.now {
-			s.balancer.OnTimer(s.now, timer.token)
-		} else {
-			s.timers = append(s.timers, timer)
-		}
-	}
-}
-
 // changeEndpoints drains, removes, restarts or reweights an endpoint.
 func (s *stream) changeEndpoints(event streamEvent) {
 	i := event.pick % len(s.endpoints)
--- a/balancer/randomevents_test.go
+++ b/balancer/randomevents_test.go
@@ -42,7 +42,7 @@
 		if events.oneIn(60) {
 			events.changeEndpoints()
 		}
-		events.fireTimers()
+		fireDueTimers(events.balancer, &events.timers, events.now)
 		c.checkDeadlines()
 	}
 	return c, effects
@@ -169,19 +169,6 @@
 	}
 }
 
-// fireTimers fires the timers that are due. Those that are set meanwhile wait for the next call.
-func (r *randomEvents) fireTimers() {
-	timers := r.timers
-	r.timers = nil
-	for _, timer := range timers {
-		if timer.at <= r.now {
-			r.balancer.OnTimer(r.now, timer.token)
-		} else {
-			r.timers = append(r.timers, timer)
-		}
-	}
-}
-
 func TestSameEventsGiveSameEffects(t *testing.T) {
 	renamed := testSettings()
 	for i, name := range []string{"x", "y", "z"} {
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -48,6 +48,19 @@
 	token uint64
 }
 
+// fireDueTimers fires the pending timers that are due. Those that are set meanwhile wait for the next call.
+func fireDueTimers(b *Balancer, pending *[]pendingTimer, now time.Duration) {
+	timers := *pending
+	*pending = nil
+	for _, timer := range timers {
+		if timer.at <= now {
+			b.OnTimer(now, timer.token)
+		} else {
+			*pending = append(*pending, timer)
+		}
+	}
+}
+
 func newChecker(settings Settings, now time.Duration) *checker {
 	return &checker{
 		settings:    settings,
