--- a/cmd/balancerctl/text.go
+++ b/cmd/balancerctl/text.go
@@ -109,7 +109,7 @@
 		kind := d.Faults[c.Fault].Kind
 		what := "ends"
 		about := ""
-		if c.On {
+		if c.Transition == day.Begin {
 			what = "begins"
 			about = day.DescribeFault(kind)
 		}
--- a/internal/lab/check/fleet.go
+++ b/internal/lab/check/fleet.go
@@ -63,9 +63,9 @@
 			continue
 		}
 		switch fault.Kind {
-		case "delay":
+		case day.LinkDelay:
 			d += fault.Delay.D()
-		case "cut", "slow", "lossy": // what was written before may come once the fault has ended
+		case day.LinkCut, day.LinkSlow, day.LinkLossy: // what was written before may come once the fault has ended
 			d += max(fault.For.D(), c.day.Length.D()-fault.At.D())
 		}
 	}
--- a/internal/lab/day/day.go
+++ b/internal/lab/day/day.go
@@ -164,18 +164,18 @@
 
 // Fault is one row of the timetable.
 type Fault struct {
-	At     Duration `toml:"at"`
-	For    Duration `toml:"for"` // 0: to the end of the day
-	Kind   string   `toml:"kind"`
-	Target []string `toml:"target"` // whom it hits: zone:, region:, balancer: or upstream: and a name or pattern
-	Part   float64  `toml:"part"`   // of those, drawn by the seed; absent: all
-	From   []string `toml:"from"`   // of a fault on links
-	To     []string `toml:"to"`
-	OneWay bool     `toml:"one_way"`
-	Size   float64  `toml:"size"`  // share that fails, share taken, loss, or factor, by kind
-	Delay  Duration `toml:"delay"` // added, or a clock's offset
-	Rate   float64  `toml:"rate"`  // bytes a second of a slow link
-	State  string   `toml:"state"` // of a restart: keep or lose the state folder
+	At     Duration  `toml:"at"`
+	For    Duration  `toml:"for"` // 0: to the end of the day
+	Kind   FaultKind `toml:"kind"`
+	Target []string  `toml:"target"` // whom it hits: zone:, region:, balancer: or upstream: and a name or pattern
+	Part   float64   `toml:"part"`   // of those, drawn by the seed; absent: all
+	From   []string  `toml:"from"`   // of a fault on links
+	To     []string  `toml:"to"`
+	OneWay bool      `toml:"one_way"`
+	Size   float64   `toml:"size"`  // share that fails, share taken, loss, or factor, by kind
+	Delay  Duration  `toml:"delay"` // added, or a clock's offset
+	Rate   float64   `toml:"rate"`  // bytes a second of a slow link
+	State  string    `toml:"state"` // of a restart: keep or lose the state folder
 }
 
 // LoadFile reads a day file, sets defaults for what it leaves out and checks it.
--- a/internal/lab/day/day_test.go
+++ b/internal/lab/day/day_test.go
@@ -127,7 +127,7 @@
 	there, back := Party{BalancerParty, 0}, Party{UpstreamParty, 3}
 	base := p.Condition(there, back).Delay
 	for i := range 3 {
-		p.Set(i, true)
+		p.Apply(i, Begin)
 	}
 	if c := p.Condition(there, back); c.Delay != base+12*time.Millisecond || !c.Cut {
 		t.Errorf("there: %+v", c)
@@ -138,8 +138,8 @@
 	if c := p.Condition(Party{BalancerParty, 1}, back); c.Cut {
 		t.Error("the cut hits a balancer that it does not name")
 	}
-	p.Set(2, false)
-	p.Set(0, false)
+	p.Apply(2, End)
+	p.Apply(0, End)
 	if c := p.Condition(there, back); c.Delay != base+7*time.Millisecond || c.Cut {
 		t.Errorf("after two ends: %+v", c)
 	}
--- a/internal/lab/day/fault.go
+++ b/internal/lab/day/fault.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"errors"
 	"fmt"
-	"maps"
 	"math"
 	"math/rand/v2"
 	"slices"
@@ -24,6 +23,36 @@
 	OnLoad
 )
 
+// FaultKind is the kind of a fault, as day files write it.
+type FaultKind string
+
+// The kinds of faults. faultKinds says what each of them does.
+const (
+	LinkCut   FaultKind = "cut"
+	LinkDelay FaultKind = "delay"
+	LinkSlow  FaultKind = "slow"
+	LinkLossy FaultKind = "lossy"
+	LinkReset FaultKind = "reset"
+
+	UpstreamDown   FaultKind = "down"
+	UpstreamVanish FaultKind = "vanish"
+	UpstreamDrain  FaultKind = "drain"
+	UpstreamErrors FaultKind = "errors"
+	NoisyNeighbour FaultKind = "neighbour"
+	LateReports    FaultKind = "late"
+
+	BalancerKill      FaultKind = "kill"
+	BalancerTerminate FaultKind = "term"
+	BalancerFreeze    FaultKind = "freeze"
+	BalancerRestart   FaultKind = "restart"
+	ClockOffset       FaultKind = "clock"
+
+	DiscoverySilent     FaultKind = "discovery-silent"
+	DiscoveryOverloaded FaultKind = "discovery-overbooked"
+
+	TrafficBurst FaultKind = "burst"
+)
+
 // faultKind is what a kind of fault acts on and the figures that it needs.
 type faultKind struct {
 	scope       Scope
@@ -33,55 +62,64 @@
 }
 
 // faultKinds is every kind of fault. The engines carry out what about says.
-var faultKinds = map[string]faultKind{
-	"cut":   {scope: OnLinks, about: "nothing passes: open connections fall silent, new ones do not come up"},
-	"delay": {scope: OnLinks, delay: true, about: "messages take longer by delay"},
-	"slow":  {scope: OnLinks, rate: true, about: "bytes pass at rate"},
-	"lossy": {scope: OnLinks, least: 0.0001, most: 0.5, about: "a share of messages, size, is lost and sent again"},
-	"reset": {scope: OnLinks, about: "open connections are reset at that moment, also under a request"},
-
-	"down":      {scope: OnUpstreams, about: "the process dies: connections are reset; it returns cold"},
-	"vanish":    {scope: OnUpstreams, about: "the machine falls silent; it returns cold"},
-	"drain":     {scope: OnUpstreams, about: "discovery lists it as draining; at the end it is up again"},
-	"errors":    {scope: OnUpstreams, least: 0.0001, most: 1, about: "a share, size, fails at once"},
-	"neighbour": {scope: OnUpstreams, least: 0.0001, most: 0.99, about: "another program takes a share, size, of the machine"},
-	"late":      {scope: OnUpstreams, delay: true, about: "load reports are older by delay"},
-
-	"kill":    {scope: OnBalancers, about: "SIGKILL; started again at the end"},
-	"term":    {scope: OnBalancers, about: "SIGTERM, SIGKILL if it has not ended in time; started again at the end"},
-	"freeze":  {scope: OnBalancers, about: "SIGSTOP, and SIGCONT at the end"},
-	"restart": {scope: OnBalancers, about: "SIGTERM, and started again as soon as it has ended"},
-	"clock":   {scope: OnBalancers, delay: true, about: "its clock is off by delay against what discovery dates"},
-
-	"discovery-silent":     {scope: OnDiscovery, about: "agents answer nothing"},
-	"discovery-overbooked": {scope: OnDiscovery, least: 0.0001, most: 1, about: "a share of calls, size, fails"},
-	"burst":                {scope: OnLoad, least: 0.01, most: 100, about: "arrivals times size"},
+var faultKinds = map[FaultKind]faultKind{
+	LinkCut:   {scope: OnLinks, about: "nothing passes: open connections fall silent, new ones do not come up"},
+	LinkDelay: {scope: OnLinks, delay: true, about: "messages take longer by delay"},
+	LinkSlow:  {scope: OnLinks, rate: true, about: "bytes pass at rate"},
+	LinkLossy: {scope: OnLinks, least: 0.0001, most: 0.5, about: "a share of messages, size, is lost and sent again"},
+	LinkReset: {scope: OnLinks, about: "open connections are reset at that moment, also under a request"},
+
+	UpstreamDown:   {scope: OnUpstreams, about: "the process dies: connections are reset; it returns cold"},
+	UpstreamVanish: {scope: OnUpstreams, about: "the machine falls silent; it returns cold"},
+	UpstreamDrain:  {scope: OnUpstreams, about: "discovery lists it as draining; at the end it is up again"},
+	UpstreamErrors: {scope: OnUpstreams, least: 0.0001, most: 1, about: "a share, size, fails at once"},
+	NoisyNeighbour: {scope: OnUpstreams, least: 0.0001, most: 0.99, about: "another program takes a share, size, of the machine"},
+	LateReports:    {scope: OnUpstreams, delay: true, about: "load reports are older by delay"},
+
+	BalancerKill:      {scope: OnBalancers, about: "SIGKILL; started again at the end"},
+	BalancerTerminate: {scope: OnBalancers, about: "SIGTERM, SIGKILL if it has not ended in time; started again at the end"},
+	BalancerFreeze:    {scope: OnBalancers, about: "SIGSTOP, and SIGCONT at the end"},
+	BalancerRestart:   {scope: OnBalancers, about: "SIGTERM, and started again as soon as it has ended"},
+	ClockOffset:       {scope: OnBalancers, delay: true, about: "its clock is off by delay against what discovery dates"},
+
+	DiscoverySilent:     {scope: OnDiscovery, about: "agents answer nothing"},
+	DiscoveryOverloaded: {scope: OnDiscovery, least: 0.0001, most: 1, about: "a share of calls, size, fails"},
+	TrafficBurst:        {scope: OnLoad, least: 0.01, most: 100, about: "arrivals times size"},
 }
 
-func faultKindNames() string { return strings.Join(slices.Sorted(maps.Keys(faultKinds)), ", ") }
+// faultKindNames lists all kinds for an error message.
+func faultKindNames() string {
+	var names []string
+	for kind := range faultKinds {
+		names = append(names, string(kind))
+	}
+	slices.Sort(names)
+	return strings.Join(names, ", ")
+}
 
 // vanishDetectionDelay is how much later discovery learns of a machine that has vanished than of a process that has ended.
 const vanishDetectionDelay = 4 * time.Second
 
-// EndpointPhase is the phase in which discovery lists the upstreams of a fault once that begins or ends, and after how
-// long its agents have it. "": it does not change, since discovery knows only of processes. cold: they have started again.
-func (d *Day) EndpointPhase(fault Fault, on bool) (phase string, delay time.Duration, cold bool) {
+// EndpointPhase returns the phase in which discovery lists the upstreams of a fault after a transition, and the delay until
+// its agents have it. An empty phase means that the list does not change: discovery knows only of processes. cold reports
+// that the upstreams have started again and warm up.
+func (d *Day) EndpointPhase(fault Fault, transition Transition) (phase string, delay time.Duration, cold bool) {
 	delay = d.Discovery.Delay.D()
 	switch fault.Kind {
-	case "drain":
+	case UpstreamDrain:
 		phase = "draining"
-	case "down":
+	case UpstreamDown:
 		phase = "removed"
-	case "vanish":
+	case UpstreamVanish:
 		phase = "removed"
-		if on {
+		if transition == Begin {
 			delay += vanishDetectionDelay
 		}
 	default:
 		return "", 0, false
 	}
-	if !on {
-		return "up", delay, fault.Kind != "drain"
+	if transition == End {
+		return "up", delay, fault.Kind != UpstreamDrain
 	}
 	return phase, delay, false
 }
@@ -152,11 +190,20 @@
 	return h, nil
 }
 
+// Transition says whether a fault ends or begins.
+type Transition uint8
+
+// The transitions. Of several at one moment ends come first, so End is the smaller value.
+const (
+	End Transition = iota
+	Begin
+)
+
 // Change is the begin or the end of a fault.
 type Change struct {
-	At    time.Duration
-	Fault int // index into Day.Faults
-	On    bool
+	At         time.Duration // since the start of the day
+	Fault      int           // index into Day.Faults
+	Transition Transition
 }
 
 // Timetable is every begin and end of a fault, in order; of several at one moment ends come first, then by their order
@@ -169,30 +216,19 @@
 			panic(err) // a Day is checked before anyone has it
 		}
 		hits = append(hits, hit)
-		changes = append(changes, Change{fault.At.D(), i, true})
-		if end := fault.At + fault.For; fault.For > 0 && fault.Kind != "reset" {
-			changes = append(changes, Change{end.D(), i, false})
+		changes = append(changes, Change{fault.At.D(), i, Begin})
+		if end := fault.At + fault.For; fault.For > 0 && fault.Kind != LinkReset {
+			changes = append(changes, Change{end.D(), i, End})
 		}
 	}
 	slices.SortStableFunc(changes, func(a, b Change) int {
-		return cmp.Or(cmp.Compare(a.At, b.At), endsFirst(a.On, b.On), cmp.Compare(a.Fault, b.Fault))
+		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Transition, b.Transition), cmp.Compare(a.Fault, b.Fault))
 	})
 	return changes, hits
 }
 
-// endsFirst orders a fault's end (false) before a fault's begin (true).
-func endsFirst(a, b bool) int {
-	switch {
-	case a == b:
-		return 0
-	case b:
-		return -1
-	}
-	return 1
-}
-
 // DescribeFault is what a kind of fault does, for people.
-func DescribeFault(kind string) string { return faultKinds[kind].about }
+func DescribeFault(kind FaultKind) string { return faultKinds[kind].about }
 
 // TargetNames names those that fault i hits, for people.
 func (d *Day) TargetNames(f *Fleet, i int, hit Hit) string {
--- a/internal/lab/day/paths.go
+++ b/internal/lab/day/paths.go
@@ -79,19 +79,23 @@
 	return ok
 }
 
-// Set begins or ends fault i, if it is one on links.
-func (p *Paths) Set(i int, on bool) {
-	if p.hits[i].Scope != OnLinks || p.active[i] == on {
+// Apply begins or ends fault i, if it is one on links. A fault that is active already, or has ended, stays as it is.
+func (p *Paths) Apply(i int, transition Transition) {
+	begins := transition == Begin
+	if p.hits[i].Scope != OnLinks || p.active[i] == begins {
 		return
 	}
-	p.active[i] = on
-	if on {
+	p.active[i] = begins
+	if begins {
 		p.activeFaults++
 	} else {
 		p.activeFaults--
 	}
 }
 
+// ResetsConns reports whether fault i resets the open connections of the links that it acts on.
+func (p *Paths) ResetsConns(i int) bool { return p.day.Faults[i].Kind == LinkReset }
+
 // OnLinks reports whether fault i is one on links.
 func (p *Paths) OnLinks(i int) bool { return p.hits[i].Scope == OnLinks }
 
@@ -113,13 +117,13 @@
 		}
 		fault := p.day.Faults[i]
 		switch fault.Kind {
-		case "cut":
+		case LinkCut:
 			c.Cut = true
-		case "delay":
+		case LinkDelay:
 			c.Delay += fault.Delay.D()
-		case "lossy":
+		case LinkLossy:
 			c.Loss = 1 - (1-c.Loss)*(1-fault.Size)
-		case "slow":
+		case LinkSlow:
 			if c.Rate == 0 || fault.Rate < c.Rate {
 				c.Rate = fault.Rate
 			}
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -91,7 +91,7 @@
 	if !arrives(t, far, near, 10*time.Second) {
 		t.Fatal("nothing passes on a whole way")
 	}
-	n.Set(0, true, false)
+	n.Apply(0, day.Begin)
 	got := make(chan error, 1)
 	if _, err := io.WriteString(far, "x"); err != nil {
 		t.Fatal(err)
@@ -105,7 +105,7 @@
 		t.Fatalf("a cut way passed a byte or an error on: %v", err)
 	case <-time.After(300 * time.Millisecond):
 	}
-	n.Set(0, false, false)
+	n.Apply(0, day.End)
 	if err := <-got; err != nil {
 		t.Fatalf("after the cut: %v", err)
 	}
@@ -114,7 +114,7 @@
 // A link that is cut in one direction passes the other.
 func TestOneWayCut(t *testing.T) {
 	n, _, far, near := connect(t)
-	n.Set(1, true, false)
+	n.Apply(1, day.Begin)
 	if !arrives(t, far, near, 10*time.Second) {
 		t.Error("balancer to upstream is not cut, but nothing passes")
 	}
@@ -127,14 +127,14 @@
 func TestCutTakesNoConnections(t *testing.T) {
 	n, l, _, _ := connect(t)
 	address := l.tcp.Addr().String()
-	n.Set(0, true, false)
-	n.Set(1, true, false)
-	n.Set(0, false, false)
+	n.Apply(0, day.Begin)
+	n.Apply(1, day.Begin)
+	n.Apply(0, day.End)
 	_, err := net.DialTimeout("tcp", address, 300*time.Millisecond)
 	if timeout := net.Error(nil); !errors.As(err, &timeout) || !timeout.Timeout() {
 		t.Errorf("over a cut: %v", err)
 	}
-	n.Set(1, false, false)
+	n.Apply(1, day.End)
 	c, err := net.DialTimeout("tcp", address, 10*time.Second)
 	if err != nil {
 		t.Fatalf("after the cut: %v", err)
--- a/internal/lab/link/network.go
+++ b/internal/lab/link/network.go
@@ -39,12 +39,12 @@
 	}
 }
 
-// Set begins or ends fault i. reset tells that the fault resets open connections.
-func (n *Network) Set(i int, on, reset bool) {
+// Apply begins or ends fault i of the day. A fault that resets connections does so when it begins.
+func (n *Network) Apply(i int, transition day.Transition) {
 	n.mu.Lock()
-	n.paths.Set(i, on)
+	n.paths.Apply(i, transition)
 	var hit []*Conn
-	if on && reset {
+	if transition == day.Begin && n.paths.ResetsConns(i) {
 		hit = n.connsWhere(func(c *Conn) bool { return n.paths.Hits(i, c.near, c.far) || n.paths.Hits(i, c.far, c.near) })
 	}
 	n.notifyChange()
@@ -53,13 +53,19 @@
 	n.updateListeners()
 }
 
-// Vanish takes a machine off the network, or brings it back. Back, it resets what others still hold open to it.
-func (n *Network) Vanish(p day.Party, on bool) {
-	if !on { // before anything that is held back could still arrive
-		n.ResetAll(p)
-	}
+// Disconnect takes a machine off the network: nothing reaches it or comes from it.
+func (n *Network) Disconnect(p day.Party) { n.setVanished(p, true) }
+
+// Reconnect brings a machine back that Disconnect has taken off. Connections that others still have open to it are reset
+// before any delayed data could arrive.
+func (n *Network) Reconnect(p day.Party) {
+	n.ResetAll(p)
+	n.setVanished(p, false)
+}
+
+func (n *Network) setVanished(p day.Party, vanished bool) {
 	n.mu.Lock()
-	n.vanished[p] = on
+	n.vanished[p] = vanished
 	n.notifyChange()
 	n.mu.Unlock()
 	n.updateListeners()
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -134,18 +134,18 @@
 // beginFault begins a fault that hits this balancer.
 func (n *node) beginFault(fault day.Fault) error {
 	switch fault.Kind {
-	case "kill":
+	case day.BalancerKill:
 		return n.signal(syscall.SIGKILL, history.Killed)
-	case "term":
+	case day.BalancerTerminate:
 		return n.terminate(n.exitTimeout())
-	case "restart":
+	case day.BalancerRestart:
 		if err := n.terminate(n.exitTimeout()); err != nil {
 			return err
 		}
 		return n.restart(fault)
-	case "freeze":
+	case day.BalancerFreeze:
 		return n.signal(syscall.SIGSTOP, history.Paused)
-	case "clock":
+	case day.ClockOffset:
 		n.run.registry.setClockOffset(n.index, fault.Delay.D())
 	}
 	return nil
@@ -154,14 +154,14 @@
 // endFault ends a fault that hits this balancer.
 func (n *node) endFault(fault day.Fault) error {
 	switch fault.Kind {
-	case "kill":
+	case day.BalancerKill:
 		return n.restart(fault)
-	case "term":
+	case day.BalancerTerminate:
 		n.kill()
 		return n.restart(fault)
-	case "freeze":
+	case day.BalancerFreeze:
 		return n.signal(syscall.SIGCONT, history.Resumed)
-	case "clock":
+	case day.ClockOffset:
 		n.run.registry.setClockOffset(n.index, 0)
 	}
 	return nil
--- a/internal/lab/live/registry.go
+++ b/internal/lab/live/registry.go
@@ -130,8 +130,8 @@
 }
 
 // onUpstreamFault announces what a fault does to an upstream, as discovery learns of it.
-func (g *registry) onUpstreamFault(u int, fault day.Fault, on bool, at time.Time) {
-	phase, delay, cold := g.run.day.EndpointPhase(fault, on)
+func (g *registry) onUpstreamFault(u int, fault day.Fault, transition day.Transition, at time.Time) {
+	phase, delay, cold := g.run.day.EndpointPhase(fault, transition)
 	if phase == "" {
 		return
 	}
@@ -142,22 +142,28 @@
 	g.announce(u, phase, startedAt, delay)
 }
 
-// setSilent makes an agent answer nothing, or answer again. Silences overlap.
-func (g *registry) setSilent(b int, silent bool) {
+// silence makes an agent answer nothing. Silences overlap: each needs an endSilence of its own.
+func (g *registry) silence(b int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	a := &g.agents[b]
-	switch {
-	case silent:
-		a.silenced++
-		if a.silenced == 1 {
-			a.answering = make(chan struct{})
-		}
-	case a.silenced > 0:
-		a.silenced--
-		if a.silenced == 0 {
-			close(a.answering)
-		}
+	a.silenced++
+	if a.silenced == 1 {
+		a.answering = make(chan struct{})
+	}
+}
+
+// endSilence ends one silence of an agent. It answers again once all have ended.
+func (g *registry) endSilence(b int) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	a := &g.agents[b]
+	if a.silenced == 0 {
+		return
+	}
+	a.silenced--
+	if a.silenced == 0 {
+		close(a.answering)
 	}
 }
 
--- a/internal/lab/live/timetable.go
+++ b/internal/lab/live/timetable.go
@@ -21,7 +21,7 @@
 		case <-time.After(c.At - r.now()):
 		}
 		kind := history.FaultEnded
-		if c.On {
+		if c.Transition == day.Begin {
 			kind = history.FaultBegan
 		}
 		r.record(history.Event{Kind: kind, Fault: int32(c.Fault), Arrival: history.None, Balancer: history.None, Upstream: history.None})
@@ -34,26 +34,26 @@
 	fault := r.day.Faults[c.Fault]
 	switch hit.Scope {
 	case day.OnLinks:
-		r.net.Set(c.Fault, c.On, fault.Kind == "reset")
+		r.net.Apply(c.Fault, c.Transition)
 	case day.OnUpstreams:
 		for _, u := range hit.Targets {
-			r.upstreams[u].applyFault(fault, c.On)
+			r.upstreams[u].applyFault(fault, c.Transition)
 		}
 	case day.OnBalancers:
 		for _, b := range hit.Targets {
-			go r.applyNodeFault(b, fault, c.On) // it may wait for the process's end
+			go r.applyNodeFault(b, fault, c.Transition) // it may wait for the process's end
 		}
 	case day.OnDiscovery:
 		for _, b := range hit.Targets {
-			r.applyDiscoveryFault(b, fault, c.On)
+			r.applyDiscoveryFault(b, fault, c.Transition)
 		}
 	}
 }
 
-func (r *run) applyNodeFault(b int, fault day.Fault, on bool) {
+func (r *run) applyNodeFault(b int, fault day.Fault, transition day.Transition) {
 	n := r.nodes[b]
 	apply := n.endFault
-	if on {
+	if transition == day.Begin {
 		apply = n.beginFault
 	}
 	if err := apply(fault); err != nil && !errors.Is(err, os.ErrProcessDone) {
@@ -61,11 +61,14 @@
 	}
 }
 
-func (r *run) applyDiscoveryFault(b int, fault day.Fault, on bool) {
+func (r *run) applyDiscoveryFault(b int, fault day.Fault, transition day.Transition) {
+	begins := transition == day.Begin
 	switch {
-	case fault.Kind == "discovery-silent":
-		r.registry.setSilent(b, on)
-	case on:
+	case fault.Kind == day.DiscoverySilent && begins:
+		r.registry.silence(b)
+	case fault.Kind == day.DiscoverySilent:
+		r.registry.endSilence(b)
+	case begins:
 		r.registry.setErrorRate(b, fault.Size)
 	default:
 		r.registry.setErrorRate(b, 0)
--- a/internal/lab/live/upstream.go
+++ b/internal/lab/live/upstream.go
@@ -134,24 +134,27 @@
 }
 
 // applyFault begins or ends a fault that hits this upstream.
-func (u *upstream) applyFault(fault day.Fault, on bool) {
-	u.setFault(fault, on)
-	vanishes := fault.Kind == "vanish"
-	if vanishes || fault.Kind == "down" {
-		if on {
-			u.stop(vanishes)
-		} else {
-			u.restart(vanishes)
-		}
-	}
-	u.run.registry.onUpstreamFault(u.index, fault, on, time.Now())
+func (u *upstream) applyFault(fault day.Fault, transition day.Transition) {
+	u.setFault(fault, transition)
+	begins := transition == day.Begin
+	switch {
+	case fault.Kind == day.UpstreamDown && begins:
+		u.stopProcess()
+	case fault.Kind == day.UpstreamDown:
+		u.restartProcess()
+	case fault.Kind == day.UpstreamVanish && begins:
+		u.stopMachine()
+	case fault.Kind == day.UpstreamVanish:
+		u.restartMachine()
+	}
+	u.run.registry.onUpstreamFault(u.index, fault, transition, time.Now())
 }
 
-// setFault makes the server behave as the faults of now have it.
-func (u *upstream) setFault(fault day.Fault, on bool) {
+// setFault adds a fault to those that act on the server, or removes it.
+func (u *upstream) setFault(fault day.Fault, transition day.Transition) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if on {
+	if transition == day.Begin {
 		u.faults = append(u.faults, fault)
 	} else if i := slices.IndexFunc(u.faults, func(f day.Fault) bool { return f.At == fault.At && f.Kind == fault.Kind }); i >= 0 {
 		u.faults = slices.Concat(u.faults[:i], u.faults[i+1:])
@@ -162,46 +165,63 @@
 	}
 }
 
-// stop ends the process: connections are reset, or fall silent where the machine vanishes.
-func (u *upstream) stop(vanishes bool) {
-	if vanishes {
-		u.run.net.Vanish(u.party, true)
+// stopProcess ends the process and resets its connections.
+func (u *upstream) stopProcess() {
+	u.mu.Lock()
+	u.abandonJobs()
+	closing := u.listeners
+	u.listeners = nil
+	u.mu.Unlock()
+	for _, l := range closing {
+		l.Close()
 	}
+	u.run.net.ResetAll(u.party)
+	u.run.record(u.processEvent(history.UpstreamStopped))
+}
+
+// stopMachine takes the machine off the network. Its connections stay open without an answer.
+func (u *upstream) stopMachine() {
+	u.run.net.Disconnect(u.party)
 	u.mu.Lock()
+	u.abandonJobs()
+	u.mu.Unlock()
+	u.run.record(u.processEvent(history.UpstreamStopped))
+}
+
+// abandonJobs ends the server with all that it has in work. u.mu is held.
+func (u *upstream) abandonJobs() {
 	u.server = nil
 	for job, a := range u.jobs {
 		delete(u.jobs, job)
 		u.run.record(a.event(u, history.Abandoned))
 	}
-	var closing []*link.Listener
-	if !vanishes {
-		closing = u.listeners
-		u.listeners = nil
-	}
-	u.mu.Unlock()
-	for _, l := range closing {
-		l.Close()
-	}
-	if !vanishes {
-		u.run.net.ResetAll(u.party)
-	}
-	u.run.record(u.processEvent(history.UpstreamStopped))
 }
 
-// restart starts the process again, cold.
-func (u *upstream) restart(vanished bool) {
+// restartProcess starts the process again; it warms up.
+func (u *upstream) restartProcess() {
 	if err := u.start(true); err != nil {
 		return // the address was free a moment ago; discovery's list then leads nowhere
 	}
-	if vanished {
-		u.mu.Lock()
-		listeners := slices.Clone(u.listeners)
-		u.mu.Unlock()
-		for _, l := range listeners {
-			l.ResetPending()
-		}
-		u.run.net.Vanish(u.party, false)
+	u.announceRestart()
+}
+
+// restartMachine starts the process of a machine that comes back to the network; it warms up.
+func (u *upstream) restartMachine() {
+	if err := u.start(true); err != nil {
+		return // as in restartProcess
+	}
+	u.mu.Lock()
+	listeners := slices.Clone(u.listeners)
+	u.mu.Unlock()
+	for _, l := range listeners {
+		l.ResetPending()
 	}
+	u.run.net.Reconnect(u.party)
+	u.announceRestart()
+}
+
+// announceRestart records the start and lets the loop go on.
+func (u *upstream) announceRestart() {
 	u.run.record(u.processEvent(history.UpstreamStarted))
 	u.wakeLoop()
 }
--- a/internal/lab/measure/recovery.go
+++ b/internal/lab/measure/recovery.go
@@ -44,7 +44,7 @@
 func recoveryOf(d *day.Day, fault day.Fault, windows []Window) Recovery {
 	width := d.Window.D().Seconds()
 	end := faultEnd(fault)
-	r := Recovery{Fault: fault.Kind, At: fault.At.D().Seconds(), End: -1, Least: 1, Five: 1, Again: 1}
+	r := Recovery{Fault: string(fault.Kind), At: fault.At.D().Seconds(), End: -1, Least: 1, Five: 1, Again: 1}
 	first := int(r.At / width)
 	r.Before = servedIn(windows[max(0, first-1-levelWindows):max(0, first-1)])
 	r.Ten = servedIn(windows[first:min(len(windows), first+int(stretch.Seconds()/width))])
@@ -75,7 +75,7 @@
 	switch {
 	case fault.For > 0:
 		return at + fault.For.D().Seconds()
-	case fault.Kind == "reset" || fault.Kind == "restart":
+	case fault.Kind == day.LinkReset || fault.Kind == day.BalancerRestart:
 		return at
 	}
 	return math.Inf(1)
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -13,24 +13,24 @@
 func (n *node) beginFault(i int) {
 	fault := n.sim.day.Faults[i]
 	switch fault.Kind {
-	case "kill":
+	case day.BalancerKill:
 		if n.module != nil {
 			n.recordProcess(history.Killed)
 			n.exit()
 		}
-	case "term", "restart":
+	case day.BalancerTerminate, day.BalancerRestart:
 		if n.module != nil {
-			n.drain(fault.Kind == "restart")
+			n.drain(fault.Kind == day.BalancerRestart)
 		}
-	case "freeze":
+	case day.BalancerFreeze:
 		n.stop()
-	case "clock":
+	case day.ClockOffset:
 		n.clockOffset = fault.Delay.D()
-	case "discovery-silent":
+	case day.DiscoverySilent:
 		n.agentSilent++
-	case "discovery-overbooked":
+	case day.DiscoveryOverloaded:
 		n.agentErrorRate = fault.Size
-	case "reset":
+	case day.LinkReset:
 		n.resetConns(i)
 	}
 }
@@ -39,25 +39,25 @@
 func (n *node) endFault(i int) {
 	fault := n.sim.day.Faults[i]
 	switch fault.Kind {
-	case "kill":
+	case day.BalancerKill:
 		if fault.State == "lose" {
 			n.loseDisk()
 		}
 		n.after(startupTime, message{kind: msgBoot})
-	case "term":
+	case day.BalancerTerminate:
 		n.after(startupTime, message{kind: msgBoot})
-	case "freeze":
+	case day.BalancerFreeze:
 		n.resume()
-	case "clock":
+	case day.ClockOffset:
 		n.clockOffset = 0
-	case "discovery-silent":
+	case day.DiscoverySilent:
 		n.agentSilent--
 		if n.agentSilent == 0 {
 			n.agentAnswersAgain()
 		}
-	case "discovery-overbooked":
+	case day.DiscoveryOverloaded:
 		n.agentErrorRate = 0
-	case "reset":
+	case day.LinkReset:
 		n.resetConns(i)
 	}
 }
--- a/internal/lab/model/sim.go
+++ b/internal/lab/model/sim.go
@@ -215,7 +215,7 @@
 	hit := s.hits[c.Fault]
 	event := history.Event{At: c.At, Kind: history.FaultEnded, Fault: int32(c.Fault), Arrival: history.None, Balancer: history.None, Upstream: history.None}
 	m := message{at: c.At, kind: msgFaultEnds, index: int32(c.Fault)}
-	if c.On {
+	if c.Transition == day.Begin {
 		event.Kind = history.FaultBegan
 		m.kind = msgFaultBegins
 	}
@@ -223,8 +223,8 @@
 	var targets []*actor
 	switch hit.Scope {
 	case day.OnLinks:
-		s.paths.Set(c.Fault, c.On)
-		if fault.Kind == "reset" {
+		s.paths.Apply(c.Fault, c.Transition)
+		if fault.Kind == day.LinkReset {
 			targets = s.nodes
 		}
 		s.releaseHeld(c.At)
@@ -253,7 +253,7 @@
 
 // announceUpdate sends every balancer's agent the effect of a fault on the endpoint list, when discovery learns of it.
 func (s *sim) announceUpdate(c day.Change, fault day.Fault, hit day.Hit) {
-	phase, delay, cold := s.day.EndpointPhase(fault, c.On)
+	phase, delay, cold := s.day.EndpointPhase(fault, c.Transition)
 	if phase == "" {
 		return
 	}
--- a/internal/lab/model/truth.go
+++ b/internal/lab/model/truth.go
@@ -84,7 +84,7 @@
 	switch {
 	case now < fault.At.D():
 		return 1
-	case hit.Scope == day.OnLinks && active && fault.Kind == "cut":
+	case hit.Scope == day.OnLinks && active && fault.Kind == day.LinkCut:
 		if p.node.onLinkFault(i, day.Party{Kind: day.UpstreamParty, Index: u}) {
 			return 0
 		}
@@ -93,16 +93,16 @@
 		return 1
 	}
 	switch fault.Kind {
-	case "down", "vanish":
+	case day.UpstreamDown, day.UpstreamVanish:
 		if active {
 			return 0
 		}
 		return server.Warmth(s.day.Models[s.fleet.Upstreams[u].Model], now-end)
-	case "errors", "neighbour":
+	case day.UpstreamErrors, day.NoisyNeighbour:
 		if active {
 			return 1 - fault.Size
 		}
-	case "drain":
+	case day.UpstreamDrain:
 		if active {
 			return 0
 		}
--- a/internal/lab/model/upstream.go
+++ b/internal/lab/model/upstream.go
@@ -221,8 +221,8 @@
 func (u *upstream) beginFault(fault day.Fault) {
 	u.faults = append(u.faults, fault)
 	u.applyFaults()
-	if fault.Kind == "down" || fault.Kind == "vanish" {
-		u.stop(fault.Kind == "vanish")
+	if fault.Kind == day.UpstreamDown || fault.Kind == day.UpstreamVanish {
+		u.stop(fault.Kind == day.UpstreamVanish)
 	}
 }
 
@@ -230,7 +230,7 @@
 	i := slices.IndexFunc(u.faults, func(f day.Fault) bool { return f.Kind == fault.Kind && f.At == fault.At })
 	u.faults = slices.Delete(u.faults, i, i+1)
 	u.applyFaults()
-	if fault.Kind == "down" || fault.Kind == "vanish" {
+	if fault.Kind == day.UpstreamDown || fault.Kind == day.UpstreamVanish {
 		u.restart()
 	}
 }
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -90,7 +90,7 @@
 	if f.For > 0 {
 		to = min(to, (f.At + f.For).D().Seconds())
 	}
-	if f.Kind == "reset" || f.Kind == "restart" {
+	if f.Kind == day.LinkReset || f.Kind == day.BalancerRestart {
 		to = min(to, from+0.2) // a moment, wide enough to be seen
 	}
 	return from, to
@@ -123,7 +123,7 @@
 		if err := addBox(p, from, to, 0, 1, shade); err != nil {
 			return nil, err
 		}
-		labels, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: to + s.Seconds*0.005, Y: y + stripRow*0.1}}, Labels: []string{f.Kind}})
+		labels, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: to + s.Seconds*0.005, Y: y + stripRow*0.1}}, Labels: []string{string(f.Kind)}})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -184,7 +184,7 @@
 		p.Timetable = append(p.Timetable, faultRow{
 			At:    f.At.D().String(),
 			To:    to,
-			Kind:  f.Kind,
+			Kind:  string(f.Kind),
 			Whom:  p.Day.TargetNames(p.Fleet, i, hits[i]),
 			About: day.DescribeFault(f.Kind),
 		})
--- a/internal/lab/server/server.go
+++ b/internal/lab/server/server.go
@@ -265,11 +265,11 @@
 	s.reportLag = 0
 	for _, f := range faults {
 		switch f.Kind {
-		case "errors":
+		case day.UpstreamErrors:
 			s.errorShare = max(s.errorShare, f.Size)
-		case "neighbour":
+		case day.NoisyNeighbour:
 			s.takenShare = 1 - (1-s.takenShare)*(1-f.Size)
-		case "late":
+		case day.LateReports:
 			s.reportLag += f.Delay.D()
 		}
 	}
