--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -47,7 +47,7 @@
 	if result == Served || result == Disconnected || !z.harmless(class, result) {
 		return 0, false
 	}
-	if sent > z.day.Clients.Retries || sent >= day.MaxTries {
+	if sent > z.day.Clients.Retries || sent >= day.MaxRequestsPerArrival {
 		return 0, false
 	}
 	wait = z.day.Clients.Wait.D()
--- a/internal/lab/day/day_test.go
+++ b/internal/lab/day/day_test.go
@@ -93,8 +93,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		d.Seed = rapid.Uint64().Draw(t, "seed")
 		a, b := rapid.IntRange(0, 1<<30).Draw(t, "a"), rapid.IntRange(0, 1<<30).Draw(t, "b")
-		x, y := rapid.IntRange(0, MaxTries-1).Draw(t, "x"), rapid.IntRange(0, MaxTries-1).Draw(t, "y")
-		if (a != b || x != y) == (d.TryID(a, x) == d.TryID(b, y)) {
+		x, y := rapid.IntRange(0, MaxRequestsPerArrival-1).Draw(t, "x"), rapid.IntRange(0, MaxRequestsPerArrival-1).Draw(t, "y")
+		if (a != b || x != y) == (d.RequestID(a, x) == d.RequestID(b, y)) {
 			t.Fatalf("try %d of %d and try %d of %d", x, a, y, b)
 		}
 	})
--- a/internal/lab/day/schedule.go
+++ b/internal/lab/day/schedule.go
@@ -129,16 +129,16 @@
 	return r[0].D() + time.Duration(rng.Float64()*float64(r[1]-r[0]))
 }
 
-// tryBits is how many bits of a request's id are for the number of the retry, beside that of its arrival.
-const tryBits = 5
+// retryBits is how many bits of a request's id are for the number of the retry, beside that of its arrival.
+const retryBits = 5
 
-// MaxTries is how many requests, first and retries, one arrival can have.
-const MaxTries = 1 << tryBits
+// MaxRequestsPerArrival is how many requests one arrival can have, the first and its retries.
+const MaxRequestsPerArrival = 1 << retryBits
 
-// TryID is the id that a client gives to a request; try counts its retries. It differs for each seed, and from that of
+// RequestID returns the id that a client gives to a request; retry counts its retries, from 0. It differs for each seed, and from that of
 // every other request of the day, since the mixing (of SplitMix64) can be inverted.
-func (d *Day) TryID(arrival, try int) uint64 {
-	x := uint64(arrival)<<tryBits | uint64(try)
+func (d *Day) RequestID(arrival, retry int) uint64 {
+	x := uint64(arrival)<<retryBits | uint64(retry)
 	x += d.Seed * 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/lab/day/settings.go
+++ b/internal/lab/day/settings.go
@@ -2,50 +2,191 @@
 
 import "encoding/json"
 
+// settings is the settings object of a balancer's configuration. The JSON names are the platform's; the fields stand in
+// the order in which the object is written.
+type settings struct {
+	Zone                string           `json:"az"`
+	Balancers           int              `json:"balancers"`
+	Family              string           `json:"family"`
+	FamilyInfo          struct{}         `json:"family_info"`
+	TickMicros          int64            `json:"granularity_us"`
+	EndpointKinds       []string         `json:"kinds"`
+	Limits              settingsLimits   `json:"limits"`
+	MembershipMode      string           `json:"membership_mode"`
+	Obligations         settingsRules    `json:"obligations"`
+	OverQuotaWeight     float64          `json:"over_share_worth"`
+	Classes             []settingsClass  `json:"profiles"`
+	Rank                int              `json:"rank"`
+	LoadReports         settingsReports  `json:"reporting"`
+	Tenants             []settingsTenant `json:"tenants"`
+	NominalWeights      string           `json:"weights"`
+	PriorityWeightUnits string           `json:"worth_by"`
+	Zones               []string         `json:"zones"`
+}
+
+// settingsLimits is what a balancer may use. Spans are in microseconds.
+type settingsLimits struct {
+	Cancel          bool  `json:"cancel"`
+	ConnectTimeout  int64 `json:"connect_timeout_us"`
+	KeepAlive       int64 `json:"keepalive_us"`
+	MaxAttempts     int   `json:"max_attempts"`
+	MaxRetryAfter   int64 `json:"max_retry_after_us"`
+	Peers           bool  `json:"peers"`
+	HealthChecks    bool  `json:"probes"`
+	RetryAfter      bool  `json:"retry_after"`
+	HedgedRequests  bool  `json:"second_copies"`
+	RequestsPerConn int   `json:"streams_per_conn"`
+}
+
+// settingsRules is what a balancer has to comply with. Spans are in microseconds.
+type settingsRules struct {
+	AnswerSlack           int64   `json:"answer_slack_us"`
+	DiscoveryPollInterval int64   `json:"ask_within_us"`
+	SlowStartCapacity     float64 `json:"cold_from"` // ratio to the full capacity
+	DrainGrace            int64   `json:"drain_grace_us"`
+	SlowStart             int64   `json:"ramp_time_us"`
+	OverloadWindow        int64   `json:"tip_after_us"`
+	OverloadMultiple      float64 `json:"tip_multiple"`
+}
+
+// settingsClass is a class of requests. Spans are in microseconds.
+type settingsClass struct {
+	Deadline          int64   `json:"give_up_us"`
+	Group             string  `json:"group"`
+	LateWeight        float64 `json:"late_worth"`
+	IdempotencyWindow int64   `json:"memory_span_us"`
+	Name              string  `json:"name"`
+	Repeat            string  `json:"repeat"`
+	Stream            bool    `json:"stream"`
+	LatencyObjective  int64   `json:"target_us"`
+	PriorityWeight    float64 `json:"worth"`
+}
+
+// settingsTenant is a tenant and its quota, a ratio of the fleet's capacity and a rate in requests a second.
+type settingsTenant struct {
+	Name      string  `json:"name"`
+	QuotaRate float64 `json:"quota_rps"`
+	Quota     float64 `json:"share"`
+}
+
+// settingsReports is which load reports upstreams send, and how.
+type settingsReports struct {
+	Fields []string `json:"fields"`
+	Via    string   `json:"via"`
+}
+
+const (
+	tickMicros            = 5_000
+	answerSlackMicros     = 20_000
+	discoveryPollMicros   = 10_000_000
+	overQuotaWeight       = 0.05 // ratio to the weight within the quota
+	requestsPerConnection = 1
+)
+
 // repeatNames are, for each kind of repeat in a day file, that of the settings.
 var repeatNames = map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
 
-// Settings is the settings object that balancer b reads from its configuration, in the form of the platform. Both
+// Settings returns the settings object that balancer b reads from its configuration, in the platform's JSON form. Both
 // engines hand it to the program through the same decoder.
 func (d *Day) Settings(f *Fleet, b int) json.RawMessage {
-	type object = map[string]any
-	us := func(x Duration) int64 { return x.D().Microseconds() }
-	from, warm := 1.0, Duration(0)
-	kinds := []string{}
-	for name, m := range d.Models {
-		from, warm = min(from, m.ColdFrom), max(warm, m.Warm)
-		kinds = append(kinds, name)
+	text, err := json.Marshal(settings{
+		Zone:                f.Locality(f.Balancers[b].Zone),
+		Balancers:           len(f.Balancers),
+		Family:              "proxy",
+		TickMicros:          tickMicros,
+		EndpointKinds:       d.modelNames(),
+		Limits:              d.settingsLimits(),
+		MembershipMode:      "pushed",
+		Obligations:         d.settingsRules(),
+		OverQuotaWeight:     overQuotaWeight,
+		Classes:             d.settingsClasses(),
+		Rank:                b,
+		LoadReports:         settingsReports{Fields: []string{"load_share", "err_ps", "depth"}, Via: "piggyback"},
+		Tenants:             d.settingsTenants(),
+		NominalWeights:      "nominal",
+		PriorityWeightUnits: "request",
+		Zones:               f.localities(),
+	})
+	if err != nil {
+		panic(err) // all of it is plain figures and names
 	}
+	return text
+}
+
+func (d *Day) modelNames() []string {
+	names := []string{}
+	for name := range d.Models {
+		names = append(names, name)
+	}
+	return names
+}
+
+func (f *Fleet) localities() []string {
 	zones := []string{}
 	for z := range f.Zones {
 		zones = append(zones, f.Locality(z))
 	}
-	profiles := []object{}
-	for _, c := range d.Classes {
-		profiles = append(profiles, object{"name": c.Name, "repeat": repeatNames[c.Repeat], "group": c.Group,
-			"memory_span_us": us(c.Memory), "target_us": us(c.Aim), "give_up_us": us(c.Deadline), "worth": c.Worth,
-			"late_worth": 0.0, "stream": false})
+	return zones
+}
+
+func (d *Day) settingsLimits() settingsLimits {
+	l := d.Balancer
+	return settingsLimits{
+		Cancel:          true,
+		ConnectTimeout:  micros(l.ConnectTimeout),
+		KeepAlive:       micros(l.KeepAlive),
+		MaxAttempts:     l.MaxAttempts,
+		MaxRetryAfter:   micros(l.RetryAfter),
+		HealthChecks:    l.Probes,
+		RetryAfter:      l.RetryAfter > 0,
+		HedgedRequests:  l.SecondCopies,
+		RequestsPerConn: requestsPerConnection,
 	}
-	tenants := []object{}
-	for _, t := range d.Tenants {
-		tenants = append(tenants, object{"name": t.Name, "share": t.Share, "quota_rps": t.Quota})
+}
+
+// settingsRules tells the longest slow start and the least capacity at a start of all models.
+func (d *Day) settingsRules() settingsRules {
+	capacity := 1.0
+	slowStart := Duration(0)
+	for _, m := range d.Models {
+		capacity = min(capacity, m.ColdFrom)
+		slowStart = max(slowStart, m.Warm)
 	}
 	l := d.Balancer
-	text, err := json.Marshal(object{
-		"az": f.Locality(f.Balancers[b].Zone), "balancers": len(f.Balancers), "rank": b, "granularity_us": 5000,
-		"membership_mode": "pushed", "weights": "nominal", "worth_by": "request", "over_share_worth": 0.05,
-		"family": "proxy", "family_info": object{}, "kinds": kinds, "zones": zones,
-		"limits": object{"cancel": true, "connect_timeout_us": us(l.ConnectTimeout), "keepalive_us": us(l.KeepAlive),
-			"max_attempts": l.MaxAttempts, "max_retry_after_us": us(l.RetryAfter), "probes": l.Probes,
-			"retry_after": l.RetryAfter > 0, "second_copies": l.SecondCopies, "peers": false, "streams_per_conn": 1},
-		"obligations": object{"answer_slack_us": 20000, "ask_within_us": 10000000, "cold_from": from,
-			"drain_grace_us": us(l.DrainGrace), "ramp_time_us": us(warm), "tip_after_us": us(l.TipAfter),
-			"tip_multiple": l.TipMultiple},
-		"profiles": profiles, "tenants": tenants,
-		"reporting": object{"fields": []string{"load_share", "err_ps", "depth"}, "via": "piggyback"},
-	})
-	if err != nil {
-		panic(err) // all of it is plain figures and names
+	return settingsRules{
+		AnswerSlack:           answerSlackMicros,
+		DiscoveryPollInterval: discoveryPollMicros,
+		SlowStartCapacity:     capacity,
+		DrainGrace:            micros(l.DrainGrace),
+		SlowStart:             micros(slowStart),
+		OverloadWindow:        micros(l.TipAfter),
+		OverloadMultiple:      l.TipMultiple,
 	}
-	return text
 }
+
+func (d *Day) settingsClasses() []settingsClass {
+	classes := []settingsClass{}
+	for _, c := range d.Classes {
+		classes = append(classes, settingsClass{
+			Deadline:          micros(c.Deadline),
+			Group:             c.Group,
+			IdempotencyWindow: micros(c.Memory),
+			Name:              c.Name,
+			Repeat:            repeatNames[c.Repeat],
+			LatencyObjective:  micros(c.Aim),
+			PriorityWeight:    c.Worth,
+		})
+	}
+	return classes
+}
+
+func (d *Day) settingsTenants() []settingsTenant {
+	tenants := []settingsTenant{}
+	for _, t := range d.Tenants {
+		tenants = append(tenants, settingsTenant{Name: t.Name, QuotaRate: t.Quota, Quota: t.Share})
+	}
+	return tenants
+}
+
+// micros returns a span in microseconds, the unit of the settings object.
+func micros(x Duration) int64 { return x.D().Microseconds() }
--- a/internal/lab/live/clients.go
+++ b/internal/lab/live/clients.go
@@ -126,7 +126,7 @@
 	a := r.arrivals[i]
 	class := r.day.Classes[a.Class]
 	q := &clientRequest{
-		id:       r.day.TryID(i, number),
+		id:       r.day.RequestID(i, number),
 		arrival:  i,
 		number:   number,
 		class:    a.Class,
--- a/internal/lab/model/front.go
+++ b/internal/lab/model/front.go
@@ -118,7 +118,7 @@
 	a := f.sim.arrivals[arrival]
 	class := f.sim.day.Classes[a.Class]
 	r := &frontRequest{clientRequest: &clientRequest{
-		id:       f.sim.day.TryID(int(arrival), int(number)),
+		id:       f.sim.day.RequestID(int(arrival), int(number)),
 		arrival:  arrival,
 		number:   number,
 		deadline: a.At + class.Deadline.D(),
