--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -78,6 +78,7 @@
 
 // logProcesses logs the seed and the ends of the processes' logs of a failed test.
 func logProcesses(t *testing.T, d *day.Day, work string) {
+	t.Helper()
 	if !t.Failed() {
 		return
 	}
@@ -91,7 +92,7 @@
 // Each faulty balancer is caught by its own rule and by no other, and the good ones by none.
 func TestCheckerCatches(t *testing.T) {
 	faulty := labtest.Build(t, "./faulty")
-	real := labtest.Build(t, "../../cmd/balancer")
+	program := labtest.Build(t, "../../cmd/balancer")
 	for _, c := range []struct {
 		mode string
 		rule check.Rule
@@ -106,7 +107,7 @@
 			t.Parallel()
 			command := []string{"/usr/bin/env", "BAD=" + c.mode, faulty}
 			if c.mode == "balancer" {
-				command = []string{real}
+				command = []string{program}
 			}
 			r := play(t, labtest.Day(t, checkerDay), command...)
 			caught := false
--- a/internal/lab/labtest/labtest.go
+++ b/internal/lab/labtest/labtest.go
@@ -15,53 +15,53 @@
 )
 
 // Day is the day of a text. It fails the test if the text is no day.
-func Day(t testing.TB, text string) *day.Day {
-	t.Helper()
+func Day(tb testing.TB, text string) *day.Day {
+	tb.Helper()
 	d, err := day.Parse("test.toml", []byte(text))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return d
 }
 
 // ExampleFile is the path of an example, by its name in the folder examples.
-func ExampleFile(t testing.TB, name string) string {
-	t.Helper()
-	return filepath.Join(moduleRoot(t), "examples", filepath.FromSlash(name))
+func ExampleFile(tb testing.TB, name string) string {
+	tb.Helper()
+	return filepath.Join(moduleRoot(tb), "examples", filepath.FromSlash(name))
 }
 
 // Example is an example's day, by its name in the folder examples.
-func Example(t testing.TB, name string) *day.Day {
-	t.Helper()
-	d, err := day.LoadFile(ExampleFile(t, name))
+func Example(tb testing.TB, name string) *day.Day {
+	tb.Helper()
+	d, err := day.LoadFile(ExampleFile(tb, name))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return d
 }
 
 // Examples is the names of all examples, in order.
-func Examples(t testing.TB) []string {
-	t.Helper()
+func Examples(tb testing.TB) []string {
+	tb.Helper()
 	var names []string
-	err := fs.WalkDir(os.DirFS(filepath.Join(moduleRoot(t), "examples")), ".", func(name string, e fs.DirEntry, err error) error {
+	err := fs.WalkDir(os.DirFS(filepath.Join(moduleRoot(tb), "examples")), ".", func(name string, e fs.DirEntry, err error) error {
 		if err == nil && !e.IsDir() && strings.HasSuffix(name, ".toml") {
 			names = append(names, name)
 		}
 		return err
 	})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return names
 }
 
 // moduleRoot is the folder of go.mod, above the package that is being tested.
-func moduleRoot(t testing.TB) string {
-	t.Helper()
+func moduleRoot(tb testing.TB) string {
+	tb.Helper()
 	dir, err := os.Getwd()
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	for {
 		_, err := os.Stat(filepath.Join(dir, "go.mod"))
@@ -69,7 +69,7 @@
 			return dir
 		}
 		if dir == filepath.Dir(dir) {
-			t.Fatalf("no go.mod above the working directory: %v", err)
+			tb.Fatalf("no go.mod above the working directory: %v", err)
 		}
 		dir = filepath.Dir(dir)
 	}
@@ -77,11 +77,11 @@
 
 // Build builds a command of this module into a folder of the test's and returns its path. The package is relative to the
 // one that is being tested.
-func Build(t testing.TB, pkg string) string {
-	t.Helper()
-	path := filepath.Join(t.TempDir(), filepath.Base(pkg))
+func Build(tb testing.TB, pkg string) string {
+	tb.Helper()
+	path := filepath.Join(tb.TempDir(), filepath.Base(pkg))
 	if err := BuildAt(path, pkg); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return path
 }
--- a/internal/lab/model/front.go
+++ b/internal/lab/model/front.go
@@ -69,7 +69,7 @@
 	case msgHealthCheckDue:
 		f.checkHealth(m.index)
 	case msgHealth:
-		f.onHealth(f.placeOfNode[m.from], m.healthy)
+		f.onHealth(f.placeOfNode[m.from], m)
 	case msgIdleClosed:
 		f.idle[f.placeOfNode[m.from]] = 0
 	default:
@@ -105,12 +105,13 @@
 	f.after(healthCheckInterval, message{kind: msgHealthCheckDue, index: index})
 }
 
-func (f *front) onHealth(place int, healthy bool) {
+// onHealth notes the answer to a health check, and records a balancer that has become ready.
+func (f *front) onHealth(place int, answer message) {
 	f.lastHealthAt[place] = f.now
-	if healthy && !f.healthy[place] {
+	if answer.healthy && !f.healthy[place] {
 		f.record(history.Event{Kind: history.Ready, Balancer: int32(f.nodes[place]), Upstream: history.None, Arrival: history.None})
 	}
-	f.healthy[place] = healthy
+	f.healthy[place] = answer.healthy
 }
 
 // startRequest begins a client's request for an arrival; number counts its retries.
--- a/internal/lab/model/upstream.go
+++ b/internal/lab/model/upstream.go
@@ -221,8 +221,11 @@
 func (u *upstream) beginFault(fault day.Fault) {
 	u.faults = append(u.faults, fault)
 	u.applyFaults()
-	if fault.Kind == day.UpstreamDown || fault.Kind == day.UpstreamVanish {
-		u.stop(fault.Kind == day.UpstreamVanish)
+	switch fault.Kind {
+	case day.UpstreamDown:
+		u.stopProcess()
+	case day.UpstreamVanish:
+		u.stopMachine()
 	}
 }
 
@@ -242,10 +245,22 @@
 	}
 }
 
-// stop ends the process. Its attempts are reset, or get no answer where the machine has vanished.
-func (u *upstream) stop(vanished bool) {
+// stopProcess ends the process and resets its connections.
+func (u *upstream) stopProcess() {
+	u.vanished = false
+	u.abandonJobs()
+	u.resetAll()
+}
+
+// stopMachine takes the machine off the network. Its attempts get no answer.
+func (u *upstream) stopMachine() {
+	u.vanished = true
+	u.abandonJobs()
+}
+
+// abandonJobs ends the server with all that it has in work.
+func (u *upstream) abandonJobs() {
 	u.server = nil
-	u.vanished = vanished
 	u.wakeAt = math.MaxInt64
 	u.record(u.processEvent(history.UpstreamStopped))
 	for _, id := range slices.Sorted(maps.Keys(u.jobs)) {
@@ -255,9 +270,6 @@
 	}
 	clear(u.jobs)
 	clear(u.byAttempt)
-	if !vanished {
-		u.resetAll()
-	}
 }
 
 // resetAll resets every connection.
--- a/internal/lab/zones_test.go
+++ b/internal/lab/zones_test.go
@@ -61,7 +61,7 @@
 	for _, name := range []string{"a", "b", "c", "d"} {
 		zones += fmt.Sprintf("[[region.zone]]\nname = %q\nbalancers = 1\nupstreams = [{model = \"m\", count = 4}]\n", name)
 	}
-	real := labtest.Build(t, "../../cmd/balancer")
+	program := labtest.Build(t, "../../cmd/balancer")
 	for _, c := range []struct {
 		name, faults string
 		// mustLeave says that its own balancer has to leave zone b. Elsewhere it may: chance can make a half look like
@@ -81,7 +81,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r := play(t, labtest.Day(t, fmt.Sprintf(zoneDay, zones, c.faults)), real)
+			r := play(t, labtest.Day(t, fmt.Sprintf(zoneDay, zones, c.faults)), program)
 			for _, v := range r.Violations {
 				t.Errorf("%s at %v: %s", v.Rule, v.At, v.What)
 			}
