--- /dev/null
+++ b/internal/lab/live/listing.go
@@ -0,0 +1,59 @@
+package live
+
+// cellsPerZone numbers the cells of all zones apart, as the model engine does.
+const cellsPerZone = 1000
+
+// present reports whether an entry stands in a complete list.
+func present(e listEntry) bool { return e.phase != "removed" }
+
+// listing is discovery's form of the list, also of what a configuration calls known.
+type listing struct {
+	Revision uint64   `json:"revision"`
+	Complete bool     `json:"complete"`
+	Members  []member `json:"members"`
+}
+
+// member is an upstream in a listing.
+type member struct {
+	ID        string  `json:"id"`
+	HostPort  string  `json:"host_port"`
+	Locality  string  `json:"locality"`
+	Flavor    string  `json:"flavor"`
+	Cell      int     `json:"cell"`
+	Phase     string  `json:"phase"`
+	Size      float64 `json:"size"`
+	UpSinceMS int64   `json:"up_since_ms"`
+}
+
+// listFor has the entries that a function selects, as balancer b is to see them. g.mu is held.
+func (g *registry) listFor(b int, selected func(listEntry) bool) listing {
+	list := listing{Revision: g.revision, Complete: true, Members: []member{}}
+	fleet := g.run.fleet
+	for u, e := range g.entries {
+		if !selected(e) {
+			continue
+		}
+		up := fleet.Upstreams[u]
+		m := member{
+			ID:       up.ID,
+			HostPort: g.run.upstreamAt(b, u),
+			Locality: fleet.Locality(up.Zone),
+			Flavor:   up.Model,
+			Cell:     up.Zone*cellsPerZone + up.Cell,
+			Phase:    e.phase,
+			Size:     up.Size,
+		}
+		if !e.startedAt.IsZero() {
+			m.UpSinceMS = e.startedAt.Add(-g.agents[b].clockOffset).UnixMilli()
+		}
+		list.Members = append(list.Members, m)
+	}
+	return list
+}
+
+// initialList is the list that a balancer is started with.
+func (g *registry) initialList(b int) listing {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.listFor(b, present)
+}
--- a/internal/lab/live/registry.go
+++ b/internal/lab/live/registry.go
@@ -1,12 +1,10 @@
 package live
 
 import (
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"strconv"
 	"sync"
 	"time"
 
@@ -20,12 +18,8 @@
 	undeliveredAfter = 6 * time.Second
 	// agentHeaderTimeout is how long a call to an agent may take to send its header.
 	agentHeaderTimeout = 10 * time.Second
-	// maxWatch is the longest that an agent holds a call back for an update.
-	maxWatch = time.Minute
 	// registryStream sets the registry's random draws apart from other uses of the day's seed.
 	registryStream = 0x64697363
-	// cellsPerZone numbers the cells of all zones apart, as the model engine does.
-	cellsPerZone = 1000
 )
 
 // listEntry is what discovery has of an upstream.
@@ -180,190 +174,3 @@
 	defer g.mu.Unlock()
 	g.agents[b].clockOffset = offset
 }
-
-// handleList answers a call of balancer b for the list.
-func (g *registry) handleList(b int, w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path != "/v1/servers" || r.Method != http.MethodGet {
-		http.NotFound(w, r)
-		return
-	}
-	answering, fails := g.drawCall(b)
-	if !g.waitFor(r, answering) {
-		return
-	}
-	if fails {
-		http.Error(w, "overbooked", http.StatusServiceUnavailable)
-		return
-	}
-	if !r.URL.Query().Has("since") {
-		g.writeFull(b, w)
-		return
-	}
-	since, err := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
-	if err != nil {
-		http.Error(w, "since is no revision", http.StatusBadRequest)
-		return
-	}
-	ms, _ := strconv.ParseInt(r.URL.Query().Get("timeout_ms"), 10, 64) // none: no wait
-	if !g.waitForRevision(r, since, min(time.Duration(ms)*time.Millisecond, maxWatch)) {
-		return
-	}
-	if !g.waitFor(r, g.answeringOf(b)) { // it may have been silenced meanwhile
-		return
-	}
-	g.writeSince(b, w, since)
-}
-
-// drawCall is a channel that is closed while the agent answers, and whether it fails this call.
-func (g *registry) drawCall(b int) (answering <-chan struct{}, fails bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	a := &g.agents[b]
-	return a.answering, a.errorRate > 0 && g.rng.Float64() < a.errorRate
-}
-
-func (g *registry) answeringOf(b int) <-chan struct{} {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.agents[b].answering
-}
-
-// waitFor waits for a channel to be closed; false: the call has ended.
-func (g *registry) waitFor(r *http.Request, closed <-chan struct{}) bool {
-	select {
-	case <-closed:
-		return true
-	case <-r.Context().Done():
-	case <-g.ended:
-	}
-	return false
-}
-
-// waitForRevision waits for a revision after since, or for the timeout; false: the call has ended.
-func (g *registry) waitForRevision(r *http.Request, since uint64, timeout time.Duration) bool {
-	limit := time.NewTimer(timeout)
-	defer limit.Stop()
-	for {
-		g.mu.Lock()
-		newer := g.revision > since
-		changed := g.changed
-		g.mu.Unlock()
-		if newer {
-			return true
-		}
-		select {
-		case <-changed:
-		case <-limit.C:
-			return true
-		case <-r.Context().Done():
-			return false
-		case <-g.ended:
-			return false
-		}
-	}
-}
-
-// writeFull writes the whole list.
-func (g *registry) writeFull(b int, w http.ResponseWriter) {
-	g.mu.Lock()
-	list := g.listFor(b, present)
-	told := g.deliver(b, 0)
-	g.mu.Unlock()
-	g.write(w, list, told)
-}
-
-// writeSince writes what has changed since a revision, or the whole list where that revision is not known.
-func (g *registry) writeSince(b int, w http.ResponseWriter, since uint64) {
-	g.mu.Lock()
-	var list listing
-	if since <= g.revision {
-		list = g.listFor(b, func(e listEntry) bool { return e.revision > since })
-		list.Complete = false
-	} else {
-		list = g.listFor(b, present)
-	}
-	told := g.deliver(b, since)
-	g.mu.Unlock()
-	g.write(w, list, told)
-}
-
-// deliver counts the list as delivered to balancer b, and returns the events of the entries after a revision. g.mu is
-// held.
-func (g *registry) deliver(b int, since uint64) []history.Event {
-	var told []history.Event
-	for u, e := range g.entries {
-		if e.revision > since {
-			told = append(told, phaseEvent(b, u, e.phase))
-		}
-	}
-	a := &g.agents[b]
-	a.deliveredRevision = max(a.deliveredRevision, g.revision)
-	return told
-}
-
-// write writes a list, and records that its balancer knows it.
-func (g *registry) write(w http.ResponseWriter, list listing, told []history.Event) {
-	text, err := json.Marshal(list)
-	if err != nil {
-		return
-	}
-	_, _ = w.Write(text) // a caller that has disconnected gets nothing
-	for _, e := range told {
-		g.run.record(e)
-	}
-}
-
-// present reports whether an entry stands in a whole list.
-func present(e listEntry) bool { return e.phase != "removed" }
-
-// listing is discovery's form of the list, also of what a configuration calls known.
-type listing struct {
-	Revision uint64   `json:"revision"`
-	Complete bool     `json:"complete"`
-	Members  []member `json:"members"`
-}
-
-// member is an upstream in a listing.
-type member struct {
-	ID        string  `json:"id"`
-	HostPort  string  `json:"host_port"`
-	Locality  string  `json:"locality"`
-	Flavor    string  `json:"flavor"`
-	Cell      int     `json:"cell"`
-	Phase     string  `json:"phase"`
-	Size      float64 `json:"size"`
-	UpSinceMS int64   `json:"up_since_ms"`
-}
-
-// listFor has the entries that a function selects, as balancer b is to see them. g.mu is held.
-func (g *registry) listFor(b int, selected func(listEntry) bool) listing {
-	list := listing{Revision: g.revision, Complete: true, Members: []member{}}
-	fleet := g.run.fleet
-	for u, e := range g.entries {
-		if !selected(e) {
-			continue
-		}
-		up := fleet.Upstreams[u]
-		m := member{
-			ID:       up.ID,
-			HostPort: g.run.upstreamAt(b, u),
-			Locality: fleet.Locality(up.Zone),
-			Flavor:   up.Model,
-			Cell:     up.Zone*cellsPerZone + up.Cell,
-			Phase:    e.phase,
-			Size:     up.Size,
-		}
-		if !e.startedAt.IsZero() {
-			m.UpSinceMS = e.startedAt.Add(-g.agents[b].clockOffset).UnixMilli()
-		}
-		list.Members = append(list.Members, m)
-	}
-	return list
-}
-
-// initialList is the list that a balancer is started with.
-func (g *registry) initialList(b int) listing {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.listFor(b, present)
-}
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -28,8 +28,8 @@
 // fetchEndpoints calls the agent for the list of now, until it answers.
 func (n *node) fetchEndpoints() {
 	switch {
-	case n.agentSilent > 0:
-		n.fetchWaitsForAgent = true
+	case n.agent.silences > 0:
+		n.agent.fetchWaits = true
 	case n.agentCallFails():
 		n.after(fetchRetryDelay, message{kind: msgEndpointUpdate, incarnation: n.incarnation})
 	default:
@@ -39,21 +39,21 @@
 
 // agentCallFails draws whether a call to the agent fails.
 func (n *node) agentCallFails() bool {
-	return n.agentErrorRate > 0 && n.rng.Float64() < n.agentErrorRate
+	return n.agent.errorRate > 0 && n.rng.Float64() < n.agent.errorRate
 }
 
 // endpointByClock is an endpoint as this machine's clock has it.
 func (n *node) endpointByClock(e balancer.Endpoint) balancer.Endpoint {
 	if e.StartedAt > 0 {
-		e.StartedAt -= n.clockOffset
+		e.StartedAt -= n.agent.clockOffset
 	}
 	return e
 }
 
 // onAgentUpdate takes an update at the agent, which passes it on at once to a process that runs.
 func (n *node) onAgentUpdate(update *endpointUpdate) {
-	if n.agentSilent > 0 {
-		n.missedUpdates = append(n.missedUpdates, update)
+	if n.agent.silences > 0 {
+		n.agent.missedUpdates = append(n.agent.missedUpdates, update)
 		return
 	}
 	if n.agentCallFails() {
@@ -62,7 +62,7 @@
 	}
 	changed := make([]balancer.Endpoint, 0, len(update.upstreams))
 	for _, upstream := range update.upstreams {
-		e := &n.agentEndpoints[upstream]
+		e := &n.agent.endpoints[upstream]
 		e.State = endpointStates[update.phase]
 		if update.startedAt > 0 && e.State == balancer.Active {
 			e.StartedAt = clockOrigin + update.startedAt
@@ -108,7 +108,7 @@
 		return
 	}
 	var present []balancer.Endpoint
-	for upstream, e := range n.agentEndpoints {
+	for upstream, e := range n.agent.endpoints {
 		if n.endpoints[upstream].state != e.State {
 			n.recordPhase(upstream, phaseNames[e.State])
 		}
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -25,11 +25,11 @@
 	case day.BalancerFreeze:
 		n.stop()
 	case day.ClockOffset:
-		n.clockOffset = fault.Delay.D()
+		n.agent.clockOffset = fault.Delay.D()
 	case day.DiscoverySilent:
-		n.agentSilent++
+		n.agent.silences++
 	case day.DiscoveryOverloaded:
-		n.agentErrorRate = fault.Size
+		n.agent.errorRate = fault.Size
 	case day.LinkReset:
 		n.resetConns(i)
 	}
@@ -49,14 +49,14 @@
 	case day.BalancerFreeze:
 		n.resume()
 	case day.ClockOffset:
-		n.clockOffset = 0
+		n.agent.clockOffset = 0
 	case day.DiscoverySilent:
-		n.agentSilent--
-		if n.agentSilent == 0 {
+		n.agent.silences--
+		if n.agent.silences == 0 {
 			n.agentAnswersAgain()
 		}
 	case day.DiscoveryOverloaded:
-		n.agentErrorRate = 0
+		n.agent.errorRate = 0
 	case day.LinkReset:
 		n.resetConns(i)
 	}
@@ -64,12 +64,12 @@
 
 // agentAnswersAgain handles what the agent could not answer while it was silent.
 func (n *node) agentAnswersAgain() {
-	for _, update := range n.missedUpdates {
+	for _, update := range n.agent.missedUpdates {
 		n.onAgentUpdate(update)
 	}
-	n.missedUpdates = nil
-	if n.fetchWaitsForAgent {
-		n.fetchWaitsForAgent = false
+	n.agent.missedUpdates = nil
+	if n.agent.fetchWaits {
+		n.agent.fetchWaits = false
 		n.fetchEndpoints()
 	}
 }
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -48,19 +48,26 @@
 	conns         int             // open or being opened, to all upstreams
 	nextIdleSweep time.Duration
 
-	// Its disk. It outlives the process.
-	snapshot       balancer.Snapshot
-	snapshotAt     time.Duration       // 0: none
-	savedEndpoints []balancer.Endpoint // nil: none
-
-	// Its discovery agent, which runs whether the process does or not.
-	agentEndpoints     []balancer.Endpoint
-	configured         []balancer.Endpoint // the list of the day's begin, where the configuration has it
-	agentSilent        int                 // faults that silence the agent now
-	agentErrorRate     float64             // share of calls to the agent that fail
-	missedUpdates      []*endpointUpdate   // came while the agent was silent
-	fetchWaitsForAgent bool                // the process was started while the agent was silent
-	clockOffset        time.Duration       // of this machine's clock against discovery's
+	disk  disk
+	agent agent
+}
+
+// disk is what a node keeps while no process runs.
+type disk struct {
+	snapshot  balancer.Snapshot
+	savedAt   time.Duration       // of the snapshot; 0: there is none
+	endpoints []balancer.Endpoint // the last known endpoint list; nil: there is none
+}
+
+// agent is a node's discovery agent. It runs whether the process does or not.
+type agent struct {
+	endpoints     []balancer.Endpoint
+	initial       []balancer.Endpoint // the list at the begin of the day, where the configuration has it
+	silences      int                 // active faults that silence the agent
+	errorRate     float64             // ratio of calls to the agent that fail
+	missedUpdates []*endpointUpdate   // arrived during a silence
+	fetchWaits    bool                // the process called for the list during a silence
+	clockOffset   time.Duration       // of this machine's clock against discovery's
 }
 
 func newNode(a *actor, index int, policy newPolicy) (*node, error) {
@@ -79,7 +86,7 @@
 		dialTimeout: links.ConnectTimeout,
 	}
 	for i, u := range a.sim.fleet.Upstreams {
-		n.agentEndpoints = append(n.agentEndpoints, balancer.Endpoint{
+		n.agent.endpoints = append(n.agent.endpoints, balancer.Endpoint{
 			ID:     balancer.EndpointID(i),
 			Zone:   a.sim.fleet.Locality(u.Zone),
 			Cell:   u.Zone*cellsPerZone + u.Cell,
--- a/internal/lab/model/process.go
+++ b/internal/lab/model/process.go
@@ -33,7 +33,7 @@
 	n.byClientID = map[uint64]*openRequest{}
 	n.pending = nil
 	n.conns = 0
-	n.endpoints = make([]endpointConns, len(n.agentEndpoints))
+	n.endpoints = make([]endpointConns, len(n.agent.endpoints))
 	n.zoneStates = make([]balancer.ZoneState, len(n.sim.fleet.Zones))
 	n.draining = false
 	seed := n.sim.day.Seed<<24 + uint64(n.incarnation)<<12 + uint64(n.index)
@@ -51,11 +51,11 @@
 		}
 	}
 	n.module.OnEndpointUpdate(n.clock(), balancer.UpdateCached, present)
-	if s, ok := n.module.(snapshotter); ok && n.snapshotAt > 0 {
-		s.Restore(n.clock(), n.snapshot)
+	if s, ok := n.module.(snapshotter); ok && n.disk.savedAt > 0 {
+		s.Restore(n.clock(), n.disk.snapshot)
 	}
 	n.deliverOutcomes()
-	if n.savedEndpoints != nil || n.configuredAtBegin() {
+	if n.disk.endpoints != nil || n.configuredAtBegin() {
 		n.fetchEndpoints()
 	}
 	return nil
@@ -67,32 +67,32 @@
 // startEndpoints is the list that a process starts with: the saved one, or the one in its configuration.
 func (n *node) startEndpoints() []balancer.Endpoint {
 	switch {
-	case n.savedEndpoints != nil:
-		return n.savedEndpoints
+	case n.disk.endpoints != nil:
+		return n.disk.endpoints
 	case n.configuredAtBegin():
-		if n.configured == nil {
-			n.configured = slices.Clone(n.agentEndpoints)
+		if n.agent.initial == nil {
+			n.agent.initial = slices.Clone(n.agent.endpoints)
 		}
-		return n.configured
+		return n.agent.initial
 	}
-	return n.agentEndpoints
+	return n.agent.endpoints
 }
 
 // saveSnapshot saves the module's state from time to time, where the day has balancers do so.
 func (n *node) saveSnapshot() {
 	s, ok := n.module.(snapshotter)
-	if !ok || !n.sim.day.Balancer.State || n.now-n.snapshotAt < snapshotInterval {
+	if !ok || !n.sim.day.Balancer.State || n.now-n.disk.savedAt < snapshotInterval {
 		return
 	}
-	n.snapshot = s.TakeSnapshot(n.clock())
-	n.snapshotAt = n.now
-	n.savedEndpoints = slices.Clone(n.agentEndpoints)
+	n.disk.snapshot = s.TakeSnapshot(n.clock())
+	n.disk.savedAt = n.now
+	n.disk.endpoints = slices.Clone(n.agent.endpoints)
 }
 
 // loseDisk drops what was saved.
 func (n *node) loseDisk() {
-	n.snapshotAt = 0
-	n.savedEndpoints = nil
+	n.disk.savedAt = 0
+	n.disk.endpoints = nil
 }
 
 // recordProcess records an event of the process.
