--- a/internal/lab/day/day_test.go
+++ b/internal/lab/day/day_test.go
@@ -93,8 +93,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		d.Seed = rapid.Uint64().Draw(t, "seed")
 		a, b := rapid.IntRange(0, 1<<30).Draw(t, "a"), rapid.IntRange(0, 1<<30).Draw(t, "b")
-		x, y := rapid.IntRange(0, MaxTries-1).Draw(t, "x"), rapid.IntRange(0, MaxTries-1).Draw(t, "y")
-		if (a != b || x != y) == (d.TryID(a, x) == d.TryID(b, y)) {
+		x, y := rapid.IntRange(0, MaxRequestsPerArrival-1).Draw(t, "x"), rapid.IntRange(0, MaxRequestsPerArrival-1).Draw(t, "y")
+		if (a != b || x != y) == (d.RequestID(a, x) == d.RequestID(b, y)) {
 			t.Fatalf("try %d of %d and try %d of %d", x, a, y, b)
 		}
 	})
@@ -127,7 +127,7 @@
 	there, back := Party{BalancerParty, 0}, Party{UpstreamParty, 3}
 	base := p.Condition(there, back).Delay
 	for i := range 3 {
-		p.Set(i, true)
+		p.Apply(i, Begin)
 	}
 	if c := p.Condition(there, back); c.Delay != base+12*time.Millisecond || !c.Cut {
 		t.Errorf("there: %+v", c)
@@ -138,8 +138,8 @@
 	if c := p.Condition(Party{BalancerParty, 1}, back); c.Cut {
 		t.Error("the cut hits a balancer that it does not name")
 	}
-	p.Set(2, false)
-	p.Set(0, false)
+	p.Apply(2, End)
+	p.Apply(0, End)
 	if c := p.Condition(there, back); c.Delay != base+7*time.Millisecond || c.Cut {
 		t.Errorf("after two ends: %+v", c)
 	}
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -13,24 +13,24 @@
 func (n *node) beginFault(i int) {
 	fault := n.sim.day.Faults[i]
 	switch fault.Kind {
-	case "kill":
+	case day.BalancerKill:
 		if n.module != nil {
 			n.recordProcess(history.Killed)
 			n.exit()
 		}
-	case "term", "restart":
+	case day.BalancerTerminate, day.BalancerRestart:
 		if n.module != nil {
-			n.drain(fault.Kind == "restart")
+			n.drain(fault.Kind == day.BalancerRestart)
 		}
-	case "freeze":
+	case day.BalancerFreeze:
 		n.stop()
-	case "clock":
-		n.clockOffset = fault.Delay.D()
-	case "discovery-silent":
-		n.agentSilent++
-	case "discovery-overbooked":
-		n.agentErrorRate = fault.Size
-	case "reset":
+	case day.ClockOffset:
+		n.agent.clockOffset = fault.Delay.D()
+	case day.DiscoverySilent:
+		n.agent.silences++
+	case day.DiscoveryOverloaded:
+		n.agent.errorRate = fault.Size
+	case day.LinkReset:
 		n.resetConns(i)
 	}
 }
@@ -39,37 +39,37 @@
 func (n *node) endFault(i int) {
 	fault := n.sim.day.Faults[i]
 	switch fault.Kind {
-	case "kill":
+	case day.BalancerKill:
 		if fault.State == "lose" {
 			n.loseDisk()
 		}
 		n.after(startupTime, message{kind: msgBoot})
-	case "term":
+	case day.BalancerTerminate:
 		n.after(startupTime, message{kind: msgBoot})
-	case "freeze":
+	case day.BalancerFreeze:
 		n.resume()
-	case "clock":
-		n.clockOffset = 0
-	case "discovery-silent":
-		n.agentSilent--
-		if n.agentSilent == 0 {
+	case day.ClockOffset:
+		n.agent.clockOffset = 0
+	case day.DiscoverySilent:
+		n.agent.silences--
+		if n.agent.silences == 0 {
 			n.agentAnswersAgain()
 		}
-	case "discovery-overbooked":
-		n.agentErrorRate = 0
-	case "reset":
+	case day.DiscoveryOverloaded:
+		n.agent.errorRate = 0
+	case day.LinkReset:
 		n.resetConns(i)
 	}
 }
 
 // agentAnswersAgain handles what the agent could not answer while it was silent.
 func (n *node) agentAnswersAgain() {
-	for _, update := range n.missedUpdates {
+	for _, update := range n.agent.missedUpdates {
 		n.onAgentUpdate(update)
 	}
-	n.missedUpdates = nil
-	if n.fetchWaitsForAgent {
-		n.fetchWaitsForAgent = false
+	n.agent.missedUpdates = nil
+	if n.agent.fetchWaits {
+		n.agent.fetchWaits = false
 		n.fetchEndpoints()
 	}
 }
