--- a/cmd/balancer/former_state_test.go
+++ b/cmd/balancer/former_state_test.go
@@ -264,7 +264,7 @@
 			t.Errorf("the log has no %s", pattern)
 		}
 	}
-	for _, trouble := range []string{"passed over", "set aside", "not read"} {
+	for _, trouble := range []string{"passed over", "set aside", "not read", "record ignored", "record quarantined", "quarantine failed", "state load timed out", "state folder listing failed"} {
 		if strings.Contains(string(text), trouble) {
 			t.Errorf("the log has %q", trouble)
 		}
--- a/cmd/balancerctl/state.go
+++ b/cmd/balancerctl/state.go
@@ -9,12 +9,13 @@
 	"sprucehill/internal/durable"
 )
 
-// stateCmd is the command group "state". Only repair changes the folder.
+// stateCmd is the command group "state". Only repair changes the folder. What the commands print is read by operators'
+// scripts, so it has the words that they know.
 type stateCmd struct {
-	Show   stateShowCmd   `cmd:"" help:"List what a state folder holds."`
-	Verify stateVerifyCmd `cmd:"" help:"Check every state in a folder to the bit."`
-	Export stateExportCmd `cmd:"" help:"Write the newest whole state of a kind, as JSON."`
-	Repair stateRepairCmd `cmd:"" help:"Set aside what is no whole state. The balancer must not run."`
+	Show   stateShowCmd   `cmd:"" help:"List the records in a state folder."`
+	Verify stateVerifyCmd `cmd:"" help:"Check every record in a folder to the bit."`
+	Export stateExportCmd `cmd:"" help:"Write the newest valid record of a kind, as JSON."`
+	Repair stateRepairCmd `cmd:"" help:"Quarantine files that are not valid records. The balancer must not run."`
 }
 
 const (
@@ -24,7 +25,7 @@
 	quarantinedVerdictPrefix = "set aside: "
 )
 
-// stateFile describes a file in a state folder.
+// stateFile describes a file in a state folder. Its field names are the keys of its JSON.
 type stateFile struct {
 	File       string    `json:"File"`
 	Kind       string    `json:"Kind,omitempty"`
@@ -33,13 +34,13 @@
 	Generation uint64    `json:"Generation"`
 	SavedAt    time.Time `json:"SavedAt"`
 	Bytes      int       `json:"Bytes"`
-	Verdict    string    `json:"Verdict"` // validVerdict, or what is wrong
+	Verdict    string    `json:"Verdict"` // validVerdict, or the durable.OperatorText of why the file is not valid
 }
 
 func newStateFile(file durable.InspectedFile) stateFile {
 	verdict := validVerdict
 	if file.Err != nil {
-		verdict = file.Err.Error()
+		verdict = durable.OperatorText(file.Err)
 	}
 	if file.Quarantined {
 		verdict = quarantinedVerdictPrefix + verdict
@@ -65,6 +66,7 @@
 	return durable.Inspect(folder)
 }
 
+// stateShowCmd is the command "state show".
 type stateShowCmd struct {
 	Dir  string `arg:"" help:"State folder." type:"existingdir"`
 	JSON bool   `name:"json" help:"Write it as JSON."`
@@ -83,6 +85,12 @@
 	if c.JSON {
 		return writeJSON(files)
 	}
+	writeTable(os.Stdout, stateFileRows(files)...)
+	return nil
+}
+
+// stateFileRows has a row on each file.
+func stateFileRows(files []stateFile) [][]any {
 	rows := [][]any{{"file", "kind", "owner", "version", "generation", "saved", "bytes", "verdict"}}
 	for _, f := range files {
 		saved := "-"
@@ -91,10 +99,10 @@
 		}
 		rows = append(rows, []any{f.File, f.Kind, f.Owner, f.Version, f.Generation, saved, f.Bytes, f.Verdict})
 	}
-	writeTable(os.Stdout, rows...)
-	return nil
+	return rows
 }
 
+// stateVerifyCmd is the command "state verify".
 type stateVerifyCmd struct {
 	Dir string `arg:"" help:"State folder." type:"existingdir"`
 }
@@ -121,6 +129,7 @@
 	return nil
 }
 
+// stateExportCmd is the command "state export".
 type stateExportCmd struct {
 	Dir  string `arg:"" help:"State folder." type:"existingdir"`
 	Kind string `arg:"" help:"list, learnt or orders."`
@@ -156,6 +165,7 @@
 	return newest, found
 }
 
+// stateRepairCmd is the command "state repair".
 type stateRepairCmd struct {
 	Dir string `arg:"" help:"State folder." type:"existingdir"`
 }
@@ -174,19 +184,27 @@
 	if !locked {
 		return errors.New("a balancer holds the folder: it sets aside by itself what it can't use")
 	}
-	quarantined, err := durable.Repair(folder, printLogLine)
+	repaired, err := durable.Repair(folder)
 	if err != nil {
 		return err
 	}
+	quarantined := 0
+	for _, file := range repaired {
+		printRepairedFile(file)
+		if file.Err == nil {
+			quarantined++
+		}
+	}
 	fmt.Printf("%d files set aside\n", quarantined)
 	return nil
 }
 
-// printLogLine is a durable.LogFunc that writes to standard output.
-func printLogLine(message string, keysAndValues ...any) {
-	fmt.Print(message)
-	for i := 0; i+1 < len(keysAndValues); i += 2 {
-		fmt.Printf(" %v=%v", keysAndValues[i], keysAndValues[i+1])
+// printRepairedFile prints what came of the repair of a file.
+func printRepairedFile(file durable.RepairedFile) {
+	reason := durable.OperatorText(file.Reason)
+	if file.Err != nil {
+		fmt.Printf("state passed over file=%s why=%s err=%v\n", file.Name, reason, file.Err)
+		return
 	}
-	fmt.Println()
+	fmt.Printf("state set aside file=%s as=%s why=%s\n", file.Name, file.NewName, reason)
 }
--- a/internal/durable/filename.go
+++ b/internal/durable/filename.go
@@ -26,7 +26,7 @@
 // parseFileName is the inverse of recordFileName. ok is false if the name is not that of a record in use.
 func parseFileName(name string) (kind string, generation uint64, ok bool) {
 	base, hasSuffix := strings.CutSuffix(name, recordSuffix)
-	if !hasSuffix || strings.HasPrefix(base, quarantinePrefix) {
+	if !hasSuffix || isQuarantined(base) {
 		return "", 0, false
 	}
 	separator := strings.LastIndexByte(base, '-')
@@ -45,6 +45,9 @@
 	return kind, generation, true
 }
 
+// isQuarantined reports whether a name is that of a quarantined file.
+func isQuarantined(name string) bool { return strings.HasPrefix(name, quarantinePrefix) }
+
 // isValidKind reports whether a string can be the name of a kind: 1 to maxKindLength lower-case letters and hyphens.
 func isValidKind(kind string) bool {
 	if kind == "" || len(kind) > maxKindLength {
--- a/internal/durable/folder.go
+++ b/internal/durable/folder.go
@@ -30,8 +30,9 @@
 
 var _ LockableFS = (*Folder)(nil)
 
-// OpenFolder opens a state folder, and creates it if it is missing. It refuses a symbolic link, a folder of another user
-// and one that others may write to: whoever can change the state can give orders to the balancer.
+// OpenFolder opens a state folder, and creates it if it is missing. It returns a FolderError for a symbolic link, a folder
+// of another user and one that others may write to: whoever can change the state can give orders to the balancer. Other
+// errors are those of the operating system.
 func OpenFolder(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, err
@@ -43,13 +44,13 @@
 	owner, ok := info.Sys().(*syscall.Stat_t)
 	switch {
 	case info.Mode()&os.ModeSymlink != 0:
-		return nil, fmt.Errorf("%s is a symbolic link: name the folder itself", path)
+		return nil, &FolderError{Path: path, Err: ErrSymbolicLink}
 	case !info.IsDir():
-		return nil, fmt.Errorf("%s is no folder", path)
+		return nil, &FolderError{Path: path, Err: ErrNotFolder}
 	case ok && int(owner.Uid) != os.Geteuid():
-		return nil, fmt.Errorf("%s is of another user (%d)", path, owner.Uid)
+		return nil, &FolderError{Path: path, Err: fmt.Errorf("%w (user ID %d)", ErrForeignFolder, owner.Uid)}
 	case info.Mode().Perm()&writableByOthers != 0:
-		return nil, fmt.Errorf("%s may be written to by others (%v): take that right from them", path, info.Mode().Perm())
+		return nil, &FolderError{Path: path, Err: fmt.Errorf("%w (mode %v)", ErrWritableByOthers, info.Mode().Perm())}
 	}
 	return &Folder{path: path}, nil
 }
@@ -91,7 +92,8 @@
 	return directory.Readdirnames(-1)
 }
 
-// ReadFile reads a regular file. It follows no symbolic link and does not block on a named pipe.
+// ReadFile reads a regular file. It follows no symbolic link and does not block on a named pipe. It returns a CorruptError
+// if the file is not regular or is larger than any record, and else the error of the operating system.
 func (f *Folder) ReadFile(name string) ([]byte, error) {
 	file, err := os.OpenFile(f.filePath(name), os.O_RDONLY|syscall.O_NOFOLLOW|syscall.O_NONBLOCK, 0)
 	if err != nil {
@@ -103,11 +105,11 @@
 		return nil, err
 	}
 	if !info.Mode().IsRegular() {
-		return nil, corrupt("no plain file")
+		return nil, corrupt(DamageNotRegularFile)
 	}
 	content, err := io.ReadAll(io.LimitReader(file, int64(maxFileSize)+1))
 	if err == nil && len(content) > maxFileSize {
-		err = corrupt("larger than any record")
+		err = corrupt(DamageFileTooLarge)
 	}
 	return content, err
 }
--- a/internal/durable/fs.go
+++ b/internal/durable/fs.go
@@ -9,7 +9,9 @@
 	ReadFile(name string) ([]byte, error)
 	// Create opens a file for writing. An existing one is truncated.
 	Create(name string) (File, error)
+	// Rename renames a file. An existing one of the new name is replaced.
 	Rename(from, to string) error
+	// Remove deletes a file.
 	Remove(name string) error
 	// Sync makes creations, renames and removals durable.
 	Sync() error
@@ -17,9 +19,11 @@
 
 // File is a file that is being written.
 type File interface {
+	// Write appends p. It returns an error if it has not written all of it.
 	Write(p []byte) (int, error)
 	// Sync makes what was written durable.
 	Sync() error
+	// Close ends the writing. It does not make anything durable.
 	Close() error
 }
 
@@ -32,5 +36,5 @@
 	Close() error
 }
 
-// LogFunc writes a log line: a constant message, and alternating keys and values.
+// LogFunc writes a log line: a constant message, and alternating keys and values. A Writer calls it from its goroutine.
 type LogFunc func(message string, keysAndValues ...any)
--- a/internal/durable/inspect_test.go
+++ b/internal/durable/inspect_test.go
@@ -45,8 +45,8 @@
 	if got := countInspected(t, s.fs); got != before {
 		t.Errorf("before the repair: %+v, want %+v", got, before)
 	}
-	if n, err := Repair(s.fs, recorder.log); n != 1 || err != nil {
-		t.Errorf("repaired %d, %v", n, err)
+	if repaired, err := Repair(s.fs); len(repaired) != 1 || repaired[0].Err != nil || err != nil {
+		t.Errorf("repaired %+v, %v", repaired, err)
 	}
 	after := inspectionCount{valid: 2, invalid: 0, quarantined: 1}
 	if got := countInspected(t, s.fs); got != after {
--- a/internal/durable/quarantine.go
+++ b/internal/durable/quarantine.go
@@ -10,23 +10,35 @@
 // until somebody has removed some.
 const maxQuarantined = 64
 
-// ErrQuarantineFull means that nothing is saved because the folder has maxQuarantined quarantined files.
-var ErrQuarantineFull = errors.New("too many files are set aside: look at them and move them away")
-
-// quarantine renames an unusable file so that nothing reads it again. A file that can't be renamed is read again, and
-// found unusable again, at the next start.
+// quarantine renames an unusable file so that nothing reads it again, and logs that. A file that can't be renamed is read
+// again, and found unusable again, at the next start.
 func (s *Store) quarantine(name string, reason error) {
 	if s.access == ReadOnly {
-		s.log("state passed over", "file", name, "why", reason)
+		s.log("record ignored", recordKeys(name, "err", reason)...)
 		return
 	}
-	newName := s.unusedQuarantineName(name)
-	if err := s.fs.Rename(name, newName); err != nil {
-		s.log("state passed over", "file", name, "why", reason, "err", err)
+	newName, err := s.moveToQuarantine(name)
+	if err != nil {
+		s.log("quarantine failed", recordKeys(name, "reason", reason, "err", err)...)
 		return
 	}
+	s.log("record quarantined", recordKeys(name, "renamed_to", newName, "err", reason)...)
+}
+
+// moveToQuarantine renames a file and returns its new name.
+func (s *Store) moveToQuarantine(name string) (newName string, err error) {
+	newName = s.unusedQuarantineName(name)
+	if err := s.fs.Rename(name, newName); err != nil {
+		return "", err
+	}
 	s.quarantined++
-	s.log("state set aside", "file", name, "as", newName, "why", reason)
+	return newName, nil
+}
+
+// recordKeys returns the log keys and values of a record's file, and more that follow them.
+func recordKeys(name string, more ...any) []any {
+	kind, generation, _ := parseFileName(name)
+	return append([]any{"file", name, "kind", kind, "generation", generation}, more...)
 }
 
 // unusedQuarantineName returns a name for a quarantined file that no file has.
--- a/internal/durable/record.go
+++ b/internal/durable/record.go
@@ -2,8 +2,6 @@
 
 import (
 	"encoding/binary"
-	"errors"
-	"fmt"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -38,26 +36,14 @@
 	maxNameSize = 128
 )
 
-// Reasons why a file is not a record that can be used. Each is wrapped with what was found.
-var (
-	// ErrCorrupt means that the file is incomplete or was changed.
-	ErrCorrupt = errors.New("torn or damaged")
-	// ErrUnknownFormat means that the record is of another recordFormat.
-	ErrUnknownFormat = errors.New("of another format")
-	// ErrForeignOwner means that another balancer, or the same of another site, wrote the record.
-	ErrForeignOwner = errors.New("of another balancer or site")
-	// ErrUnsupportedVersion means that the kind's version is more than one away from this program's.
-	ErrUnsupportedVersion = errors.New("of a version that this program can't read")
-)
-
 // Record is one saved state of a kind.
 type Record struct {
-	Kind       string
-	Owner      string // the balancer and its site
-	Version    uint16 // the version of the payload's format, which belongs to the kind
-	Generation uint64 // counts the saves of the kind
-	SavedAt    time.Time
-	Payload    []byte
+	Kind       string    // 1 to maxKindLength lower-case letters and hyphens
+	Owner      string    // the balancer and its site, 1 to maxNameSize bytes
+	Version    uint16    // the version of the payload's format, which belongs to the kind
+	Generation uint64    // counts the saves of the kind, from 0
+	SavedAt    time.Time // by the wall clock of the saving process, to the nanosecond
+	Payload    []byte    // at most maxPayloadSize bytes
 }
 
 // encode returns the content of the record's file.
@@ -106,22 +92,22 @@
 // verifyHeader checks the header with its checksum and format, and returns the header's size without the checksum.
 func verifyHeader(b []byte) (int, error) {
 	if len(b) < fixedHeaderSize {
-		return 0, corrupt("shorter than a head")
+		return 0, corrupt(DamageShortHeader)
 	}
 	if string(b[:len(recordMagic)]) != recordMagic {
-		return 0, corrupt("it does not begin as a record does")
+		return 0, corrupt(DamageMagic)
 	}
 	kindLength := uint16At(b, offsetKindLength)
 	ownerLength := uint16At(b, offsetOwnerLength)
 	headerSize := fixedHeaderSize + kindLength + ownerLength
 	if kindLength > maxNameSize || ownerLength > maxNameSize || len(b) < headerSize+checksumSize {
-		return 0, corrupt("its head is cut")
+		return 0, corrupt(DamageTruncatedHeader)
 	}
 	if xxhash.Sum64(b[:headerSize]) != binary.LittleEndian.Uint64(b[headerSize:]) {
-		return 0, corrupt("the sum of its head is wrong")
+		return 0, corrupt(DamageHeaderChecksum)
 	}
 	if format := uint16At(b, offsetFormat); format != recordFormat {
-		return 0, fmt.Errorf("%w: %d, this program writes %d", ErrUnknownFormat, format, recordFormat)
+		return 0, &FormatError{Format: format}
 	}
 	return headerSize, nil
 }
@@ -132,19 +118,14 @@
 	start := headerSize + checksumSize
 	end := start + size
 	if size > maxPayloadSize || len(b) != end+checksumSize {
-		return nil, corrupt("its payload is cut, or something follows")
+		return nil, corrupt(DamagePayloadSize)
 	}
 	if xxhash.Sum64(b[headerSize:end]) != binary.LittleEndian.Uint64(b[end:]) {
-		return nil, corrupt("the sum of its payload is wrong")
+		return nil, corrupt(DamagePayloadChecksum)
 	}
 	return b[start:end], nil
 }
 
-// corrupt returns an ErrCorrupt that says what was found.
-func corrupt(found string) error {
-	return fmt.Errorf("%w: %s", ErrCorrupt, found)
-}
-
 func uint16At(b []byte, offset int) int {
 	return int(binary.LittleEndian.Uint16(b[offset:]))
 }
--- a/internal/durable/recovery.go
+++ b/internal/durable/recovery.go
@@ -42,7 +42,7 @@
 		}
 		names, _ := s.recordFiles(kind)
 		for _, name := range names {
-			s.quarantine(name, fmt.Errorf("%d starts ended in the middle of their recovery", failed))
+			s.quarantine(name, fmt.Errorf("%w: %d starts in a row ended before they had recovered", ErrCrashLoop, failed))
 		}
 	}
 }
@@ -76,6 +76,6 @@
 		err = errors.Join(err, f.Close())
 	}
 	if err != nil {
-		s.log("start not counted", "err", err)
+		s.log("start count not saved", "err", err)
 	}
 }
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -2,18 +2,13 @@
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"slices"
-	"strings"
 	"time"
 )
 
-// keptGenerations is how many records of a kind are kept: the newest and the previous one.
-const keptGenerations = 2
-
-// ErrReadOnly means that a save was refused because another process holds the folder's lock.
-var ErrReadOnly = errors.New("another process holds the folder")
+// retainedGenerations is how many records of a kind a folder retains: the newest and the previous one.
+const retainedGenerations = 2
 
 // Access is what a Store may do with its folder.
 type Access int
@@ -37,8 +32,9 @@
 	quarantined int
 }
 
-// OpenStore lists a folder and returns a store on it. owner names the balancer and its site: records of another owner are
-// not used.
+// OpenStore lists a folder and returns a store on it. owner names the balancer and its site, in 1 to maxNameSize bytes:
+// records of another owner are not used. With ReadWrite the caller holds the folder's lock. It returns an error if the
+// owner is not valid or the folder can't be listed.
 func OpenStore(fs FS, owner string, access Access, log LogFunc) (*Store, error) {
 	if owner == "" || len(owner) > maxNameSize {
 		return nil, fmt.Errorf("owner %q: 1 to %d bytes are needed", owner, maxNameSize)
@@ -51,7 +47,7 @@
 	for _, name := range names {
 		if kind, generation, ok := parseFileName(name); ok {
 			s.nextGeneration[kind] = max(s.nextGeneration[kind], generation+1)
-		} else if strings.HasPrefix(name, quarantinePrefix) {
+		} else if isQuarantined(name) {
 			s.quarantined++
 		}
 	}
@@ -64,13 +60,13 @@
 func (s *Store) Load(kind string, version uint16) (Record, bool) {
 	names, err := s.recordFiles(kind)
 	if err != nil {
-		s.log("state not read", "kind", kind, "err", err)
+		s.log("state folder listing failed", "kind", kind, "err", err)
 		return Record{}, false
 	}
 	for _, name := range names {
 		r, err := s.readRecord(name)
 		if err == nil && !isSupported(r.Version, version) {
-			err = fmt.Errorf("%w: %d, its own is %d", ErrUnsupportedVersion, r.Version, version)
+			err = fmt.Errorf("%w %d, supported is %d and one more or less", ErrUnsupportedVersion, r.Version, version)
 		}
 		if err == nil {
 			return r, true
@@ -108,13 +104,14 @@
 func checkFileName(name string, r Record) error {
 	kind, generation, _ := parseFileName(name)
 	if r.Kind != kind || r.Generation != generation {
-		return corrupt("it says that it is " + recordFileName(r.Kind, r.Generation))
+		return &CorruptError{Damage: DamageMismatchedRecord, BelongsTo: recordFileName(r.Kind, r.Generation)}
 	}
 	return nil
 }
 
 // Save writes a new record of a kind and waits for the disk. When it returns nil the record survives a crash and a power
-// loss. After an error the previous records are unchanged, and the next Save may succeed.
+// loss. After an error the previous records are unchanged, and the next Save may succeed. The error is a RecordError if the
+// write failed, and ErrReadOnly or ErrQuarantineFull if the folder can't be written to.
 func (s *Store) Save(kind string, version uint16, savedAt time.Time, payload []byte) error {
 	if err := s.checkSave(kind, payload); err != nil {
 		return err
@@ -129,7 +126,7 @@
 	}
 	s.nextGeneration[kind]++ // also if the save fails: no name is used twice
 	if err := s.writeRecord(r); err != nil {
-		return fmt.Errorf("saving %s: %w", kind, err)
+		return newRecordError(OperationSave, recordFileName(r.Kind, r.Generation), err)
 	}
 	s.removeOldRecords(kind)
 	return nil
@@ -141,9 +138,9 @@
 	case s.access == ReadOnly:
 		return ErrReadOnly
 	case !isValidKind(kind):
-		return fmt.Errorf("%q is no name of a kind", kind)
+		return fmt.Errorf("%q is not a valid kind", kind)
 	case len(payload) > maxPayloadSize:
-		return fmt.Errorf("%s: %d bytes are more than a record holds", kind, len(payload))
+		return fmt.Errorf("%s: payload of %d bytes exceeds %d", kind, len(payload), maxPayloadSize)
 	case s.quarantined >= maxQuarantined:
 		return ErrQuarantineFull
 	default:
@@ -187,14 +184,14 @@
 	if err != nil {
 		return
 	}
-	for _, name := range names[min(len(names), keptGenerations):] {
+	for _, name := range names[min(len(names), retainedGenerations):] {
 		if err := s.fs.Remove(name); err != nil {
-			s.log("old state not removed", "file", name, "err", err)
+			s.log("old record not removed", recordKeys(name, "err", err)...)
 		}
 	}
 }
 
-// Kinds returns the kinds that have a record, sorted.
+// Kinds returns the kinds that have a record, sorted. The error is that of listing the folder.
 func (s *Store) Kinds() ([]string, error) {
 	names, err := listFiles(s.fs)
 	if err != nil {
--- a/internal/durable/store_test.go
+++ b/internal/durable/store_test.go
@@ -27,7 +27,7 @@
 	if r, ok := s.Load("list", 1); !ok || string(r.Payload) != "two" {
 		t.Errorf("the newest record is damaged: loaded %q, %v", r.Payload, ok)
 	}
-	if !recorder.contains("state set aside") {
+	if !recorder.contains("record quarantined") {
 		t.Errorf("the quarantine is not logged: %v", recorder)
 	}
 	damage(1)
@@ -62,7 +62,7 @@
 			path, recorder := newFolderPath(t), &logRecorder{}
 			save(t, openStore(t, path, c.owner, recorder), "learnt", c.version, "x")
 			_, ok := openStore(t, path, testOwner, recorder).Load("learnt", 4)
-			if ok != c.want || recorder.contains("set aside") == c.want {
+			if ok != c.want || recorder.contains("quarantined") == c.want {
 				t.Errorf("loaded %v, want %v; log: %v", ok, c.want, recorder)
 			}
 		})
--- a/internal/durable/writer.go
+++ b/internal/durable/writer.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"sync"
 	"sync/atomic"
@@ -12,7 +11,7 @@
 const (
 	// loadTimeout bounds how long a start waits for the disk. After that it continues without saved state.
 	loadTimeout = time.Second
-	// lockPollInterval is how often a process whose predecessor still holds the lock tries to take it.
+	// lockPollInterval is the time between two attempts of a process to take the lock of its predecessor.
 	lockPollInterval = 100 * time.Millisecond
 	// saveSyncTimeout bounds how long SaveSync waits: operators are promised an answer within 1 s.
 	saveSyncTimeout = 600 * time.Millisecond
@@ -22,24 +21,17 @@
 	errorLogInterval = 10 * time.Second
 )
 
-var (
-	// ErrTimeout means that the disk has not confirmed a save in time. The save may still succeed.
-	ErrTimeout = errors.New("the disk has not taken it in time")
-	// ErrClosed means that a save was refused because the Writer is closed.
-	ErrClosed = errors.New("the state folder is closed")
-)
-
 // Options configures a Writer.
 type Options struct {
 	// Path is the state folder.
 	Path string
-	// Owner names the balancer and its site; records of another owner are not used.
+	// Owner names the balancer and its site, in 1 to 128 bytes; records of another owner are not used.
 	Owner string
-	// MinInterval is the least time between two asynchronous saves of one kind.
+	// MinInterval is the least time between two asynchronous saves of one kind; 0: a save is as soon as possible.
 	MinInterval time.Duration
-	// OrderKinds are the kinds that hold operators' orders: a crash loop gives them up last.
+	// OrderKinds are the kinds that have operators' orders: a crash loop gives them up last.
 	OrderKinds []string
-	// Log is called from the Writer's goroutine too.
+	// Log must not be nil. It is called from the Writer's goroutine too.
 	Log LogFunc
 }
 
@@ -86,8 +78,8 @@
 }
 
 // StartWriter opens a folder, loads each kind that versions has, which are this program's own versions, and starts a
-// Writer on it. An error means that the folder can't be used at all. That another process holds it, or that it is damaged
-// or slow, is not an error but logged.
+// Writer on it, which the caller must close. It waits for the disk for at most loadTimeout. An error, such as a FolderError,
+// means that the folder can't be used at all. That another process has its lock, or that it is damaged or slow, is logged.
 func StartWriter(options Options, versions map[string]uint16) (*Writer, error) {
 	folder, err := OpenFolder(options.Path)
 	if err != nil {
@@ -96,7 +88,7 @@
 	return StartWriterOn(folder, options, versions), nil
 }
 
-// StartWriterOn is StartWriter on a folder that is already open. The Writer closes it.
+// StartWriterOn is StartWriter on a folder that is already open. The Writer closes the folder.
 func StartWriterOn(folder LockableFS, options Options, versions map[string]uint16) *Writer {
 	ctx, stop := context.WithCancel(context.Background())
 	w := &Writer{
@@ -116,12 +108,13 @@
 	select {
 	case w.loaded = <-loaded:
 	case <-timeout.C:
-		options.Log("state not read", "folder", options.Path, "why", "the disk has not answered in time: starting without")
+		options.Log("state load timed out", "folder", options.Path, "elapsed", loadTimeout)
 	}
 	return w
 }
 
-// Load returns the record of a kind as it was at the start, and false if there was none.
+// Load returns the record of a kind as it was at the start, and false if there was none. The caller must not change the
+// payload.
 func (w *Writer) Load(kind string) (Record, bool) {
 	r, ok := w.loaded[kind]
 	return r, ok
@@ -136,7 +129,8 @@
 	w.wakeUp()
 }
 
-// SaveSync saves a state and returns when it is durable. It returns ErrTimeout if that takes too long.
+// SaveSync saves a state and returns when it is durable, after at most saveSyncTimeout. The error is ErrWriteTimeout if the
+// disk has not answered by then, ErrClosed after Close, or that of Store.Save. The first two are wrapped in a RecordError.
 func (w *Writer) SaveSync(kind string, version uint16, savedAt time.Time, payload []byte) error {
 	encode := func() ([]byte, error) { return payload, nil }
 	request := syncRequest{
@@ -149,32 +143,33 @@
 	select {
 	case w.syncRequests <- request:
 	case <-w.stopped:
-		return ErrClosed
+		return &RecordError{Operation: OperationSave, Kind: kind, Err: ErrClosed}
 	case <-timeout.C:
-		return ErrTimeout
+		return &RecordError{Operation: OperationSave, Kind: kind, Err: ErrWriteTimeout}
 	}
 	select {
 	case err := <-request.result:
 		return err
 	case <-timeout.C:
-		return ErrTimeout
+		return &RecordError{Operation: OperationSave, Kind: kind, Err: ErrWriteTimeout}
 	}
 }
 
-// MarkRecovered notes that the start is complete with what was loaded: that state is not the cause of a crash loop.
+// MarkRecovered records that the start is complete with what was loaded: that state is not the cause of a crash loop. It
+// does not wait for the disk.
 func (w *Writer) MarkRecovered() {
 	w.markRecovered.Store(true)
 	w.wakeUp()
 }
 
-// Close saves what is pending, releases the folder and ends the goroutine. It waits for a disk that hangs no longer than
-// closeTimeout.
+// Close saves what is pending, releases the folder and ends the goroutine. It waits for at most closeTimeout for a disk that
+// hangs; the goroutine then ends when the disk answers. It is called once.
 func (w *Writer) Close() {
 	w.stop()
 	select {
 	case <-w.stopped:
 	case <-time.After(closeTimeout):
-		w.options.Log("last state not saved", "why", ErrTimeout)
+		w.options.Log("last state save timed out", "folder", w.options.Path, "elapsed", closeTimeout)
 	}
 }
 
--- a/internal/durable/writer_loop.go
+++ b/internal/durable/writer_loop.go
@@ -13,7 +13,7 @@
 	defer close(w.stopped)
 	defer w.folder.Close()
 	if err := w.openStore(); err != nil {
-		w.options.Log("state not kept", "folder", w.options.Path, "err", err)
+		w.options.Log("state folder unusable", "folder", w.options.Path, "err", err)
 		loaded <- nil
 		<-ctx.Done()
 		return
@@ -63,10 +63,10 @@
 	}
 	w.store = store
 	switch {
-	case lockErr != nil: // such as a read-only file system: what is there is better than nothing
-		w.options.Log("state folder can't be locked: reading only", "folder", w.options.Path, "err", lockErr)
+	case lockErr != nil: // such as a read-only file system, from which records can still be loaded
+		w.options.Log("state folder lock failed", "folder", w.options.Path, "err", lockErr)
 	case !locked:
-		w.options.Log("state folder is held by another process: reading, and waiting for it", "folder", w.options.Path)
+		w.options.Log("state folder locked by another process", "folder", w.options.Path)
 	}
 	return nil
 }
@@ -83,7 +83,7 @@
 	return loaded
 }
 
-// acquireFolder takes the folder's lock if this process does not hold it yet, and reports whether it does now.
+// acquireFolder takes the folder's lock if this process does not have it yet, and reports whether it has it now.
 func (w *Writer) acquireFolder() bool {
 	if w.store.access == ReadWrite {
 		return true
@@ -92,14 +92,14 @@
 	if err != nil || !locked {
 		return false
 	}
-	// The previous holder has saved since this process listed the folder.
+	// The previous owner of the lock has saved since this process listed the folder.
 	store, err := OpenStore(w.folder, w.options.Owner, ReadWrite, w.options.Log)
 	if err != nil {
 		w.logError("", err)
 		return false
 	}
 	w.store = store
-	w.options.Log("state folder is free: keeping", "folder", w.options.Path)
+	w.options.Log("state folder lock acquired", "folder", w.options.Path)
 	return true
 }
 
@@ -155,5 +155,5 @@
 		return
 	}
 	w.lastErrorLog = now
-	w.options.Log("state not saved", "kind", kind, "err", err)
+	w.options.Log("state save failed", "kind", kind, "err", err)
 }
--- a/internal/durable/writer_test.go
+++ b/internal/durable/writer_test.go
@@ -90,11 +90,11 @@
 	folder := faultyFolder{Folder: openFolder(t, path), unblocked: unblocked}
 	options := Options{Path: path, Owner: testOwner, MinInterval: time.Millisecond, Log: recorder.log}
 	w := StartWriterOn(folder, options, map[string]uint16{"learnt": 1})
-	if _, ok := w.Load("learnt"); ok || !recorder.contains("has not answered in time") {
+	if _, ok := w.Load("learnt"); ok || !recorder.contains("state load timed out") {
 		t.Errorf("loaded %v; log: %v", ok, recorder)
 	}
 	w.Save("learnt", 1, time.Now(), encodeText("after"))
-	if err := w.SaveSync("orders", 1, time.Now(), []byte("x")); !errors.Is(err, ErrTimeout) {
+	if err := w.SaveSync("orders", 1, time.Now(), []byte("x")); !errors.Is(err, ErrWriteTimeout) {
 		t.Errorf("SaveSync on a hanging disk: %v", err)
 	}
 	close(unblocked)
@@ -118,7 +118,7 @@
 	options := Options{Path: path, Owner: testOwner, MinInterval: time.Millisecond, Log: recorder.log}
 	w := StartWriterOn(folder, options, map[string]uint16{"learnt": 1})
 	defer w.Close()
-	if r, ok := w.Load("learnt"); !ok || string(r.Payload) != "before" || !recorder.contains("reading only") {
+	if r, ok := w.Load("learnt"); !ok || string(r.Payload) != "before" || !recorder.contains("state folder lock failed") {
 		t.Errorf("loaded %q, %v; log: %v", r.Payload, ok, recorder)
 	}
 	if err := w.SaveSync("orders", 1, time.Now(), []byte("x")); err == nil {
--- a/internal/proxy/savedstate.go
+++ b/internal/proxy/savedstate.go
@@ -36,7 +36,7 @@
 	Load(kind string) (durable.Record, bool)
 	// Save saves a state some time later, unless a newer one of its kind comes before that. encode is called then.
 	Save(kind string, version uint16, at time.Time, encode func() ([]byte, error))
-	// SaveSync saves a state and returns once it is safe, or durable.ErrTimeout where that takes too long.
+	// SaveSync saves a state and returns once it is safe, or durable.ErrWriteTimeout where that takes too long.
 	SaveSync(kind string, version uint16, at time.Time, payload []byte) error
 	// MarkRecovered notes that the balancer has taken its state from before.
 	MarkRecovered()
--- a/internal/proxy/statesaver.go
+++ b/internal/proxy/statesaver.go
@@ -224,12 +224,12 @@
 	if err == nil {
 		err = s.writer.SaveSync(kindOrders, versionOrders, time.Now(), text)
 	}
-	if err != nil && !errors.Is(err, durable.ErrTimeout) {
-		return fmt.Errorf("but not kept: %w", err)
+	if err != nil && !errors.Is(err, durable.ErrWriteTimeout) {
+		return fmt.Errorf("but not kept: %s", durable.OperatorText(err))
 	}
 	s.orders = next // a slow disk may have it all the same, and what follows builds on it
 	if err != nil {
-		return fmt.Errorf("but not kept yet: %w", err)
+		return fmt.Errorf("but not kept yet: %s", durable.OperatorText(err))
 	}
 	return nil
 }
