--- a/internal/membership/log_writer.go
+++ b/internal/membership/log_writer.go
@@ -12,7 +12,7 @@
 	maxTransportErrorLength = 200
 )
 
-// logWriter receives memberlist's own log. It counts warnings and errors and passes some on; the rest is dropped, since
+// logWriter receives memberlist's own log. It counts warnings and errors and logs one per transportErrorLogInterval; the rest is dropped, since
 // all changes of members are logged from the member table.
 type logWriter struct{ node *Node }
 
@@ -29,6 +29,6 @@
 	}
 	n.transportErrorLoggedAt = time.Now()
 	text := bytes.TrimSpace(line[:min(len(line), maxTransportErrorLength)])
-	n.options.Log("membership's transport complains", "text", string(text), "complaints", n.transportErrors)
+	n.options.Log("membership transport error", "err", string(text), "count", n.transportErrors)
 	return len(line), nil
 }
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -22,9 +22,10 @@
 	Advertise string
 	// Seeds are the host:port of some members, which may be down or this one itself.
 	Seeds []string
-	// KeyFile holds the encryption keys; empty: gossip is in the clear, and whoever reaches the port can be a member.
+	// KeyFile is the path of the encryption keys, 1 to 8; empty: gossip is in the clear, and whoever reaches the port can
+	// be a member.
 	KeyFile string
-	// Configured is the fleet's size and this member's rank by configuration, which hold until another member is seen.
+	// Configured is the fleet's size and this member's rank by configuration, in use until another member is seen.
 	Configured Placement
 	// PreviousSize is the fleet's size known from before a restart, or 0.
 	PreviousSize int
@@ -47,7 +48,7 @@
 	stop    context.CancelFunc
 	loops   sync.WaitGroup
 
-	// mu is never held while memberlist is called, since memberlist calls the delegates with locks of its own held.
+	// mu is never locked during a call of memberlist, since memberlist calls the delegates with locks of its own.
 	mu                     sync.Mutex
 	list                   *memberlist.Memberlist // nil: not joined, because another process has the address
 	self                   Member
@@ -63,7 +64,8 @@
 }
 
 // Start joins the fleet. It waits for at most about a second for a seed. Until another member answers, this is a fleet of
-// one that uses the configured size. If another process has the address, the node joins once it is free.
+// one that uses the configured size. If another process has the address, the node joins once it is free. The error is an
+// InvalidMemberError, a KeyFileError, or says why the address can't be used. The caller must close the node.
 func Start(o Options) (*Node, error) {
 	if _, err := encodeMetadata(o.Self); err != nil {
 		return nil, err
@@ -84,7 +86,7 @@
 	err = n.join()
 	switch {
 	case errors.Is(err, syscall.EADDRINUSE): // the process before it, in an upgrade, or a mistake
-		o.Log("another process listens at the address of membership: waiting for its end", "listen", o.Listen)
+		o.Log("membership address in use", "listen", o.Listen, "err", err)
 	case err != nil:
 		return nil, err
 	}
@@ -95,7 +97,8 @@
 	return n, nil
 }
 
-// Close leaves the fleet, announces that to the others, and waits for the node's goroutines.
+// Close leaves the fleet, announces that to the others for at most broadcastTimeout, and waits for the node's goroutines. It
+// is called once. After an error the others find this process dead.
 func (n *Node) Close() error {
 	n.stop()
 	n.loops.Wait()
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -78,7 +78,7 @@
 		f.cut(func(i, j int) bool { return i == 7 && j < 4 || j == 7 && i < 4 })
 		time.Sleep(20 * time.Second)
 		for _, line := range f.logSince(logStart) {
-			if strings.Contains(line, "change lost") {
+			if strings.Contains(line, "member lost") {
 				t.Error(line)
 			}
 		}
--- a/internal/membership/rejoin.go
+++ b/internal/membership/rejoin.go
@@ -21,16 +21,25 @@
 	n.mu.Unlock()
 	if !joined {
 		if err := n.join(); err == nil {
-			n.options.Log("the address of membership is free: joining", "listen", n.options.Listen)
+			n.options.Log("membership address bound", "listen", n.options.Listen)
 		}
 		return
 	}
-	if changed, err := n.keys.reload(); err != nil || changed {
-		n.options.Log("keys of membership read anew", "err", err)
-	}
+	n.reloadKeys()
 	n.exchangeState()
 }
 
+// reloadKeys applies a change of the key file and logs it.
+func (n *Node) reloadKeys() {
+	changed, err := n.keys.reload()
+	switch {
+	case err != nil:
+		n.options.Log("membership key reload failed", "file", n.options.KeyFile, "err", err)
+	case changed:
+		n.options.Log("membership keys reloaded", "file", n.options.KeyFile)
+	}
+}
+
 // exchangeState exchanges the full state with a seed and a lost process that are not in the member table, and with a member
 // that has reported another view.
 func (n *Node) exchangeState() {
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -68,7 +68,9 @@
 	}
 	n.table.Tick(now)
 	changes := n.table.TakeChanges()
-	n.logChanges(changes)
+	for _, c := range changes {
+		n.logChange(c)
+	}
 	n.updateFenced()
 	n.updateMinority(now)
 	if len(changes) > 0 {
@@ -78,40 +80,54 @@
 	return n.sizer.Current(now)
 }
 
-// logChanges writes a line for each change. n.mu is held.
-func (n *Node) logChanges(changes []Change) {
-	for _, c := range changes {
-		keys := []any{
-			"member", c.Member.Name,
-			"incarnation", c.Member.Incarnation,
-			"change", string(c.Kind),
-			"state", c.Member.State.String(),
-		}
-		if c.Kind == Updated {
-			keys = append(keys, "was", c.PreviousState.String())
-		}
-		n.options.Log("membership", keys...)
+// logChange writes a line for a change. n.mu is locked.
+func (n *Node) logChange(c Change) {
+	keys := []any{
+		"member", c.Member.Name,
+		"incarnation", c.Member.Incarnation,
+		"state", c.Member.State.String(),
+	}
+	switch c.Kind {
+	case Joined:
+		n.options.Log("member joined", keys...)
+	case Returned:
+		n.options.Log("member returned", keys...)
+	case Updated:
+		n.options.Log("member updated", append(keys, "previous_state", c.PreviousState.String())...)
+	case Lost:
+		n.options.Log("member lost", keys...)
+	case Left:
+		n.options.Log("member left", keys...)
+	case Succeeded:
+		n.options.Log("member replaced by successor", keys...)
+	case Duplicate:
+		n.options.Log("member replaced by duplicate", keys...)
 	}
 }
 
-// updateFenced logs a change of whether another process counts under this one's name. n.mu is held.
+// updateFenced logs a change of whether another process is active under this one's name. n.mu is locked.
 func (n *Node) updateFenced() {
-	counting, fenced := n.table.Fenced()
+	active, fenced := n.table.Fenced()
 	if fenced == n.fenced {
 		return
 	}
 	n.fenced = fenced
-	text := "this process counts again under its name"
+	keys := []any{
+		"incarnation", n.self.Incarnation,
+		"active_incarnation", active.Incarnation,
+		"active_address", active.Address,
+	}
 	switch {
-	case fenced && counting.Successor:
-		text = "a successor counts in this process's place"
-	case fenced:
-		text = "another process was started under this name: it counts, this one serves on uncounted"
+	case !fenced:
+		n.options.Log("process no longer fenced", keys...)
+	case active.Successor:
+		n.options.Log("process fenced by successor", keys...)
+	default:
+		n.options.Log("process fenced by duplicate", keys...)
 	}
-	n.options.Log(text, "incarnation", n.self.Incarnation, "counts", counting.Incarnation, "at", counting.Address)
 }
 
-// updateMinority logs a change of whether a majority of the agreed members is in the view. n.mu is held.
+// updateMinority logs a change of whether a majority of the agreed members is in the view. n.mu is locked.
 func (n *Node) updateMinority(now time.Duration) {
 	quorum := n.table.UpdateAgreedMembers(now)
 	minority := !quorum.HasMajority()
@@ -119,15 +135,16 @@
 		return
 	}
 	n.minority = minority
-	text := "most members are seen again"
+	keys := []any{"present", quorum.Present, "agreed", quorum.Agreed}
 	if minority {
-		text = "no majority of the members is seen: serving on"
+		n.options.Log("no membership majority", keys...)
+	} else {
+		n.options.Log("membership majority regained", keys...)
 	}
-	n.options.Log(text, "seen", quorum.Present, "of", quorum.Agreed)
 }
 
 // observePlacement takes the view's size into account, unless this process is alone in it: then the configured or last size
-// stays. n.mu is held.
+// stays. n.mu is locked.
 func (n *Node) observePlacement(now time.Duration) {
 	view := n.table.View()
 	if len(view.Members) > 1 {
