--- a/internal/membership/delegates.go
+++ b/internal/membership/delegates.go
@@ -24,7 +24,7 @@
 func memberOf(peer *memberlist.Node) (Member, error) {
 	m, err := decodeMetadata(peer.Meta)
 	if err == nil && m.ProcessID().nodeName() != peer.Name {
-		err = fmt.Errorf("node %.80q publishes the identity %s", peer.Name, m.ProcessID().nodeName())
+		err = fmt.Errorf("%w: node %.80q publishes %s", ErrIdentityMismatch, peer.Name, m.ProcessID().nodeName())
 	}
 	m.Address = net.JoinHostPort(peer.Addr.String(), strconv.Itoa(int(peer.Port)))
 	return m, err
--- a/internal/membership/keyring.go
+++ b/internal/membership/keyring.go
@@ -15,7 +15,7 @@
 const (
 	// maxKeyFileSize bounds the key file, in bytes.
 	maxKeyFileSize = 4096
-	// maxKeys is the number of keys that a key file may hold.
+	// maxKeys is the largest number of keys in a key file.
 	maxKeys = 8
 )
 
@@ -40,13 +40,13 @@
 	if err != nil {
 		return nil, err
 	}
-	keys, err := parseKeys(text)
+	keys, err := parseKeys(path, text)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, err
 	}
 	ring, err := memberlist.NewKeyring(keys, keys[0])
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, &KeyFileError{Path: path, Err: err}
 	}
 	return &keyring{path: path, lastText: text, keys: keys, ring: ring}, nil
 }
@@ -78,9 +78,9 @@
 		return false, nil
 	}
 	k.lastText = text
-	keys, err := parseKeys(text)
+	keys, err := parseKeys(k.path, text)
 	if err != nil {
-		return false, fmt.Errorf("%s: %w", k.path, err)
+		return false, err
 	}
 	return true, k.replaceKeys(keys)
 }
@@ -93,8 +93,8 @@
 	}
 	errs = append(errs, k.ring.UseKey(keys[0]))
 	for _, old := range k.keys {
-		isKept := slices.ContainsFunc(keys, func(key []byte) bool { return slices.Equal(key, old) })
-		if !isKept {
+		isRetained := slices.ContainsFunc(keys, func(key []byte) bool { return slices.Equal(key, old) })
+		if !isRetained {
 			errs = append(errs, k.ring.RemoveKey(old))
 		}
 	}
@@ -106,21 +106,22 @@
 func readKeyFile(path string) (string, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return "", fmt.Errorf("reading the keys of membership: %w", err)
+		return "", &KeyFileError{Path: path, Err: err}
 	}
 	defer f.Close()
 	text, err := io.ReadAll(io.LimitReader(f, maxKeyFileSize+1))
 	if err == nil && len(text) > maxKeyFileSize {
-		err = fmt.Errorf("more than %d bytes", maxKeyFileSize)
+		err = fmt.Errorf("%w: more than %d bytes", ErrKeyFileTooLarge, maxKeyFileSize)
 	}
 	if err != nil {
-		return "", fmt.Errorf("reading the keys of membership: %s: %w", path, err)
+		return "", &KeyFileError{Path: path, Err: err}
 	}
 	return string(text), nil
 }
 
-// parseKeys decodes the keys, one per line. Blank lines and lines that start with # are skipped.
-func parseKeys(text string) ([][]byte, error) {
+// parseKeys decodes the keys in the text of a key file, one per line. Blank lines and lines that start with # are skipped.
+// The path is for messages.
+func parseKeys(path, text string) ([][]byte, error) {
 	var keys [][]byte
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
@@ -129,12 +130,13 @@
 		}
 		key, err := base64.StdEncoding.DecodeString(line)
 		if err != nil || memberlist.ValidateKey(key) != nil {
-			return nil, fmt.Errorf("line %d is no key of 16, 24 or 32 bytes in base64", i+1)
+			return nil, &KeyFileError{Path: path, Line: i + 1, Err: ErrInvalidKey}
 		}
 		keys = append(keys, key)
 	}
 	if len(keys) == 0 || len(keys) > maxKeys {
-		return nil, fmt.Errorf("%d keys, not 1 to %d", len(keys), maxKeys)
+		cause := fmt.Errorf("%w: %d keys, not 1 to %d", ErrKeyCount, len(keys), maxKeys)
+		return nil, &KeyFileError{Path: path, Err: cause}
 	}
 	return keys, nil
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -1,7 +1,6 @@
 package membership
 
 import (
-	"errors"
 	"fmt"
 	"strings"
 	"unicode"
@@ -20,6 +19,7 @@
 
 var stateNames = []string{"joining", "serving", "draining", "leaving"}
 
+// String returns the state's name, as in the answer to the management call members and in the log.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -40,12 +40,12 @@
 // maxTextLength bounds each text field of a member, in bytes.
 const maxTextLength = 64
 
-// Member is what one process publishes about itself.
+// Member is what one process publishes about itself. Its text fields have at most 64 bytes, all printable and not blank.
 type Member struct {
-	Name        string // of the balancer; among the processes of one name the newest counts
+	Name        string // of the balancer, not empty and without a slash; among the processes of one name the newest counts
 	Incarnation uint64 // of the process, at least 1; a later process of the same name has a higher one
-	Zone        string
-	Region      string
+	Zone        string // may be empty
+	Region      string // may be empty
 	Version     string // of the program
 	State       State
 	Capacity    int    // requests per second that it is meant to carry; 0: unknown
@@ -67,29 +67,36 @@
 // visible.
 func (id ProcessID) nodeName() string { return fmt.Sprintf("%s/%x", id.Name, id.Incarnation) }
 
-// validate returns an error that names the first invalid field.
+// validate returns an InvalidMemberError on the first invalid field.
 func (m Member) validate() error {
 	if m.Name == "" {
-		return errors.New("member has no name")
+		return m.invalid("name", "is empty")
 	}
 	for _, field := range []struct{ name, text string }{
 		{"name", m.Name}, {"zone", m.Zone}, {"region", m.Region}, {"version", m.Version},
 	} {
-		if len(field.text) > maxTextLength || strings.ContainsFunc(field.text, isBlankOrUnprintable) {
-			return fmt.Errorf("member's %s %.20q has blanks or unprintable characters, or exceeds %d bytes", field.name, field.text, maxTextLength)
+		if len(field.text) > maxTextLength {
+			return m.invalid(field.name, fmt.Sprintf("%.20q exceeds %d bytes", field.text, maxTextLength))
+		}
+		if strings.ContainsFunc(field.text, isBlankOrUnprintable) {
+			return m.invalid(field.name, fmt.Sprintf("%.20q has blanks or unprintable characters", field.text))
 		}
 	}
 	switch {
 	case strings.Contains(m.Name, "/"):
-		return fmt.Errorf("member's name %.20q contains a slash", m.Name)
+		return m.invalid("name", "contains a slash")
 	case m.Incarnation == 0:
-		return fmt.Errorf("member %s has no incarnation", m.Name)
+		return m.invalid("incarnation", "is 0")
 	case int(m.State) >= len(stateNames):
-		return fmt.Errorf("member %s has the unknown state %d", m.Name, m.State)
+		return m.invalid("state", fmt.Sprintf("%d is unknown", m.State))
 	case m.Capacity < 0:
-		return fmt.Errorf("member %s has the negative capacity %d", m.Name, m.Capacity)
+		return m.invalid("capacity", fmt.Sprintf("%d is negative", m.Capacity))
 	}
 	return nil
 }
 
+func (m Member) invalid(field, reason string) error {
+	return &InvalidMemberError{Member: m.Name, Field: field, Reason: reason}
+}
+
 func isBlankOrUnprintable(r rune) bool { return !unicode.IsGraphic(r) || unicode.IsSpace(r) }
--- a/internal/membership/metadata.go
+++ b/internal/membership/metadata.go
@@ -50,7 +50,7 @@
 		return nil, fmt.Errorf("encoding metadata of member %s: %w", m.Name, err)
 	}
 	if len(encoded) > maxMetadataSize {
-		return nil, fmt.Errorf("metadata of member %s has %d bytes, more than %d", m.Name, len(encoded), maxMetadataSize)
+		return nil, fmt.Errorf("member %s: %w: %d bytes, more than %d", m.Name, ErrMetadataTooLarge, len(encoded), maxMetadataSize)
 	}
 	return encoded, nil
 }
@@ -58,14 +58,14 @@
 // decodeMetadata decodes and validates a member from untrusted input.
 func decodeMetadata(encoded []byte) (Member, error) {
 	if len(encoded) > maxMetadataSize {
-		return Member{}, fmt.Errorf("metadata has %d bytes, more than %d", len(encoded), maxMetadataSize)
+		return Member{}, fmt.Errorf("%w: %d bytes, more than %d", ErrMetadataTooLarge, len(encoded), maxMetadataSize)
 	}
 	var data metadata
 	if err := json.Unmarshal(encoded, &data); err != nil {
 		return Member{}, fmt.Errorf("decoding metadata: %w", err)
 	}
 	if data.MinReader < 1 || data.MinReader > metadataFormat {
-		return Member{}, fmt.Errorf("metadata of format %d needs a reader of format %d, this one has %d", data.Format, data.MinReader, metadataFormat)
+		return Member{}, fmt.Errorf("%w %d: it needs a reader of format %d, supported is %d", ErrUnsupportedMetadata, data.Format, data.MinReader, metadataFormat)
 	}
 	m := Member{
 		Name:        data.Name,
