--- a/internal/durable/choice_test.go
+++ b/internal/durable/choice_test.go
@@ -73,17 +73,17 @@
 	}
 }
 
-func openBbolt(t testing.TB, path string) *bbolt.DB {
-	t.Helper()
+func openBbolt(tb testing.TB, path string) *bbolt.DB {
+	tb.Helper()
 	db, err := bbolt.Open(path, fileMode, &bbolt.Options{Timeout: time.Second})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return db
 }
 
-func putBbolt(t testing.TB, db *bbolt.DB, state []byte) {
-	t.Helper()
+func putBbolt(tb testing.TB, db *bbolt.DB, state []byte) {
+	tb.Helper()
 	err := db.Update(func(tx *bbolt.Tx) error {
 		bucket, err := tx.CreateBucketIfNotExists([]byte(bboltBucket))
 		if err != nil {
@@ -92,19 +92,19 @@
 		return bucket.Put([]byte(bboltKey), state)
 	})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 }
 
-func getBbolt(t testing.TB, db *bbolt.DB) []byte {
-	t.Helper()
+func getBbolt(tb testing.TB, db *bbolt.DB) []byte {
+	tb.Helper()
 	var state []byte
 	err := db.View(func(tx *bbolt.Tx) error {
 		state = bytes.Clone(tx.Bucket([]byte(bboltBucket)).Get([]byte(bboltKey)))
 		return nil
 	})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return state
 }
--- a/internal/durable/helpers_test.go
+++ b/internal/durable/helpers_test.go
@@ -49,28 +49,28 @@
 	return filepath.Join(t.TempDir(), "state")
 }
 
-func openFolder(t testing.TB, path string) *Folder {
-	t.Helper()
+func openFolder(tb testing.TB, path string) *Folder {
+	tb.Helper()
 	folder, err := OpenFolder(path)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return folder
 }
 
-func openStore(t testing.TB, path, owner string, recorder *logRecorder) *Store {
-	t.Helper()
-	store, err := OpenStore(openFolder(t, path), owner, ReadWrite, recorder.log)
+func openStore(tb testing.TB, path, owner string, recorder *logRecorder) *Store {
+	tb.Helper()
+	store, err := OpenStore(openFolder(tb, path), owner, ReadWrite, recorder.log)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return store
 }
 
-func save(t testing.TB, store *Store, kind string, version uint16, text string) {
-	t.Helper()
+func save(tb testing.TB, store *Store, kind string, version uint16, text string) {
+	tb.Helper()
 	if err := store.Save(kind, version, time.Unix(1e9, 0), []byte(text)); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 }
 
--- a/internal/durable/record_test.go
+++ b/internal/durable/record_test.go
@@ -59,6 +59,7 @@
 
 // benchmarkRecord runs an operation on records of the size that 12 and 2,000 upstreams need.
 func benchmarkRecord(b *testing.B, operation func(r Record, content []byte)) {
+	b.Helper()
 	for _, upstreams := range []int{12, 2000} {
 		r := Record{Kind: "learnt", Owner: testOwner, Version: 1, Payload: bytes.Repeat([]byte{'x'}, 300*upstreams)}
 		content := r.encode()
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -40,7 +40,7 @@
 }
 
 // runScenario runs a scenario in virtual time with a fleet of size members that agree, once for each seed.
-func runScenario(t *testing.T, size int, scenario func(t *testing.T, f *testFleet)) {
+func runScenario(t *testing.T, size int, scenario func(f *testFleet)) {
 	t.Helper()
 	for seed := range *plays {
 		synctest.Test(t, func(t *testing.T) {
@@ -53,7 +53,7 @@
 				f.within(time.Minute, "the fleet agrees", func() bool { return f.agree(f.nodes, size) })
 			}
 			time.Sleep(settleTime)
-			scenario(t, f)
+			scenario(f)
 		})
 	}
 }
--- a/internal/membership/keyring_test.go
+++ b/internal/membership/keyring_test.go
@@ -27,8 +27,9 @@
 
 // keyFiles is the key files of the members of a fleet.
 type keyFiles struct {
-	t   *testing.T
-	dir string
+	t    *testing.T
+	dir  string
+	size int // of the fleet
 }
 
 func (k keyFiles) path(i int) string { return filepath.Join(k.dir, gossip.Address(i)) }
@@ -38,10 +39,10 @@
 	writeFile(k.t, k.path(i), text)
 }
 
-// writeAll writes the key files of the first size members and waits until they are reloaded.
-func (k keyFiles) writeAll(size int, text string) {
+// writeAll writes the key files of all members and waits until they are reloaded.
+func (k keyFiles) writeAll(text string) {
 	k.t.Helper()
-	for i := range size {
+	for i := range k.size {
 		k.write(i, text)
 	}
 	time.Sleep(3 * time.Second) // of virtual time
@@ -59,9 +60,10 @@
 // changes nothing and is logged.
 func TestKeyRotationDuringPartition(t *testing.T) {
 	const size = 4
-	files := keyFiles{t: t, dir: t.TempDir()}
-	runScenario(t, 0, func(t *testing.T, f *testFleet) {
-		files.writeAll(size, keyLine('a'))
+	files := keyFiles{t: t, dir: t.TempDir(), size: size}
+	runScenario(t, 0, func(f *testFleet) {
+		t := f.t
+		files.writeAll(keyLine('a'))
 		for i := range size {
 			f.nodes = append(f.nodes, files.start(f, i))
 		}
@@ -70,11 +72,11 @@
 
 		f.cut(func(i, j int) bool { return i/2 != j/2 })
 		f.within(10*time.Second, "the fleet is partitioned", func() bool { return f.agree(f.nodes[:2], 2) && f.agree(f.nodes[2:], 2) })
-		files.writeAll(size, keyLine('a')+keyLine('b'))
-		files.writeAll(size, keyLine('b')+keyLine('a'))
+		files.writeAll(keyLine('a') + keyLine('b'))
+		files.writeAll(keyLine('b') + keyLine('a'))
 		f.heal()
 		f.within(10*time.Second, "healed with two keys", func() bool { return f.agree(f.nodes, size) })
-		files.writeAll(size, keyLine('b'))
+		files.writeAll(keyLine('b'))
 
 		files.write(0, "no key\n")
 		time.Sleep(20 * time.Second)
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -5,7 +5,7 @@
 	"io"
 )
 
-// WriteMetrics writes the membership's part of the metrics, one per line.
+// WriteMetrics writes the membership's part of the metrics, one per line. It returns the first error of w.
 func (s Status) WriteMetrics(w io.Writer) error {
 	if err := s.writeStateCounts(w); err != nil {
 		return err
@@ -17,8 +17,8 @@
 		{"svc_members_lost", s.Lost},
 		{"svc_members_agreeing", s.Agreeing},
 		{"svc_members_differing", s.Diverging},
-		{"svc_members_fenced", boolMetric(s.Fenced)},
-		{"svc_members_minority", boolMetric(s.Minority)},
+		{"svc_members_fenced", boolMetrics[s.Fenced]},
+		{"svc_members_minority", boolMetrics[s.Minority]},
 		{"svc_members_refused", s.RejectedMessages},
 		{"svc_members_complaints", s.TransportErrors},
 		{"svc_members_divisor", s.FleetSize.RoutingDivisor},
@@ -46,9 +46,5 @@
 	return nil
 }
 
-func boolMetric(value bool) int {
-	if value {
-		return 1
-	}
-	return 0
-}
+// boolMetrics is the values of a metric that is true or false.
+var boolMetrics = map[bool]int{false: 0, true: 1}
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -13,7 +13,8 @@
 
 // A member that fails without notice is removed by all others, and one that leaves is removed at once.
 func TestFailedAndLeavingMembersAreRemoved(t *testing.T) {
-	runScenario(t, 12, func(t *testing.T, f *testFleet) {
+	runScenario(t, 12, func(f *testFleet) {
+		t := f.t
 		f.net.Kill(gossip.Address(5))
 		rest := f.without(5)
 		took := f.within(5*time.Second, "the failed member is removed", func() bool { return f.agree(rest, 11) })
@@ -28,7 +29,8 @@
 
 // Partitioned in two and in three, each side serves on and reports that it has no majority; healed, all agree again.
 func TestPartitionsHeal(t *testing.T) {
-	runScenario(t, 12, func(t *testing.T, f *testFleet) {
+	runScenario(t, 12, func(f *testFleet) {
+		t := f.t
 		for _, sides := range []int{2, 3} {
 			testPartitionHeals(t, f, sides)
 		}
@@ -57,7 +59,8 @@
 
 // With a tenth of all packets lost, some delayed and some duplicated, no member is taken for dead.
 func TestPacketLossRemovesNobody(t *testing.T) {
-	runScenario(t, 12, func(t *testing.T, f *testFleet) {
+	runScenario(t, 12, func(f *testFleet) {
+		t := f.t
 		f.setFault(allLinks, gossip.Fault{LossRate: 0.1, MaxJitter: 20 * time.Millisecond, DuplicateRate: 0.05})
 		logStart := f.logLength()
 		time.Sleep(*span)
@@ -72,7 +75,8 @@
 // A link that is cut one way and a member that only some reach remove nobody; a frozen member is removed, and is back when
 // it resumes.
 func TestPartialConnectivityAndFrozenMember(t *testing.T) {
-	runScenario(t, 12, func(t *testing.T, f *testFleet) {
+	runScenario(t, 12, func(f *testFleet) {
+		t := f.t
 		logStart := f.logLength()
 		f.net.SetFault(gossip.Address(1), gossip.Address(2), gossip.Fault{Cut: true})
 		f.cut(func(i, j int) bool { return i == 7 && j < 4 || j == 7 && i < 4 })
@@ -94,7 +98,8 @@
 
 // Replayed packets of a dead member do not revive it, and malformed ones change nothing but a count.
 func TestReplayedAndMalformedPackets(t *testing.T) {
-	runScenario(t, 5, func(t *testing.T, f *testFleet) {
+	runScenario(t, 5, func(f *testFleet) {
+		t := f.t
 		recorded := recordPacketsOfDeadMember(t, f)
 		time.Sleep(*span)
 		if len(recorded) < 10 {
@@ -152,7 +157,8 @@
 
 // Of two processes of one name the newer counts, whatever its clock; the older serves on, fenced, until the newer leaves.
 func TestDuplicateNameFencesOlderProcess(t *testing.T) {
-	runScenario(t, 4, func(t *testing.T, f *testFleet) {
+	runScenario(t, 4, func(f *testFleet) {
+		t := f.t
 		older := f.nodes[2]
 		options := f.options(4)
 		options.Self.Name = "lb-2"
@@ -171,7 +177,8 @@
 
 // All members but one are killed and restarted at once, so that no seed is alive; then many join at once.
 func TestMassRestartAndMassJoin(t *testing.T) {
-	runScenario(t, 12, func(t *testing.T, f *testFleet) {
+	runScenario(t, 12, func(f *testFleet) {
+		t := f.t
 		for i := range 11 {
 			f.net.Kill(gossip.Address(i))
 		}
@@ -198,7 +205,8 @@
 		idlePeriod        = 10 * time.Second
 		maxBytesPerSecond = 20_000
 	)
-	runScenario(t, *members, func(t *testing.T, f *testFleet) {
+	runScenario(t, *members, func(f *testFleet) {
+		t := f.t
 		before := bytesSent(f)
 		time.Sleep(idlePeriod)
 		bytesPerSecond := float64(bytesSent(f)-before) / idlePeriod.Seconds() / float64(len(f.nodes))
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -39,9 +39,9 @@
 }
 
 // brokenWriter fails with its error.
-type brokenWriter struct{ error }
+type brokenWriter struct{ err error }
 
-func (b brokenWriter) Write([]byte) (int, error) { return 0, b.error }
+func (b brokenWriter) Write([]byte) (int, error) { return 0, b.err }
 
 func TestWriteReturnsTheWriterError(t *testing.T) {
 	var s Set
