--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,8 +1,7 @@
-// Package fleet reads the fleet file, a TOML file that the environment variable RELAY_FLEET names. It says what a
-// balancer has to know of its fleet and is not part of the platform's own configuration. Without the file everything has
-// its zero value, and a balancer behaves as if there were no such file.
+// Package fleet reads the fleet file, a TOML file that the environment variable RELAY_FLEET names. It has the settings of a
+// balancer that are not part of the platform's own configuration. Without the file every setting has its zero value.
 //
-// The package checks the form and the ranges of what it reads. It opens no other file and keeps no state.
+// The package checks the form and the ranges of what it reads. It opens no other file and has no state.
 package fleet
 
 import (
@@ -23,7 +22,8 @@
 	Log        Log        `toml:"log"`
 	State      State      `toml:"state"`
 	Membership Membership `toml:"membership"`
-	// Digest is a hash of the file's text. Members exchange it, so that an operator sees which of them have the same file.
+	// Digest is the xxhash64 of the file's text; 0: no file. Members exchange it, so that an operator sees which of them have
+	// the same file.
 	Digest uint64 `toml:"-"`
 }
 
@@ -41,7 +41,7 @@
 	return Parse(path, text)
 }
 
-// Parse parses the text of a fleet file. The path is for messages.
+// Parse parses and validates the text of a fleet file. The path is for messages. An error is one line that begins with it.
 func Parse(path string, text []byte) (File, error) {
 	var f File
 	if err := tomlfile.Decode(path, text, &f); err != nil {
--- a/internal/fleet/log.go
+++ b/internal/fleet/log.go
@@ -6,7 +6,7 @@
 	"log/slog"
 )
 
-// Log says how the balancer writes its log.
+// Log configures the balancer's log.
 type Log struct {
 	// Format is plain (the same as without the file), text (key=value) or json.
 	Format string `toml:"format"`
@@ -14,7 +14,7 @@
 	Level string `toml:"level"`
 }
 
-// logHandlers has what makes the handler of each format. It is nil for the default logger of package slog.
+// logHandlers has a constructor of each format's handler. It is nil for the default logger of package slog.
 var logHandlers = map[string]func(io.Writer, *slog.HandlerOptions) slog.Handler{
 	"":      nil,
 	"plain": nil,
@@ -48,5 +48,5 @@
 	return newHandler(w, &slog.HandlerOptions{Level: l.MinLevel()})
 }
 
-// MinLevel is the lowest level that is written.
+// MinLevel returns the lowest level that is written.
 func (l Log) MinLevel() slog.Level { return logLevels[l.Level] }
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -6,19 +6,21 @@
 	"net/netip"
 )
 
-// maxSeeds bounds the members that a file names.
+// maxSeeds is the largest number of seeds in a file.
 const maxSeeds = 64
 
 // Membership says how the balancer finds the other members of its fleet. It is on if it names seeds. Addresses are of
 // the form IP:port.
 type Membership struct {
-	// Listen is the balancer's own address, for UDP and TCP.
+	// Listen is the address that the balancer binds, for UDP and TCP. It is required if there are seeds.
 	Listen string `toml:"listen"`
-	// Tell is the address at which others reach it, if that is not Listen.
+	// Advertise is the address at which others reach the balancer; empty: Listen.
 	Advertise string `toml:"tell"`
-	// Seeds are the addresses of some members, 64 at most. This balancer may be among them, so that all can share the list.
+	// Seeds are the addresses of some members, at most maxSeeds. This balancer may be among them, so that all members can
+	// have the same list.
 	Seeds []string `toml:"seeds"`
-	// Keys is the path of the file of encryption keys, which is read again when it changes. Without it nothing is encrypted.
+	// KeyFile is the path of the file of encryption keys, which is read again when it changes. Without it nothing is
+	// encrypted.
 	KeyFile string `toml:"keys"`
 }
 
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -16,7 +16,7 @@
 	maxSaveInterval     = time.Minute
 )
 
-// State says where the balancer saves what has to outlive its process. Without a folder it saves nothing.
+// State configures where the balancer saves the state that a later process needs. Without a folder it saves nothing.
 type State struct {
 	// Folder belongs to one balancer: two never share one.
 	Folder string `toml:"folder"`
@@ -37,5 +37,5 @@
 	return nil
 }
 
-// SaveInterval is the least interval between two saves of one kind.
+// SaveInterval returns the least interval between two saves of one kind.
 func (s State) SaveInterval() time.Duration { return cmp.Or(s.Every.D(), defaultSaveInterval) }
--- a/internal/membership/convergence.go
+++ b/internal/membership/convergence.go
@@ -10,10 +10,10 @@
 	maxReportsNeeded = 30
 )
 
-// Convergence counts the other members that count and have reported their view within viewReportTTL.
+// Convergence is how many other members have reported their view within viewReportTTL.
 type Convergence struct {
 	Agreeing  int // with the same view as this process
-	Diverging int // with another
+	Diverging int // with another view
 }
 
 // Convergence compares the views that other members have reported with this process's.
@@ -47,7 +47,7 @@
 	return addresses
 }
 
-// Quorum is how much of the last agreed membership is in the view.
+// Quorum is how many of the members that were agreed last are in the view.
 type Quorum struct {
 	Present int // agreed members that count now
 	Agreed  int // all agreed members
@@ -56,8 +56,8 @@
 // HasMajority reports whether more than half of the agreed members are present.
 func (q Quorum) HasMajority() bool { return 2*q.Present > q.Agreed }
 
-// UpdateAgreedMembers makes the view the agreed membership if no recent report differs from it, enough members report it,
-// and it holds a majority of the agreed membership before; so a minority side of a partition never takes itself for the
+// UpdateAgreedMembers returns the quorum, and makes the view the agreed membership if no recent report differs from it, enough members report it,
+// and it has a majority of the agreed membership before; so a minority side of a partition never takes itself for the
 // fleet. Members lost for rejoinPeriod are dropped from the agreed membership.
 func (t *MemberTable) UpdateAgreedMembers(now time.Duration) Quorum {
 	newest := t.newest()
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,4 +1,4 @@
-// Package membership tells a balancer which other balancers run, so that budgets and routing can be divided among them.
+// Package membership finds the other balancers of a fleet, so that budgets and routing can be divided among them.
 //
 // Failure detection and dissemination are those of hashicorp/memberlist: SWIM with suspicion, gossip over UDP and push/pull
 // of the full state over TCP. This package adds what a process publishes about itself (Member), which process of a name
@@ -19,8 +19,8 @@
 //
 // # Concurrency
 //
-// Node.mu guards the member table, the fleet sizer and the counters of a Node. It is never held during a call of
-// memberlist, which calls the delegates while it holds locks of its own. The goroutines are:
+// Node.mu guards the member table, the fleet sizer and the counters of a Node. It is never locked during a call of
+// memberlist, which calls the delegates with locks of its own. The goroutines are:
 //
 //   - the tick loop: publishes this process's state, pings unconfirmed processes, logs changes, and is the only caller of
 //     Options.OnFleetSize;
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// A role that at most one member may hold, such as that of carrying out a release, is a lease. Voters, whose names
-// operators configure, each grant it to one process at a time, for LeaseDuration by the voter's own clock. The process with
-// grants of a majority holds the role for a shorter time by its own clock, counted from before it sent its requests. So
-// its hold has expired before enough voters are free to grant the role to another, as long as no clock runs more than
+// A lease gives a role, such as that of carrying out a release, to at most one member. Voters, whose names operators
+// configure, each grant it to one process at a time, for LeaseDuration by the voter's own clock. The process with grants of
+// a majority has the lease for a shorter time by its own clock, counted from before it sent its requests. So its lease has
+// expired before enough voters are free to grant the role to another, as long as no clock runs more than
 // maxClockSkewRate faster than another; clocks need not agree on the time. Each voter grants each term once, in rising
 // order, which makes the term a fencing token: whoever carries out a holder's orders rejects those of a lower term.
 //
 // Two lists of voters that differ by one name have majorities with a voter in common, so the list may change by one name at
 // a time. A voter's grant outlives its process; a voter that has lost its grant must not vote under its name again.
 const (
-	// LeaseDuration is for how long a grant binds its voter.
+	// LeaseDuration is for how long a grant binds its voter, by the voter's clock.
 	LeaseDuration = 5 * time.Second
 	// maxClockSkewRate is the fraction by which one clock may run faster than another.
 	maxClockSkewRate = 0.1
-	// holdFraction is the part of LeaseDuration for which a holder relies on its grants; the rest is the margin for clocks.
+	// holdFraction is the ratio of holdDuration to LeaseDuration; the rest is the margin for clocks.
 	holdFraction = 1 - 2*maxClockSkewRate
 	// holdDuration is for how long a holder relies on its grants.
 	holdDuration = time.Duration(holdFraction * float64(LeaseDuration))
@@ -37,7 +37,7 @@
 	boundUntil time.Duration // it grants the role to no other process before
 }
 
-// NewVoter restores a voter with its persisted grant. The lease it granted before may still be held, so it waits for a
+// NewVoter restores a voter with its persisted grant. The lease it granted before may not have expired, so it waits for a
 // LeaseDuration before it grants the role to another; a voter that never granted anything need not.
 func NewVoter(now time.Duration, last Grant) Voter {
 	v := Voter{Grant: last}
@@ -54,7 +54,8 @@
 	GrantChanged bool
 }
 
-// RequestLease decides on the request of a process for a term. A rejection is to be answered with the highest term granted.
+// RequestLease decides on the request of a process for a term, which is at least 1. A rejection is to be answered with the
+// highest term granted.
 func (v *Voter) RequestLease(now time.Duration, requester string, term uint64) Decision {
 	isRenewal := term == v.Term && requester == v.Holder && term > 0
 	if isRenewal {
@@ -70,15 +71,15 @@
 	return Decision{Granted: true, GrantChanged: true}
 }
 
-// Candidate is a process that wants a role or holds it. All times are by its own clock. It is not safe for concurrent use.
+// Candidate is a process that requests a lease or has it. All times are by its own clock. It is not safe for concurrent use.
 type Candidate struct {
 	self           string
-	term           uint64 // held or requested last
+	term           uint64 // of the lease, or requested last
 	highestTerm    uint64 // highest term that a voter has reported
 	round          uint32
 	roundStartedAt time.Duration
 	grants         uint64        // received in the round; bit i is voter i
-	holdsUntil     time.Duration // it holds the role before
+	holdsUntil     time.Duration // when its lease expires
 }
 
 // NewCandidate returns the candidate of a process, whose name must be unique among all processes ever started.
@@ -111,7 +112,7 @@
 	HighestTerm uint64 // highest term that the voter has granted
 }
 
-// HandleResponse counts a response. One to an earlier process of the same name must not count: that process's round began
+// HandleResponse counts a response of one of 1 to 64 voters. One to an earlier process of the same name must not count: that process's round began
 // before the grant, whereas this one's may have begun long after.
 func (c *Candidate) HandleResponse(r LeaseResponse, voters int) {
 	c.highestTerm = max(c.highestTerm, r.HighestTerm)
@@ -125,11 +126,11 @@
 	}
 }
 
-// Holds reports whether the process holds the role; its Term is the fencing token.
+// Holds reports whether the process has the lease now; its Term is the fencing token.
 func (c *Candidate) Holds(now time.Duration) bool { return now < c.holdsUntil }
 
-// Term is the term held or requested last.
+// Term returns the term of the lease, or the one requested last; 0: none.
 func (c *Candidate) Term() uint64 { return c.term }
 
-// Release gives the role up.
+// Release gives the lease up. The voters learn of it when their grants expire.
 func (c *Candidate) Release() { c.holdsUntil = 0 }
--- a/internal/membership/log_writer.go
+++ b/internal/membership/log_writer.go
@@ -12,8 +12,8 @@
 	maxTransportErrorLength = 200
 )
 
-// logWriter receives memberlist's own log. It counts warnings and errors and logs one per transportErrorLogInterval; the rest is dropped, since
-// all changes of members are logged from the member table.
+// logWriter receives memberlist's own log. It counts warnings and errors, and logs at most one of them in
+// transportErrorLogInterval. The other lines are dropped, since all changes of members are logged from the member table.
 type logWriter struct{ node *Node }
 
 func (w logWriter) Write(line []byte) (int, error) {
--- a/internal/membership/member_table.go
+++ b/internal/membership/member_table.go
@@ -34,7 +34,7 @@
 	supersededReported bool          // a Succeeded or Duplicate change was recorded
 }
 
-// NewMemberTable returns a table that holds only this process.
+// NewMemberTable returns a table with this process alone.
 func NewMemberTable(now time.Duration, self Member) *MemberTable {
 	return &MemberTable{
 		self:        self.ProcessID(),
@@ -184,7 +184,7 @@
 	return processes
 }
 
-// Tick confirms processes that have stayed alive for long enough and forgets those that were lost long ago.
+// Tick confirms processes that have stayed alive for confirmAfter and forgets those lost before lostRetention.
 func (t *MemberTable) Tick(now time.Duration) {
 	for _, process := range t.sortedAlive() {
 		if now-process.since >= confirmAfter {
@@ -194,7 +194,7 @@
 	t.forgetLost(now)
 }
 
-// Unconfirmed lists the processes that must answer before they count.
+// Unconfirmed returns the processes that must answer before they count.
 func (t *MemberTable) Unconfirmed() []Member {
 	var members []Member
 	for _, process := range t.sortedAlive() {
@@ -205,7 +205,7 @@
 	return members
 }
 
-// AliveAddresses is the set of the addresses of all processes that are alive, this one's included.
+// AliveAddresses returns the set of the addresses, host:port, of all processes that are alive, this one's included.
 func (t *MemberTable) AliveAddresses() map[string]bool {
 	addresses := map[string]bool{}
 	for _, process := range t.alive {
@@ -258,7 +258,7 @@
 	return view
 }
 
-// Fenced returns the process that counts under this process's name and whether it is another one.
+// Fenced returns the process that counts under this process's name, and true if it is another one.
 func (t *MemberTable) Fenced() (counting Member, fenced bool) {
 	newest := t.newest()[t.self.Name]
 	return newest.Member, newest.ProcessID() != t.self
--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -15,9 +15,9 @@
 	// probeInterval is the time between two probes by each member, so that each is probed about once in it, whatever the
 	// size of the fleet.
 	probeInterval = 200 * time.Millisecond
-	// probeTimeout is for how long a direct ack is awaited before other members are asked to probe.
+	// probeTimeout is for how long a direct ack is awaited before other members are requested to probe.
 	probeTimeout = 100 * time.Millisecond
-	// indirectProbes is the number of members that are asked to probe.
+	// indirectProbes is the number of members that are requested to probe.
 	indirectProbes = 3
 	// suspicionMultiplier, times probeInterval and the logarithm of the fleet's size, is the least time in which a suspect
 	// can refute that it is dead.
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -10,7 +10,7 @@
 	Minority         bool          // no majority of the last agreed membership is in the view
 	Agreeing         int           `json:"Same"`  // members that recently reported the same view
 	Diverging        int           `json:"Other"` // members that recently reported another one
-	Lost             int           // processes that have failed and are still tried
+	Lost             int           // processes that have failed and that this one tries to reach
 	RejectedMessages int           `json:"Refused"`  // invalid metadata and messages, since the start
 	TransportErrors  int           `json:"Grumbles"` // warnings and errors of memberlist, since the start
 	FleetSize        FleetSize     `json:"Division"`
--- a/internal/membership/status_text.go
+++ b/internal/membership/status_text.go
@@ -12,7 +12,8 @@
 	memberLineFormat = "member %q incarnation %d state %s zone %q region %q version %q capacity %d config %x at %s"
 )
 
-// Write writes the answer to the management call members: a line on this member and one on each that counts.
+// Write writes the answer to the management call members: a line on this member and one on each in the view. It returns the
+// first error of w.
 func (s Status) Write(w io.Writer) error {
 	_, err := fmt.Fprintf(w, selfLineFormat+"\n",
 		s.Self.Name, s.Self.Incarnation, s.Self.State,
@@ -35,7 +36,7 @@
 }
 
 // ReadStatus parses the lines that Write has written, without their ends. It also returns the digest of the view that the
-// writer stated.
+// writer stated. The error names the first line that can't be parsed.
 func ReadStatus(lines []string) (s Status, viewDigest uint64, err error) {
 	for _, line := range lines {
 		if strings.HasPrefix(line, "self ") {
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -1,5 +1,5 @@
-// Package stats has the small statistics that the balancer keeps of a stream of samples. It holds no state of its own and
-// decides nothing.
+// Package stats computes small statistics of samples. It has no state of its own. Its functions are safe for concurrent use
+// on different data.
 package stats
 
 import (
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// UpdateEWMA moves an exponentially weighted moving average towards a sample. The weight of the sample is between 0 and 1.
-// A mean of 0 has no sample yet: it takes the first one whole.
+// UpdateEWMA moves an exponentially weighted moving average towards a sample. The weight of the sample is a ratio from 0 to 1.
+// A mean of 0 stands for no sample yet: it is set to the sample.
 func UpdateEWMA(mean *float64, sample, weight float64) {
 	if *mean == 0 {
 		*mean = sample
@@ -28,8 +28,8 @@
 	return mean, math.Sqrt(variance)
 }
 
-// ValueAbove returns the value that stands over one in n of the samples: the median for n = 2, the lower quartile for n = 4.
-// Without samples it is 0. It sorts samples, and may use the room behind them.
+// ValueAbove returns the value that is above one in n of the samples: the median for n = 2, the lower quartile for n = 4. n is
+// at least 2. Without samples it returns 0. It sorts samples, and may overwrite the capacity of the slice beyond them.
 func ValueAbove(n int, samples []float64) float64 {
 	slices.Sort(samples)
 	return append(samples, 0)[len(samples)/n]
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
 // Package tomlfile decodes TOML strictly: a key that the destination lacks is an error that names the line and the most
-// similar known key, so that a misspelt key never counts as its default.
+// similar known key, so that a misspelt key is never replaced by its default in silence.
 package tomlfile
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// tagName is the tag of a struct's fields that has their keys; the value "-" excludes a field.
+// tagName is the struct tag with the key of a field; the value "-" excludes the field.
 const tagName = "toml"
 
 // Decode decodes text into a pointer to a struct, all of whose fields have a toml tag. The path is for messages: an error
@@ -43,7 +43,7 @@
 // Duration is a duration in a file, written as Go writes it: "250ms", "1.5s".
 type Duration time.Duration
 
-// UnmarshalText parses a duration such as "1.5s".
+// UnmarshalText parses a duration such as "1.5s". It returns an error that quotes any other text.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// MarshalText formats a duration such as "1.5s".
+// MarshalText formats a duration such as "1.5s". It never returns an error.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
 // D returns the duration as a time.Duration.
