--- a/cmd/balancerctl/compare.go
+++ b/cmd/balancerctl/compare.go
@@ -21,7 +21,10 @@
 	"sprucehill/internal/lab/program"
 )
 
-// compareCmd is lab compare.
+// minPlays is the least number of plays on a side that shows noise.
+const minPlays = 2
+
+// compareCmd is the command "lab compare".
 type compareCmd struct {
 	A      string `arg:"" help:"One side: this (the work tree), commit:REV, tree:PATH, policy:NAME of a baseline (model engine), or day:FILE for another configuration."`
 	B      string `arg:"" help:"The other side."`
@@ -34,10 +37,10 @@
 	JSON   bool   `name:"json" help:"Write the comparison as JSON."`
 }
 
-// Run carries it out.
+// Run plays both sides and prints the comparison. It returns errClaim if it is not as expected.
 func (c *compareCmd) Run(ctx context.Context) error {
-	if c.Plays < 2 {
-		return fmt.Errorf("%w: --plays: %d says nothing of noise; 2 are the least", day.ErrInput, c.Plays)
+	if c.Plays < minPlays {
+		return fmt.Errorf("%w: --plays: %d says nothing of noise; %d are the least", day.ErrInput, c.Plays, minPlays)
 	}
 	a, endA, err := c.side(ctx, c.A)
 	defer endA()
@@ -49,22 +52,37 @@
 	if err != nil {
 		return err
 	}
-	p := newProgress(nil)
-	r, err := compare.Run(ctx, a, b, c.Seed, c.Plays, func(play int, side string, s *measure.Summary) {
-		p.say(fmt.Sprintf("play %d of %d: %s scored %.3f", play+1, c.Plays, side, s.Score))
-	})
-	p.end()
+	result, err := c.play(ctx, a, b)
 	if err != nil {
 		return err
 	}
+	if err := c.report(result); err != nil {
+		return err
+	}
+	return c.checkExpectation(result)
+}
+
+// play plays both sides on the same seeds.
+func (c *compareCmd) play(ctx context.Context, a, b compare.Side) (*compare.Result, error) {
+	p := newProgress(nil)
+	defer p.end()
+	return compare.Run(ctx, a, b, c.Seed, c.Plays, func(play int, side string, s *measure.Summary) {
+		p.say(fmt.Sprintf("play %d of %d: %s scored %.3f", play+1, c.Plays, side, s.Score))
+	})
+}
+
+// report writes the comparison to standard output.
+func (c *compareCmd) report(r *compare.Result) error {
 	if c.JSON {
-		err = writeJSON(r)
-	} else {
-		showComparison(os.Stdout, r, c.Day, c.Engine)
+		return writeJSON(r)
 	}
+	showComparison(os.Stdout, r, c.Day, c.Engine)
+	return nil
+}
+
+// checkExpectation returns errClaim if the comparison is not as the flag expect says.
+func (c *compareCmd) checkExpectation(r *compare.Result) error {
 	switch {
-	case err != nil:
-		return err
 	case c.Expect == "same" && !r.Same():
 		return fmt.Errorf("%w: the sides differ beyond noise", errClaim)
 	case c.Expect == "better" && !r.Rows[0].Better:
@@ -73,7 +91,7 @@
 	return nil
 }
 
-// side makes the side that a name stands for. end removes what was made for it.
+// side makes the side that a name stands for. end removes its temporary files; it is never nil.
 func (c *compareCmd) side(ctx context.Context, name string) (s compare.Side, end func(), err error) {
 	end = func() {}
 	what, of, _ := strings.Cut(name, ":")
@@ -85,7 +103,7 @@
 		if c.Engine != "model" {
 			return nil, end, fmt.Errorf("%w: %s: baselines are policies of the model engine", day.ErrInput, name)
 		}
-		return &modelSide{name, file, of}, end, nil
+		return &modelSide{name: name, file: file, policy: of}, end, nil
 	case "day":
 		file = of
 	case "tree":
@@ -105,13 +123,13 @@
 	return s, end, err
 }
 
-// sideOf makes the side that plays a day with the balancer of a work tree, on the engine that was asked for.
+// sideOf makes the side that plays a day with the balancer of a work tree, on the selected engine.
 func (c *compareCmd) sideOf(ctx context.Context, name, root, file string) (compare.Side, error) {
 	switch {
 	case c.Engine != "model":
 		return c.newLiveSide(ctx, name, root, file)
 	case root == ".":
-		return &modelSide{name, file, ""}, nil
+		return &modelSide{name: name, file: file}, nil
 	}
 	return newCommandSide(ctx, name, root, file)
 }
@@ -125,10 +143,11 @@
 	if err := p.Build(ctx); err != nil {
 		return nil, err
 	}
-	return &liveSide{name, file, filepath.Join(c.Out, strings.Map(plainRune, name)), p}, nil
+	out := filepath.Join(c.Out, strings.Map(plainRune, name))
+	return &liveSide{name: name, file: file, out: out, program: p}, nil
 }
 
-// plainRune keeps a rune that is good in the name of a folder.
+// plainRune replaces a rune that is not suitable for the name of a folder.
 func plainRune(r rune) rune {
 	if strings.ContainsRune("/: .", r) {
 		return '-'
@@ -136,7 +155,7 @@
 	return r
 }
 
-// checkout lays out a commit in a folder of its own.
+// checkout makes a temporary worktree of a commit. end removes it.
 func checkout(ctx context.Context, rev string) (dir string, end func(), err error) {
 	end = func() {}
 	if dir, err = os.MkdirTemp("", "sprucehill-commit-"); err != nil {
@@ -152,7 +171,7 @@
 	return dir, end, nil
 }
 
-// modelSide plays in this process.
+// modelSide plays the model engine in this process.
 type modelSide struct{ name, file, policy string }
 
 func (s *modelSide) Name() string { return s.name }
@@ -170,7 +189,7 @@
 	return r.Summary, nil
 }
 
-// liveSide plays with real processes of a tree.
+// liveSide plays with real processes of a work tree.
 type liveSide struct {
 	name, file, out string
 	program         *program.Program
@@ -191,7 +210,7 @@
 	return r.Summary, nil
 }
 
-// commandSide plays the model with the command of another tree, and so with its module.
+// commandSide plays the model engine with the command of another work tree, and so with its decision module.
 type commandSide struct{ name, file, command string }
 
 // newCommandSide builds the command of a work tree.
@@ -202,10 +221,10 @@
 	if out, err := build.CombinedOutput(); err != nil {
 		return nil, fmt.Errorf("%w: %s has no model engine that builds: %s", day.ErrInput, name, strings.TrimSpace(string(out)))
 	}
-	return &commandSide{name, file, command}, nil
+	return &commandSide{name: name, file: file, command: command}, nil
 }
 
-// commandPackage is where a tree has this command: commits before it got its name have it as cmd/sprucehill.
+// commandPackage returns the package of this command in a work tree. Earlier commits have it as cmd/sprucehill.
 func commandPackage(root string) string {
 	const formerName = "./cmd/sprucehill"
 	if _, err := os.Stat(filepath.Join(root, formerName)); err == nil {
@@ -233,7 +252,7 @@
 	return &sum, nil
 }
 
-// showComparison writes the table of ratios.
+// showComparison writes the table of measures with their ratios.
 func showComparison(w io.Writer, r *compare.Result, file, engine string) {
 	fmt.Fprintf(w, "A %s against B %s: %s, %s engine, %d plays each, seeds %d to %d\n\n", r.A, r.B, file, engine, r.Plays,
 		r.Seeds[0], r.Seeds[len(r.Seeds)-1])
@@ -258,7 +277,7 @@
 	writeTable(w, rows...)
 }
 
-// verdict says whether a difference is beyond noise, and which way.
+// verdict returns the words for whether a difference is beyond noise, and which way.
 func verdict(row compare.Row) string {
 	switch {
 	case !row.Beyond:
--- a/cmd/balancerctl/crash.go
+++ b/cmd/balancerctl/crash.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	maxCrashUpstreams = 5000
-	maxCrashRounds    = 100
+	maxCrashUpstreams = 5000 // largest value of the flag --upstreams
+	maxCrashRounds    = 100  // largest value of the flag --rounds
 )
 
 // crashCmd is the command "lab crash".
@@ -21,7 +21,7 @@
 	Seed      uint64 `help:"Draws states and cases." default:"1"`
 }
 
-// Run runs the crash matrix and prints what it has found. It fails if there is a violation.
+// Run runs the crash matrix and prints its counts and violations. It returns errClaim if there is a violation.
 func (c *crashCmd) Run() error {
 	if !c.isInRange() {
 		return errors.New("--upstreams: 1 to 5000; --rounds: 1 to 100; --every: 1 and more; --again: 0 and more")
--- a/cmd/balancerctl/explore.go
+++ b/cmd/balancerctl/explore.go
@@ -8,7 +8,7 @@
 	"sprucehill/internal/lab/leases"
 )
 
-// exploreCmd is the command lab explore.
+// exploreCmd is the command "lab explore".
 type exploreCmd struct {
 	Voters     int    `default:"3" help:"Voters, 2 to 5."`
 	Candidates int    `default:"2" help:"Voters that want the role."`
--- a/cmd/balancerctl/lab.go
+++ b/cmd/balancerctl/lab.go
@@ -16,12 +16,12 @@
 	"sprucehill/internal/lab/report"
 )
 
-// checkCmd is lab check.
+// checkCmd is the command "lab check".
 type checkCmd struct {
 	File string `arg:"" help:"Day file." type:"existingfile" predictor:"file"`
 }
 
-// Run carries it out.
+// Run reads a day file and prints its size. It returns an error if the file can't be used.
 func (c *checkCmd) Run() error {
 	d, err := day.LoadFile(c.File)
 	if err != nil {
@@ -33,13 +33,13 @@
 	return nil
 }
 
-// showCmd is lab show.
+// showCmd is the command "lab show".
 type showCmd struct {
 	File string `arg:"" help:"Day file." type:"existingfile" predictor:"file"`
 	JSON bool   `name:"json" help:"Write the day as JSON, with what the file leaves out."`
 }
 
-// Run carries it out.
+// Run prints a day.
 func (c *showCmd) Run() error {
 	d, err := day.LoadFile(c.File)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// runCmd is lab run.
+// runCmd is the command "lab run".
 type runCmd struct {
 	File    string `arg:"" help:"Day file." type:"existingfile" predictor:"file"`
 	Engine  string `help:"live: real processes of the balancer on loopback. model: its decisions in virtual time." enum:"live,model" default:"live"`
@@ -66,7 +66,7 @@
 	History bool   `help:"Keep every event in history.txt in the folder."`
 }
 
-// Run carries it out.
+// Run plays a day, and writes its report and summary. It returns errClaim if a rule was broken.
 func (c *runCmd) Run(ctx context.Context) error {
 	d, err := day.LoadFile(c.File)
 	if err != nil {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// play plays the day on the engine that was asked for.
+// play plays the day on the selected engine. Its report goes into out.
 func (c *runCmd) play(ctx context.Context, d *day.Day, out string, p *progress) (*lab.Result, error) {
 	if c.Engine == "model" {
 		if c.Workers == 0 {
@@ -138,14 +138,14 @@
 	return lab.Live(ctx, d, live.Options{Command: balancer.Command(), Dir: balancer.Root, Work: out, Progress: p.at})
 }
 
-// writeJSON writes a value to standard output.
+// writeJSON writes a value to standard output as indented JSON.
 func writeJSON(x any) error {
 	enc := json.NewEncoder(os.Stdout)
 	enc.SetIndent("", "  ")
 	return enc.Encode(x)
 }
 
-// writeHistory writes every event as a line.
+// writeHistory writes a file with a line for each event.
 func writeHistory(path string, r *lab.Result) error {
 	f, err := os.Create(path)
 	if err != nil {
--- a/cmd/balancerctl/main.go
+++ b/cmd/balancerctl/main.go
@@ -1,7 +1,8 @@
-// Command balancerctl is for the operators and engineers of the balancer. Its lab plays days of an emulated fleet.
+// Command balancerctl is for the operators and engineers of the balancer. Its lab plays scenarios, called days, of an
+// emulated fleet.
 //
-// It exits with 0 if all is good, 1 if what was claimed did not hold (a rule was broken, a comparison failed), and 2 if
-// the input can't be used or the machine can't carry the run.
+// It exits with 0 on success, 1 if a check failed (a rule was broken, a comparison was not as expected, a balancer refused a
+// call), and 2 if the input can't be used or the machine is too small for the run.
 package main
 
 import (
@@ -19,12 +20,12 @@
 
 // The exit codes.
 const (
-	exitGood  = 0 // all is good
-	exitClaim = 1 // what was claimed did not hold
-	exitInput = 2 // the input can't be used, or the machine can't carry the run
+	exitGood  = 0 // success
+	exitClaim = 1 // a check failed
+	exitInput = 2 // the input can't be used, or the machine is too small for the run
 )
 
-// errClaim says that a run went through and what it was to show did not hold.
+// errClaim means that a command was carried out and its check failed. The exit code is exitClaim.
 var errClaim = errors.New("the claim failed")
 
 // cli is the command line.
@@ -45,7 +46,7 @@
 
 	Members membersCmd `cmd:"" help:"Show which balancers there are, as several of them see it."`
 
-	State stateCmd `cmd:"" help:"Look at what a balancer keeps on disk, check and repair it."`
+	State stateCmd `cmd:"" help:"Look at the records that a balancer has on disk, check and repair them."`
 
 	InstallCompletions kongplete.InstallCompletions `cmd:"" help:"Write the completion of this command for your shell, to be put in its start file."`
 }
@@ -61,7 +62,7 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run carries out a command line and returns the exit code.
+// run runs a command line and returns the exit code.
 func run(args []string) int {
 	var c cli
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
--- a/cmd/balancerctl/members.go
+++ b/cmd/balancerctl/members.go
@@ -6,16 +6,13 @@
 	"io"
 	"slices"
 	"strings"
-	"time"
 
 	"sprucehill/internal/membership"
 )
 
-// membersCmd is the command members.
+// membersCmd is the command "members".
 type membersCmd struct {
-	Addresses []string      `arg:"" help:"Management addresses of balancers, host:port; what each sees is compared."`
-	Watch     time.Duration `help:"Show it anew after each such time, until interrupted."`
-	JSON      bool          `name:"json" help:"Write it as JSON."`
+	fleetQuery
 }
 
 // memberView is one balancer's view of its fleet. The field names are the keys of its JSON.
@@ -26,10 +23,10 @@
 	Status  *membership.Status `json:",omitempty"`
 }
 
-// Run asks the balancers and shows their views. It returns errClaim if one gives no view or two views differ.
+// Run shows the balancers' views. It returns errClaim if one gives no view or two views differ.
 func (c *membersCmd) Run(ctx context.Context) error {
-	ask := func() []memberView { return queryAll(ctx, c.Addresses, fetchMemberView) }
-	return showRepeatedly(ctx, c.Watch, c.JSON, ask, showMembers, checkViewsAgree)
+	report := fleetReport[memberView]{query: fetchMemberView, show: showMembers, check: checkViewsAgree}
+	return report.run(ctx, c.fleetQuery)
 }
 
 // checkViewsAgree returns errClaim unless all balancers gave the same view.
@@ -45,13 +42,13 @@
 	return nil
 }
 
-// fetchMemberView asks a balancer for its view.
+// fetchMemberView queries a balancer for its view.
 func fetchMemberView(ctx context.Context, address string) memberView {
-	lines, err := callOperators(ctx, address, "members")
+	lines, err := callManagement(ctx, address, "members")
 	if err != nil {
 		return memberView{Address: address, Error: err.Error()}
 	}
-	if strings.HasPrefix(lines[0], "NO ") {
+	if strings.HasPrefix(lines[0], refusalPrefix) {
 		return memberView{Address: address, Error: lines[0]}
 	}
 	status, digest, err := membership.ReadStatus(lines)
@@ -61,7 +58,7 @@
 	return memberView{Address: address, Digest: fmt.Sprintf("%x", digest), Status: &status}
 }
 
-// showMembers writes a row on each balancer that was asked, and the members in the first view.
+// showMembers writes a row on each balancer that was queried, and the members in the first view.
 func showMembers(w io.Writer, views []memberView) {
 	rows := [][]any{{"asked", "is", "sees", "digest", "same", "differ", "lost", "divides by", "safely by", "rank", ""}}
 	for _, v := range views {
--- a/cmd/balancerctl/operators_test.go
+++ b/cmd/balancerctl/operators_test.go
@@ -75,7 +75,7 @@
 	vars := "svc_passed{category=\"a\"} 3\nsvc_passed{category=\"b\"} 4\nsvc_in_progress 1\nsvc_zone_state{zone=\"r/x\"} 2\nsvc_zone_share{zone=\"r/x\"} 9\n"
 	good := operators(t, map[string]string{"check": "YES serving\n", "vars": vars + "END\n", "zone-leave r/x": "NO it is not known\n"})
 	cut := operators(t, map[string]string{"check": "YES serving\n", "vars": vars})
-	all := queryAll(context.Background(), []string{good, cut, "127.0.0.1:1"}, oneStatus)
+	all := queryAll(context.Background(), []string{good, cut, "127.0.0.1:1"}, fetchStatus)
 	if s := all[0]; !s.Serving || s.Figures["svc_passed"] != 7 || !slices.Equal(s.ZonesNotOK, []string{"r/x failed"}) || s.Figures["svc_zone_share"] != 0 {
 		t.Errorf("%+v", s)
 	}
--- a/cmd/balancerctl/scale.go
+++ b/cmd/balancerctl/scale.go
@@ -14,7 +14,7 @@
 	"sprucehill/internal/lab/report"
 )
 
-// scaleCmd is lab scale.
+// scaleCmd is the command "lab scale".
 type scaleCmd struct {
 	File    string    `arg:"" help:"Day file." type:"existingfile" predictor:"file"`
 	Factors []float64 `help:"Sizes of the fleet, as parts of the file's." default:"0.125,0.25,0.5,1"`
@@ -23,61 +23,86 @@
 	JSON    bool      `name:"json" help:"Write the costs as JSON."`
 }
 
-// cost is what a fleet of one size cost to model.
+// cost is the cost of modelling a fleet of one size. The field names are the keys of its JSON.
 type cost struct {
 	Balancers, Upstreams int
 	Events               int
-	Seconds              float64 // of real time
+	Seconds              float64 // real time
 	CPU                  float64 // seconds of processor time
-	MemoryMB             float64 // most that this process has held so far; sizes grow
+	MemoryMB             float64 // largest resident set of this process so far, in MiB; fleets are measured by rising size
 }
 
-// Run carries it out.
+// Run models the day on fleets of each size, and prints and plots the costs.
 func (c *scaleCmd) Run(ctx context.Context) error {
 	d, err := day.LoadFile(c.File)
 	if err != nil {
 		return err
 	}
+	costs, err := c.measure(ctx, d)
+	if err != nil {
+		return err
+	}
+	path, err := c.plot(d, costs)
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		return writeJSON(costs)
+	}
+	writeTable(os.Stdout, costRows(costs)...)
+	fmt.Println("plot:", path)
+	return nil
+}
+
+// measure models the day on a fleet of each size.
+func (c *scaleCmd) measure(ctx context.Context, d *day.Day) ([]cost, error) {
 	var costs []cost
-	rows := [][]any{{"balancers", "upstreams", "events", "real s", "processor s", "most memory MB"}}
 	for _, factor := range c.Factors {
 		if factor <= 0 {
-			return fmt.Errorf("%w: --factors: %v is not over 0", day.ErrInput, factor)
+			return nil, fmt.Errorf("%w: --factors: %v is not over 0", day.ErrInput, factor)
 		}
 		scaled := d.Scaled(factor)
 		p := newProgress(scaled)
-		x, err := measureCost(ctx, scaled, model.Options{Workers: c.Workers, Progress: p.at})
+		measured, err := measureCost(ctx, scaled, model.Options{Workers: c.Workers, Progress: p.at})
 		p.end()
 		if err != nil {
-			return err
+			return nil, err
 		}
-		costs = append(costs, x)
-		rows = append(rows, []any{x.Balancers, x.Upstreams, x.Events, fmt.Sprintf("%.1f", x.Seconds), fmt.Sprintf("%.1f", x.CPU), fmt.Sprintf("%.0f", x.MemoryMB)})
+		costs = append(costs, measured)
 	}
+	return costs, nil
+}
+
+// plot writes the plot of the costs and returns its path.
+func (c *scaleCmd) plot(d *day.Day, costs []cost) (string, error) {
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
-		return err
+		return "", err
 	}
-	path := filepath.Join(c.Out, d.Name+"-cost.png")
 	points := report.Costs{Title: d.Name + ": cost of modelling against the size of the fleet"}
 	for _, x := range costs {
 		points.Size = append(points.Size, float64(x.Balancers+x.Upstreams))
 		points.Real = append(points.Real, x.Seconds)
 		points.CPU = append(points.CPU, x.CPU)
 	}
-	if err := points.WritePNG(path); err != nil {
-		return err
-	}
-	if c.JSON {
-		return writeJSON(costs)
+	path := filepath.Join(c.Out, d.Name+"-cost.png")
+	return path, points.WritePNG(path)
+}
+
+// costRows has a row on each size.
+func costRows(costs []cost) [][]any {
+	rows := [][]any{{"balancers", "upstreams", "events", "real s", "processor s", "most memory MB"}}
+	for _, x := range costs {
+		rows = append(rows, []any{
+			x.Balancers, x.Upstreams, x.Events,
+			fmt.Sprintf("%.1f", x.Seconds), fmt.Sprintf("%.1f", x.CPU), fmt.Sprintf("%.0f", x.MemoryMB),
+		})
 	}
-	writeTable(os.Stdout, rows...)
-	fmt.Println("plot:", path)
-	return nil
+	return rows
 }
 
-// measureCost models a day and returns what that took.
+// measureCost models a day and returns its cost.
 func measureCost(ctx context.Context, d *day.Day, o model.Options) (cost, error) {
-	runtime.GC() // what came before is not this day's
+	runtime.GC() // the garbage of the day before is not part of this one's cost
 	f := d.Fleet()
 	x := cost{Balancers: len(f.Balancers), Upstreams: len(f.Upstreams)}
 	var before, after syscall.Rusage
@@ -93,9 +118,13 @@
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &after); err != nil {
 		return x, err
 	}
-	spent := func(u syscall.Rusage) float64 { return float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9 }
 	x.Events = len(events)
-	x.CPU = spent(after) - spent(before)
-	x.MemoryMB = float64(after.Maxrss) / 1024
+	x.CPU = (cpuTime(after) - cpuTime(before)).Seconds()
+	x.MemoryMB = float64(after.Maxrss) / 1024 // Linux gives KiB
 	return x, nil
 }
+
+// cpuTime returns the processor time of a process, in the kernel and outside.
+func cpuTime(usage syscall.Rusage) time.Duration {
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
+}
--- a/cmd/balancerctl/text.go
+++ b/cmd/balancerctl/text.go
@@ -15,13 +15,14 @@
 	"sprucehill/internal/lab/measure"
 )
 
-// traceLines bounds how much of a request's history is printed; the report has all of it.
-const traceLines = 12
-
-// shownViolations bounds how many are printed in full.
-const shownViolations = 5
+const (
+	// maxShownTraceLines bounds how many lines of a request's history are printed; the report has all of it.
+	maxShownTraceLines = 12
+	// maxShownViolations bounds how many violations are printed in full.
+	maxShownViolations = 5
+)
 
-// table writes rows in columns.
+// writeTable writes rows in columns.
 func writeTable(w io.Writer, rows ...[]any) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, row := range rows {
@@ -31,7 +32,7 @@
 		}
 		fmt.Fprintln(t, strings.Join(texts, "\t"))
 	}
-	t.Flush() // w is a terminal or a buffer
+	t.Flush() // w is standard output or a buffer
 }
 
 // showDay writes a day as tables.
@@ -57,6 +58,7 @@
 	writeTable(w, faultRows(d, f)...)
 }
 
+// zoneRows has a row on each zone.
 func zoneRows(d *day.Day, f *day.Fleet) [][]any {
 	rows := [][]any{{"region", "zone", "balancers", "load", "upstreams"}}
 	for i, z := range f.Zones {
@@ -76,6 +78,7 @@
 	return rows
 }
 
+// modelRows has a row on each model of upstream.
 func modelRows(d *day.Day) [][]any {
 	rows := [][]any{{"model", "cores", "speed", "slots", "queue", "cold from", "warm after", "pauses", "errors", "reports"}}
 	for _, name := range slices.Sorted(maps.Keys(d.Models)) {
@@ -90,6 +93,7 @@
 	return rows
 }
 
+// classRows has a row on each class of request.
 func classRows(d *day.Day) [][]any {
 	rows := [][]any{{"class", "share", "repeat", "aim", "deadline", "worth", "work", "wait"}}
 	for _, c := range d.Classes {
@@ -102,6 +106,7 @@
 	return rows
 }
 
+// faultRows has a row on each beginning and end of a fault, in order of time.
 func faultRows(d *day.Day, f *day.Fleet) [][]any {
 	rows := [][]any{{"at", "", "fault", "on", "what it does"}}
 	changes, hits := d.Timetable()
@@ -118,11 +123,13 @@
 	return rows
 }
 
+// spread formats the bounds of a range of durations.
 func spread(r day.Range) string { return fmt.Sprintf("%v to %v", r[0].D(), r[1].D()) }
 
+// percent formats a ratio as a percentage.
 func percent(x float64) string { return fmt.Sprintf("%.1f%%", 100*x) }
 
-// showSummary writes what came of a day.
+// showSummary writes the results of a day.
 func showSummary(w io.Writer, r *lab.Result) {
 	s := r.Summary
 	fmt.Fprintf(w, "%s, %s engine, seed %d: %d requests in %.0f s\n\n", s.Day, s.Engine, s.Seed, s.Settling.Requests+s.Main.Requests, s.Seconds)
@@ -141,6 +148,7 @@
 	showViolations(w, r)
 }
 
+// partRows has a row on the time of settling and one on the rest of the day.
 func partRows(s *measure.Summary) [][]any {
 	rows := [][]any{{"", "requests", "worth served", "in time", "late", "refused", "failed", "not connected", "p50", "p99", "p99.9 ms"}}
 	for _, p := range []struct {
@@ -159,14 +167,14 @@
 	return rows
 }
 
-// showShares writes the worth served of each class or tenant.
+// showShares writes the part of the priority weight that was served, of each class or tenant.
 func showShares(w io.Writer, what string, shares map[string]float64) {
 	for _, name := range slices.Sorted(maps.Keys(shares)) {
 		fmt.Fprintf(w, "; %s %s %s", what, name, percent(shares[name]))
 	}
 }
 
-// showLab writes what a live day cost; nil: it was modelled.
+// showLab writes the load of the lab itself on a live day; nil: the day was modelled.
 func showLab(w io.Writer, l *measure.Lab) {
 	if l == nil {
 		return
@@ -178,6 +186,7 @@
 	}
 }
 
+// showZones writes how evenly zones were used, and how fast a failed zone was left; nil: it was not measured.
 func showZones(w io.Writer, z *measure.Zones) {
 	if z == nil || len(z.All) < 2 {
 		return
@@ -190,6 +199,7 @@
 	}
 }
 
+// showRecoveries writes a table of how the fleet recovered from each fault.
 func showRecoveries(w io.Writer, all []measure.Recovery) {
 	if len(all) == 0 {
 		return
@@ -211,7 +221,7 @@
 	fmt.Fprintln(w)
 }
 
-// showViolations writes which rules held, and the histories of the first breaches.
+// showViolations writes which rules were broken, and the histories of the first violations.
 func showViolations(w io.Writer, r *lab.Result) {
 	for _, rule := range check.Rules {
 		if n := r.Summary.Broken[rule]; n > 0 {
@@ -222,9 +232,9 @@
 		fmt.Fprintln(w, "no rule was broken")
 		return
 	}
-	for _, v := range r.Violations[:min(shownViolations, len(r.Violations))] {
+	for _, v := range r.Violations[:min(maxShownViolations, len(r.Violations))] {
 		fmt.Fprintf(w, "\n%s at %v: %s\n", v.Rule, v.At.Round(time.Millisecond), v.What)
-		for _, e := range v.Trace[max(0, len(v.Trace)-traceLines):] {
+		for _, e := range v.Trace[max(0, len(v.Trace)-maxShownTraceLines):] {
 			fmt.Fprintln(w, "  ", e.Describe(r.Day, r.Fleet))
 		}
 	}
