--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -41,7 +41,8 @@
 	return Parse(path, text)
 }
 
-// Parse parses and validates the text of a fleet file. The path is for messages. An error is one line that begins with it.
+// Parse parses and validates the text of a fleet file. The path is for messages. An error is one line that begins with it:
+// an error of tomlfile.Decode, or a SettingError that is wrapped.
 func Parse(path string, text []byte) (File, error) {
 	var f File
 	if err := tomlfile.Decode(path, text, &f); err != nil {
--- a/internal/fleet/log.go
+++ b/internal/fleet/log.go
@@ -1,7 +1,6 @@
 package fleet
 
 import (
-	"fmt"
 	"io"
 	"log/slog"
 )
@@ -31,10 +30,10 @@
 
 func (l Log) validate() error {
 	if _, known := logHandlers[l.Format]; !known {
-		return fmt.Errorf("log.format: %q is none of plain, text and json", l.Format)
+		return badSetting("log.format", "%q is none of plain, text and json", l.Format)
 	}
 	if _, known := logLevels[l.Level]; !known {
-		return fmt.Errorf("log.level: %q is neither info nor debug", l.Level)
+		return badSetting("log.level", "%q is neither info nor debug", l.Level)
 	}
 	return nil
 }
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -1,8 +1,6 @@
 package fleet
 
 import (
-	"errors"
-	"fmt"
 	"net/netip"
 )
 
@@ -30,15 +28,15 @@
 func (m Membership) validate() error {
 	if !m.Enabled() {
 		if m.Listen != "" || m.Advertise != "" || m.KeyFile != "" {
-			return errors.New("membership.seeds: is missing")
+			return badSetting("membership.seeds", "is missing")
 		}
 		return nil
 	}
 	if len(m.Seeds) > maxSeeds {
-		return fmt.Errorf("membership.seeds: %d, more than %d", len(m.Seeds), maxSeeds)
+		return badSetting("membership.seeds", "%d, more than %d", len(m.Seeds), maxSeeds)
 	}
 	if m.Listen == "" {
-		return errors.New("membership.listen: is missing")
+		return badSetting("membership.listen", "is missing")
 	}
 	if err := validateAddress("listen", m.Listen); err != nil {
 		return err
@@ -60,7 +58,7 @@
 func validateAddress(key, address string) error {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil || a.Port() == 0 || a.Addr().IsUnspecified() {
-		return fmt.Errorf("membership.%s: %q is no IP:port", key, address)
+		return badSetting("membership."+key, "%q is no IP:port", address)
 	}
 	return nil
 }
--- a/internal/fleet/regions.go
+++ b/internal/fleet/regions.go
@@ -1,7 +1,6 @@
 package fleet
 
 import (
-	"fmt"
 	"slices"
 	"strings"
 )
@@ -13,16 +12,16 @@
 	regionOf := map[string]string{}
 	for region, zones := range r {
 		if !isPlainName(region) {
-			return fmt.Errorf("regions: %q is no name of a region: it may not be empty or have a slash", region)
+			return badSetting("regions", "%q is no name of a region: it may not be empty or have a slash", region)
 		}
 		for _, zone := range zones {
 			if !isPlainName(zone) {
-				return fmt.Errorf("regions.%s: %q is no name of a zone: it may not be empty or have a slash", region, zone)
+				return badSetting("regions."+region, "%q is no name of a zone: it may not be empty or have a slash", zone)
 			}
 			if other, taken := regionOf[zone]; taken {
 				both := []string{other, region}
 				slices.Sort(both)
-				return fmt.Errorf("regions: zone %q stands in both %s and %s", zone, both[0], both[1])
+				return badSetting("regions", "zone %q stands in both %s and %s", zone, both[0], both[1])
 			}
 			regionOf[zone] = region
 		}
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -2,8 +2,6 @@
 
 import (
 	"cmp"
-	"errors"
-	"fmt"
 	"time"
 
 	"sprucehill/internal/tomlfile"
@@ -28,11 +26,11 @@
 
 func (s State) validate() error {
 	if s.Folder == "" && s != (State{}) {
-		return errors.New("state.folder: is missing")
+		return badSetting("state.folder", "is missing")
 	}
 	interval := s.Every.D()
 	if interval != 0 && (interval < minSaveInterval || interval > maxSaveInterval) {
-		return fmt.Errorf("state.every: %v is not within %v and %v", interval, minSaveInterval, maxSaveInterval)
+		return badSetting("state.every", "%v is not within %v and %v", interval, minSaveInterval, maxSaveInterval)
 	}
 	return nil
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -17,8 +17,37 @@
 // tagName is the struct tag with the key of a field; the value "-" excludes the field.
 const tagName = "toml"
 
+// UnknownKeyError says that a file has a key that the destination lacks.
+type UnknownKeyError struct {
+	Path       string
+	Line       int    // from 1
+	Key        string // with its tables, separated by dots
+	Suggestion string // the most similar known key of the same table
+}
+
+// Error returns one line with the file, the line, the key and the suggestion.
+func (e *UnknownKeyError) Error() string {
+	return fmt.Sprintf("%s:%d: unknown key %q; did you mean %q?", e.Path, e.Line, e.Key, e.Suggestion)
+}
+
+// ValueError says that a value in a file can't be decoded, or that its syntax is wrong.
+type ValueError struct {
+	Path string
+	Line int    // from 1
+	Key  string // with its tables, separated by dots; may be empty after an error of syntax
+	Err  error
+}
+
+// Error returns one line with the file, the line, the key and the cause.
+func (e *ValueError) Error() string {
+	return fmt.Sprintf("%s:%d: %s: %v", e.Path, e.Line, e.Key, e.Err)
+}
+
+// Unwrap returns the cause.
+func (e *ValueError) Unwrap() error { return e.Err }
+
 // Decode decodes text into a pointer to a struct, all of whose fields have a toml tag. The path is for messages: an error
-// is one line that begins with it and, if a key is at fault, the line number.
+// is one line that begins with it. It is an UnknownKeyError or a ValueError if a line of the file is at fault.
 func Decode(path string, text []byte, into any) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(into)
 	if err == nil {
@@ -29,13 +58,17 @@
 		first := unknownKeys.Errors[0]
 		line, _ := first.Position()
 		key := first.Key()
-		suggestion := mostSimilarKey(reflect.TypeOf(into).Elem(), key)
-		return fmt.Errorf("%s:%d: unknown key %q; did you mean %q?", path, line, strings.Join(key, "."), suggestion)
+		return &UnknownKeyError{
+			Path:       path,
+			Line:       line,
+			Key:        strings.Join(key, "."),
+			Suggestion: mostSimilarKey(reflect.TypeOf(into).Elem(), key),
+		}
 	}
 	var badValue *toml.DecodeError
 	if errors.As(err, &badValue) {
 		line, _ := badValue.Position()
-		return fmt.Errorf("%s:%d: %s: %w", path, line, strings.Join(badValue.Key(), "."), badValue)
+		return &ValueError{Path: path, Line: line, Key: strings.Join(badValue.Key(), "."), Err: badValue}
 	}
 	return fmt.Errorf("%s: %w", path, err)
 }
