--- a/cmd/balancerctl/call.go
+++ b/cmd/balancerctl/call.go
@@ -34,7 +34,7 @@
 	Words   []string `arg:"" help:"The call: check, vars, drain-on, drain-off, members, zone-status, zone-leave Z or zone-return Z."`
 }
 
-// Run makes the call and prints its answer. It returns errClaim if the balancer refuses the call.
+// Run makes the call and prints its answer. It returns errCheckFailed if the balancer refuses the call.
 func (c *callCmd) Run(ctx context.Context) error {
 	lines, err := callManagement(ctx, c.Address, strings.Join(c.Words, " "))
 	if err != nil {
@@ -44,7 +44,7 @@
 		fmt.Println(line)
 	}
 	if len(lines) > 0 && strings.HasPrefix(lines[0], refusalPrefix) {
-		return fmt.Errorf("%w: %s", errClaim, lines[0])
+		return fmt.Errorf("%w: %s", errCheckFailed, lines[0])
 	}
 	return nil
 }
--- a/cmd/balancerctl/compare.go
+++ b/cmd/balancerctl/compare.go
@@ -37,7 +37,7 @@
 	JSON   bool   `name:"json" help:"Write the comparison as JSON."`
 }
 
-// Run plays both sides and prints the comparison. It returns errClaim if it is not as expected.
+// Run plays both sides and prints the comparison. It returns errCheckFailed if it is not as expected.
 func (c *compareCmd) Run(ctx context.Context) error {
 	if c.Plays < minPlays {
 		return fmt.Errorf("%w: --plays: %d says nothing of noise; %d are the least", day.ErrInput, c.Plays, minPlays)
@@ -80,13 +80,13 @@
 	return nil
 }
 
-// checkExpectation returns errClaim if the comparison is not as the flag expect says.
+// checkExpectation returns errCheckFailed if the comparison is not as the flag expect says.
 func (c *compareCmd) checkExpectation(r *compare.Result) error {
 	switch {
 	case c.Expect == "same" && !r.Same():
-		return fmt.Errorf("%w: the sides differ beyond noise", errClaim)
+		return fmt.Errorf("%w: the sides differ beyond noise", errCheckFailed)
 	case c.Expect == "better" && !r.Rows[0].Better:
-		return fmt.Errorf("%w: %s scores no better than %s", errClaim, r.B, r.A)
+		return fmt.Errorf("%w: %s scores no better than %s", errCheckFailed, r.B, r.A)
 	}
 	return nil
 }
@@ -171,17 +171,28 @@
 	return dir, end, nil
 }
 
+// loadSeeded loads a day file with another seed.
+func loadSeeded(file string, seed uint64) (*day.Day, error) {
+	d, err := day.LoadFile(file)
+	if err != nil {
+		return nil, err
+	}
+	d.Seed = seed
+	return d, nil
+}
+
 // modelSide plays the model engine in this process.
 type modelSide struct{ name, file, policy string }
 
+// Name returns the argument that the side was made from.
 func (s *modelSide) Name() string { return s.name }
 
+// Play plays the day once, by a seed.
 func (s *modelSide) Play(ctx context.Context, seed uint64) (*measure.Summary, error) {
-	d, err := day.LoadFile(s.file)
+	d, err := loadSeeded(s.file, seed)
 	if err != nil {
 		return nil, err
 	}
-	d.Seed = seed
 	r, err := lab.Model(ctx, d, model.Options{Workers: 4, Policy: s.policy})
 	if err != nil {
 		return nil, err
@@ -195,14 +206,15 @@
 	program         *program.Program
 }
 
+// Name returns the argument that the side was made from.
 func (s *liveSide) Name() string { return s.name }
 
+// Play plays the day once, by a seed.
 func (s *liveSide) Play(ctx context.Context, seed uint64) (*measure.Summary, error) {
-	d, err := day.LoadFile(s.file)
+	d, err := loadSeeded(s.file, seed)
 	if err != nil {
 		return nil, err
 	}
-	d.Seed = seed
 	r, err := lab.Live(ctx, d, live.Options{Command: s.program.Command(), Dir: s.program.Root, Work: s.out})
 	if err != nil {
 		return nil, err
@@ -233,8 +245,10 @@
 	return "./cmd/balancerctl"
 }
 
+// Name returns the argument that the side was made from.
 func (s *commandSide) Name() string { return s.name }
 
+// Play plays the day once, by a seed.
 func (s *commandSide) Play(ctx context.Context, seed uint64) (*measure.Summary, error) {
 	var out, problems bytes.Buffer
 	cmd := exec.CommandContext(ctx, s.command, "lab", "run", s.file, "--engine", "model", "--json", "--seed", fmt.Sprint(seed),
@@ -242,14 +256,16 @@
 	cmd.Stdout = &out
 	cmd.Stderr = &problems
 	var ended *exec.ExitError
-	if err := cmd.Run(); err != nil && (!errors.As(err, &ended) || ended.ExitCode() != exitClaim) { // a broken rule is a figure here
+	err := cmd.Run()
+	ruleBroken := errors.As(err, &ended) && ended.ExitCode() == exitCheckFailed // the summary has it
+	if err != nil && !ruleBroken {
 		return nil, fmt.Errorf("%w: %s", err, strings.TrimSpace(problems.String()))
 	}
-	var sum measure.Summary
-	if err := json.Unmarshal(out.Bytes(), &sum); err != nil {
+	var summary measure.Summary
+	if err := json.Unmarshal(out.Bytes(), &summary); err != nil {
 		return nil, fmt.Errorf("reading its summary: %w", err)
 	}
-	return &sum, nil
+	return &summary, nil
 }
 
 // showComparison writes the table of measures with their ratios.
--- a/cmd/balancerctl/crash.go
+++ b/cmd/balancerctl/crash.go
@@ -21,7 +21,7 @@
 	Seed      uint64 `help:"Draws states and cases." default:"1"`
 }
 
-// Run runs the crash matrix and prints its counts and violations. It returns errClaim if there is a violation.
+// Run runs the crash matrix and prints its counts and violations. It returns errCheckFailed if there is a violation.
 func (c *crashCmd) Run() error {
 	if !c.isInRange() {
 		return errors.New("--upstreams: 1 to 5000; --rounds: 1 to 100; --every: 1 and more; --again: 0 and more")
@@ -39,7 +39,7 @@
 		fmt.Println("WRONG:", violation)
 	}
 	if len(r.Violations) > 0 {
-		return fmt.Errorf("%w: a state was lost, or one read that was never written", errClaim)
+		return fmt.Errorf("%w: a state was lost, or one read that was never written", errCheckFailed)
 	}
 	fmt.Println("every one was written, and none that was safe was lost")
 	return nil
--- a/cmd/balancerctl/explore.go
+++ b/cmd/balancerctl/explore.go
@@ -19,7 +19,7 @@
 	JSON       bool   `name:"json" help:"Write the result as JSON."`
 }
 
-// Run searches and reports. It returns errClaim if it finds a state that violates the invariant.
+// Run searches and reports. It returns errCheckFailed if it finds a state that violates the invariant.
 func (c *exploreCmd) Run(context.Context) error {
 	if !c.isValid() {
 		return fmt.Errorf("2 to %d voters, 1 to as many candidates, and at least one step and state", leases.MaxVoters)
@@ -29,7 +29,7 @@
 		return err
 	}
 	if result.Violation != nil {
-		return fmt.Errorf("%w: %w", errClaim, result.Violation)
+		return fmt.Errorf("%w: %w", errCheckFailed, result.Violation)
 	}
 	return nil
 }
--- a/cmd/balancerctl/operators_test.go
+++ b/cmd/balancerctl/fleetquery_test.go
@@ -32,7 +32,7 @@
 
 // The search of roles finds nothing, and a rule that is taken out.
 func TestExplore(t *testing.T) {
-	for args, want := range map[string]int{"--states=3000": exitGood, "--broken=greedy --crashes=0": exitClaim, "--voters=9": exitInput} {
+	for args, want := range map[string]int{"--states=3000": exitOK, "--broken=greedy --crashes=0": exitCheckFailed, "--voters=9": exitUnusable} {
 		if code := run(append([]string{"lab", "explore"}, strings.Fields(args)...)); code != want {
 			t.Errorf("lab explore %s exits with %d, want %d", args, code, want)
 		}
@@ -63,7 +63,7 @@
 	for _, c := range []struct {
 		addresses []string
 		want      int
-	}{{[]string{one, two}, exitGood}, {[]string{one, other}, exitClaim}, {[]string{one, off}, exitClaim}} {
+	}{{[]string{one, two}, exitOK}, {[]string{one, other}, exitCheckFailed}, {[]string{one, off}, exitCheckFailed}} {
 		if code := run(append([]string{"members"}, c.addresses...)); code != c.want {
 			t.Errorf("members of %v exits with %d, want %d", c.addresses, code, c.want)
 		}
@@ -84,10 +84,10 @@
 			t.Errorf("%+v", s)
 		}
 	}
-	if code := run([]string{"status", good}); code != exitGood {
+	if code := run([]string{"status", good}); code != exitOK {
 		t.Errorf("status of one that serves exits with %d", code)
 	}
-	if code := run([]string{"call", good, "zone-leave", "r/x"}); code != exitClaim {
+	if code := run([]string{"call", good, "zone-leave", "r/x"}); code != exitCheckFailed {
 		t.Errorf("a call answered with NO exits with %d", code)
 	}
 }
--- a/cmd/balancerctl/lab.go
+++ b/cmd/balancerctl/lab.go
@@ -66,7 +66,7 @@
 	History bool   `help:"Keep every event in history.txt in the folder."`
 }
 
-// Run plays a day, and writes its report and summary. It returns errClaim if a rule was broken.
+// Run plays a day, and writes its report and summary. It returns errCheckFailed if a rule was broken.
 func (c *runCmd) Run(ctx context.Context) error {
 	d, err := day.LoadFile(c.File)
 	if err != nil {
@@ -92,7 +92,7 @@
 	case r.Summary.Lab != nil && r.Summary.Lab.Void != "":
 		return fmt.Errorf("the run is void: %s", r.Summary.Lab.Void)
 	case len(r.Violations) > 0:
-		return fmt.Errorf("%w: %d violations", errClaim, len(r.Violations))
+		return fmt.Errorf("%w: %d violations", errCheckFailed, len(r.Violations))
 	}
 	return nil
 }
--- a/cmd/balancerctl/main.go
+++ b/cmd/balancerctl/main.go
@@ -20,13 +20,13 @@
 
 // The exit codes.
 const (
-	exitGood  = 0 // success
-	exitClaim = 1 // a check failed
-	exitInput = 2 // the input can't be used, or the machine is too small for the run
+	exitOK          = 0 // success
+	exitCheckFailed = 1 // a check failed
+	exitUnusable    = 2 // the input can't be used, or the machine is too small for the run
 )
 
-// errClaim means that a command was carried out and its check failed. The exit code is exitClaim.
-var errClaim = errors.New("the claim failed")
+// errCheckFailed means that a command was carried out and its check failed. The exit code is exitCheckFailed.
+var errCheckFailed = errors.New("the claim failed")
 
 // cli is the command line.
 type cli struct {
@@ -71,22 +71,22 @@
 		kong.BindTo(ctx, (*context.Context)(nil)))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "sprucehill:", err)
-		return exitInput
+		return exitUnusable
 	}
 	kongplete.Complete(parser, kongplete.WithPredictor("file", complete.PredictFiles("*.toml")))
 	call, err := parser.Parse(args)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "sprucehill: %v\nsprucehill --help tells more\n", err)
-		return exitInput
+		return exitUnusable
 	}
 	switch err := call.Run(ctx); {
 	case err == nil:
-		return exitGood
-	case errors.Is(err, errClaim):
+		return exitOK
+	case errors.Is(err, errCheckFailed):
 		fmt.Fprintln(os.Stderr, "sprucehill:", err)
-		return exitClaim
+		return exitCheckFailed
 	default:
 		fmt.Fprintln(os.Stderr, "sprucehill:", err)
-		return exitInput
+		return exitUnusable
 	}
 }
--- a/cmd/balancerctl/main_test.go
+++ b/cmd/balancerctl/main_test.go
@@ -82,31 +82,31 @@
 		code int
 		says string // on standard output if good, else in the one line on standard error
 	}{
-		{[]string{"lab", "check", quick}, exitGood, "4 balancers, 12 upstreams"},
-		{[]string{"lab", "show", fire}, exitGood, "dc-b-u1 dc-b-u2 dc-b-u3 and 3 more"},
-		{[]string{"lab", "check", bad}, exitInput, `bad.toml:2: unknown key "sede"; did you mean "seed"?`},
-		{[]string{"lab", "run", bad}, exitInput, "unknown key"},
-		{[]string{"lab", "run", quick, "--engine", "model"}, exitGood, "no rule was broken"},
-		{[]string{"lab", "run", quick, "--engine", "model", "--policy", "best"}, exitInput, `policy "best"`},
-		{[]string{"lab", "run", labtest.ExampleFile(t, "fleet-500.toml"), "--program", tree(t, "exec true")}, exitInput, "use the model engine"},
-		{[]string{"lab", "run", quick, "--program", t.TempDir()}, exitInput, "deploy/balancer.toml is neither in"},
-		{[]string{"lab", "run", quick, "--program", tree(t, "exec false")}, exitInput, "ended before it was ready"},
-		{[]string{"lab", "run", quick, "--program", tree(t, "exec true"), "--engine", "nothing"}, exitInput, "--engine"},
-		{[]string{"lab", "compare", "policy:round-robin", "this", "--day", fire, "--plays", "3", "--expect", "better"}, exitGood, "yes, B is better"},
-		{[]string{"lab", "compare", "this", "policy:round-robin", "--day", fire, "--plays", "3", "--expect", "better"}, exitClaim, "scores no better"},
-		{[]string{"lab", "compare", "this", "this", "--day", quick, "--plays", "3", "--expect", "same"}, exitGood, "+0 ± 0"},
-		{[]string{"lab", "compare", "this", "that", "--day", quick}, exitInput, `"that" is no side`},
-		{[]string{"lab", "compare", "this", "commit:nowhere", "--day", quick}, exitInput, "nowhere"},
+		{[]string{"lab", "check", quick}, exitOK, "4 balancers, 12 upstreams"},
+		{[]string{"lab", "show", fire}, exitOK, "dc-b-u1 dc-b-u2 dc-b-u3 and 3 more"},
+		{[]string{"lab", "check", bad}, exitUnusable, `bad.toml:2: unknown key "sede"; did you mean "seed"?`},
+		{[]string{"lab", "run", bad}, exitUnusable, "unknown key"},
+		{[]string{"lab", "run", quick, "--engine", "model"}, exitOK, "no rule was broken"},
+		{[]string{"lab", "run", quick, "--engine", "model", "--policy", "best"}, exitUnusable, `policy "best"`},
+		{[]string{"lab", "run", labtest.ExampleFile(t, "fleet-500.toml"), "--program", tree(t, "exec true")}, exitUnusable, "use the model engine"},
+		{[]string{"lab", "run", quick, "--program", t.TempDir()}, exitUnusable, "deploy/balancer.toml is neither in"},
+		{[]string{"lab", "run", quick, "--program", tree(t, "exec false")}, exitUnusable, "ended before it was ready"},
+		{[]string{"lab", "run", quick, "--program", tree(t, "exec true"), "--engine", "nothing"}, exitUnusable, "--engine"},
+		{[]string{"lab", "compare", "policy:round-robin", "this", "--day", fire, "--plays", "3", "--expect", "better"}, exitOK, "yes, B is better"},
+		{[]string{"lab", "compare", "this", "policy:round-robin", "--day", fire, "--plays", "3", "--expect", "better"}, exitCheckFailed, "scores no better"},
+		{[]string{"lab", "compare", "this", "this", "--day", quick, "--plays", "3", "--expect", "same"}, exitOK, "+0 ± 0"},
+		{[]string{"lab", "compare", "this", "that", "--day", quick}, exitUnusable, `"that" is no side`},
+		{[]string{"lab", "compare", "this", "commit:nowhere", "--day", quick}, exitUnusable, "nowhere"},
 	} {
 		out, problems, code := call(t, c.args...)
 		said := out
-		if code != exitGood {
+		if code != exitOK {
 			said = problems
 		}
 		if code != c.code || !strings.Contains(said, c.says) {
 			t.Errorf("%v: exit %d, want %d and %q:\n%s%s", c.args, code, c.code, c.says, out, problems)
 		}
-		if code == exitInput && strings.Count(strings.TrimSpace(problems), "\n") > 1 {
+		if code == exitUnusable && strings.Count(strings.TrimSpace(problems), "\n") > 1 {
 			t.Errorf("%v: more than a plain message:\n%s", c.args, problems)
 		}
 	}
@@ -116,7 +116,7 @@
 func TestTooFewDescriptors(t *testing.T) {
 	cmd := exec.Command("/bin/sh", "-c", "ulimit -n 300 && exec "+command+" lab run "+labtest.ExampleFile(t, "quickstart.toml")+" --program "+tree(t, "exec "+balancer)+" --out "+t.TempDir())
 	out, err := cmd.CombinedOutput()
-	if err == nil || cmd.ProcessState.ExitCode() != exitInput || !strings.Contains(string(out), "descriptors and this process may have 300") {
+	if err == nil || cmd.ProcessState.ExitCode() != exitUnusable || !strings.Contains(string(out), "descriptors and this process may have 300") {
 		t.Errorf("%v: %s", err, out)
 	}
 }
@@ -125,7 +125,7 @@
 func TestJSON(t *testing.T) {
 	out, _, code := call(t, "lab", "run", labtest.ExampleFile(t, "quickstart.toml"), "--engine", "model", "--json")
 	var s measure.Summary
-	if err := json.Unmarshal([]byte(out), &s); err != nil || code != exitGood {
+	if err := json.Unmarshal([]byte(out), &s); err != nil || code != exitOK {
 		t.Fatalf("exit %d: %v", code, err)
 	}
 	if s.Main.Requests < 1000 || s.Main.Served < 0.99 || len(s.Series) != 20 || s.Main.Latency.P99 <= s.Main.Latency.P50 {
@@ -136,7 +136,7 @@
 // --help teaches, and a shell is told what can come next.
 func TestHelpAndCompletion(t *testing.T) {
 	out, _, code := call(t, "lab", "run", "--help")
-	if code != exitGood || !strings.Contains(out, "--engine") || !strings.Contains(out, "virtual time") {
+	if code != exitOK || !strings.Contains(out, "--engine") || !strings.Contains(out, "virtual time") {
 		t.Errorf("exit %d: %s", code, out)
 	}
 	cmd := exec.Command(command)
--- a/cmd/balancerctl/members.go
+++ b/cmd/balancerctl/members.go
@@ -23,20 +23,20 @@
 	Status  *membership.Status `json:",omitempty"`
 }
 
-// Run shows the balancers' views. It returns errClaim if one gives no view or two views differ.
+// Run shows the balancers' views. It returns errCheckFailed if one gives no view or two views differ.
 func (c *membersCmd) Run(ctx context.Context) error {
 	report := fleetReport[memberView]{query: fetchMemberView, show: showMembers, check: checkViewsAgree}
 	return report.run(ctx, c.fleetQuery)
 }
 
-// checkViewsAgree returns errClaim unless all balancers gave the same view.
+// checkViewsAgree returns errCheckFailed unless all balancers gave the same view.
 func checkViewsAgree(views []memberView) error {
 	for _, v := range views {
 		switch {
 		case v.Error != "":
-			return fmt.Errorf("%w: %s: %s", errClaim, v.Address, v.Error)
+			return fmt.Errorf("%w: %s: %s", errCheckFailed, v.Address, v.Error)
 		case v.Digest != views[0].Digest:
-			return fmt.Errorf("%w: %s and %s see different fleets", errClaim, views[0].Address, v.Address)
+			return fmt.Errorf("%w: %s and %s see different fleets", errCheckFailed, views[0].Address, v.Address)
 		}
 	}
 	return nil
--- a/cmd/balancerctl/state.go
+++ b/cmd/balancerctl/state.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"os"
 	"time"
@@ -123,7 +122,7 @@
 		}
 	}
 	if invalid > 0 {
-		return fmt.Errorf("%w: %d of %d states can't be used", errClaim, invalid, len(inspected))
+		return fmt.Errorf("%w: %d of %d states can't be used", errCheckFailed, invalid, len(inspected))
 	}
 	fmt.Printf("%d states, all that are used are whole\n", len(inspected))
 	return nil
@@ -182,7 +181,7 @@
 		return err
 	}
 	if !locked {
-		return errors.New("a balancer holds the folder: it sets aside by itself what it can't use")
+		return fmt.Errorf("%s: %w: a running balancer quarantines invalid files itself", c.Dir, durable.ErrReadOnly)
 	}
 	repaired, err := durable.Repair(folder)
 	if err != nil {
--- a/cmd/balancerctl/state_test.go
+++ b/cmd/balancerctl/state_test.go
@@ -43,16 +43,16 @@
 		stdout string
 		stderr string // a part of it
 	}{
-		{"show", []string{"show", dir}, exitGood,
+		{"show", []string{"show", dir}, exitOK,
 			"file                           kind  owner  version  generation  saved                bytes  verdict\n" +
 				list + "    list  b@s    3        0           2001-09-09 01:46:40  7      whole\n" +
 				damaged + "               0        0           -                    0      torn or damaged: shorter than a head\n", ""},
-		{"verify", []string{"verify", dir}, exitClaim, damaged + ": torn or damaged: shorter than a head\n", "1 of 2 states can't be used"},
-		{"export", []string{"export", dir, "list"}, exitGood, "{\"x\":1}\n", ""},
-		{"export a missing kind", []string{"export", dir, "orders"}, exitInput, "", `has no whole state of kind "orders"`},
-		{"repair", []string{"repair", dir}, exitGood,
+		{"verify", []string{"verify", dir}, exitCheckFailed, damaged + ": torn or damaged: shorter than a head\n", "1 of 2 states can't be used"},
+		{"export", []string{"export", dir, "list"}, exitOK, "{\"x\":1}\n", ""},
+		{"export a missing kind", []string{"export", dir, "orders"}, exitUnusable, "", `has no whole state of kind "orders"`},
+		{"repair", []string{"repair", dir}, exitOK,
 			"state set aside file=" + damaged + " as=aside." + damaged + " why=torn or damaged: shorter than a head\n1 files set aside\n", ""},
-		{"verify after the repair", []string{"verify", dir}, exitGood,
+		{"verify after the repair", []string{"verify", dir}, exitOK,
 			"aside." + damaged + ": set aside: torn or damaged: shorter than a head\n2 states, all that are used are whole\n", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -75,7 +75,7 @@
 			t.Errorf("%s is missing in\n%s", part, stdout)
 		}
 	}
-	if code != exitGood {
+	if code != exitOK {
 		t.Errorf("exit %d: %s", code, stderr)
 	}
 }
--- a/cmd/balancerctl/status.go
+++ b/cmd/balancerctl/status.go
@@ -32,17 +32,17 @@
 	ZonesNotOK []string       `json:",omitempty"` // zones whose state is not "well", with their state
 }
 
-// Run shows the status of the balancers. It returns errClaim if any of them does not serve.
+// Run shows the status of the balancers. It returns errCheckFailed if any of them does not serve.
 func (c *statusCmd) Run(ctx context.Context) error {
 	report := fleetReport[balancerStatus]{query: fetchStatus, show: showStatus, check: checkAllServe}
 	return report.run(ctx, c.fleetQuery)
 }
 
-// checkAllServe returns errClaim unless all balancers serve.
+// checkAllServe returns errCheckFailed unless all balancers serve.
 func checkAllServe(statuses []balancerStatus) error {
 	for _, s := range statuses {
 		if !s.Serving {
-			return fmt.Errorf("%w: %s: %s", errClaim, s.Address, s.Check)
+			return fmt.Errorf("%w: %s: %s", errCheckFailed, s.Address, s.Check)
 		}
 	}
 	return nil
