--- a/internal/durable/doc.go
+++ b/internal/durable/doc.go
@@ -9,7 +9,7 @@
 //	KIND.new                       a record that is being written; never read
 //	aside.KIND-GENERATION.state    a quarantined record; aside.N.KIND-GENERATION.state where that name was taken
 //	starts                         how many starts in a row have not completed their recovery
-//	lock                           the file whose lock the writing process holds
+//	lock                           the file that the writing process has locked
 //
 // The format of a record is described in record.go.
 //
@@ -28,6 +28,12 @@
 // usable, none. An unusable file is quarantined: it is renamed for somebody to examine, and never read or deleted by this
 // package. A failed sync fails its save: the file is not renamed, and the next save writes a new one from memory.
 //
+// # Errors
+//
+// Callers compare errors with errors.Is and the Err variables of this package. A RecordError has the file, kind and
+// generation that an error is about; a CorruptError has the Damage; a FolderError says why a folder is refused. The words
+// that operators see are those of OperatorText.
+//
 // # Ownership and goroutines
 //
 // A Store does the file operations. It has no goroutine, clock or lock of its own: the FS and the log are passed in, and
--- a/internal/membership/convergence.go
+++ b/internal/membership/convergence.go
@@ -5,8 +5,8 @@
 const (
 	// viewReportTTL is for how long a member's last report of its view digest is taken as its view.
 	viewReportTTL = 30 * time.Second
-	// maxReportsNeeded is how many other members must report the same view, in a fleet that has more, before the view counts
-	// as agreed.
+	// maxReportsNeeded is how many other members must report the same view, in a fleet that has more, before the view is
+	// agreed.
 	maxReportsNeeded = 30
 )
 
@@ -20,7 +20,7 @@
 func (t *MemberTable) Convergence(now time.Duration) Convergence {
 	var c Convergence
 	digest := t.Digest()
-	for _, process := range t.newest() {
+	for _, process := range t.active() {
 		hasReported := process.viewReportedAt > 0 && now-process.viewReportedAt <= viewReportTTL
 		if process.ProcessID() == t.self || !hasReported {
 			continue
@@ -49,7 +49,7 @@
 
 // Quorum is how many of the members that were agreed last are in the view.
 type Quorum struct {
-	Present int // agreed members that count now
+	Present int // agreed members that are in the view
 	Agreed  int // all agreed members
 }
 
@@ -60,32 +60,32 @@
 // and it has a majority of the agreed membership before; so a minority side of a partition never takes itself for the
 // fleet. Members lost for rejoinPeriod are dropped from the agreed membership.
 func (t *MemberTable) UpdateAgreedMembers(now time.Duration) Quorum {
-	newest := t.newest()
+	active := t.active()
 	for id, lost := range t.lost {
-		if newest[id.Name] == nil && now-lost.lostAt >= rejoinPeriod {
+		if active[id.Name] == nil && now-lost.lostAt >= rejoinPeriod {
 			delete(t.agreedNames, id.Name)
 		}
 	}
 	quorum := t.quorum()
 	c := t.Convergence(now)
-	reportsNeeded := min(len(newest)-1, maxReportsNeeded)
+	reportsNeeded := min(len(active)-1, maxReportsNeeded)
 	hasConverged := c.Diverging == 0 && c.Agreeing >= reportsNeeded
 	if !hasConverged || !quorum.HasMajority() {
 		return quorum
 	}
 	clear(t.agreedNames)
-	for name := range newest {
+	for name := range active {
 		t.agreedNames[name] = true
 	}
-	return Quorum{Present: len(newest), Agreed: len(newest)}
+	return Quorum{Present: len(active), Agreed: len(active)}
 }
 
 // quorum counts the agreed members that are in the view.
 func (t *MemberTable) quorum() Quorum {
 	q := Quorum{Agreed: len(t.agreedNames)}
-	newest := t.newest()
+	active := t.active()
 	for name := range t.agreedNames {
-		if newest[name] != nil {
+		if active[name] != nil {
 			q.Present++
 		}
 	}
--- a/internal/membership/fleet_size.go
+++ b/internal/membership/fleet_size.go
@@ -57,7 +57,7 @@
 }
 
 // NewFleetSizer starts from the configured placement. previousSize is the size known from before a restart, or 0; a larger
-// one than configured counts as seen now.
+// one than configured is taken as seen now.
 func NewFleetSizer(now time.Duration, configured Placement, previousSize int) *FleetSizer {
 	s := &FleetSizer{
 		current:        configured,
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -112,8 +112,8 @@
 	HighestTerm uint64 // highest term that the voter has granted
 }
 
-// HandleResponse counts a response of one of 1 to 64 voters. One to an earlier process of the same name must not count: that process's round began
-// before the grant, whereas this one's may have begun long after.
+// HandleResponse records a response of one of the voters, whose number is 1 to 64. A grant to an earlier process of the same
+// name is ignored: that process's round began before the grant, whereas this one's may have begun long after.
 func (c *Candidate) HandleResponse(r LeaseResponse, voters int) {
 	c.highestTerm = max(c.highestTerm, r.HighestTerm)
 	if r.Requester != c.self || r.Round != c.round || !r.Granted {
--- a/internal/membership/lost_processes.go
+++ b/internal/membership/lost_processes.go
@@ -10,7 +10,7 @@
 const (
 	// rejoinPeriod is for how long the address of a lost process is tried, so that a partitioned fleet heals by itself.
 	rejoinPeriod = time.Hour
-	// lostRetention is for how long a process that was lost has to answer before it counts again, if it is seen.
+	// lostRetention is for how long a process that was lost has to answer before it is active again, if it is seen.
 	lostRetention = 24 * time.Hour
 	// maxLostProcesses bounds the lost processes that are remembered; beyond it the oldest is forgotten.
 	maxLostProcesses = 1024
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -42,7 +42,7 @@
 
 // Member is what one process publishes about itself. Its text fields have at most 64 bytes, all printable and not blank.
 type Member struct {
-	Name        string // of the balancer, not empty and without a slash; among the processes of one name the newest counts
+	Name        string // of the balancer, not empty and without a slash; of the processes of one name the newest is active
 	Incarnation uint64 // of the process, at least 1; a later process of the same name has a higher one
 	Zone        string // may be empty
 	Region      string // may be empty
--- a/internal/membership/member_table.go
+++ b/internal/membership/member_table.go
@@ -19,7 +19,7 @@
 	lost          map[ProcessID]*lostProcess
 	agreedNames   map[string]bool // names of the members in the last agreed view
 	pending       []Change        // not yet returned by TakeChanges
-	newestCache   map[string]*aliveProcess
+	activeCache   map[string]*aliveProcess
 	viewCache     *View
 	viewCacheHash uint64 // digest of viewCache
 }
@@ -27,7 +27,7 @@
 // aliveProcess is a process that memberlist considers alive.
 type aliveProcess struct {
 	Member
-	unconfirmed        bool          // it was lost before and has not answered since; it does not count
+	unconfirmed        bool          // it was lost before and has not answered since; it is not active
 	since              time.Duration // when it joined or came back
 	viewDigest         uint64        // of its own view, as it reported last
 	viewReportedAt     time.Duration // 0: never
@@ -44,9 +44,9 @@
 	}
 }
 
-// invalidateCaches must be called after each change of who counts or of what a member publishes.
+// invalidateCaches must be called after each change of which processes are active or of what a member publishes.
 func (t *MemberTable) invalidateCaches() {
-	t.newestCache = nil
+	t.activeCache = nil
 	t.viewCache = nil
 }
 
@@ -125,7 +125,7 @@
 	}
 }
 
-// confirm lets a process that was lost count again.
+// confirm makes a process that was lost active again.
 func (t *MemberTable) confirm(process *aliveProcess) {
 	if !process.unconfirmed {
 		return
@@ -158,7 +158,7 @@
 	}
 }
 
-// confirmedProcesses lists the processes of a name that could count, the oldest first.
+// confirmedProcesses lists the confirmed processes of a name, the oldest first.
 func (t *MemberTable) confirmedProcesses(name string) []*aliveProcess {
 	var confirmed []*aliveProcess
 	for id, process := range t.alive {
@@ -194,7 +194,7 @@
 	t.forgetLost(now)
 }
 
-// Unconfirmed returns the processes that must answer before they count.
+// Unconfirmed returns the processes that must answer before they are active.
 func (t *MemberTable) Unconfirmed() []Member {
 	var members []Member
 	for _, process := range t.sortedAlive() {
@@ -214,25 +214,26 @@
 	return addresses
 }
 
-// newest returns the process that counts of each name. The map is the table's own and must not be changed.
-func (t *MemberTable) newest() map[string]*aliveProcess {
-	if t.newestCache != nil {
-		return t.newestCache
+// active returns the active process of each name: the newest confirmed one. The map is the table's own and must not be
+// changed.
+func (t *MemberTable) active() map[string]*aliveProcess {
+	if t.activeCache != nil {
+		return t.activeCache
 	}
-	t.newestCache = map[string]*aliveProcess{}
+	t.activeCache = map[string]*aliveProcess{}
 	for _, process := range t.alive {
 		if process.unconfirmed {
 			continue
 		}
-		other := t.newestCache[process.Name]
+		other := t.activeCache[process.Name]
 		if other == nil || process.Incarnation > other.Incarnation {
-			t.newestCache[process.Name] = process
+			t.activeCache[process.Name] = process
 		}
 	}
-	return t.newestCache
+	return t.activeCache
 }
 
-// View returns the members that count.
+// View returns the view: the active process of each name.
 func (t *MemberTable) View() View {
 	return View{Members: slices.Clone(t.currentView().Members)}
 }
@@ -249,7 +250,7 @@
 		return t.viewCache
 	}
 	view := &View{}
-	for _, process := range t.newest() {
+	for _, process := range t.active() {
 		view.Members = append(view.Members, process.Member)
 	}
 	slices.SortFunc(view.Members, func(x, y Member) int { return cmp.Compare(x.Name, y.Name) })
@@ -258,10 +259,10 @@
 	return view
 }
 
-// Fenced returns the process that counts under this process's name, and true if it is another one.
-func (t *MemberTable) Fenced() (counting Member, fenced bool) {
-	newest := t.newest()[t.self.Name]
-	return newest.Member, newest.ProcessID() != t.self
+// Fenced returns the active process of this process's name, and true if it is another one.
+func (t *MemberTable) Fenced() (active Member, fenced bool) {
+	process := t.active()[t.self.Name]
+	return process.Member, process.ProcessID() != t.self
 }
 
 // HighestIncarnation returns the highest incarnation seen of this process's name, other than its own; 0: none.
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -6,7 +6,7 @@
 type Status struct {
 	Self             Member
 	View             View
-	Fenced           bool          // another process counts under this one's name
+	Fenced           bool          // another process is active under this one's name
 	Minority         bool          // no majority of the last agreed membership is in the view
 	Agreeing         int           `json:"Same"`  // members that recently reported the same view
 	Diverging        int           `json:"Other"` // members that recently reported another one
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// View is the members that count, as one balancer sees them: one process of each name, sorted by name.
+// View is the fleet as one balancer sees it: the active process of each name, sorted by name.
 type View struct {
 	Members []Member
 }
