--- a/cmd/balancerctl/text.go
+++ b/cmd/balancerctl/text.go
@@ -49,7 +49,8 @@
 	fmt.Fprintln(w)
 	writeTable(w, classRows(d)...)
 	n := d.Network
-	fmt.Fprintf(w, "\none way: %v in a zone, %v between zones, %v between regions; %s lost\n", n.SameZone.D(), n.CrossZone.D(), n.CrossRegion.D(), percent(n.Loss))
+	fmt.Fprintf(w, "\none way: %v in a zone, %v between zones, %v between regions; %s lost\n",
+		n.SameZone.D(), n.CrossZone.D(), n.CrossRegion.D(), percent(n.Loss))
 	if len(d.Faults) == 0 {
 		fmt.Fprintln(w, "\nno faults")
 		return
@@ -132,22 +133,30 @@
 // showSummary writes the results of a day.
 func showSummary(w io.Writer, r *lab.Result) {
 	s := r.Summary
-	fmt.Fprintf(w, "%s, %s engine, seed %d: %d requests in %.0f s\n\n", s.Day, s.Engine, s.Seed, s.Settling.Requests+s.Main.Requests, s.Seconds)
+	requests := s.Settling.Requests + s.Main.Requests
+	fmt.Fprintf(w, "%s, %s engine, seed %d: %d requests in %.0f s\n\n", s.Day, s.Engine, s.Seed, requests, s.Seconds)
 	writeTable(w, partRows(s)...)
 	fmt.Fprintf(w, "\nscore %.3f: worst 10 s %s", s.Score, percent(s.Worst))
 	showShares(w, "class", s.Class)
 	showShares(w, "tenant", s.Tenant)
-	fmt.Fprintf(w, "\n%.3f attempts a request; %s of them cross a zone, %s a region\n", s.Attempts, percent(s.CrossZone), percent(s.CrossRegion))
+	fmt.Fprintf(w, "\n%.3f attempts a request; %s of them cross a zone, %s a region\n",
+		s.Attempts, percent(s.CrossZone), percent(s.CrossRegion))
 	showZones(w, s.Zones)
-	if starts := s.Starts; starts != nil {
-		fmt.Fprintf(w, "%d balancers started: ready after %.3f s at p50, %.3f s at p99; first answer served after %.3f s, %.3f s; %d served nobody\n",
-			starts.Count, starts.ReadyP50, starts.ReadyP99, starts.ServedP50, starts.ServedP99, starts.Never)
-	}
+	showStarts(w, s.Starts)
 	showRecoveries(w, s.Recoveries)
 	showLab(w, s.Lab)
 	showViolations(w, r)
 }
 
+// showStarts writes how soon balancers that were started were ready and served; nil: none was started.
+func showStarts(w io.Writer, s *measure.Starts) {
+	if s == nil {
+		return
+	}
+	fmt.Fprintf(w, "%d balancers started: ready after %.3f s at p50, %.3f s at p99; first answer served after %.3f s, %.3f s; %d served nobody\n",
+		s.Count, s.ReadyP50, s.ReadyP99, s.ServedP50, s.ServedP99, s.Never)
+}
+
 // partRows has a row on the time of settling and one on the rest of the day.
 func partRows(s *measure.Summary) [][]any {
 	rows := [][]any{{"", "requests", "worth served", "in time", "late", "refused", "failed", "not connected", "p50", "p99", "p99.9 ms"}}
