--- a/internal/durable/operatortext.go
+++ b/internal/durable/operatortext.go
@@ -27,6 +27,18 @@
 	ErrQuarantineFull: "too many files are set aside: look at them and move them away",
 }
 
+// operatorError is an error whose text is that of OperatorText.
+type operatorError struct{ cause error }
+
+// Error returns the cause in the words of OperatorText.
+func (e *operatorError) Error() string { return OperatorText(e.cause) }
+
+// Unwrap returns the cause.
+func (e *operatorError) Unwrap() error { return e.cause }
+
+// ForOperators wraps an error of this package, so that its text is that of OperatorText.
+func ForOperators(err error) error { return &operatorError{cause: err} }
+
 // OperatorText returns an error of this package in the words of operators' answers and of balancerctl state. Operators'
 // scripts may compare these words, which is why they differ from those of Error. Other errors have the same text in both.
 func OperatorText(err error) string {
--- a/internal/proxy/statesaver.go
+++ b/internal/proxy/statesaver.go
@@ -225,11 +225,11 @@
 		err = s.writer.SaveSync(kindOrders, versionOrders, time.Now(), text)
 	}
 	if err != nil && !errors.Is(err, durable.ErrWriteTimeout) {
-		return fmt.Errorf("but not kept: %s", durable.OperatorText(err))
+		return fmt.Errorf("but not kept: %w", durable.ForOperators(err))
 	}
 	s.orders = next // a slow disk may have it all the same, and what follows builds on it
 	if err != nil {
-		return fmt.Errorf("but not kept yet: %s", durable.OperatorText(err))
+		return fmt.Errorf("but not kept yet: %w", durable.ForOperators(err))
 	}
 	return nil
 }
