--- a/cmd/balancerctl/compare.go
+++ b/cmd/balancerctl/compare.go
@@ -21,7 +21,10 @@
 	"sprucehill/internal/lab/program"
 )
 
-// compareCmd is lab compare.
+// minPlays is the least number of plays on a side that shows noise.
+const minPlays = 2
+
+// compareCmd is the command "lab compare".
 type compareCmd struct {
 	A      string `arg:"" help:"One side: this (the work tree), commit:REV, tree:PATH, policy:NAME of a baseline (model engine), or day:FILE for another configuration."`
 	B      string `arg:"" help:"The other side."`
@@ -34,10 +37,10 @@
 	JSON   bool   `name:"json" help:"Write the comparison as JSON."`
 }
 
-// Run carries it out.
+// Run plays both sides and prints the comparison. It returns errCheckFailed if it is not as expected.
 func (c *compareCmd) Run(ctx context.Context) error {
-	if c.Plays < 2 {
-		return fmt.Errorf("%w: --plays: %d says nothing of noise; 2 are the least", day.ErrInput, c.Plays)
+	if c.Plays < minPlays {
+		return fmt.Errorf("%w: --plays: %d says nothing of noise; %d are the least", day.ErrInput, c.Plays, minPlays)
 	}
 	a, endA, err := c.side(ctx, c.A)
 	defer endA()
@@ -49,31 +52,46 @@
 	if err != nil {
 		return err
 	}
-	p := newProgress(nil)
-	r, err := compare.Run(ctx, a, b, c.Seed, c.Plays, func(play int, side string, s *measure.Summary) {
-		p.say(fmt.Sprintf("play %d of %d: %s scored %.3f", play+1, c.Plays, side, s.Score))
-	})
-	p.end()
+	result, err := c.play(ctx, a, b)
 	if err != nil {
 		return err
 	}
+	if err := c.report(result); err != nil {
+		return err
+	}
+	return c.checkExpectation(result)
+}
+
+// play plays both sides on the same seeds.
+func (c *compareCmd) play(ctx context.Context, a, b compare.Side) (*compare.Result, error) {
+	p := newProgress(nil)
+	defer p.end()
+	return compare.Run(ctx, a, b, c.Seed, c.Plays, func(play int, side string, s *measure.Summary) {
+		p.say(fmt.Sprintf("play %d of %d: %s scored %.3f", play+1, c.Plays, side, s.Score))
+	})
+}
+
+// report writes the comparison to standard output.
+func (c *compareCmd) report(r *compare.Result) error {
 	if c.JSON {
-		err = writeJSON(r)
-	} else {
-		showComparison(os.Stdout, r, c.Day, c.Engine)
+		return writeJSON(r)
 	}
+	showComparison(os.Stdout, r, c.Day, c.Engine)
+	return nil
+}
+
+// checkExpectation returns errCheckFailed if the comparison is not as the flag expect says.
+func (c *compareCmd) checkExpectation(r *compare.Result) error {
 	switch {
-	case err != nil:
-		return err
 	case c.Expect == "same" && !r.Same():
-		return fmt.Errorf("%w: the sides differ beyond noise", errClaim)
+		return fmt.Errorf("%w: the sides differ beyond noise", errCheckFailed)
 	case c.Expect == "better" && !r.Rows[0].Better:
-		return fmt.Errorf("%w: %s scores no better than %s", errClaim, r.B, r.A)
+		return fmt.Errorf("%w: %s scores no better than %s", errCheckFailed, r.B, r.A)
 	}
 	return nil
 }
 
-// side makes the side that a name stands for. end removes what was made for it.
+// side makes the side that a name stands for. end removes its temporary files; it is never nil.
 func (c *compareCmd) side(ctx context.Context, name string) (s compare.Side, end func(), err error) {
 	end = func() {}
 	what, of, _ := strings.Cut(name, ":")
@@ -85,7 +103,7 @@
 		if c.Engine != "model" {
 			return nil, end, fmt.Errorf("%w: %s: baselines are policies of the model engine", day.ErrInput, name)
 		}
-		return &modelSide{name, file, of}, end, nil
+		return &modelSide{name: name, file: file, policy: of}, end, nil
 	case "day":
 		file = of
 	case "tree":
@@ -105,13 +123,13 @@
 	return s, end, err
 }
 
-// sideOf makes the side that plays a day with the balancer of a work tree, on the engine that was asked for.
+// sideOf makes the side that plays a day with the balancer of a work tree, on the selected engine.
 func (c *compareCmd) sideOf(ctx context.Context, name, root, file string) (compare.Side, error) {
 	switch {
 	case c.Engine != "model":
 		return c.newLiveSide(ctx, name, root, file)
 	case root == ".":
-		return &modelSide{name, file, ""}, nil
+		return &modelSide{name: name, file: file}, nil
 	}
 	return newCommandSide(ctx, name, root, file)
 }
@@ -125,10 +143,11 @@
 	if err := p.Build(ctx); err != nil {
 		return nil, err
 	}
-	return &liveSide{name, file, filepath.Join(c.Out, strings.Map(plainRune, name)), p}, nil
+	out := filepath.Join(c.Out, strings.Map(plainRune, name))
+	return &liveSide{name: name, file: file, out: out, program: p}, nil
 }
 
-// plainRune keeps a rune that is good in the name of a folder.
+// plainRune replaces a rune that is not suitable for the name of a folder.
 func plainRune(r rune) rune {
 	if strings.ContainsRune("/: .", r) {
 		return '-'
@@ -136,7 +155,7 @@
 	return r
 }
 
-// checkout lays out a commit in a folder of its own.
+// checkout makes a temporary worktree of a commit. end removes it.
 func checkout(ctx context.Context, rev string) (dir string, end func(), err error) {
 	end = func() {}
 	if dir, err = os.MkdirTemp("", "sprucehill-commit-"); err != nil {
@@ -152,17 +171,28 @@
 	return dir, end, nil
 }
 
-// modelSide plays in this process.
+// loadSeeded loads a day file with another seed.
+func loadSeeded(file string, seed uint64) (*day.Day, error) {
+	d, err := day.LoadFile(file)
+	if err != nil {
+		return nil, err
+	}
+	d.Seed = seed
+	return d, nil
+}
+
+// modelSide plays the model engine in this process.
 type modelSide struct{ name, file, policy string }
 
+// Name returns the argument that the side was made from.
 func (s *modelSide) Name() string { return s.name }
 
+// Play plays the day once, by a seed.
 func (s *modelSide) Play(ctx context.Context, seed uint64) (*measure.Summary, error) {
-	d, err := day.LoadFile(s.file)
+	d, err := loadSeeded(s.file, seed)
 	if err != nil {
 		return nil, err
 	}
-	d.Seed = seed
 	r, err := lab.Model(ctx, d, model.Options{Workers: 4, Policy: s.policy})
 	if err != nil {
 		return nil, err
@@ -170,20 +200,21 @@
 	return r.Summary, nil
 }
 
-// liveSide plays with real processes of a tree.
+// liveSide plays with real processes of a work tree.
 type liveSide struct {
 	name, file, out string
 	program         *program.Program
 }
 
+// Name returns the argument that the side was made from.
 func (s *liveSide) Name() string { return s.name }
 
+// Play plays the day once, by a seed.
 func (s *liveSide) Play(ctx context.Context, seed uint64) (*measure.Summary, error) {
-	d, err := day.LoadFile(s.file)
+	d, err := loadSeeded(s.file, seed)
 	if err != nil {
 		return nil, err
 	}
-	d.Seed = seed
 	r, err := lab.Live(ctx, d, live.Options{Command: s.program.Command(), Dir: s.program.Root, Work: s.out})
 	if err != nil {
 		return nil, err
@@ -191,7 +222,7 @@
 	return r.Summary, nil
 }
 
-// commandSide plays the model with the command of another tree, and so with its module.
+// commandSide plays the model engine with the command of another work tree, and so with its decision module.
 type commandSide struct{ name, file, command string }
 
 // newCommandSide builds the command of a work tree.
@@ -202,10 +233,10 @@
 	if out, err := build.CombinedOutput(); err != nil {
 		return nil, fmt.Errorf("%w: %s has no model engine that builds: %s", day.ErrInput, name, strings.TrimSpace(string(out)))
 	}
-	return &commandSide{name, file, command}, nil
+	return &commandSide{name: name, file: file, command: command}, nil
 }
 
-// commandPackage is where a tree has this command: commits before it got its name have it as cmd/sprucehill.
+// commandPackage returns the package of this command in a work tree. Earlier commits have it as cmd/sprucehill.
 func commandPackage(root string) string {
 	const formerName = "./cmd/sprucehill"
 	if _, err := os.Stat(filepath.Join(root, formerName)); err == nil {
@@ -214,8 +245,10 @@
 	return "./cmd/balancerctl"
 }
 
+// Name returns the argument that the side was made from.
 func (s *commandSide) Name() string { return s.name }
 
+// Play plays the day once, by a seed.
 func (s *commandSide) Play(ctx context.Context, seed uint64) (*measure.Summary, error) {
 	var out, problems bytes.Buffer
 	cmd := exec.CommandContext(ctx, s.command, "lab", "run", s.file, "--engine", "model", "--json", "--seed", fmt.Sprint(seed),
@@ -223,17 +256,19 @@
 	cmd.Stdout = &out
 	cmd.Stderr = &problems
 	var ended *exec.ExitError
-	if err := cmd.Run(); err != nil && (!errors.As(err, &ended) || ended.ExitCode() != exitClaim) { // a broken rule is a figure here
+	err := cmd.Run()
+	ruleBroken := errors.As(err, &ended) && ended.ExitCode() == exitCheckFailed // the summary has it
+	if err != nil && !ruleBroken {
 		return nil, fmt.Errorf("%w: %s", err, strings.TrimSpace(problems.String()))
 	}
-	var sum measure.Summary
-	if err := json.Unmarshal(out.Bytes(), &sum); err != nil {
+	var summary measure.Summary
+	if err := json.Unmarshal(out.Bytes(), &summary); err != nil {
 		return nil, fmt.Errorf("reading its summary: %w", err)
 	}
-	return &sum, nil
+	return &summary, nil
 }
 
-// showComparison writes the table of ratios.
+// showComparison writes the table of measures with their ratios.
 func showComparison(w io.Writer, r *compare.Result, file, engine string) {
 	fmt.Fprintf(w, "A %s against B %s: %s, %s engine, %d plays each, seeds %d to %d\n\n", r.A, r.B, file, engine, r.Plays,
 		r.Seeds[0], r.Seeds[len(r.Seeds)-1])
@@ -258,7 +293,7 @@
 	writeTable(w, rows...)
 }
 
-// verdict says whether a difference is beyond noise, and which way.
+// verdict returns the words for whether a difference is beyond noise, and which way.
 func verdict(row compare.Row) string {
 	switch {
 	case !row.Beyond:
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -1,24 +1,24 @@
 package fleet
 
 import (
-	"errors"
-	"fmt"
 	"net/netip"
 )
 
-// maxSeeds bounds the members that a file names.
+// maxSeeds is the largest number of seeds in a file.
 const maxSeeds = 64
 
 // Membership says how the balancer finds the other members of its fleet. It is on if it names seeds. Addresses are of
 // the form IP:port.
 type Membership struct {
-	// Listen is the balancer's own address, for UDP and TCP.
+	// Listen is the address that the balancer binds, for UDP and TCP. It is required if there are seeds.
 	Listen string `toml:"listen"`
-	// Tell is the address at which others reach it, if that is not Listen.
+	// Advertise is the address at which others reach the balancer; empty: Listen.
 	Advertise string `toml:"tell"`
-	// Seeds are the addresses of some members, 64 at most. This balancer may be among them, so that all can share the list.
+	// Seeds are the addresses of some members, at most maxSeeds. This balancer may be among them, so that all members can
+	// have the same list.
 	Seeds []string `toml:"seeds"`
-	// Keys is the path of the file of encryption keys, which is read again when it changes. Without it nothing is encrypted.
+	// KeyFile is the path of the file of encryption keys, which is read again when it changes. Without it nothing is
+	// encrypted.
 	KeyFile string `toml:"keys"`
 }
 
@@ -28,15 +28,15 @@
 func (m Membership) validate() error {
 	if !m.Enabled() {
 		if m.Listen != "" || m.Advertise != "" || m.KeyFile != "" {
-			return errors.New("membership.seeds: is missing")
+			return badSetting("membership.seeds", "is missing")
 		}
 		return nil
 	}
 	if len(m.Seeds) > maxSeeds {
-		return fmt.Errorf("membership.seeds: %d, more than %d", len(m.Seeds), maxSeeds)
+		return badSetting("membership.seeds", "%d, more than %d", len(m.Seeds), maxSeeds)
 	}
 	if m.Listen == "" {
-		return errors.New("membership.listen: is missing")
+		return badSetting("membership.listen", "is missing")
 	}
 	if err := validateAddress("listen", m.Listen); err != nil {
 		return err
@@ -58,7 +58,7 @@
 func validateAddress(key, address string) error {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil || a.Port() == 0 || a.Addr().IsUnspecified() {
-		return fmt.Errorf("membership.%s: %q is no IP:port", key, address)
+		return badSetting("membership."+key, "%q is no IP:port", address)
 	}
 	return nil
 }
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -2,8 +2,6 @@
 
 import (
 	"cmp"
-	"errors"
-	"fmt"
 	"time"
 
 	"sprucehill/internal/tomlfile"
@@ -16,7 +14,7 @@
 	maxSaveInterval     = time.Minute
 )
 
-// State says where the balancer saves what has to outlive its process. Without a folder it saves nothing.
+// State configures where the balancer saves the state that a later process needs. Without a folder it saves nothing.
 type State struct {
 	// Folder belongs to one balancer: two never share one.
 	Folder string `toml:"folder"`
@@ -28,14 +26,14 @@
 
 func (s State) validate() error {
 	if s.Folder == "" && s != (State{}) {
-		return errors.New("state.folder: is missing")
+		return badSetting("state.folder", "is missing")
 	}
 	interval := s.Every.D()
 	if interval != 0 && (interval < minSaveInterval || interval > maxSaveInterval) {
-		return fmt.Errorf("state.every: %v is not within %v and %v", interval, minSaveInterval, maxSaveInterval)
+		return badSetting("state.every", "%v is not within %v and %v", interval, minSaveInterval, maxSaveInterval)
 	}
 	return nil
 }
 
-// SaveInterval is the least interval between two saves of one kind.
+// SaveInterval returns the least interval between two saves of one kind.
 func (s State) SaveInterval() time.Duration { return cmp.Or(s.Every.D(), defaultSaveInterval) }
--- a/internal/membership/log_writer.go
+++ b/internal/membership/log_writer.go
@@ -12,8 +12,8 @@
 	maxTransportErrorLength = 200
 )
 
-// logWriter receives memberlist's own log. It counts warnings and errors and passes some on; the rest is dropped, since
-// all changes of members are logged from the member table.
+// logWriter receives memberlist's own log. It counts warnings and errors, and logs at most one of them in
+// transportErrorLogInterval. The other lines are dropped, since all changes of members are logged from the member table.
 type logWriter struct{ node *Node }
 
 func (w logWriter) Write(line []byte) (int, error) {
@@ -29,6 +29,6 @@
 	}
 	n.transportErrorLoggedAt = time.Now()
 	text := bytes.TrimSpace(line[:min(len(line), maxTransportErrorLength)])
-	n.options.Log("membership's transport complains", "text", string(text), "complaints", n.transportErrors)
+	n.options.Log("membership transport error", "err", string(text), "count", n.transportErrors)
 	return len(line), nil
 }
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -6,11 +6,11 @@
 type Status struct {
 	Self             Member
 	View             View
-	Fenced           bool          // another process counts under this one's name
+	Fenced           bool          // another process is active under this one's name
 	Minority         bool          // no majority of the last agreed membership is in the view
 	Agreeing         int           `json:"Same"`  // members that recently reported the same view
 	Diverging        int           `json:"Other"` // members that recently reported another one
-	Lost             int           // processes that have failed and are still tried
+	Lost             int           // processes that have failed and that this one tries to reach
 	RejectedMessages int           `json:"Refused"`  // invalid metadata and messages, since the start
 	TransportErrors  int           `json:"Grumbles"` // warnings and errors of memberlist, since the start
 	FleetSize        FleetSize     `json:"Division"`
