--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -116,7 +116,7 @@
 	blocked := false
 	for _, r := range b.queue {
 		if !r.finished && now >= r.attemptBy {
-			b.log(now, "shed", "%d queued, no endpoint free within the latency objective: rejecting", len(b.queue))
+			b.log.add(now, RequestsShed{QueueLength: len(b.queue)})
 			b.rejectOrFail(r)
 		} else if !r.finished && !blocked {
 			e, _ := b.pickEndpoint(r, now)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,7 +1,6 @@
 package balancer
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -13,6 +12,7 @@
 type Balancer struct {
 	settings    Settings
 	effects     Effects
+	log         eventLog
 	rng         *rand.Rand
 	classes     map[string]*class
 	tenants     map[string]*tenant
@@ -39,7 +39,6 @@
 	lastAttemptAt    time.Duration
 	blockedSince     time.Duration // the first request after the last attempt that no endpoint could take
 	discoveryBackoff time.Duration
-	lastLogged       map[string]time.Duration // by the kind of log line
 }
 
 // locality is how much of the traffic stays close to the balancer.
@@ -62,7 +61,6 @@
 	tickToken      = 1 // timers of the regular tick
 	discoveryToken = 2 // timers of the next call to discovery
 	noAttempt      = -1
-	logInterval    = 5 * time.Second // least time between log lines of one kind
 )
 
 // New returns a Balancer, or an error that names the setting that is wrong.
@@ -76,13 +74,13 @@
 	b := &Balancer{
 		settings:        settings,
 		effects:         effects,
+		log:             eventLog{effects: effects, lastAt: map[logTopic]time.Duration{}},
 		rng:             rand.New(rand.NewPCG(seed, 0)),
 		classes:         map[string]*class{},
 		tenants:         map[string]*tenant{},
 		safestClass:     NonIdempotent,
 		requests:        map[RequestID]*request{},
 		byID:            map[EndpointID]*endpoint{},
-		lastLogged:      map[string]time.Duration{},
 		periodStartedAt: now,
 		saturatedAt:     now,
 		lastAttemptAt:   now,
@@ -182,16 +180,6 @@
 	}
 }
 
-// log writes a line of a kind, at most one in logInterval.
-func (b *Balancer) log(now time.Duration, kind, format string, args ...any) {
-	last, logged := b.lastLogged[kind]
-	if logged && now-last < logInterval {
-		return
-	}
-	b.lastLogged[kind] = now
-	b.effects.Log(fmt.Sprintf(format, args...))
-}
-
 // valueAbove is the value over one in n of the endpoints that have readings: the median for n = 2.
 func (b *Balancer) valueAbove(n int, value func(*endpoint) float64) float64 {
 	samples := make([]float64, 0, len(b.subset)+1)
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -20,7 +20,7 @@
 	b.discoveryBackoff = min(max(b.discoveryBackoff*backoffGrowth, longest/4), longest)
 	wait := b.discoveryBackoff/2 + time.Duration(b.rng.Int64N(int64(b.discoveryBackoff)+1))
 	b.effects.SetTimer(wait, discoveryToken)
-	b.log(now, "discovery", "discovery call failed: asking again in %v", wait)
+	b.log.add(now, DiscoveryCallFailed{RetryIn: wait})
 }
 
 // applyEndpoint applies one entry of a list.
--- a/balancer/effects.go
+++ b/balancer/effects.go
@@ -14,5 +14,5 @@
 	WatchEndpoints(on bool)  // subscribe to discovery
 	FetchEndpoints()         // poll discovery once for the complete list
 	SetTimer(after time.Duration, token uint64)
-	Log(text string)
+	Log(event LogEvent)
 }
--- a/balancer/effects_test.go
+++ b/balancer/effects_test.go
@@ -20,7 +20,7 @@
 	watchEndpointsEffect effectKind = "watch"
 	fetchEndpointsEffect effectKind = "fetch"
 	setTimerEffect       effectKind = "timer"
-	logEffect            effectKind = "log: " // followed by the text
+	logEffect            effectKind = "log: " // followed by the event
 )
 
 // effectCall is one call of a method of Effects. Values that the method does not have are zero.
@@ -86,8 +86,8 @@
 	r.record(effectCall{kind: setTimerEffect, duration: after, number: token})
 }
 
-func (r *recorder) Log(text string) {
-	r.record(effectCall{kind: logEffect + effectKind(text)})
+func (r *recorder) Log(event LogEvent) {
+	r.record(effectCall{kind: logEffect + effectKind(fmt.Sprintf("%T%+v", event, event))})
 }
 
 // count returns how many recorded calls begin with prefix.
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -33,7 +33,7 @@
 // markUnresponsive ejects an endpoint until it responds: it gets one trial at a time, the first after the time that a
 // response of so much work may take, and what may be executed twice is hedged elsewhere or cancelled.
 func (b *Balancer) markUnresponsive(e *endpoint, workUnits float64, now time.Duration) {
-	b.log(now, "silent", "endpoint %d unresponsive for %v: trials only", e.ID, e.waitingTime(e.oldestAttempt(), now))
+	b.log.add(now, EndpointUnresponsive{Endpoint: e.ID, Silence: e.waitingTime(e.oldestAttempt(), now)})
 	e.outlier.unresponsive = true
 	e.outlier.backoff = b.responseTimeout(e, workUnits)
 	e.outlier.nextTrialAt = now + e.outlier.backoff
--- a/balancer/zonehealth.go
+++ b/balancer/zonehealth.go
@@ -120,14 +120,13 @@
 		health.ejected = false
 	case health.ejected && health.trialSuccesses >= trialsToRecover:
 		health.beginRecovery()
-		periods := minHoldPeriods * health.holdMultiple
-		b.log(now, "zone", "zone %q responds again: its share grows by steps of %d periods", z.name, periods)
+		b.log.add(now, ZoneRecoveryStarted{Zone: z.name, StepPeriods: minHoldPeriods * health.holdMultiple})
 		return true
 	case !z.inUse() || elsewhere*outlierRatio > health.unhealthyFraction():
 	case b.mayEject(z, weight):
 		health.eject(now)
 		health.backoff = firstTrialTicks * b.tick
-		b.log(now, "zone", "zone %q: %d of %d endpoints unhealthy: trials only", z.name, health.unhealthy, health.members)
+		b.log.add(now, ZoneEjected{Zone: z.name, Unhealthy: health.unhealthy, Members: health.members})
 		return true
 	case health.isDegraded() && health.recoveredShare > degradedFraction:
 		health.recoveredShare = degradedFraction
--- a/internal/lab/model/effects.go
+++ b/internal/lab/model/effects.go
@@ -79,5 +79,5 @@
 // FetchEndpoints does nothing: the process fetches the list when it starts and when it continues.
 func (n *node) FetchEndpoints() {}
 
-// Log drops the module's log lines.
-func (n *node) Log(string) {}
+// Log drops the module's log events.
+func (n *node) Log(balancer.LogEvent) {}
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -139,6 +139,3 @@
 func (l *loop) SetTimer(after time.Duration, token uint64) {
 	l.setTimer(timer{at: l.now() + max(after, 0), token: token})
 }
-
-// Log writes a line to the log.
-func (l *loop) Log(text string) { l.log.info(text) }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -108,8 +108,12 @@
 	p.WatchEndpoints(false)
 	p.FetchEndpoints()
 	p.SetTimer(500*time.Millisecond, 77)
-	p.Log("two\nlines")
-	p.Crash("index out of range")
+	p.Log(balancer.EndpointUnresponsive{Endpoint: 7, Silence: 1500 * time.Millisecond})
+	p.Log(balancer.ZoneEjected{Zone: "two\nlines", Unhealthy: 3, Members: 4})
+	p.Log(balancer.ZoneRecoveryStarted{Zone: "z1", StepPeriods: 6})
+	p.Log(balancer.RequestsShed{QueueLength: 5})
+	p.Log(balancer.DiscoveryCallFailed{RetryIn: 250 * time.Millisecond})
+	p.Crash("two\nlines")
 	if err := w.Done(12); err != nil {
 		t.Fatal(err)
 	}
@@ -124,8 +128,12 @@
 keep_informed balancer_id=3 active=0
 query_all balancer_id=3
 timer balancer_id=3 from_now_us=500000 ctx=77
-write_log balancer_id=3 note_text=two lines
-crash balancer_id=3 note_text=index out of range
+write_log balancer_id=3 note_text=endpoint 7 unresponsive for 1.5s: trials only
+write_log balancer_id=3 note_text=zone "two\nlines": 3 of 4 endpoints unhealthy: trials only
+write_log balancer_id=3 note_text=zone "z1" responds again: its share grows by steps of 6 periods
+write_log balancer_id=3 note_text=5 queued, no endpoint free within the latency objective: rejecting
+write_log balancer_id=3 note_text=discovery call failed: asking again in 250ms
+crash balancer_id=3 note_text=two lines
 ok serial=12
 `
 	if out.String() != want {
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -152,10 +152,10 @@
 	a.end()
 }
 
-// Log writes a log line.
-func (a *ActionWriter) Log(text string) {
+// Log writes an event as a log line.
+func (a *ActionWriter) Log(event balancer.LogEvent) {
 	a.begin("write_log")
-	a.textField(" note_text=", text)
+	a.textField(" note_text=", logText(event))
 	a.end()
 }
 
