--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -98,7 +98,7 @@
 	b.setTiming(shortest)
 	effects.SetTimer(b.tick, tickToken)
 	if settings.PollDiscovery {
-		effects.WatchEndpoints(true)
+		effects.WatchEndpoints()
 	}
 	return b, nil
 }
@@ -119,7 +119,7 @@
 // OnTimer handles a timer that the Balancer has set.
 func (b *Balancer) OnTimer(now time.Duration, token uint64) {
 	if token != tickToken { // discoveryToken; an unknown one must not start a second row of ticks
-		b.effects.WatchEndpoints(true)
+		b.effects.WatchEndpoints()
 		return
 	}
 	b.effects.SetTimer(b.tick, tickToken)
--- a/balancer/effects.go
+++ b/balancer/effects.go
@@ -11,7 +11,8 @@
 	Cancel(id RequestID, attempt int)
 	HealthCheck(up EndpointID)
 	CloseIdle(up EndpointID) // close idle connections to the endpoint
-	WatchEndpoints(on bool)  // subscribe to discovery
+	WatchEndpoints()         // subscribe to discovery, in place of a subscription that runs
+	UnwatchEndpoints()       // end the subscription to discovery
 	FetchEndpoints()         // poll discovery once for the complete list
 	SetTimer(after time.Duration, token uint64)
 	Log(event LogEvent)
--- a/balancer/effects_test.go
+++ b/balancer/effects_test.go
@@ -74,7 +74,11 @@
 	r.record(effectCall{kind: closeIdleEffect, endpoint: endpoint})
 }
 
-func (r *recorder) WatchEndpoints(bool) {
+func (r *recorder) WatchEndpoints() {
+	r.record(effectCall{kind: watchEndpointsEffect})
+}
+
+func (r *recorder) UnwatchEndpoints() {
 	r.record(effectCall{kind: watchEndpointsEffect})
 }
 
--- a/internal/lab/model/actions_test.go
+++ b/internal/lab/model/actions_test.go
@@ -95,13 +95,14 @@
 	r.Effects.CloseIdle(up)
 }
 
-func (r *actionRecorder) WatchEndpoints(on bool) {
-	value := uint64(0)
-	if on {
-		value = 1
-	}
-	r.record(recordWatch, value)
-	r.Effects.WatchEndpoints(on)
+func (r *actionRecorder) WatchEndpoints() {
+	r.record(recordWatch, 1)
+	r.Effects.WatchEndpoints()
+}
+
+func (r *actionRecorder) UnwatchEndpoints() {
+	r.record(recordWatch, 0)
+	r.Effects.UnwatchEndpoints()
 }
 
 func (r *actionRecorder) FetchEndpoints() {
--- a/internal/lab/model/effects.go
+++ b/internal/lab/model/effects.go
@@ -74,7 +74,10 @@
 }
 
 // WatchEndpoints does nothing: the agent's updates come as soon as it has them.
-func (n *node) WatchEndpoints(bool) {}
+func (n *node) WatchEndpoints() {}
+
+// UnwatchEndpoints does nothing: the agent sends updates as long as the node runs.
+func (n *node) UnwatchEndpoints() {}
 
 // FetchEndpoints does nothing: the process fetches the list when it starts and when it continues.
 func (n *node) FetchEndpoints() {}
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -124,14 +124,15 @@
 	}
 }
 
-// WatchEndpoints starts following discovery, in place of a watch that runs, or stops following it.
-func (l *loop) WatchEndpoints(on bool) {
+// WatchEndpoints starts a watch of discovery, in place of one that runs.
+func (l *loop) WatchEndpoints() {
 	l.discovery.stopWatch()
-	if on {
-		l.discovery.startWatch()
-	}
+	l.discovery.startWatch()
 }
 
+// UnwatchEndpoints stops the watch of discovery.
+func (l *loop) UnwatchEndpoints() { l.discovery.stopWatch() }
+
 // FetchEndpoints asks discovery for the complete list once.
 func (l *loop) FetchEndpoints() { l.discovery.fetch() }
 
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -119,7 +119,7 @@
 	l.applyEndpointList(balancer.UpdateCached, l.saver.initial)
 	l.saver.restore(l.balancer, l.ids, l.now)
 	if !c.Settings.PollDiscovery { // lists that are pushed come without the module's asking
-		l.WatchEndpoints(true)
+		l.WatchEndpoints()
 	}
 	return nil
 }
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -127,14 +127,17 @@
 	a.end()
 }
 
-// WatchEndpoints writes a subscription to discovery, or its end.
-func (a *ActionWriter) WatchEndpoints(on bool) {
+// WatchEndpoints writes a subscription to discovery.
+func (a *ActionWriter) WatchEndpoints() {
 	a.begin("keep_informed")
-	if on {
-		a.uintField(" active=", 1)
-	} else {
-		a.uintField(" active=", 0)
-	}
+	a.uintField(" active=", 1)
+	a.end()
+}
+
+// UnwatchEndpoints writes the end of a subscription to discovery.
+func (a *ActionWriter) UnwatchEndpoints() {
+	a.begin("keep_informed")
+	a.uintField(" active=", 0)
 	a.end()
 }
 
