--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	ticksPerObjective     = 16   // housekeeping ticks within the shortest latency objective
-	initialLatencyDivisor = 4    // of the shortest latency objective: the latency taken before any response
-	attemptReserve        = 2.33 // mean latencies left to the objective when a queued request is sent, less its late priority
-	timeoutTolerance      = 16   // a timeout shorter than usual by one in this many marks a client's retry
-	costWeight            = ewmaWeight * ewmaWeight
+	ticksPerLatencyObjective = 16   // ticks within the shortest latency objective
+	initialLatencyDivisor    = 4    // of the shortest latency objective: the mean latency assumed before any response
+	attemptReserveLatencies  = 2.33 // mean latencies left until the objective when a queued request is sent at the latest
+	timeoutToleranceDivisor  = 16   // of the longest timeout: one that is shorter by more than this part marks a retry
+	costHintSmoothingFactor  = 0.01 // weight ratio of a new sample in the running mean of cost hints
+	minExpectedWorkUnits     = 0.1  // mean requests that a cost hint counts as at least
 )
 
 // setTiming derives the tick, and the latency assumed before any response, from the shortest latency objective.
 func (b *Balancer) setTiming(shortest time.Duration) {
 	b.latency = float64(shortest) / initialLatencyDivisor
-	b.tick = max(b.settings.EventSpacing, shortest/ticksPerObjective, time.Millisecond)
+	b.tick = max(b.settings.EventSpacing, shortest/ticksPerLatencyObjective, time.Millisecond)
 }
 
 // OnRequest handles a new request of a client.
@@ -35,7 +36,7 @@
 		r.deadline = math.MaxInt64 // until its body has been sent
 	}
 	r.workUnits = b.expectedWork(q, c)
-	reserve := time.Duration((attemptReserve - c.LatePriorityFactor) * cmp.Or(c.latency, b.latency))
+	reserve := time.Duration((attemptReserveLatencies - c.LatePriorityFactor) * cmp.Or(c.latency, b.latency))
 	r.priority = b.priority(r, now)
 	if c.isLateRetry(q, reserve) {
 		r.priority *= c.LatePriorityFactor
@@ -55,8 +56,8 @@
 	if q.CostHint <= 0 {
 		return cmp.Or(c.latency/b.latency, 1)
 	}
-	stats.UpdateEWMA(&b.meanCost, float64(q.CostHint), costWeight)
-	return max(float64(q.CostHint)/b.meanCost, ewmaWeight)
+	stats.UpdateEWMA(&b.meanCost, float64(q.CostHint), costHintSmoothingFactor)
+	return max(float64(q.CostHint)/b.meanCost, minExpectedWorkUnits)
 }
 
 // priority is the value of a response to r for each unit of its work.
@@ -76,7 +77,7 @@
 // the latency objective.
 func (c *class) isLateRetry(q Request, reserve time.Duration) bool {
 	c.longestTimeout = max(c.longestTimeout, q.Timeout)
-	isRetry := q.Timeout < c.longestTimeout-c.longestTimeout/timeoutTolerance
+	isRetry := q.Timeout < c.longestTimeout-c.longestTimeout/timeoutToleranceDivisor
 	return isRetry && c.LatencyObjective-(c.Deadline-q.Timeout) < reserve
 }
 
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -52,8 +52,8 @@
 // fleetStats is what the endpoints of the subset have in common, as of the last period.
 type fleetStats struct {
 	utilization      float64 // the median
-	workPerWeight    float64 // work in a period that warm endpoints do for weight and utilisation; 0: not known
-	maxWorkPerWeight float64 // the most that one does for its weight and utilisation
+	workPerWeight    float64 // work in a period that warm endpoints do for weight and utilization; 0: not known
+	maxWorkPerWeight float64 // the most that one does for its weight and utilization
 	baselineLatency  float64 // the lower quartile of the endpoints', ns
 }
 
--- a/balancer/bands.go
+++ b/balancer/bands.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Bollinger bands of utilisation. Those without a unit are ratios.
+// Utilization is a ratio, 0 to 1. The area of a band gap is in full utilization times bandPeriod.
 const (
-	bandReadings   = 4           // N: readings in the moving window
-	bandWidth      = 2.0         // alpha: half the band gap in standard deviations, as usual for these bands
-	bandPeriod     = time.Second // the band gap is integrated over it, then shares move
-	minThreshold   = 0.4         // areas below it are noise: a deviation of a tenth of full utilisation
-	thresholdRatio = 1.25        // saturated: an area over this multiple of the fleet's median
-	minExcessLevel = 0.5         // utilisation below it never counts as an excess level
-	minCutFactor   = 0.8         // the deepest cut in one period: reports lag, so steps are small
-	shareRegrowth  = 1.04        // shares grow back more slowly than they are cut
-	minShareFactor = 0.1         // a share is never cut below this fraction of its start
-	ewmaWeight     = 0.1         // weight of a new sample in running means
+	bandWindowReadings   = 4           // readings in the moving window
+	bandWidthDeviations  = 2.0         // standard deviations of the window that make half of the band gap
+	bandPeriod           = time.Second // over which the band gap is integrated before shares change
+	minAreaThreshold     = 0.4         // area up to which an endpoint never counts as saturated
+	areaThresholdRatio   = 1.25        // multiple of the median area over which an endpoint counts as saturated
+	minExcessUtilization = 0.5         // utilization up to which a mean adds nothing to the band gap
+	minCutFactor         = 0.8         // least factor of a share in one period: reports lag, so steps are small
+	shareRegrowthFactor  = 1.04        // factor of a share in a period without a cut
+	minShareFactor       = 0.1         // least fraction of its traffic share that cuts leave an endpoint
+	smoothingFactor      = 0.1         // weight ratio of a new sample in a running mean
 )
 
-// recordUtilization records a load report as a reading of utilisation. Where it has none, requests in progress and waiting
+// recordUtilization records a load report as a reading of utilization. Where it has none, requests in progress and waiting
 // stand in; at sites without reports it is the response's share of its latency objective (0: no response).
 func (b *Balancer) recordUtilization(e *endpoint, report LoadReport, objectiveShare float64, now time.Duration) {
 	reading := report.Utilization
@@ -45,8 +45,8 @@
 // its level over the fleet's counts too.
 func (b *Balancer) integrateBand(e *endpoint, now time.Duration) {
 	u := &e.utilization
-	excess := max(0, u.mean-max(minExcessLevel, b.fleet.utilization))
-	gap := 2 * bandWidth * (u.deviation + excess)
+	excess := max(0, u.mean-max(minExcessUtilization, b.fleet.utilization))
+	gap := 2 * bandWidthDeviations * (u.deviation + excess)
 	u.area += gap * (now - u.integratedAt).Seconds() / bandPeriod.Seconds()
 	u.integratedAt = now
 }
@@ -55,12 +55,12 @@
 // follows the fleet's median, so a rise on all endpoints cuts none.
 func (b *Balancer) adjustShares() {
 	median := b.valueAbove(2, func(e *endpoint) float64 { return e.utilization.area })
-	threshold := max(minThreshold, thresholdRatio*median)
+	threshold := max(minAreaThreshold, areaThresholdRatio*median)
 	for _, e := range b.subset {
-		if e.utilization.readings >= bandReadings/2 && e.utilization.area > threshold {
+		if e.utilization.readings >= bandWindowReadings/2 && e.utilization.area > threshold {
 			e.shareFactor = max(minShareFactor, e.shareFactor*max(minCutFactor, threshold/e.utilization.area))
 		} else {
-			e.shareFactor = min(1, e.shareFactor*shareRegrowth)
+			e.shareFactor = min(1, e.shareFactor*shareRegrowthFactor)
 		}
 		e.utilization.area = 0
 	}
@@ -81,7 +81,7 @@
 		if !e.inSubset || !e.isUsable() || e.slowStart.active || e.work.mean == 0 {
 			continue
 		}
-		capable := e.work.mean / min(max(cmp.Or(e.utilization.mean, 1), minExcessLevel), 1)
+		capable := e.work.mean / min(max(cmp.Or(e.utilization.mean, 1), minExcessUtilization), 1)
 		work += capable
 		most = max(most, capable/e.weight)
 		weight += e.weight * e.zone.shareFactor()
--- a/balancer/bands_test.go
+++ b/balancer/bands_test.go
@@ -25,7 +25,7 @@
 	e.utilization.integratedAt = time.Hour
 	b.integrateBand(e, time.Hour+250*ms)
 	b.integrateBand(e, time.Hour+500*ms)
-	want := 2 * bandWidth * 0.1 * 0.5
+	want := 2 * bandWidthDeviations * 0.1 * 0.5
 	if !approximately(e.utilization.area, want) {
 		t.Errorf("area %v, want %v", e.utilization.area, want)
 	}
@@ -38,7 +38,7 @@
 	runPinned := func(periods int) {
 		for range periods {
 			for _, e := range b.endpoints {
-				setUtilization(e, bandReadings, 0.3)
+				setUtilization(e, bandWindowReadings, 0.3)
 			}
 			pinned.utilization.mean = 1
 			b.closePeriod(b.periodStartedAt + bandPeriod)
@@ -67,7 +67,7 @@
 	b, _ := newTestBalancer(t, testSettings(), fleet(4))
 	for range 10 {
 		for _, e := range b.endpoints {
-			setUtilization(e, bandReadings, 0.95)
+			setUtilization(e, bandWindowReadings, 0.95)
 			e.utilization.deviation = 0.2
 		}
 		b.closePeriod(b.periodStartedAt + bandPeriod)
@@ -91,7 +91,7 @@
 	}
 }
 
-// Where a report lacks the utilisation, its other values or the response's latency stand in.
+// Where a report lacks the utilization, its other values or the response's latency stand in.
 func TestUtilizationFallbacks(t *testing.T) {
 	for _, test := range []struct {
 		name           string
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// notificationDelay is the time after which a change counts as notified at the latest, whether or not a call has brought
+// notificationDelay is the longest time until an endpoint's change counts as notified, whether or not a call has brought
 // it.
 const notificationDelay = 6 * time.Second
 
@@ -17,7 +17,7 @@
 	if !b.settings.PollDiscovery {
 		longest = b.settings.Obligations.DrainGrace / 4
 	}
-	b.discoveryBackoff = min(max(b.discoveryBackoff*backoffGrowth, longest/4), longest)
+	b.discoveryBackoff = min(max(b.discoveryBackoff*backoffGrowthFactor, longest/4), longest)
 	wait := b.discoveryBackoff/2 + time.Duration(b.rng.Int64N(int64(b.discoveryBackoff)+1))
 	b.effects.SetTimer(wait, discoveryToken)
 	b.log.add(now, DiscoveryCallFailed{RetryIn: wait})
@@ -44,7 +44,7 @@
 	e.zone = b.zoneNamed(entry.Zone)
 	weight := entry.Weight
 	if b.settings.Weights == WeightLive { // late and the same for all balancers: only its slow mean is safe to follow
-		weight = e.weight + ewmaWeight*(entry.Weight-e.weight)
+		weight = e.weight + smoothingFactor*(entry.Weight-e.weight)
 	}
 	e.weight = max(weight, math.SmallestNonzeroFloat32)
 }
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -24,16 +24,16 @@
 //   - request.go: which attempts a request may have, retries, the one final answer
 //   - admission.go: priorities, the queue, load shedding, Retry-After
 //   - picker.go: an even interleave of endpoints by traffic share
-//   - bands.go: Bollinger bands of each endpoint's utilisation. A wide band over a period, set against the median of
+//   - bands.go: Bollinger bands of each endpoint's utilization. A wide band over a period, set against the median of
 //     the fleet, cuts the endpoint's traffic share
-//   - limit.go: an adaptive concurrency limit for each endpoint, from its latency, utilisation and rejections
+//   - limit.go: an adaptive concurrency limit for each endpoint, from its latency, utilization and rejections
 //   - slowstart.go: what an endpoint that has just started may get from all balancers together
 //   - outlier.go: unresponsive and unreachable endpoints, and the half-open trials that bring them back
 //   - subset.go: the part of a large fleet that this balancer uses. Where balancers are many each endpoint serves some
 //     of them, or its connections run out and no balancer sees enough of it
 //   - discovery.go: endpoint list updates
 //   - locality.go: how much traffic stays in the balancer's own zone and region. Shares stay what the bands make them;
-//     a weight on them prefers the own zone, then the region, while their utilisation is not over the fleet's, and
+//     a weight on them prefers the own zone, then the region, while their utilization is not over the fleet's, and
 //     lets traffic spill over by degrees as it is
 //   - zonehealth.go: a zone is healthy, degraded (half of its endpoints unhealthy: half of its share), ejected (most
 //     of them: trials only) or recovering (its share grows by steps). Only its own endpoints' silence, failed
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -29,23 +29,23 @@
 	outlier         outlierState
 }
 
-// bandWindow holds the Bollinger bands of an endpoint's utilisation: a moving window of readings, and the integral of the
+// bandWindow holds the Bollinger bands of an endpoint's utilization: a moving window of readings, and the integral of the
 // bands' width over the present period.
 type bandWindow struct {
-	window       [bandReadings]float64
+	window       [bandWindowReadings]float64
 	readings     int // so far
 	mean         float64
 	deviation    float64
-	area         float64 // of the band gap since the period began, in full utilisation x bandPeriod
+	area         float64 // of the band gap since the period began, in full utilization x bandPeriod
 	integratedAt time.Duration
 	lastReport   LoadReport
 }
 
-// add records a reading of utilisation, 0 to 1.
+// add records a reading of utilization, 0 to 1.
 func (w *bandWindow) add(reading float64) {
-	w.window[w.readings%bandReadings] = reading
+	w.window[w.readings%bandWindowReadings] = reading
 	w.readings++
-	w.mean, w.deviation = stats.MeanDeviation(w.window[:min(w.readings, bandReadings)])
+	w.mean, w.deviation = stats.MeanDeviation(w.window[:min(w.readings, bandWindowReadings)])
 }
 
 // reset forgets all readings.
@@ -113,7 +113,7 @@
 // addEndpoint begins to keep track of an endpoint.
 func (b *Balancer) addEndpoint(entry Endpoint, now time.Duration) *endpoint {
 	e := &endpoint{weight: entry.Weight, shareFactor: 1, ringPosition: ring.Position(uint64(entry.ID))}
-	e.limit.ceiling = initialFleetLimit
+	e.limit.ceiling = initialFleetLimitAttempts
 	e.limit.reducedAt = now
 	e.limit.pausedUntil = now
 	e.slowStart.budget.At = now
@@ -131,11 +131,11 @@
 
 // closePeriod adds the present period to the running mean and begins the next one.
 func (w *workStats) closePeriod() {
-	w.mean += ewmaWeight * (w.period - w.mean)
+	w.mean += smoothingFactor * (w.period - w.mean)
 	w.period = 0
 }
 
-// forgetMeasurements drops latency, utilisation and errors.
+// forgetMeasurements drops latency, utilization and errors.
 func (e *endpoint) forgetMeasurements() {
 	e.latency = latencyStats{}
 	e.utilization.reset()
--- a/balancer/fixtures_test.go
+++ b/balancer/fixtures_test.go
@@ -184,12 +184,12 @@
 	e.utilization.mean = mean
 }
 
-// runPeriods passes n periods in which each endpoint reports the utilisation of its zone.
+// runPeriods passes n periods in which each endpoint reports the utilization of its zone.
 func runPeriods(b *Balancer, now time.Duration, n int, utilization map[string]float64) time.Duration {
 	for range n {
 		now += bandPeriod
 		for _, e := range b.endpoints {
-			for i := range bandReadings { // a full window, with a rate that differs so that no report counts as repeated
+			for i := range bandWindowReadings { // a full window, with a rate that differs so that no report counts as repeated
 				report := LoadReport{
 					Fields:      HasUtilization | HasRate,
 					Utilization: utilization[e.Zone],
--- a/balancer/limit.go
+++ b/balancer/limit.go
@@ -8,44 +8,44 @@
 	"sprucehill/internal/stats"
 )
 
-// The adaptive concurrency limit. Those without a unit are ratios.
+// Limits of attempts in flight at one endpoint are of all balancers together.
 const (
-	initialFleetLimit       = 8.0   // attempts in flight at one endpoint, over all balancers, at first
-	minFleetLimit           = 0.25  // over all balancers: with pauses, so that a saturated endpoint can recover
-	limitReduction          = 0.8   // on a saturated response
-	limitGrowth             = 0.5   // attempts, on a response of an endpoint with headroom while the fleet is saturated
-	fullUtilization         = 0.8   // mean utilisation over which more attempts in flight bring no more
-	saturatedRatio          = 1.6   // latency over this multiple of the baseline means saturated or unhealthy
-	saturatedObjectiveShare = 0.5   // if it is also over this part of the objective: below, saturation does no harm
-	baselineDrift           = 0.005 // weight of a sample by which the baseline latency drifts up
-	minWorkUnits            = 0.5   // even the smallest request has a fixed part
+	initialFleetLimitAttempts = 8.0   // the first limit
+	minFleetLimitAttempts     = 0.25  // the least limit; below 1 there are pauses, in which an endpoint can recover
+	limitReductionFactor      = 0.8   // factor of a limit on a saturated response
+	limitGrowthAttempts       = 0.5   // attempts by which a response of an endpoint with headroom raises its limit
+	fullUtilizationRatio      = 0.8   // mean utilization from which there is no headroom
+	saturatedLatencyRatio     = 1.6   // multiple of the baseline over which latency counts as saturated or slow
+	saturatedObjectiveRatio   = 0.5   // part of the latency objective up to which latency never counts as saturated
+	baselineSmoothingFactor   = 0.005 // weight ratio of a new sample by which the baseline latency drifts up
+	minWorkUnits              = 0.5   // mean requests that a response counts as at least, for its fixed part
 
-	rejectionReduction = limitReduction * limitReduction // on a full queue or a timeout
+	rejectionReductionFactor = limitReductionFactor * limitReductionFactor // factor of a limit on a full queue or a timeout
 )
 
-// hasHeadroom reports whether the readings show spare utilisation; without readings there is none.
+// hasHeadroom reports whether the readings show spare utilization; without readings there is none.
 func (e *endpoint) hasHeadroom() bool {
 	u := &e.utilization
-	return u.readings > 0 && u.mean < fullUtilization && u.lastReport.Queue <= 0
+	return u.readings > 0 && u.mean < fullUtilizationRatio && u.lastReport.Queue <= 0
 }
 
 // observeLatency updates the running means by a response. The rarer an endpoint's responses, the more weight each has for
 // it.
 func (b *Balancer) observeLatency(a *attempt, latency time.Duration) {
 	e, sample := a.endpoint, float64(latency)
-	weight := max(ewmaWeight, 1-e.limit.current)
+	weight := max(smoothingFactor, 1-e.limit.current)
 	stats.UpdateEWMA(&e.latency.deviation, math.Abs(sample-e.latency.mean), weight) // at first as large as the mean
 	stats.UpdateEWMA(&e.latency.mean, sample, weight)
 	stats.UpdateEWMA(&e.latency.workUnits, max(a.request.workUnits, minWorkUnits), weight)
-	stats.UpdateEWMA(&b.latency, sample, ewmaWeight)
-	stats.UpdateEWMA(&a.request.class.latency, sample, ewmaWeight)
-	stats.UpdateEWMA(&e.latency.smoothed, e.latency.perUnit(), ewmaWeight)
-	stats.UpdateEWMA(&e.latency.baseline, e.latency.smoothed, baselineDrift)
+	stats.UpdateEWMA(&b.latency, sample, smoothingFactor)
+	stats.UpdateEWMA(&a.request.class.latency, sample, smoothingFactor)
+	stats.UpdateEWMA(&e.latency.smoothed, e.latency.perUnit(), smoothingFactor)
+	stats.UpdateEWMA(&e.latency.baseline, e.latency.smoothed, baselineSmoothingFactor)
 	e.latency.baseline = min(e.latency.baseline, e.latency.smoothed)
 }
 
 // isSlow reports whether latency is far over its baseline.
-func (l *latencyStats) isSlow() bool { return l.smoothed > saturatedRatio*l.baseline }
+func (l *latencyStats) isSlow() bool { return l.smoothed > saturatedLatencyRatio*l.baseline }
 
 // adjustLimit moves the limit by a response. A slow response alone proves no saturation, since work and waits vary by as
 // much: where readings show headroom the limit grows instead. An endpoint that was saturated from the first knows no
@@ -54,14 +54,14 @@
 	e := a.endpoint
 	baseline := min(e.latency.baseline, cmp.Or(b.fleet.baselineLatency, e.latency.baseline))
 	objective := float64(a.request.class.LatencyObjective)
-	saturated := e.latency.perUnit() > max(saturatedRatio*baseline, saturatedObjectiveShare*objective)
+	saturated := e.latency.perUnit() > max(saturatedLatencyRatio*baseline, saturatedObjectiveRatio*objective)
 	switch {
 	case saturated && !e.hasHeadroom():
-		b.reduceLimit(e, now, limitReduction)
+		b.reduceLimit(e, now, limitReductionFactor)
 	case e.limit.current < b.initialLimit: // recovered
 		e.limit.current = b.initialLimit
 	case e.hasHeadroom() && b.needsHigherLimit(e, now):
-		e.limit.current = max(e.limit.current, min(e.limit.current+limitGrowth, e.limit.ceiling))
+		e.limit.current = max(e.limit.current, min(e.limit.current+limitGrowthAttempts, e.limit.ceiling))
 	}
 }
 
@@ -71,7 +71,7 @@
 		return true
 	}
 	missedTurn := now-e.limit.missedTurnAt < time.Duration(b.latency)
-	return missedTurn && e.utilization.mean < minExcessLevel && e.limit.current < e.neededConcurrency()
+	return missedTurn && e.utilization.mean < minExcessUtilization && e.limit.current < e.neededConcurrency()
 }
 
 // neededConcurrency is how many attempts are in flight at e for its own traffic, with a margin for bursts. It
@@ -92,12 +92,14 @@
 }
 
 // minLimit is the least limit of an endpoint.
-func (b *Balancer) minLimit() float64 { return b.initialLimit * minFleetLimit / initialFleetLimit }
+func (b *Balancer) minLimit() float64 {
+	return b.initialLimit * minFleetLimitAttempts / initialFleetLimitAttempts
+}
 
-// raiseLimitCeilings lets each limit at most double in the next period, before a reading can tell of full utilisation.
+// raiseLimitCeilings lets each limit at most double in the next period, before a reading can tell of full utilization.
 func (b *Balancer) raiseLimitCeilings() {
 	for _, e := range b.subset {
-		e.limit.ceiling = max(2*e.limit.current, initialFleetLimit)
+		e.limit.ceiling = max(2*e.limit.current, initialFleetLimitAttempts)
 	}
 }
 
--- a/balancer/limit_test.go
+++ b/balancer/limit_test.go
@@ -43,11 +43,11 @@
 		b, _ := newTestBalancer(t, settings, fleet(1))
 		e := b.endpoints[0]
 		for i := range 60 {
-			b.reduceLimit(e, time.Hour+time.Duration(i)*time.Second, limitReduction)
+			b.reduceLimit(e, time.Hour+time.Duration(i)*time.Second, limitReductionFactor)
 		}
 		total := e.limit.current * float64(balancers)
-		if !approximately(total, minFleetLimit) {
-			t.Errorf("%d balancers: their limits sum to %v, want %v", balancers, total, minFleetLimit)
+		if !approximately(total, minFleetLimitAttempts) {
+			t.Errorf("%d balancers: their limits sum to %v, want %v", balancers, total, minFleetLimitAttempts)
 		}
 	}
 }
@@ -89,18 +89,17 @@
 			}
 		}
 		for id, n := range attempts {
-			if n > initialFleetLimit {
+			if n > initialFleetLimitAttempts {
 				t.Errorf("endpoint %d got %d attempts at once from %d balancers", id, n, balancers)
 			}
 		}
-		// With 3 in place of initialFleetLimit a fifth of the requests was rejected until limits had grown.
-		if balancers == 2 && attempts[1] != initialFleetLimit {
-			t.Errorf("endpoint 1 got %d attempts at once from 2 balancers, want %v", attempts[1], initialFleetLimit)
+		if balancers == 2 && attempts[1] != initialFleetLimitAttempts {
+			t.Errorf("endpoint 1 got %d attempts at once from 2 balancers, want %v", attempts[1], initialFleetLimitAttempts)
 		}
 	}
 }
 
-// Regression: balancers that started in overload let limits grow at endpoints that were fully utilised already.
+// Regression: balancers that started in overload let limits grow at endpoints that were fully utilized already.
 func TestLimitDoesNotGrowAtFullUtilization(t *testing.T) {
 	for _, test := range []struct {
 		utilization float64
@@ -109,7 +108,7 @@
 		b, _ := newTestBalancer(t, testSettings(), fleet(1))
 		b.saturatedAt = time.Hour
 		e := b.endpoints[0]
-		setUtilization(e, bandReadings, test.utilization)
+		setUtilization(e, bandWindowReadings, test.utilization)
 		before := e.limit.current
 		observeWrite(b, e, OK, 50*ms, time.Hour)
 		if (e.limit.current > before) != test.wantGrowth {
@@ -123,7 +122,7 @@
 func TestIdleEndpointOfHighWeightIsNotTakenForSaturated(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(4))
 	for _, e := range b.endpoints {
-		setUtilization(e, bandReadings, 0.2)
+		setUtilization(e, bandWindowReadings, 0.2)
 		e.latency.workUnits = 1
 		e.latency.mean = float64(50 * ms)
 	}
@@ -155,7 +154,7 @@
 }
 
 // Regression: limits doubled in each round trip, and many balancers overloaded a fleet before the first reading showed full
-// utilisation.
+// utilization.
 func TestLimitAtMostDoublesInAPeriod(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(1))
 	e := b.endpoints[0]
@@ -167,13 +166,13 @@
 		}
 	}
 	respond(time.Hour)
-	if e.limit.current != initialFleetLimit {
-		t.Errorf("limit %v in the first period, want %v", e.limit.current, initialFleetLimit)
+	if e.limit.current != initialFleetLimitAttempts {
+		t.Errorf("limit %v in the first period, want %v", e.limit.current, initialFleetLimitAttempts)
 	}
 	b.closePeriod(time.Hour + bandPeriod)
 	respond(time.Hour + bandPeriod)
-	if e.limit.current != 2*initialFleetLimit {
-		t.Errorf("limit %v in the next period, want %v", e.limit.current, 2*initialFleetLimit)
+	if e.limit.current != 2*initialFleetLimitAttempts {
+		t.Errorf("limit %v in the next period, want %v", e.limit.current, 2*initialFleetLimitAttempts)
 	}
 }
 
@@ -205,7 +204,7 @@
 }
 
 // Where work and waits for other services vary, responses of an idle endpoint are often slow. Regression: these alone kept
-// the limit at its start, and four requests of five were rejected while readings showed a quarter of full utilisation.
+// the limit at its start, and four requests of five were rejected while readings showed a quarter of full utilization.
 func TestSlowResponsesWithHeadroomDoNotReduceLimit(t *testing.T) {
 	for _, test := range []struct {
 		balancers   int
@@ -268,7 +267,7 @@
 		readings    int
 		utilization float64
 		wantReduced bool
-	}{{bandReadings, 0.2, false}, {bandReadings, 0.95, true}, {0, 0, true}} {
+	}{{bandWindowReadings, 0.2, false}, {bandWindowReadings, 0.95, true}, {0, 0, true}} {
 		b, _ := newTestBalancer(t, testSettings(), fleet(1))
 		e := b.endpoints[0]
 		setUtilization(e, test.readings, test.utilization)
@@ -299,7 +298,7 @@
 	}
 	setUtilization(e, 1, 0.3)
 	b.OnAttemptResult(now+50*ms, AttemptResult{ID: 1, Endpoint: e.ID, Latency: 50 * ms, Status: OK, RequestClosed: true})
-	want := b.initialLimit + limitGrowth
+	want := b.initialLimit + limitGrowthAttempts
 	if e.limit.current != want {
 		t.Errorf("limit %v after a response and a rejection, want %v", e.limit.current, want)
 	}
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -1,23 +1,21 @@
 package balancer
 
-import (
-	"time"
-)
+import "time"
 
-// Locality, see the package comment. Constants without a unit are ratios.
+// Utilization, shares of the traffic and locality weights are ratios.
 const (
-	minLocalitySubset   = 8    // endpoints used of more, under which one or two are local: one that drains is half of them
-	maxLocalShare       = 0.92 // of the traffic: with less for the rest, readings from elsewhere grow old
-	utilizationMargin   = 1.05 // utilisation over the fleet's by this factor is still no reason to spill over,
-	utilizationNoise    = 0.02 // and by this much more
-	localUtilizationMax = 0.7  // utilisation over which staying local is no aim any more
-	localShareGain      = 0.5  // a period's move for an excess of full utilisation: reports lag by a period or two
-	maxLocalShareStep   = 0.05 // in a period
-	minLocalityWeight   = 1e-3 // no zone may be forgotten
-	maxSpareFactor      = 2    // by which zones alike in distance differ for their utilisation
+	minLocalitySubsetEndpoints = 8    // endpoints in use from which they are divided by locality
+	maxLocalShare              = 0.92 // of the traffic that stays in a zone or region: the rest brings readings from elsewhere
+	utilizationMarginFactor    = 1.05 // multiple of the fleet's utilization that a zone may have without spilling over
+	utilizationNoise           = 0.02 // utilization that it may have beyond that multiple
+	maxLocalUtilization        = 0.7  // utilization over which the local share always shrinks
+	localShareGainRatio        = 0.5  // change of the local share in a period for an excess of full utilization
+	maxLocalShareStep          = 0.05 // largest change of the local share in a period
+	minLocalityWeight          = 1e-3 // least locality weight: every zone gets some traffic
+	maxSpareFactor             = 2    // by which zones alike in distance differ at most for their utilization
 )
 
-// updateLocality moves how much of the traffic stays local and in the region, by the utilisation there and elsewhere. All
+// updateLocality moves how much of the traffic stays local and in the region, by the utilization there and elsewhere. All
 // that a zone's balancers learn, alike and late, moves them alike, so a move is small.
 func (b *Balancer) updateLocality(now time.Duration) {
 	home := b.zoneNamed(b.settings.Zone)
@@ -51,23 +49,23 @@
 	b.setLocalityWeights(region.capacity-home.capacity, all.capacity-region.capacity)
 }
 
-// adjustShare moves the share of the traffic that stays in a part of the fleet by the utilisation to spare there: up to
+// adjustShare moves the share of the traffic that stays in a part of the fleet by the utilization to spare there: up to
 // maxLocalShare; down to an even share where there is little to spare, since a full fleet has no turns to lose; and to
-// half of that where its utilisation is over the fleet's.
+// half of that where its utilization is over the fleet's.
 func adjustShare(share float64, part, fleet zoneGroup) float64 {
 	least := part.capacity / fleet.capacity
-	acceptable := utilizationMargin*fleet.utilization + utilizationNoise
+	acceptable := utilizationMarginFactor*fleet.utilization + utilizationNoise
 	if part.utilization > acceptable {
 		least /= 2
 	}
-	move := localShareGain * (min(acceptable, localUtilizationMax) - part.utilization)
+	move := localShareGainRatio * (min(acceptable, maxLocalUtilization) - part.utilization)
 	move = max(-maxLocalShareStep, min(maxLocalShareStep, move))
 	return max(least, min(maxLocalShare, share+move))
 }
 
 // setLocalityWeights sets the weight of shares in each zone: 1 at home, elsewhere so that the parts of the traffic which
 // leave come out, given the capacity near (in the region, but for home) and far. Of zones alike in distance the less
-// utilised gets more.
+// utilized gets more.
 func (b *Balancer) setLocalityWeights(near, far float64) {
 	home := b.locality.home
 	toFar := 1 - b.locality.regionShare
@@ -91,7 +89,7 @@
 	}
 }
 
-// spareFactor is over 1 for a zone with less utilisation than the others' mean, and under 1 for one with more.
+// spareFactor is over 1 for a zone with less utilization than the others' mean, and under 1 for one with more.
 func (z *zone) spareFactor(others float64) float64 {
 	if z.measuredCapacity == 0 || others == 0 {
 		return 1
--- a/balancer/locality_test.go
+++ b/balancer/locality_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// A local zone with more utilisation than the fleet spills traffic over gradually, no faster than its reports can follow,
-// down to half of an even share; as its utilisation falls the traffic comes back.
+// A local zone with more utilization than the fleet spills traffic over gradually, no faster than its reports can follow,
+// down to half of an even share; as its utilization falls the traffic comes back.
 func TestSaturatedLocalZoneSpillsOverGradually(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), endpointsInZones(map[string]int{"near": 4, "b": 4}, "near", "b"))
 	saturated := map[string]float64{"near": 0.9, "b": 0.3}
--- a/balancer/operators.go
+++ b/balancer/operators.go
@@ -28,7 +28,7 @@
 	}
 	z.drained = false
 	z.health.recoveredShare = recoveryStep
-	z.health.heldPeriods = 0
+	z.health.stepAgePeriods = 0
 	b.applyZoneChange(now)
 	return true
 }
--- a/balancer/operators_test.go
+++ b/balancer/operators_test.go
@@ -9,16 +9,16 @@
 
 // drainScenario drains and reinstates the zones of a Balancer, and checks what each of them gets meanwhile.
 type drainScenario struct {
-	t           *testing.T
-	rt          *rapid.T
-	balancer    *Balancer
-	effects     *recorder
-	now         time.Duration
-	nextID      RequestID
-	zones       []string
-	drained     map[string]bool
-	share       map[string]float64 // the recovered share of each zone when it last grew
-	heldPeriods map[string]int     // since then
+	t              *testing.T
+	rt             *rapid.T
+	balancer       *Balancer
+	effects        *recorder
+	now            time.Duration
+	nextID         RequestID
+	zones          []string
+	drained        map[string]bool
+	share          map[string]float64 // the recovered share of each zone when it last grew
+	stepAgePeriods map[string]int     // since then
 }
 
 // list returns two endpoints in each zone.
@@ -50,16 +50,16 @@
 	if done {
 		s.drained[name] = false
 		s.share[name] = 0
-		s.heldPeriods[name] = 0
+		s.stepAgePeriods[name] = 0
 	}
 }
 
-// runPeriod passes a period with random utilisation of the zones.
+// runPeriod passes a period with random utilization of the zones.
 func (s *drainScenario) runPeriod() {
 	utilization := map[string]float64{}
 	for _, zone := range s.zones {
 		utilization[zone] = rapid.Float64Range(0, 1).Draw(s.rt, "utilization of "+zone)
-		s.heldPeriods[zone]++
+		s.stepAgePeriods[zone]++
 	}
 	s.now = runPeriods(s.balancer, s.now, 1, utilization)
 }
@@ -87,11 +87,11 @@
 	if share <= before {
 		return
 	}
-	if before > 0 && s.heldPeriods[z.name] < minHoldPeriods {
-		s.rt.Fatalf("the share of %s grew again after %d periods", z.name, s.heldPeriods[z.name])
+	if before > 0 && s.stepAgePeriods[z.name] < minStepPeriods {
+		s.rt.Fatalf("the share of %s grew again after %d periods", z.name, s.stepAgePeriods[z.name])
 	}
 	s.share[z.name] = share
-	s.heldPeriods[z.name] = 0
+	s.stepAgePeriods[z.name] = 0
 }
 
 // A drained zone gets nothing until it is reinstated, whatever discovery and load reports say, and then each step of its
@@ -99,14 +99,14 @@
 func TestReinstatedZoneRecoversStepByStep(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := &drainScenario{
-			t:           t,
-			rt:          rt,
-			now:         time.Hour,
-			nextID:      1,
-			zones:       []string{"near", "b", "c"},
-			drained:     map[string]bool{},
-			share:       map[string]float64{"near": 1, "b": 1, "c": 1},
-			heldPeriods: map[string]int{},
+			t:              t,
+			rt:             rt,
+			now:            time.Hour,
+			nextID:         1,
+			zones:          []string{"near", "b", "c"},
+			drained:        map[string]bool{},
+			share:          map[string]float64{"near": 1, "b": 1, "c": 1},
+			stepAgePeriods: map[string]int{},
 		}
 		s.balancer, s.effects = newTestBalancer(t, testSettings(), s.list())
 		for range rapid.IntRange(1, 40).Draw(rt, "events") {
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	timeoutDeviations = 5.0            // mean deviations over its mean latency before an endpoint counts as unresponsive
-	backoffGrowth     = 2              // trials, failed connections and calls to discovery are spaced by this growth
-	errorWeight       = 2 * ewmaWeight // of a new result in the running mean of errors
+	timeoutDeviations    = 5.0 // mean deviations over its mean latency that an endpoint may take to respond
+	backoffGrowthFactor  = 2   // growth of the backoff of trials, failed connections and discovery calls
+	errorSmoothingFactor = 0.2 // weight ratio of a new result in the running mean of errors
 )
 
 // responseTimeout is how long an endpoint may give no response before it counts as unresponsive. The fleet's latency
@@ -62,7 +62,7 @@
 // beginTrial spaces the trials of an unresponsive endpoint.
 func (e *endpoint) beginTrial(now time.Duration) {
 	e.outlier.nextTrialAt = now + e.outlier.backoff
-	e.outlier.backoff *= backoffGrowth
+	e.outlier.backoff *= backoffGrowthFactor
 }
 
 // backOff pauses an endpoint that could not be reached or broke a connection: it is down, or its connection table
@@ -72,17 +72,17 @@
 		return
 	}
 	e.outlier.unreachableUntil = now + e.outlier.backoff
-	e.outlier.backoff = min(e.outlier.backoff*backoffGrowth, b.settings.Obligations.SlowStartWindow)
+	e.outlier.backoff = min(e.outlier.backoff*backoffGrowthFactor, b.settings.Obligations.SlowStartWindow)
 }
 
 // observeErrors updates the running mean of errors by a result.
 func (e *endpoint) observeErrors(status Status, now time.Duration) {
 	switch status {
 	case OK:
-		e.outlier.errorRate -= errorWeight * e.outlier.errorRate
+		e.outlier.errorRate -= errorSmoothingFactor * e.outlier.errorRate
 		e.zone.health.succeededAt = now
 	case Error, Reset, ConnectFailed, Timeout:
-		e.outlier.errorRate += errorWeight * (1 - e.outlier.errorRate)
+		e.outlier.errorRate += errorSmoothingFactor * (1 - e.outlier.errorRate)
 		e.outlier.failedAt = now
 	}
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -68,8 +68,8 @@
 	now = e.outlier.unreachableUntil
 	observeWrite(b, e, Reset, ms, now)
 	backoff = e.outlier.unreachableUntil - now
-	if backoff != backoffGrowth*b.tick {
-		t.Errorf("backoff %v after a later loss, want %v", backoff, backoffGrowth*b.tick)
+	if backoff != backoffGrowthFactor*b.tick {
+		t.Errorf("backoff %v after a later loss, want %v", backoff, backoffGrowthFactor*b.tick)
 	}
 	observeWrite(b, e, OK, 50*ms, now)
 	if !b.isEligible(e, &request{class: b.classes["write"]}, now) {
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	maxTurnDebt = 1.0             // turns that an endpoint could not take are forgotten beyond this many rounds
-	maxBlocked  = 2 * time.Second // of rejections only, before an endpoint in backoff gets an attempt all the same
+	maxTurnDebtRounds = 1.0             // rounds of turns not taken that an endpoint may catch up on
+	maxBlocked        = 2 * time.Second // of rejections only, before an endpoint in backoff gets an attempt
 )
 
 // trafficShare is an endpoint's part of the traffic, not scaled.
@@ -45,7 +45,7 @@
 // takeTurn sets an endpoint's next turn one round on. A round is the turns of all for one of its own, in virtual time.
 func (b *Balancer) takeTurn(e *endpoint, round float64) {
 	b.virtualTime = max(b.virtualTime, e.nextTurn)
-	e.nextTurn = max(e.nextTurn, b.virtualTime-maxTurnDebt*round) + round
+	e.nextTurn = max(e.nextTurn, b.virtualTime-maxTurnDebtRounds*round) + round
 }
 
 // isEligible reports whether an endpoint may take r at this turn. The concurrency limit is a guard: shares decide below
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -102,10 +102,10 @@
 		b.observeLatency(a, result.Latency)
 		b.adjustLimit(a, now)
 	case Rejected:
-		b.reduceLimit(e, now, rejectionReduction)
+		b.reduceLimit(e, now, rejectionReductionFactor)
 	case Timeout: // with headroom left the response was lost, not delayed by load
 		if !e.hasHeadroom() {
-			b.reduceLimit(e, now, rejectionReduction)
+			b.reduceLimit(e, now, rejectionReductionFactor)
 		}
 	case ConnectFailed, Reset:
 		b.backOff(e, now)
--- a/balancer/restore.go
+++ b/balancer/restore.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// snapshotLifetime is the age at which what was known before a restart counts for nothing.
+// snapshotLifetime is the age from which a snapshot has no weight.
 const snapshotLifetime = 5 * time.Minute
 
 // confidence is the weight of a snapshot by its age, 1 to 0: it falls linearly. A clock that was set back gives no age at
@@ -64,7 +64,7 @@
 // restoreZone restores what was known of a zone. One that was ejected has to pass its trials.
 func (b *Balancer) restoreZone(z *zone, known ZoneStats, now time.Duration) {
 	health := &z.health
-	health.holdMultiple = max(1, min(known.HoldPeriods, maxHoldMultiple))
+	health.stepMultiple = max(1, min(known.HoldPeriods, maxStepMultiple))
 	if known.Failed && health.recoveredShare == 1 {
 		health.ejected = true
 		health.recovering = false
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	slowStartMargin         = 0.6 // part of the slow-start budget that is used
-	localitySlowStartMargin = 0.8 // of that, where locality sends all balancers of a zone there at once
+	slowStartBudgetRatio         = 0.6 // part of the slow-start budget that is used
+	localitySlowStartBudgetRatio = 0.8 // part of that part, where all balancers of a zone send there at once
 )
 
 // slowStartCapacity is the fraction of its capacity that an endpoint is sure to have.
@@ -48,7 +48,7 @@
 	work := min(b.fleet.maxWorkPerWeight, e.zone.shareFactor()*b.fleet.workPerWeight)
 	capacity := e.weight * work / bandPeriod.Seconds()
 	if b.locality.localShare > 0 {
-		capacity *= localitySlowStartMargin
+		capacity *= localitySlowStartBudgetRatio
 	}
-	return slowStartMargin / 2 * b.settings.Obligations.OverloadMultiple * b.slowStartCapacity(e, now) * capacity
+	return slowStartBudgetRatio / 2 * b.settings.Obligations.OverloadMultiple * b.slowStartCapacity(e, now) * capacity
 }
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -11,7 +11,7 @@
 	ClassLatency     map[string]float64 `json:"Classes"` // usual latency of each class, ns, by name
 	LocalShare       float64            `json:"Stay"`    // fraction of the traffic that stays in the zone
 	RegionShare      float64            `json:"Keep"`    // fraction of the traffic that stays in the region
-	WorkPerWeight    float64            `json:"Carry"`   // work a period that warm endpoints do for weight and utilisation
+	WorkPerWeight    float64            `json:"Carry"`   // work a period that warm endpoints do for weight and utilization
 	MaxWorkPerWeight float64            `json:"Most"`    // the most that one endpoint does
 	Endpoints        []EndpointStats    `json:"Upstreams"`
 	Zones            []ZoneStats        `json:"Zones"`
@@ -103,7 +103,7 @@
 		Name:           z.name,
 		Failed:         z.health.ejected,
 		RecoveredShare: z.health.recoveredShare,
-		HoldPeriods:    z.health.holdMultiple,
+		HoldPeriods:    z.health.stepMultiple,
 	}
 }
 
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	balancersPerEndpoint = 4.0 // balancers that share an endpoint, where there are enough
-	minSubset            = 2   // endpoints that a balancer uses at least
+	balancersPerEndpoint = 4.0 // balancers that use one endpoint, where there are enough of both
+	minSubsetEndpoints   = 2   // endpoints that a balancer uses at least
 )
 
 // rebuildSubset chooses the endpoints that this balancer uses. All balancers see the same ring and take a stretch from a
@@ -21,9 +21,9 @@
 	slices.SortFunc(active, func(x, y *endpoint) int { return cmp.Compare(x.ringPosition, y.ringPosition) })
 	count, balancers := float64(len(active)), float64(b.fleetSize.Balancers)
 	fair := math.Ceil(count * balancersPerEndpoint / max(balancersPerEndpoint, balancers-balancersPerEndpoint))
-	wanted := max(1, min(count, max(minSubset, fair)))
-	b.locality.disabled = wanted < min(count, minLocalitySubset)
-	b.initialLimit = initialFleetLimit * max(count, 1) / wanted / float64(b.fleetSize.MaxBalancers)
+	wanted := max(1, min(count, max(minSubsetEndpoints, fair)))
+	b.locality.disabled = wanted < min(count, minLocalitySubsetEndpoints)
+	b.initialLimit = initialFleetLimitAttempts * max(count, 1) / wanted / float64(b.fleetSize.MaxBalancers)
 	_, place := math.Modf(float64(b.fleetSize.Rank) * math.Phi)
 	chosen := chooseStretch(b.localFirst(active, place, wanted), wanted)
 	b.subset = b.subset[:0]
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -11,7 +11,7 @@
 func TestSubsetsAreSmallAndCoverEvenly(t *testing.T) {
 	for _, test := range []struct{ balancers, endpoints, least, most int }{
 		{8, 20, 20, 20},   // twice balancersPerEndpoint: each uses all endpoints
-		{90, 20, 2, 2},    // never fewer than minSubset
+		{90, 20, 2, 2},    // never fewer than minSubsetEndpoints
 		{400, 60, 2, 2},   // as many balancers as these need
 		{100, 60, 3, 3},   // about balancersPerEndpoint
 		{12, 20, 10, 10},  // in between: the size falls smoothly
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -26,8 +26,8 @@
 	ejected        bool    // on the evidence of its endpoints: it gets trials only
 	recovering     bool    // it was ejected, and its share grows again
 	recoveredShare float64 // fraction of its share that it has; 1: all
-	heldPeriods    int     // since its last recovery step
-	holdMultiple   int     // how long a step is held, in units of minHoldPeriods
+	stepAgePeriods int     // since its last recovery step
+	stepMultiple   int     // how long a step is held, in units of minStepPeriods
 	members        int     // endpoints of the subset
 	unhealthy      int     // members that give no good responses
 	responsive     int     // other members that have responded lately, or have an attempt in flight
@@ -61,7 +61,7 @@
 	if !found {
 		region = ""
 	}
-	z := &zone{name: name, region: region, localityWeight: 1, health: zoneHealth{recoveredShare: 1, holdMultiple: 1}}
+	z := &zone{name: name, region: region, localityWeight: 1, health: zoneHealth{recoveredShare: 1, stepMultiple: 1}}
 	b.zones = append(b.zones, z)
 	return z
 }
--- a/balancer/zonehealth.go
+++ b/balancer/zonehealth.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Zone health, see the package comment for the states. Constants without a unit are ratios.
+// Zone health. Fractions of endpoints and error rates are ratios, 0 to 1.
 const (
-	degradedFraction     = 0.5            // of a zone's endpoints unhealthy: it gets this part of its share
-	ejectFraction        = 0.75           // of them: it is ejected
-	minUnhealthy         = 2              // endpoints: one bad endpoint is no zone
-	outlierRatio         = 3              // times unhealthier than the rest, or the fault is not the zone's
-	minRemainingCapacity = 0.4            // of all capacity that the other zones must have: else everybody is needed
-	unhealthyErrorRate   = 0.5            // over which an endpoint is unhealthy
-	erringErrorRate      = 0.3            // the same where several of a zone fail at once: two in a row
-	overdueDeviations    = 2.0            // over its mean latency that count as overdue where several are so together
-	minCorrelated        = 3              // that many
-	responsiveRatio      = 8              // times as many of the others have responded lately as are overdue
-	responsiveSpan       = 2 * bandPeriod // since its last response an endpoint counts as responsive
-	trialsToRecover      = 3              // successful trials in a row that end an ejection
-	firstTrialTicks      = 2              // between the first trials
-	recoveryStep         = 0.25           // of its share that a zone gains at once
-	minHoldPeriods       = 3              // that a step is held: long enough for reports of its effect
-	maxHoldMultiple      = 8              // times as long are steps held at most, after setbacks
+	degradedFraction          = 0.5            // of a zone unhealthy, from which it gets only this part of its share
+	ejectFraction             = 0.75           // of a zone unhealthy, from which it is ejected
+	minUnhealthyEndpoints     = 2              // unhealthy endpoints that a degraded or ejected zone has at least
+	zoneOutlierRatio          = 3              // times as unhealthy as the others that a zone at fault is
+	minRemainingCapacityRatio = 0.4            // part of all weight that the other zones have when a zone is ejected
+	unhealthyErrorRate        = 0.5            // from which an endpoint is unhealthy
+	erringErrorRate           = 0.3            // from which an endpoint is erring; two errors in a row reach it
+	overdueDeviations         = 2.0            // mean deviations over its mean latency after which a response is overdue
+	minCorrelatedEndpoints    = 3              // endpoints of a zone that fail together in a correlated failure
+	responsiveRatio           = 8              // responsive endpoints elsewhere for each late one, if a zone is at fault
+	responsiveWithin          = 2 * bandPeriod // since its last response, for an endpoint to count as responsive
+	trialsToRecover           = 3              // successful trials in a row that end an ejection
+	firstTrialTicks           = 2              // ticks between the first two trials
+	recoveryStep              = 0.25           // fraction of its share that a recovering zone gains at once
+	minStepPeriods            = 3              // periods that a step lasts at least: reports of its effect take as long
+	maxStepMultiple           = 8              // times as long that a step lasts at most, after setbacks
 )
 
 // isUnhealthy reports whether e gives no good responses now.
@@ -59,7 +59,7 @@
 		health.unhealthy++
 	case b.isOverdue(e, now):
 		health.overdue++
-	case len(e.attempts) > 0 || now-e.outlier.respondedAt < responsiveSpan:
+	case len(e.attempts) > 0 || now-e.outlier.respondedAt < responsiveWithin:
 		health.responsive++
 		if e.latency.isSlow() {
 			health.slow++
@@ -79,7 +79,7 @@
 			lateElsewhere -= suspects + z.health.slow
 		}
 		responsiveElsewhere := responsive - z.health.responsive
-		othersRespond := responsiveElsewhere >= minCorrelated && lateElsewhere*responsiveRatio <= responsiveElsewhere
+		othersRespond := responsiveElsewhere >= minCorrelatedEndpoints && lateElsewhere*responsiveRatio <= responsiveElsewhere
 		if z.health.overdue > 0 && z.health.mostlySuspect(suspects) && othersRespond {
 			b.ejectOverdue(z, now)
 		}
@@ -89,7 +89,7 @@
 // mostlySuspect reports whether so many suspects are most of a zone.
 func (h *zoneHealth) mostlySuspect(suspects int) bool {
 	ofHeard := ejectFraction * float64(suspects+h.responsive)
-	return suspects >= minCorrelated && 2*suspects >= h.members && float64(suspects) >= ofHeard
+	return suspects >= minCorrelatedEndpoints && 2*suspects >= h.members && float64(suspects) >= ofHeard
 }
 
 // ejectOverdue marks the overdue endpoints of a zone as unresponsive.
@@ -105,7 +105,7 @@
 
 // countErring counts erring endpoints as unhealthy where they are several.
 func (h *zoneHealth) countErring() {
-	if h.erring >= minCorrelated {
+	if h.erring >= minCorrelatedEndpoints {
 		h.unhealthy = max(h.unhealthy, h.erring)
 		h.responsive = min(h.responsive, h.members-h.unhealthy)
 	}
@@ -120,9 +120,9 @@
 		health.ejected = false
 	case health.ejected && health.trialSuccesses >= trialsToRecover:
 		health.beginRecovery()
-		b.log.add(now, ZoneRecoveryStarted{Zone: z.name, StepPeriods: minHoldPeriods * health.holdMultiple})
+		b.log.add(now, ZoneRecoveryStarted{Zone: z.name, StepPeriods: minStepPeriods * health.stepMultiple})
 		return true
-	case !z.inUse() || elsewhere*outlierRatio > health.unhealthyFraction():
+	case !z.inUse() || elsewhere*zoneOutlierRatio > health.unhealthyFraction():
 	case b.mayEject(z, weight):
 		health.eject(now)
 		health.backoff = firstTrialTicks * b.tick
@@ -130,7 +130,7 @@
 		return true
 	case health.isDegraded() && health.recoveredShare > degradedFraction:
 		health.recoveredShare = degradedFraction
-		health.heldPeriods = 0
+		health.stepAgePeriods = 0
 		return true
 	}
 	return false
@@ -138,8 +138,8 @@
 
 // mayEject reports whether most of a zone is unhealthy, and the others have the capacity to go on without it.
 func (b *Balancer) mayEject(z *zone, weight float64) bool {
-	mostlyUnhealthy := z.health.unhealthy >= minUnhealthy && z.health.unhealthyFraction() >= ejectFraction
-	return mostlyUnhealthy && b.weightOutside(z) >= minRemainingCapacity*weight
+	mostlyUnhealthy := z.health.unhealthy >= minUnhealthyEndpoints && z.health.unhealthyFraction() >= ejectFraction
+	return mostlyUnhealthy && b.weightOutside(z) >= minRemainingCapacityRatio*weight
 }
 
 // inUse reports whether a zone gets traffic beyond trials.
@@ -163,13 +163,13 @@
 
 // isDegraded reports whether at least degradedFraction of a zone is unhealthy.
 func (h *zoneHealth) isDegraded() bool {
-	return h.unhealthy >= minUnhealthy && h.unhealthyFraction() >= degradedFraction
+	return h.unhealthy >= minUnhealthyEndpoints && h.unhealthyFraction() >= degradedFraction
 }
 
 // eject stops traffic to a zone but for trials. After a setback during recovery the next steps are held longer.
 func (h *zoneHealth) eject(now time.Duration) {
 	if h.recovering {
-		h.holdMultiple = min(2*h.holdMultiple, maxHoldMultiple)
+		h.stepMultiple = min(2*h.stepMultiple, maxStepMultiple)
 	}
 	h.ejected = true
 	h.recovering = false
@@ -183,7 +183,7 @@
 	h.ejected = false
 	h.recovering = true
 	h.recoveredShare = recoveryStep
-	h.heldPeriods = 0
+	h.stepAgePeriods = 0
 }
 
 // endRecovery ends the recovery of a zone that has all of its share, and after a long healthy time the memory of
@@ -193,26 +193,26 @@
 		return
 	}
 	h.recovering = false
-	if h.heldPeriods >= minHoldPeriods*maxHoldMultiple {
-		h.holdMultiple = 1
+	if h.stepAgePeriods >= minStepPeriods*maxStepMultiple {
+		h.stepMultiple = 1
 	}
 }
 
-// advanceRecovery gives recovering zones their next step, once the last has been held and their utilisation is not over
+// advanceRecovery gives recovering zones their next step, once the last has been held and their utilization is not over
 // the fleet's: what that step brought has been borne.
 func (b *Balancer) advanceRecovery() {
 	fleet := b.summarize(func(*zone) bool { return true })
 	for _, z := range b.zones {
 		health := &z.health
-		health.heldPeriods++
-		waits := health.heldPeriods < minHoldPeriods*health.holdMultiple || health.isDegraded()
+		health.stepAgePeriods++
+		waits := health.stepAgePeriods < minStepPeriods*health.stepMultiple || health.isDegraded()
 		if !z.inUse() || health.recoveredShare == 1 || waits {
 			continue
 		}
-		most := max(utilizationMargin*fleet.utilization+utilizationNoise, minExcessLevel)
+		most := max(utilizationMarginFactor*fleet.utilization+utilizationNoise, minExcessUtilization)
 		if !fleet.measured || z.measuredCapacity == 0 || z.meanUtilization() <= most {
 			health.recoveredShare = min(1, health.recoveredShare+recoveryStep)
-			health.heldPeriods = 0
+			health.stepAgePeriods = 0
 		}
 	}
 }
@@ -239,7 +239,7 @@
 func (z *zone) beginTrial(a *attempt) {
 	z.health.trial = a
 	z.health.nextTrialAt = a.sentAt + z.health.backoff
-	z.health.backoff = min(z.health.backoff*backoffGrowth, bandPeriod)
+	z.health.backoff = min(z.health.backoff*backoffGrowthFactor, bandPeriod)
 	if z.health.trialSuccesses > 0 {
 		z.health.nextTrialAt = a.sentAt
 	}
--- a/balancer/zonehealth_test.go
+++ b/balancer/zonehealth_test.go
@@ -194,7 +194,7 @@
 		rt.Fatalf("%s has %v of its share as its recovery begins", z.name, share)
 	case !ejected && share > h.share+recoveryStep+tolerance:
 		rt.Fatalf("%s went from %v to %v of its share", z.name, h.share, share)
-	case ejected && !h.ejected && b.weightOutside(z) < minRemainingCapacity*endpoints:
+	case ejected && !h.ejected && b.weightOutside(z) < minRemainingCapacityRatio*endpoints:
 		rt.Fatalf("%s was ejected, and the others have only %v of %v", z.name, b.weightOutside(z), endpoints)
 	}
 	trials := 0
