--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -3,10 +3,7 @@
 import (
 	"cmp"
 	"math"
-	"slices"
 	"time"
-
-	"sprucehill/internal/stats"
 )
 
 const (
@@ -31,24 +28,36 @@
 		b.effects.Reject(q.ID, 0)
 		return
 	}
+	r := b.newRequest(q, c, now)
+	b.requests[r.ID] = r
+	if r.priority == 0 && b.isSaturated(now) {
+		b.rejectOrFail(r)
+		return
+	}
+	b.admit(r, now)
+}
+
+// newRequest derives the work, priority and times of a request, and counts it for its class and tenant.
+func (b *Balancer) newRequest(q Request, c *class, now time.Duration) *request {
 	r := &request{Request: q, class: c, deadline: now + q.Timeout}
 	if q.Upload {
 		r.deadline = math.MaxInt64 // until its body has been sent
 	}
+	b.observeCostHint(q)
 	r.workUnits = b.expectedWork(q, c)
+	r.priority = b.priority(r)
+	t := b.tenants[r.Tenant]
+	if t != nil && t.countRequest(now) {
+		r.priority *= b.settings.OverQuotaFactor
+	}
+	c.longestTimeout = max(c.longestTimeout, q.Timeout)
 	reserve := time.Duration((attemptReserveLatencies - c.LatePriorityFactor) * cmp.Or(c.latency, b.latency))
-	r.priority = b.priority(r, now)
 	if c.isLateRetry(q, reserve) {
 		r.priority *= c.LatePriorityFactor
 	}
 	// The queue is processed once a tick: without a tick in reserve a short timeout would expire unnoticed.
 	r.attemptBy = now + min(c.LatencyObjective, q.Timeout) - max(reserve, b.tick) - b.tick
-	b.requests[r.ID] = r
-	if r.priority == 0 && b.isSaturated(now) {
-		b.rejectOrFail(r)
-		return
-	}
-	b.admit(r, now)
+	return r
 }
 
 // expectedWork is the work of a request, in mean requests.
@@ -56,27 +65,20 @@
 	if q.CostHint <= 0 {
 		return cmp.Or(c.latency/b.latency, 1)
 	}
-	stats.UpdateEWMA(&b.meanCost, float64(q.CostHint), costHintSmoothingFactor)
 	return max(float64(q.CostHint)/b.meanCost, minExpectedWorkUnits)
 }
 
-// priority is the value of a response to r for each unit of its work.
-func (b *Balancer) priority(r *request, now time.Duration) float64 {
-	priority := r.class.PriorityWeight
-	if !b.settings.PriorityByWork {
-		priority /= r.workUnits
+// priority is the value of a response to r, for each unit of its work.
+func (b *Balancer) priority(r *request) float64 {
+	if b.settings.PriorityByWork {
+		return r.class.PriorityWeight
 	}
-	t := b.tenants[r.Tenant]
-	if t != nil && t.countRequest(now) {
-		priority *= b.settings.OverQuotaFactor
-	}
-	return priority
+	return r.class.PriorityWeight / r.workUnits
 }
 
-// isLateRetry reports whether a request is a client's retry, recognised by its short timeout, that can no longer meet
-// the latency objective.
+// isLateRetry reports whether a request is a client's retry that can no longer meet the latency objective. A retry is
+// recognised by its short timeout.
 func (c *class) isLateRetry(q Request, reserve time.Duration) bool {
-	c.longestTimeout = max(c.longestTimeout, q.Timeout)
 	isRetry := q.Timeout < c.longestTimeout-c.longestTimeout/timeoutToleranceDivisor
 	return isRetry && c.LatencyObjective-(c.Deadline-q.Timeout) < reserve
 }
@@ -88,7 +90,7 @@
 
 // admit sends r if an endpoint can take it, queues it if one may be free in time, and otherwise answers it.
 func (b *Balancer) admit(r *request, now time.Duration) {
-	e, permitted := b.pickEndpoint(r, now)
+	e, permitted := b.takeTurn(r, now)
 	if e != nil {
 		b.startAttempt(r, e, now)
 		return
@@ -97,19 +99,12 @@
 		b.saturatedAt = now
 	}
 	if (permitted || len(r.attempts) == 0) && now < r.attemptBy {
-		b.enqueue(r)
+		b.queue.add(r)
 		return
 	}
 	b.rejectOrFail(r)
 }
 
-// enqueue puts r into the queue: highest priority first, of equals the newest.
-func (b *Balancer) enqueue(r *request) {
-	r.queued = true
-	b.queue = slices.Insert(b.queue, 0, r)
-	slices.SortStableFunc(b.queue, func(x, y *request) int { return cmp.Compare(y.priority, x.priority) })
-}
-
 // dispatchQueue sends queued requests while endpoints can take them, and answers those that would be late. A request
 // without attempts that fits nowhere shows that none behind it fits.
 func (b *Balancer) dispatchQueue(now time.Duration) {
@@ -120,7 +115,7 @@
 			b.log.add(now, RequestsShed{QueueLength: len(b.queue)})
 			b.rejectOrFail(r)
 		} else if !r.finished && !blocked {
-			e, _ := b.pickEndpoint(r, now)
+			e, _ := b.takeTurn(r, now)
 			if e != nil {
 				b.startAttempt(r, e, now)
 				continue
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -20,7 +20,7 @@
 	tick        time.Duration // interval of queue processing and failure detection
 
 	requests  map[RequestID]*request
-	queue     []*request // by priority, then newest first
+	queue     requestQueue
 	byID      map[EndpointID]*endpoint
 	endpoints []*endpoint // in order of arrival
 	subset    []*endpoint // those in use, and what has left the subset with attempts in flight
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -84,6 +84,17 @@
 	NotSent              // * never written
 )
 
+// provesNotExecuted reports whether the status proves that the request was not executed.
+func (s Status) provesNotExecuted() bool { return s == Rejected || s == ConnectFailed || s == NotSent }
+
+// isResponse reports whether the endpoint has responded.
+func (s Status) isResponse() bool { return s == OK || s == Error || s == Rejected }
+
+// isFailure reports whether the status speaks against the endpoint's health. A full queue does not.
+func (s Status) isFailure() bool {
+	return s == Error || s == Timeout || s == ConnectFailed || s == Reset
+}
+
 // LoadField is a bit for each value that a LoadReport holds.
 type LoadField uint8
 
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -10,12 +10,12 @@
 // proxy carries out what the balancer decides. The embedded interface stands for the methods that the example does not use.
 type proxy struct{ balancer.Effects }
 
-func (proxy) Send(id balancer.RequestID, endpoint balancer.EndpointID, timeout time.Duration) {
+func (proxy) Send(id balancer.RequestID, endpoint balancer.EndpointID, _ time.Duration) {
 	fmt.Printf("request %d goes to endpoint %d\n", id, endpoint)
 }
 
 // SetTimer would have Balancer.OnTimer called with the token when the time is over.
-func (proxy) SetTimer(after time.Duration, token uint64) {}
+func (proxy) SetTimer(time.Duration, uint64) {}
 
 func Example() {
 	settings := balancer.Settings{
--- a/balancer/ledger.go
+++ b/balancer/ledger.go
@@ -68,14 +68,14 @@
 // end records how an attempt ended, in the ledger and at its endpoint.
 func (a *attempt) end(result AttemptResult) {
 	a.ended = true
-	a.notExecuted = result.Status == Rejected || result.Status == ConnectFailed || result.Status == NotSent
+	a.notExecuted = result.Status.provesNotExecuted()
 	a.request.inFlight--
 	a.request.bodyConsumed = a.request.bodyConsumed || result.BodyConsumed
 	a.endpoint.attempts = slices.DeleteFunc(a.endpoint.attempts, func(other *attempt) bool { return other == a })
 }
 
 // OnClientDisconnected drops a request whose client has left.
-func (b *Balancer) OnClientDisconnected(now time.Duration, id RequestID) {
+func (b *Balancer) OnClientDisconnected(_ time.Duration, id RequestID) {
 	r := b.requests[id]
 	if r != nil && !r.finished {
 		b.finishRequest(r, noAttempt)
@@ -116,6 +116,20 @@
 	b.lastAttemptAt = a.sentAt
 }
 
+// finishRequest records that r has its final answer, from the attempt of an index or noAttempt, and cancels its other
+// attempts.
+func (b *Balancer) finishRequest(r *request, answered int) {
+	for i, a := range r.attempts {
+		if i != answered && !a.ended && !r.finished && b.settings.Limits.AllowCancel {
+			b.effects.Cancel(r.ID, i)
+		}
+	}
+	r.finished = true
+	if r.inFlight == 0 {
+		delete(b.requests, r.ID)
+	}
+}
+
 // countRequest counts a request and reports whether its tenant is over its quota.
 func (t *tenant) countRequest(now time.Duration) (overQuota bool) {
 	leaked := t.rate * (now.Seconds() - t.updatedAt)
--- a/balancer/limit.go
+++ b/balancer/limit.go
@@ -4,8 +4,6 @@
 	"cmp"
 	"math"
 	"time"
-
-	"sprucehill/internal/stats"
 )
 
 // Limits of attempts in flight at one endpoint are of all balancers together.
@@ -29,28 +27,24 @@
 	return u.readings > 0 && u.mean < fullUtilizationRatio && u.lastReport.Queue <= 0
 }
 
-// observeLatency updates the running means by a response. The rarer an endpoint's responses, the more weight each has for
-// it.
-func (b *Balancer) observeLatency(a *attempt, latency time.Duration) {
-	e, sample := a.endpoint, float64(latency)
-	weight := max(smoothingFactor, 1-e.limit.current)
-	stats.UpdateEWMA(&e.latency.deviation, math.Abs(sample-e.latency.mean), weight) // at first as large as the mean
-	stats.UpdateEWMA(&e.latency.mean, sample, weight)
-	stats.UpdateEWMA(&e.latency.workUnits, max(a.request.workUnits, minWorkUnits), weight)
-	stats.UpdateEWMA(&b.latency, sample, smoothingFactor)
-	stats.UpdateEWMA(&a.request.class.latency, sample, smoothingFactor)
-	stats.UpdateEWMA(&e.latency.smoothed, e.latency.perUnit(), smoothingFactor)
-	stats.UpdateEWMA(&e.latency.baseline, e.latency.smoothed, baselineSmoothingFactor)
-	e.latency.baseline = min(e.latency.baseline, e.latency.smoothed)
-}
-
 // isSlow reports whether latency is far over its baseline.
 func (l *latencyStats) isSlow() bool { return l.smoothed > saturatedLatencyRatio*l.baseline }
 
-// adjustLimit moves the limit by a response. A slow response alone proves no saturation, since work and waits vary by as
-// much: where readings show headroom the limit grows instead. An endpoint that was saturated from the first knows no
-// better baseline of itself, so the fleet's counts too.
-func (b *Balancer) adjustLimit(a *attempt, now time.Duration) {
+// adjustLimit moves the limit of an endpoint by the status of an attempt. With headroom a response that did not come was
+// lost, not delayed by load.
+func (b *Balancer) adjustLimit(a *attempt, status Status, now time.Duration) {
+	switch {
+	case status == OK:
+		b.adjustLimitByLatency(a, now)
+	case status == Rejected || (status == Timeout && !a.endpoint.hasHeadroom()):
+		b.reduceLimit(a.endpoint, now, rejectionReductionFactor)
+	}
+}
+
+// adjustLimitByLatency moves the limit by a good response. A slow one alone proves no saturation, because work and waits
+// vary by as much. With headroom the limit grows instead. The fleet's baseline counts too: an endpoint that was saturated
+// from the first has no lower one of its own.
+func (b *Balancer) adjustLimitByLatency(a *attempt, now time.Duration) {
 	e := a.endpoint
 	baseline := min(e.latency.baseline, cmp.Or(b.fleet.baselineLatency, e.latency.baseline))
 	objective := float64(a.request.class.LatencyObjective)
@@ -96,7 +90,8 @@
 	return b.initialLimit * minFleetLimitAttempts / initialFleetLimitAttempts
 }
 
-// raiseLimitCeilings lets each limit at most double in the next period, before a reading can tell of full utilization.
+// raiseLimitCeilings sets how far each limit may grow in the next period: to twice its present value. Load reports show
+// the effect of a higher limit only after a period.
 func (b *Balancer) raiseLimitCeilings() {
 	for _, e := range b.subset {
 		e.limit.ceiling = max(2*e.limit.current, initialFleetLimitAttempts)
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -30,19 +30,25 @@
 	}
 }
 
-// markUnresponsive ejects an endpoint until it responds: it gets one trial at a time, the first after the time that a
-// response of so much work may take, and what may be executed twice is hedged elsewhere or cancelled.
+// markUnresponsive ejects an endpoint until it responds. Meanwhile it gets one trial at a time, the first of them after
+// the response timeout of so much work.
 func (b *Balancer) markUnresponsive(e *endpoint, workUnits float64, now time.Duration) {
 	b.log.add(now, EndpointUnresponsive{Endpoint: e.ID, Silence: e.waitingTime(e.oldestAttempt(), now)})
 	e.outlier.unresponsive = true
 	e.outlier.backoff = b.responseTimeout(e, workUnits)
 	e.outlier.nextTrialAt = now + e.outlier.backoff
+	b.moveAttempts(e, now)
+}
+
+// moveAttempts hedges the only attempt of each request at an unresponsive endpoint, if the request may be executed twice.
+// Where hedging is not allowed the attempt is cancelled instead.
+func (b *Balancer) moveAttempts(e *endpoint, now time.Duration) {
 	for _, a := range slices.Clone(e.attempts) {
 		r := a.request
 		if r.class.Idempotency == NonIdempotent || r.Upload || r.finished || r.inFlight > 1 {
 			continue
 		}
-		other, _ := b.pickEndpoint(r, now)
+		other, _ := b.takeTurn(r, now)
 		if other != nil {
 			b.startAttempt(r, other, now)
 		} else if !b.settings.Limits.AllowHedging && b.settings.Limits.AllowCancel {
@@ -59,10 +65,27 @@
 	e.outlier.unreachableUntil = now
 }
 
-// beginTrial spaces the trials of an unresponsive endpoint.
-func (e *endpoint) beginTrial(now time.Duration) {
-	e.outlier.nextTrialAt = now + e.outlier.backoff
-	e.outlier.backoff *= backoffGrowthFactor
+// isOnTrial reports whether an endpoint, or its zone, is ejected, so that it gets trials only.
+func (e *endpoint) isOnTrial() bool { return e.zone.health.ejected || e.outlier.unresponsive }
+
+// recordTrial spaces the trials of the zone or endpoint that an attempt is a trial of.
+func (a *attempt) recordTrial() {
+	e := a.endpoint
+	if e.zone.health.ejected {
+		e.zone.beginTrial(a)
+	} else if e.outlier.unresponsive {
+		e.outlier.nextTrialAt = a.sentAt + e.outlier.backoff
+		e.outlier.backoff *= backoffGrowthFactor
+	}
+}
+
+// allowsTrial reports whether an unresponsive endpoint gets r as a trial. The safest class goes first, others after
+// another backoff.
+func (b *Balancer) allowsTrial(e *endpoint, r *request, now time.Duration) bool {
+	if r.class.Idempotency == b.safestClass {
+		return now >= e.outlier.nextTrialAt
+	}
+	return now >= e.outlier.nextTrialAt+e.outlier.backoff
 }
 
 // backOff pauses an endpoint that could not be reached or broke a connection: it is down, or its connection table
@@ -75,14 +98,21 @@
 	e.outlier.backoff = min(e.outlier.backoff*backoffGrowthFactor, b.settings.Obligations.SlowStartWindow)
 }
 
-// observeErrors updates the running mean of errors by a result.
-func (e *endpoint) observeErrors(status Status, now time.Duration) {
-	switch status {
-	case OK:
-		e.outlier.errorRate -= errorSmoothingFactor * e.outlier.errorRate
-		e.zone.health.succeededAt = now
-	case Error, Reset, ConnectFailed, Timeout:
+// observeHealth updates the evidence on an endpoint and its zone by the status of an attempt.
+func (b *Balancer) observeHealth(e *endpoint, status Status, now time.Duration) {
+	e.zone.observeTrial(status)
+	if status.isFailure() {
 		e.outlier.errorRate += errorSmoothingFactor * (1 - e.outlier.errorRate)
 		e.outlier.failedAt = now
 	}
+	if status == OK {
+		e.outlier.errorRate -= errorSmoothingFactor * e.outlier.errorRate
+		e.zone.health.succeededAt = now
+	}
+	if status.isResponse() {
+		b.markResponsive(e, now)
+	}
+	if status == ConnectFailed || status == Reset {
+		b.backOff(e, now)
+	}
 }
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -15,15 +15,27 @@
 	return e.weight * e.shareFactor * b.slowStartCapacity(e, now) * e.zone.shareFactor()
 }
 
-// pickEndpoint gives the turn to the eligible endpoint that is due first: an even interleave by traffic shares. It tells,
-// too, whether r is permitted an attempt at any endpoint of the subset, now or later.
-func (b *Balancer) pickEndpoint(r *request, now time.Duration) (best *endpoint, permitted bool) {
-	var total float64
+// takeTurn selects an endpoint for r and charges it a turn; nil: none can take r now. permitted reports whether r may have
+// an attempt at any endpoint of the subset, now or later.
+func (b *Balancer) takeTurn(r *request, now time.Duration) (best *endpoint, permitted bool) {
+	best, shares, permitted := b.selectEndpoint(r, now)
+	if best == nil && permitted {
+		best = b.lastResort(r, now)
+	}
+	if best != nil {
+		b.noteMissedTurns(best, now)
+		b.chargeTurn(best, shares/b.trafficShare(best, now))
+	}
+	return best, permitted
+}
+
+// selectEndpoint is the eligible endpoint whose turn is due first, and the sum of all traffic shares.
+func (b *Balancer) selectEndpoint(r *request, now time.Duration) (best *endpoint, shares float64, permitted bool) {
 	for _, e := range b.subset {
 		if !e.inSubset {
 			continue
 		}
-		total += b.trafficShare(e, now)
+		shares += b.trafficShare(e, now)
 		if !b.mayAttempt(r, e, now) {
 			continue
 		}
@@ -32,42 +44,39 @@
 			best = e
 		}
 	}
-	if best == nil && permitted {
-		best = b.lastResort(r, now)
-	}
-	if best != nil {
-		b.noteMissedTurns(best, now)
-		b.takeTurn(best, total/b.trafficShare(best, now))
-	}
-	return best, permitted
+	return best, shares, permitted
 }
 
-// takeTurn sets an endpoint's next turn one round on. A round is the turns of all for one of its own, in virtual time.
-func (b *Balancer) takeTurn(e *endpoint, round float64) {
+// chargeTurn sets an endpoint's next turn one round on. A round is the turns of all for one of its own, in virtual time:
+// turns are an even interleave by traffic shares.
+func (b *Balancer) chargeTurn(e *endpoint, round float64) {
 	b.virtualTime = max(b.virtualTime, e.nextTurn)
 	e.nextTurn = max(e.nextTurn, b.virtualTime-maxTurnDebtRounds*round) + round
 }
 
-// isEligible reports whether an endpoint may take r at this turn. The concurrency limit is a guard: shares decide below
-// it.
+// isEligible reports whether an endpoint may take r at this turn.
 func (b *Balancer) isEligible(e *endpoint, r *request, now time.Duration) bool {
-	if e.zone.drained {
+	switch {
+	case e.zone.drained:
 		return false
+	case e.zone.health.ejected:
+		return e.hasFreeSlot(now) && b.allowsZoneTrial(e.zone, r, now) && b.fitsSlowStart(e, r, now)
+	case e.outlier.unresponsive:
+		return b.allowsTrial(e, r, now) && b.canAnswerInTime(e, r, now) && b.fitsSlowStart(e, r, now)
 	}
-	available := now >= e.limit.pausedUntil && now >= e.outlier.unreachableUntil &&
-		float64(len(e.attempts)) < max(1, math.Floor(e.limit.current))
-	if e.zone.health.ejected {
-		return available && b.allowsTrial(e.zone, r, now) && b.fitsSlowStart(e, r, now)
-	}
-	if e.outlier.unresponsive { // the safest class goes first as a trial
-		available = now >= e.outlier.nextTrialAt &&
-			(r.class.Idempotency == b.safestClass || now >= e.outlier.nextTrialAt+e.outlier.backoff)
-	}
-	return available && b.canAnswerInTime(e, r, now) && b.fitsSlowStart(e, r, now)
+	return e.hasFreeSlot(now) && b.canAnswerInTime(e, r, now) && b.fitsSlowStart(e, r, now)
+}
+
+// hasFreeSlot reports whether an endpoint is not paused or in backoff, and is under its concurrency limit. The limit is a
+// guard: shares decide below it.
+func (e *endpoint) hasFreeSlot(now time.Duration) bool {
+	waits := now < e.limit.pausedUntil || now < e.outlier.unreachableUntil
+	return !waits && float64(len(e.attempts)) < max(1, math.Floor(e.limit.current))
 }
 
-// lastResort is the endpoint whose trial is due first, once this balancer has had to reject all that it got for
-// maxBlocked: the backoff of single endpoints grows without a bound. The safest class goes first.
+// lastResort is the endpoint whose trial is due first, for a balancer that has rejected all requests for maxBlocked.
+// Without it no attempt would be made for as long as every endpoint is in backoff. The safest class goes first, others
+// after another half of maxBlocked.
 func (b *Balancer) lastResort(r *request, now time.Duration) (best *endpoint) {
 	if b.lastAttemptAt >= b.blockedSince {
 		b.blockedSince = now
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -55,24 +55,22 @@
 // startAttempt sends r to e.
 func (b *Balancer) startAttempt(r *request, e *endpoint, now time.Duration) {
 	a := &attempt{request: r, endpoint: e, sentAt: now, uploading: r.Upload}
-	onTrial := e.zone.health.ejected || e.outlier.unresponsive
-	if e.zone.health.ejected {
-		e.zone.beginTrial(a)
-	} else if e.outlier.unresponsive {
-		e.beginTrial(now)
-	}
-	timeout := time.Duration(0) // none: a response in progress is worth more than a new attempt
-	if onTrial && r.class.Idempotency != NonIdempotent && !r.Upload {
-		timeout = b.responseTimeout(e, r.workUnits) // leaves time for another attempt
-	}
-	if b.fleet.workPerWeight == 0 {
-		e.slowStart.budget.At = now
-	}
-	e.slowStart.budget.Add(max(1, r.workUnits))
+	timeout := b.attemptTimeout(r, e)
+	a.recordTrial()
+	b.chargeSlowStart(e, r.workUnits, now)
 	b.recordAttempt(a)
 	b.effects.Send(r.ID, e.ID, timeout)
 }
 
+// attemptTimeout is the timeout of an attempt of r at e; 0: the client's. A trial that may be repeated gets the response
+// timeout, which leaves time for another attempt. Otherwise a response in progress has priority over a new attempt.
+func (b *Balancer) attemptTimeout(r *request, e *endpoint) time.Duration {
+	if !e.isOnTrial() || r.class.Idempotency == NonIdempotent || r.Upload {
+		return 0
+	}
+	return b.responseTimeout(e, r.workUnits)
+}
+
 // OnAttemptResult handles the end of an attempt: the request is answered, retried or given up.
 func (b *Balancer) OnAttemptResult(now time.Duration, result AttemptResult) {
 	r, a := b.findAttempt(result.ID, result.Attempt)
@@ -91,34 +89,15 @@
 
 // observeResult updates what is known of an endpoint by a result.
 func (b *Balancer) observeResult(a *attempt, result AttemptResult, now time.Duration) {
-	e := a.endpoint
-	e.zone.observeResult(result.Status)
-	e.observeErrors(result.Status, now)
-	if result.Status == OK || result.Status == Error || result.Status == Rejected {
-		b.markResponsive(e, now)
-	}
-	switch result.Status {
-	case OK:
+	b.observeHealth(a.endpoint, result.Status, now)
+	if result.Status == OK {
 		b.observeLatency(a, result.Latency)
-		b.adjustLimit(a, now)
-	case Rejected:
-		b.reduceLimit(e, now, rejectionReductionFactor)
-	case Timeout: // with headroom left the response was lost, not delayed by load
-		if !e.hasHeadroom() {
-			b.reduceLimit(e, now, rejectionReductionFactor)
-		}
-	case ConnectFailed, Reset:
-		b.backOff(e, now)
 	}
+	b.adjustLimit(a, result.Status, now)
 	b.pauseAfter(a, now)
-	if b.settings.Reports == ReportInHealthChecks {
-		return
-	}
-	objectiveShare := 0.0
-	if result.Status == OK {
-		objectiveShare = float64(result.Latency) / float64(a.request.class.LatencyObjective)
+	if b.settings.Reports != ReportInHealthChecks {
+		b.recordUtilization(a.endpoint, result.Load, a.objectiveShare(result), now)
 	}
-	b.recordUtilization(e, result.Load, objectiveShare, now)
 }
 
 // rejectOrFail gives the final answer to a request that can't be served.
@@ -130,17 +109,3 @@
 		b.effects.Fail(r.ID)
 	}
 }
-
-// finishRequest records that r has its final answer, from the attempt of an index or noAttempt, and cancels its other
-// attempts.
-func (b *Balancer) finishRequest(r *request, answered int) {
-	for i, a := range r.attempts {
-		if i != answered && !a.ended && !r.finished && b.settings.Limits.AllowCancel {
-			b.effects.Cancel(r.ID, i)
-		}
-	}
-	r.finished = true
-	if r.inFlight == 0 {
-		delete(b.requests, r.ID)
-	}
-}
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -41,6 +41,15 @@
 	return budget.Level <= max(0, rate*b.settings.Obligations.OverloadWindow.Seconds()-max(1, r.workUnits))
 }
 
+// chargeSlowStart counts an attempt against the budget of a warming endpoint. Until a warm endpoint is known the budget
+// does not leak.
+func (b *Balancer) chargeSlowStart(e *endpoint, workUnits float64, now time.Duration) {
+	if b.fleet.workPerWeight == 0 {
+		e.slowStart.budget.At = now
+	}
+	e.slowStart.budget.Add(max(1, workUnits))
+}
+
 // slowStartRate is the rate, in mean requests a second, at which the budget of a warming endpoint frees: half of this
 // balancer's part of what it may get. What zones count for can change at once and work can't, so no endpoint is taken to
 // do more than the best one does.
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -78,6 +78,15 @@
 // meanUtilization is that of its endpoints with readings; it needs some.
 func (z *zone) meanUtilization() float64 { return z.utilizationSum / z.measuredCapacity }
 
+// inUse reports whether a zone gets traffic beyond trials.
+func (z *zone) inUse() bool { return !z.drained && !z.health.ejected }
+
+// isUsable reports whether an endpoint counts for the capacity of its zone.
+func (e *endpoint) isUsable() bool { return !e.outlier.unresponsive && e.zone.inUse() }
+
+// shareFactor is what traffic shares count for in a zone that is in use.
+func (z *zone) shareFactor() float64 { return z.localityWeight * z.health.recoveredShare }
+
 // summarizeZones sums up what is known of each zone, and forgets those without endpoints.
 func (b *Balancer) summarizeZones(now time.Duration) {
 	for _, z := range b.zones {
--- a/balancer/zonehealth.go
+++ b/balancer/zonehealth.go
@@ -142,15 +142,6 @@
 	return mostlyUnhealthy && b.weightOutside(z) >= minRemainingCapacityRatio*weight
 }
 
-// inUse reports whether a zone gets traffic beyond trials.
-func (z *zone) inUse() bool { return !z.drained && !z.health.ejected }
-
-// isUsable reports whether an endpoint counts for the capacity of its zone.
-func (e *endpoint) isUsable() bool { return !e.outlier.unresponsive && e.zone.inUse() }
-
-// shareFactor is what traffic shares count for in a zone that is in use.
-func (z *zone) shareFactor() float64 { return z.localityWeight * z.health.recoveredShare }
-
 // unhealthyFraction is the fraction of a zone that is unhealthy. Once that is half of all, endpoints that nothing is
 // known of do not speak for the zone: no evidence is not good evidence.
 func (h *zoneHealth) unhealthyFraction() float64 {
@@ -217,20 +208,9 @@
 	}
 }
 
-// observeResult counts successful trials in a row.
-func (z *zone) observeResult(status Status) {
-	switch status {
-	case OK:
-		z.health.trialSuccesses++
-	case Rejected, Cancelled, NotSent:
-	default:
-		z.health.trialSuccesses = 0
-	}
-}
-
-// allowsTrial reports whether an ejected zone gets a trial: one at a time, of the safest class, so that it may go
-// elsewhere.
-func (b *Balancer) allowsTrial(z *zone, r *request, now time.Duration) bool {
+// allowsZoneTrial reports whether an ejected zone gets r as a trial: one at a time, of the safest class. Such a request may
+// be sent elsewhere after a failure.
+func (b *Balancer) allowsZoneTrial(z *zone, r *request, now time.Duration) bool {
 	ended := z.health.trial == nil || z.health.trial.ended
 	return ended && now >= z.health.nextTrialAt && r.class.Idempotency == b.safestClass
 }
