--- a/balancer/bands.go
+++ b/balancer/bands.go
@@ -20,8 +20,8 @@
 	smoothingFactor      = 0.1         // weight ratio of a new sample in a running mean
 )
 
-// recordUtilization records a load report as a reading of utilization. Where it has none, requests in progress and waiting
-// stand in; at sites without reports it is the response's share of its latency objective (0: no response).
+// recordUtilization records a load report as a reading of utilization. A report without utilization counts by the requests
+// in progress and waiting. At sites without reports the response's share of its latency objective counts (0: no response).
 func (b *Balancer) recordUtilization(e *endpoint, report LoadReport, objectiveShare float64, now time.Duration) {
 	reading := report.Utilization
 	switch {
@@ -41,8 +41,8 @@
 	e.utilization.lastReport = report
 }
 
-// integrateBand adds the band gap since the last reading to the area. An endpoint pinned at full load has a flat band, so
-// its level over the fleet's counts too.
+// integrateBand adds the band gap since the last reading to the area. The gap widens with the deviation of the readings and
+// with their mean over the fleet's utilization. The mean counts because readings at constant full load do not deviate.
 func (b *Balancer) integrateBand(e *endpoint, now time.Duration) {
 	u := &e.utilization
 	excess := max(0, u.mean-max(minExcessUtilization, b.fleet.utilization))
@@ -51,8 +51,8 @@
 	u.integratedAt = now
 }
 
-// adjustShares cuts the traffic shares of saturated endpoints by degrees and lets the others grow back. The threshold
-// follows the fleet's median, so a rise on all endpoints cuts none.
+// adjustShares cuts the traffic shares of saturated endpoints and lets the others grow back, both in steps. The threshold
+// follows the fleet's median: a rise on all endpoints cuts none.
 func (b *Balancer) adjustShares() {
 	median := b.valueAbove(2, func(e *endpoint) float64 { return e.utilization.area })
 	threshold := max(minAreaThreshold, areaThresholdRatio*median)
@@ -72,9 +72,9 @@
 	b.fleet.baselineLatency = b.valueAbove(4, func(e *endpoint) float64 { return e.latency.baseline })
 }
 
-// estimateWorkPerWeight estimates the work that warm endpoints do for their weight, by present zone weights: a warming
-// endpoint's budget is derived from it, and a zone whose weight jumps must not send its warming endpoints more than
-// that.
+// estimateWorkPerWeight estimates the work that warm endpoints could do for a unit of weight at full utilization. Budgets of
+// slow start are derived from it. It goes by the present zone weights: when a zone's weight jumps, the budgets of its
+// warming endpoints must not jump with it.
 func (b *Balancer) estimateWorkPerWeight() {
 	var work, weight, most float64
 	for _, e := range b.subset {
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -9,9 +9,9 @@
 // it.
 const notificationDelay = 6 * time.Second
 
-// retryDiscovery sets the time of the next call to discovery: later after each failure, and never all balancers at once.
-// What discovery has counts as notified after notificationDelay, heard or not, so calls stay close; where it pushes, at
-// once.
+// retryDiscovery sets the time of the next call to discovery. The wait grows with each failure and is drawn, so that
+// balancers do not call in step. It stays well under notificationDelay, or under the drain grace where discovery pushes:
+// after that time a change counts as notified even if no call has succeeded.
 func (b *Balancer) retryDiscovery(now time.Duration) {
 	longest := min(b.settings.Obligations.PollInterval/8, notificationDelay/4)
 	if !b.settings.PollDiscovery {
@@ -43,7 +43,7 @@
 	e.Endpoint = entry
 	e.zone = b.zoneNamed(entry.Zone)
 	weight := entry.Weight
-	if b.settings.Weights == WeightLive { // late and the same for all balancers: only its slow mean is safe to follow
+	if b.settings.Weights == WeightLive { // late, and the same for all balancers: following it at once would oscillate
 		weight = e.weight + smoothingFactor*(entry.Weight-e.weight)
 	}
 	e.weight = max(weight, math.SmallestNonzeroFloat32)
--- a/balancer/limit.go
+++ b/balancer/limit.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// needsHigherLimit reports whether requests find no endpoint, or leave the zone only because of the limit of e.
+// needsHigherLimit reports whether requests find no endpoint, or go to another zone only because of the limit of e.
 func (b *Balancer) needsHigherLimit(e *endpoint, now time.Duration) bool {
 	if b.isSaturated(now) {
 		return true
@@ -68,8 +68,8 @@
 	return missedTurn && e.utilization.mean < minExcessUtilization && e.limit.current < e.neededConcurrency()
 }
 
-// neededConcurrency is how many attempts are in flight at e for its own traffic, with a margin for bursts. It
-// goes by the baseline latency: an endpoint that holds many because it is slow needs no more.
+// neededConcurrency is how many attempts are in flight at e for its own traffic, with a margin for bursts. It goes by the
+// baseline latency: an endpoint with many in flight because it is slow needs no higher limit.
 func (e *endpoint) neededConcurrency() float64 {
 	mean := e.work.mean / bandPeriod.Seconds() * e.latency.baseline / float64(time.Second)
 	return mean + 2*math.Sqrt(mean) + 1
@@ -103,8 +103,8 @@
 	return time.Duration(max(0, 1/e.limit.current-1) * cmp.Or(e.latency.mean, b.latency))
 }
 
-// pauseAfter sets the pause that follows an attempt, where the limit is under one. An endpoint that was idle has one
-// attempt in hand, since requests come by chance.
+// pauseAfter sets the pause that follows an attempt, where the limit is under one. An endpoint that was idle may get one
+// attempt before the pause, because requests arrive at random.
 func (b *Balancer) pauseAfter(a *attempt, now time.Duration) {
 	e, interval := a.endpoint, b.attemptInterval(a.endpoint)
 	begun := max(e.limit.pausedUntil, a.sentAt-interval)
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -15,8 +15,8 @@
 	maxSpareFactor             = 2    // by which zones alike in distance differ at most for their utilization
 )
 
-// updateLocality moves how much of the traffic stays local and in the region, by the utilization there and elsewhere. All
-// that a zone's balancers learn, alike and late, moves them alike, so a move is small.
+// updateLocality adjusts how much of the traffic stays in the zone and in the region, by the utilization there and
+// elsewhere. All balancers of a zone adjust alike, by the same late reports, so each step is small.
 func (b *Balancer) updateLocality(now time.Duration) {
 	home := b.zoneNamed(b.settings.Zone)
 	locality := &b.locality
@@ -49,9 +49,9 @@
 	b.setLocalityWeights(region.capacity-home.capacity, all.capacity-region.capacity)
 }
 
-// adjustShare moves the share of the traffic that stays in a part of the fleet by the utilization to spare there: up to
-// maxLocalShare; down to an even share where there is little to spare, since a full fleet has no turns to lose; and to
-// half of that where its utilization is over the fleet's.
+// adjustShare adjusts the share of the traffic that stays in a part of the fleet. It grows, up to maxLocalShare, while the
+// part has spare utilization. Without spare utilization it shrinks to an even share, and to half of that while the part is
+// more utilized than the fleet.
 func adjustShare(share float64, part, fleet zoneGroup) float64 {
 	least := part.capacity / fleet.capacity
 	acceptable := utilizationMarginFactor*fleet.utilization + utilizationNoise
@@ -63,9 +63,9 @@
 	return max(least, min(maxLocalShare, share+move))
 }
 
-// setLocalityWeights sets the weight of shares in each zone: 1 at home, elsewhere so that the parts of the traffic which
-// leave come out, given the capacity near (in the region, but for home) and far. Of zones alike in distance the less
-// utilized gets more.
+// setLocalityWeights sets the locality weight of each zone: 1 for the balancer's own. Weights elsewhere follow from the
+// parts of the traffic that leave, and from the capacity near (the rest of the region) and far (other regions). Of zones
+// at the same distance the less utilized gets more.
 func (b *Balancer) setLocalityWeights(near, far float64) {
 	home := b.locality.home
 	toFar := 1 - b.locality.regionShare
@@ -98,8 +98,8 @@
 	return max(1.0/maxSpareFactor, min(maxSpareFactor, factor))
 }
 
-// canAnswerInTime reports whether a response from e can come before the client gives up. It checks other regions only:
-// the way there and back is part of every response, and one nearby may be quicker this time.
+// canAnswerInTime reports whether a response from e can come before the client gives up. It excludes other regions only:
+// their round trip is part of every response, while an endpoint nearby may respond faster than its mean.
 func (b *Balancer) canAnswerInTime(e *endpoint, r *request, now time.Duration) bool {
 	if b.locality.home == nil || e.zone.region == b.locality.home.region || e.latency.workUnits == 0 {
 		return true
@@ -107,8 +107,8 @@
 	return r.deadline-now >= time.Duration(e.latency.perUnit()*r.workUnits)
 }
 
-// noteMissedTurns records which local endpoints were due before a remote one that gets the turn: only their limits sent it
-// away, and these may grow as where no endpoint is free.
+// noteMissedTurns records which local endpoints were due before a remote one that gets the turn. Only their concurrency
+// limits have caused the spillover, so these limits may grow.
 func (b *Balancer) noteMissedTurns(best *endpoint, now time.Duration) {
 	if b.locality.localShare == 0 || best.Zone == b.settings.Zone {
 		return
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -12,7 +12,7 @@
 )
 
 // responseTimeout is how long an endpoint may give no response before it counts as unresponsive. The fleet's latency
-// bounds it from below: one quick response is no measure.
+// bounds it from below, because the mean of an endpoint with few responses is not reliable.
 func (b *Balancer) responseTimeout(e *endpoint, workUnits float64) time.Duration {
 	expected := max(e.latency.mean+timeoutDeviations*e.latency.deviation, (1+timeoutDeviations/2)*b.latency)
 	return time.Duration(expected*max(1, workUnits)) + b.tick
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -41,7 +41,8 @@
 	return true
 }
 
-// mayReject reports whether the client may be told that a retry is harmless. No other code decides this.
+// mayReject reports whether a rejection, which promises that a retry is harmless, may be the answer. No other code decides
+// this.
 func (b *Balancer) mayReject(r *request) bool {
 	if r.class.Idempotency == Idempotent {
 		return true
@@ -100,7 +101,7 @@
 	}
 }
 
-// rejectOrFail gives the final answer to a request that can't be served.
+// rejectOrFail gives the final answer to a request that can't be served: a rejection if that is allowed, else a failure.
 func (b *Balancer) rejectOrFail(r *request) {
 	b.finishRequest(r, noAttempt)
 	if b.mayReject(r) {
--- a/balancer/restore.go
+++ b/balancer/restore.go
@@ -5,8 +5,8 @@
 // snapshotLifetime is the age from which a snapshot has no weight.
 const snapshotLifetime = 5 * time.Minute
 
-// confidence is the weight of a snapshot by its age, 1 to 0: it falls linearly. A clock that was set back gives no age at
-// all.
+// confidence is the weight of a snapshot by its age, 1 to 0. It falls linearly. An age below 0, after a clock was set back,
+// says nothing of the real age and gives 0.
 func confidence(age time.Duration) float64 {
 	if age < 0 {
 		return 0
@@ -14,8 +14,8 @@
 	return max(0, 1-float64(age)/float64(snapshotLifetime))
 }
 
-// restoreBudget counts what was sent to a warming endpoint since the snapshot, which nobody knows, as all that it may
-// get.
+// restoreBudget restores the slow-start budget of a warming endpoint. What was sent to it since the snapshot is not known
+// and counts as all that it may get.
 func (b *Balancer) restoreBudget(e *endpoint, now, takenAt time.Duration) {
 	e.slowStart.budget.Level = 1
 	e.slowStart.budget.At = now
@@ -25,8 +25,8 @@
 	}
 }
 
-// restoreEndpoint restores what was known of an endpoint. Unresponsive ones have to pass a trial first, each balancer's
-// at a time of its own. The figures of warm ones fade to those of an unknown endpoint.
+// restoreEndpoint restores what was known of an endpoint. An unresponsive one gets a trial first, after a drawn wait. Values
+// of a warm one are blended with those of an unknown endpoint by confidence.
 func (b *Balancer) restoreEndpoint(e *endpoint, known EndpointStats, now, takenAt time.Duration) {
 	trust := confidence(now - takenAt)
 	b.restoreSlowStart(e, known, now)
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -26,14 +26,14 @@
 	e.limit.current = b.initialLimit
 }
 
-// fitsSlowStart reports whether an endpoint is warm, or r fits this balancer's part of what it may get while it warms up,
-// judged by what warm ones do. No request counts less than the mean: many small ones overload an endpoint too.
+// fitsSlowStart reports whether an endpoint is warm, or r fits this balancer's part of its slow-start budget. The budget
+// follows from the work of warm endpoints. No request counts less than the mean: many small ones overload an endpoint too.
 func (b *Balancer) fitsSlowStart(e *endpoint, r *request, now time.Duration) bool {
 	if b.slowStartCapacity(e, now) == 1 {
 		return true
 	}
 	budget := &e.slowStart.budget
-	if b.fleet.workPerWeight == 0 { // no warm endpoint to judge by: one at a time, and not the next on a quick failure
+	if b.fleet.workPerWeight == 0 { // no warm endpoint to compare with: one at a time, and no quick next one after a failure
 		return len(e.attempts) == 0 && (budget.Level < 1 || now-budget.At >= time.Duration(b.latency))
 	}
 	rate := b.slowStartRate(e, now)
@@ -50,9 +50,9 @@
 	e.slowStart.budget.Add(max(1, workUnits))
 }
 
-// slowStartRate is the rate, in mean requests a second, at which the budget of a warming endpoint frees: half of this
-// balancer's part of what it may get. What zones count for can change at once and work can't, so no endpoint is taken to
-// do more than the best one does.
+// slowStartRate is the rate, in mean requests a second, at which the budget of a warming endpoint leaks: half of this
+// balancer's part of what it may get. No endpoint is assumed to do more work than the best one does, because the weight
+// of a zone can jump and the work of its endpoints can't.
 func (b *Balancer) slowStartRate(e *endpoint, now time.Duration) float64 {
 	work := min(b.fleet.maxWorkPerWeight, e.zone.shareFactor()*b.fleet.workPerWeight)
 	capacity := e.weight * work / bandPeriod.Seconds()
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -43,7 +43,7 @@
 	Name           string  `json:"Name"`
 	Failed         bool    `json:"Failed"` // ejected on the evidence of its endpoints
 	RecoveredShare float64 `json:"Back"`   // fraction of its traffic share that it has regained
-	HoldPeriods    int     `json:"Hold"`   // how long a recovery step is held, in units of the shortest hold
+	HoldPeriods    int     `json:"Hold"`   // how long a recovery step lasts, in units of the shortest time
 }
 
 // TakeSnapshot returns what is known now. It shares nothing with the Balancer.
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -54,10 +54,10 @@
 	return chosen
 }
 
-// localFirst orders the ring for a balancer at a place from 0 to 1 that uses so many endpoints: as many of its own zone
-// as make its part if every zone's balancers send as much, then the others. It goes round the rings of its zone and of
-// the others each by its place, so that every endpoint of a zone has about as many balancers. Without zones, or where it
-// uses all, there is one ring.
+// localFirst orders the endpoints for a balancer at a place from 0 to 1 on the ring that uses a wanted number of them. First
+// come endpoints of its own zone, as many as its part if the balancers of every zone send as much. Then come the others.
+// Local and remote endpoints are two rings, so that every endpoint of a zone has about as many balancers. Without zones,
+// or where all endpoints are used, there is one ring.
 func (b *Balancer) localFirst(active []*endpoint, place, wanted float64) []*endpoint {
 	var local, remote []*endpoint
 	zones := map[*zone]bool{}
@@ -73,7 +73,7 @@
 		return ring.From(active, place)
 	}
 	part := wanted * float64(len(local)*len(zones)) / float64(len(active))
-	part = math.Round(max(1, min(wanted-1, part))) // it needs readings from the others
+	part = math.Round(max(1, min(wanted-1, part))) // readings from the others are needed too
 	n := min(len(local), int(part))
 	local, remote = ring.From(local, place), ring.From(remote, place)
 	return slices.Concat(local[:n], remote, local[n:])
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -27,7 +27,7 @@
 	recovering     bool    // it was ejected, and its share grows again
 	recoveredShare float64 // fraction of its share that it has; 1: all
 	stepAgePeriods int     // since its last recovery step
-	stepMultiple   int     // how long a step is held, in units of minStepPeriods
+	stepMultiple   int     // how long a step lasts, in units of minStepPeriods
 	members        int     // endpoints of the subset
 	unhealthy      int     // members that give no good responses
 	responsive     int     // other members that have responded lately, or have an attempt in flight
--- a/balancer/zonehealth.go
+++ b/balancer/zonehealth.go
@@ -30,14 +30,14 @@
 	return e.outlier.unresponsive || now < e.outlier.unreachableUntil || e.outlier.errorRate >= unhealthyErrorRate
 }
 
-// isErring reports whether e has failed since its zone last gave a good response, and not for the first time. Where several
-// do, all are unhealthy: a balancer that sends a zone little would see five errors of each only after it has lost much.
+// isErring reports whether e has failed since its zone last gave a good response, and not for the first time. Several such
+// endpoints of a zone are unhealthy before unhealthyErrorRate: with little traffic to a zone that rate takes too long.
 func (e *endpoint) isErring() bool {
 	return e.outlier.failedAt > e.zone.health.succeededAt && e.outlier.errorRate >= erringErrorRate
 }
 
 // isOverdue reports whether e has not responded for well over its usual time. One endpoint alone may do so by chance;
-// several of a zone at once, while the rest responds, do not. One that has been slow for a while has another fault.
+// several of a zone at once do not. An endpoint that has been slow for a while is saturated, not overdue.
 func (b *Balancer) isOverdue(e *endpoint, now time.Duration) bool {
 	oldest := e.oldestAttempt()
 	if oldest == nil || e.latency.mean == 0 || e.latency.isSlow() {
@@ -67,10 +67,9 @@
 	}
 }
 
-// detectCorrelatedFailure ejects endpoints of one zone that are overdue at once, long before each alone would be. The
-// others have to respond as quickly as they can, but for zones that do not respond at all: a link of the balancer's own
-// that loses some messages makes responses late everywhere, and where that is usual by now, overdue only where little is
-// known.
+// detectCorrelatedFailure ejects the overdue endpoints of a zone if most of it is overdue at once. That is long before each
+// of them alone would be ejected. The endpoints of other zones have to respond in time: a faulty link of this balancer
+// makes responses late in all zones. Zones without any response do not count there, since they are faulty themselves.
 func (b *Balancer) detectCorrelatedFailure(now time.Duration) {
 	late, responsive := b.countLate()
 	for _, z := range b.zones {
@@ -86,7 +85,7 @@
 	}
 }
 
-// mostlySuspect reports whether so many suspects are most of a zone.
+// mostlySuspect reports whether so many unhealthy or overdue endpoints are most of a zone.
 func (h *zoneHealth) mostlySuspect(suspects int) bool {
 	ofHeard := ejectFraction * float64(suspects+h.responsive)
 	return suspects >= minCorrelatedEndpoints && 2*suspects >= h.members && float64(suspects) >= ofHeard
@@ -111,7 +110,7 @@
 	}
 }
 
-// updateZoneState moves a zone to another state, if the evidence asks for it; elsewhere is the unhealthy fraction of the
+// updateZoneState moves a zone to another state if the evidence is sufficient. elsewhere is the unhealthy fraction of the
 // other zones, weight that of all endpoints.
 func (b *Balancer) updateZoneState(z *zone, elsewhere, weight float64, now time.Duration) (changed bool) {
 	health := &z.health
@@ -122,7 +121,9 @@
 		health.beginRecovery()
 		b.log.add(now, ZoneRecoveryStarted{Zone: z.name, StepPeriods: minStepPeriods * health.stepMultiple})
 		return true
-	case !z.inUse() || elsewhere*zoneOutlierRatio > health.unhealthyFraction():
+	case !z.inUse(): // drained, or ejected and not recovered: only operators or trials change that
+	case elsewhere*zoneOutlierRatio > health.unhealthyFraction():
+		// The others are nearly as unhealthy. The fault may be in this balancer's link, or in all zones.
 	case b.mayEject(z, weight):
 		health.eject(now)
 		health.backoff = firstTrialTicks * b.tick
@@ -142,8 +143,8 @@
 	return mostlyUnhealthy && b.weightOutside(z) >= minRemainingCapacityRatio*weight
 }
 
-// unhealthyFraction is the fraction of a zone that is unhealthy. Once that is half of all, endpoints that nothing is
-// known of do not speak for the zone: no evidence is not good evidence.
+// unhealthyFraction is the fraction of a zone that is unhealthy. Once half of the zone is, endpoints without evidence do not
+// count as healthy any more.
 func (h *zoneHealth) unhealthyFraction() float64 {
 	of := h.members
 	if 2*h.unhealthy >= h.members {
@@ -157,7 +158,7 @@
 	return h.unhealthy >= minUnhealthyEndpoints && h.unhealthyFraction() >= degradedFraction
 }
 
-// eject stops traffic to a zone but for trials. After a setback during recovery the next steps are held longer.
+// eject stops traffic to a zone but for trials. After a setback during recovery the next steps last longer.
 func (h *zoneHealth) eject(now time.Duration) {
 	if h.recovering {
 		h.stepMultiple = min(2*h.stepMultiple, maxStepMultiple)
@@ -189,8 +190,8 @@
 	}
 }
 
-// advanceRecovery gives recovering zones their next step, once the last has been held and their utilization is not over
-// the fleet's: what that step brought has been borne.
+// advanceRecovery gives recovering zones their next step, once the last one has lasted long enough and their utilization is
+// not over the fleet's.
 func (b *Balancer) advanceRecovery() {
 	fleet := b.summarize(func(*zone) bool { return true })
 	for _, z := range b.zones {
