--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -8,28 +8,16 @@
 	"slices"
 	"testing"
 	"time"
-
-	"github.com/pelletier/go-toml/v2"
 )
 
 // The operators' staff carry a printed copy of the files that decide, so these stay short.
 func TestModuleSize(t *testing.T) {
-	var deployment struct {
-		Policy []string `toml:"policy"`
-	}
-	text, err := os.ReadFile("../deploy/balancer.toml")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := toml.Unmarshal(text, &deployment); err != nil {
-		t.Fatal(err)
-	}
 	const (
 		maxLines      = 1200 // the operators do not accept a longer one
 		maxLineLength = 125  // bytes
 	)
 	lines := 0
-	for _, file := range deployment.Policy {
+	for _, file := range policyFiles(t) {
 		text, err := os.ReadFile(filepath.Join("..", file))
 		if err != nil {
 			t.Fatal(err)
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -16,28 +16,64 @@
 // Every request gets exactly one final answer: a successful result, Reject or Fail. Reject promises the client that a
 // retry is harmless.
 //
-// # How it decides
-//
-// Each concern has a file of its own. Files that decide, with every rule, threshold and constant, are listed as
-// `policy` in deploy/balancer.toml; the others hold types, bookkeeping and the dispatch of events.
-//
-//   - request.go: which attempts a request may have, retries, the one final answer
-//   - admission.go: priorities, the queue, load shedding, Retry-After
-//   - picker.go: an even interleave of endpoints by traffic share
-//   - bands.go: Bollinger bands of each endpoint's utilization. A wide band over a period, set against the median of
-//     the fleet, cuts the endpoint's traffic share
-//   - limit.go: an adaptive concurrency limit for each endpoint, from its latency, utilization and rejections
-//   - slowstart.go: what an endpoint that has just started may get from all balancers together
-//   - outlier.go: unresponsive and unreachable endpoints, and the half-open trials that bring them back
-//   - subset.go: the part of a large fleet that this balancer uses. Where balancers are many each endpoint serves some
-//     of them, or its connections run out and no balancer sees enough of it
-//   - discovery.go: endpoint list updates
-//   - locality.go: how much traffic stays in the balancer's own zone and region. Shares stay what the bands make them;
-//     a weight on them prefers the own zone, then the region, while their utilization is not over the fleet's, and
-//     lets traffic spill over by degrees as it is
-//   - zonehealth.go: a zone is healthy, degraded (half of its endpoints unhealthy: half of its share), ejected (most
-//     of them: trials only) or recovering (its share grows by steps). Only its own endpoints' silence, failed
-//     connections and errors speak against it, and only where the rest is far less unhealthy: else the fault may be
-//     this balancer's own link, or everybody's
-//   - restore.go: how far a snapshot from before a restart is trusted
+// # Rules
+//
+// Files that decide, with every rule, threshold and constant, are listed as `policy` in deploy/balancer.toml. The others have
+// types, bookkeeping and the dispatch of events. Each rule stands in one place. Inputs are constants and fields, with their
+// unit in parentheses; a ratio has no unit.
+//
+//	rule | file | function | inputs (units) | reason
+//	first or further attempt allowed | request.go | mayAttempt, mayRepeat | request.deadline (time), Limits.MaxAttempts (attempts), Limits.AllowHedging (flag), Class.Idempotency (kind), Class.Scope (kind), Class.IdempotencyWindow (duration) | what may have been executed is repeated only where that is harmless
+//	retry after a result | request.go | OnAttemptResult | AttemptResult.Status (kind), request.inFlight (attempts), request.queued (flag) | while a hedged attempt is in flight it may still succeed
+//	timeout of an attempt | request.go | startAttempt, attemptTimeout | attempt.endpoint (on trial or not), Class.Idempotency (kind) | a trial that fails must leave time for another attempt
+//	final answer without a response | request.go | rejectOrFail, mayReject | attempt.notExecuted (flag), Class.Idempotency (kind), Class.Scope (kind) | a rejection promises that a retry is harmless
+//	effect of a result on its endpoint | request.go | observeResult | AttemptResult.Status (kind), AttemptResult.Latency (duration), AttemptResult.Load (load report) | health, limit and utilization follow from the same result
+//	tick and first latency | admission.go | setTiming | ticksPerLatencyObjective (ticks), initialLatencyDivisor (divisor), Settings.EventSpacing (duration) | queue and detection keep pace with the shortest latency objective
+//	expected work | admission.go | expectedWork | Request.CostHint (duration), minExpectedWorkUnits (mean requests), costHintSmoothingFactor (ratio) | limits and budgets count work, not requests
+//	priority | admission.go | newRequest, priority | Class.PriorityWeight (weight), Settings.PriorityByWork (flag), Settings.OverQuotaFactor (ratio) | the most valuable work for each unit of capacity goes first
+//	late retry of a client | admission.go | isLateRetry | timeoutToleranceDivisor (divisor), class.longestTimeout (duration), Class.LatePriorityFactor (ratio) | a response after the latency objective has less value
+//	latest time to send a queued request | admission.go | newRequest, dispatchQueue | attemptReserveLatencies (mean latencies), Class.LatencyObjective (duration), Request.Timeout (duration) | a response that comes too late wastes capacity
+//	send, queue or answer at once | admission.go | OnRequest, admit, isSaturated | request.attemptBy (time), request.priority (weight) | a request waits only if an endpoint may be free in time
+//	advice on a retry | admission.go | retryAfter | Limits.AllowRetryAfter (flag), Limits.MaxRetryAfter (duration), Balancer.tick (duration) | endpoints are looked at again after a tick
+//	traffic share | picker.go | trafficShare | endpoint.weight (mean endpoints), endpoint.shareFactor (ratio) | capacity, bands, slow start and locality multiply
+//	order of turns | picker.go | takeTurn, selectEndpoint, chargeTurn | endpoint.nextTurn (virtual time), maxTurnDebtRounds (rounds) | an even interleave by shares spreads load better than random choice
+//	endpoint eligible for a turn | picker.go | isEligible, hasFreeSlot | concurrencyLimiter.current (attempts), concurrencyLimiter.pausedUntil (time), outlierState.unreachableUntil (time) | the limit guards, shares decide below it
+//	attempt while all are in backoff | picker.go | lastResort | maxBlocked (duration), outlierState.nextTrialAt (time) | without attempts no recovery would be noticed
+//	utilization of an endpoint | bands.go | recordUtilization | LoadReport.Utilization (ratio), LoadReport.Inflight (requests), LoadReport.Queue (requests), bandWindowReadings (readings), smoothingFactor (ratio) | reports differ between sites
+//	band gap | bands.go | integrateBand | bandWidthDeviations (standard deviations), bandPeriod (duration), minExcessUtilization (ratio) | utilization varies more before an endpoint saturates
+//	cut and regrowth of shares | bands.go | adjustShares | minAreaThreshold (full utilization x period), areaThresholdRatio (ratio), minCutFactor (ratio), shareRegrowthFactor (ratio), minShareFactor (ratio) | only endpoints worse than the median are cut
+//	work of warm endpoints | bands.go | updateFleetStats, estimateWorkPerWeight | workStats.mean (mean requests a period), bandWindow.mean (ratio) | budgets of slow start need a reference
+//	concurrency limit after a result | limit.go | adjustLimit, adjustLimitByLatency, reduceLimit, isSlow | limitReductionFactor (ratio), rejectionReductionFactor (ratio), saturatedLatencyRatio (ratio), saturatedObjectiveRatio (ratio), baselineSmoothingFactor (ratio), minWorkUnits (mean requests) | latency shows saturation before requests fail
+//	growth of a limit | limit.go | hasHeadroom, needsHigherLimit, neededConcurrency | limitGrowthAttempts (attempts), fullUtilizationRatio (ratio) | limits grow only where readings show headroom and requests need it
+//	range of a limit | limit.go | minLimit, raiseLimitCeilings | initialFleetLimitAttempts (attempts), minFleetLimitAttempts (attempts) | reports of a higher limit's effect come a period later
+//	pause between attempts | limit.go | attemptInterval, pauseAfter | concurrencyLimiter.current (attempts), latencyStats.mean (ns) | a limit under one needs time without an attempt
+//	slow-start budget | slowstart.go | slowStartCapacity, fitsSlowStart, chargeSlowStart, slowStartRate | slowStartBudgetRatio (ratio), localitySlowStartBudgetRatio (ratio), Obligations.OverloadMultiple (ratio), Obligations.OverloadWindow (duration), Obligations.SlowStartFrom (ratio) | a warming endpoint fails above its present capacity
+//	start of slow start | slowstart.go | beginSlowStart | Obligations.SlowStartWindow (duration) | measurements from before a restart no longer hold
+//	unresponsive endpoint | outlier.go | responseTimeout, detectUnresponsive, markUnresponsive, markResponsive | timeoutDeviations (mean deviations), Balancer.latency (ns), Balancer.tick (duration) | silence shows a fault earlier than the client's timeout
+//	hedge or cancel at an unresponsive endpoint | outlier.go | moveAttempts | Class.Idempotency (kind), Limits.AllowHedging (flag), Limits.AllowCancel (flag) | what waits there may still be answered elsewhere in time
+//	trials of an endpoint | outlier.go | isOnTrial, recordTrial, allowsTrial | backoffGrowthFactor (ratio), outlierState.nextTrialAt (time) | the safest class risks least
+//	backoff after a failed connection | outlier.go | backOff | outlierState.backoff (duration), Obligations.SlowStartWindow (duration) | the endpoint is down or has no free connection
+//	error rate | outlier.go | observeHealth | errorSmoothingFactor (ratio), AttemptResult.Status (kind) | zone health counts endpoints by their errors
+//	endpoints in use | subset.go | rebuildSubset, chooseStretch | balancersPerEndpoint (balancers), minSubsetEndpoints (endpoints), FleetSize.Balancers (balancers), FleetSize.Rank (index) | many balancers would use up an endpoint's connections
+//	local endpoints in use | subset.go | localFirst | Settings.Zone (name) | each zone's endpoints have about as many balancers
+//	next call to discovery | discovery.go | retryDiscovery | notificationDelay (duration), Obligations.PollInterval (duration), Obligations.DrainGrace (duration), backoffGrowthFactor (ratio) | a change counts as notified after a delay, whether or not a call succeeds
+//	entry of an endpoint list | discovery.go | applyEndpoint | Endpoint.StartedAt (time), Settings.Weights (kind), smoothingFactor (ratio) | a restart makes an endpoint cold again
+//	traffic that stays local | locality.go | updateLocality, adjustShare | maxLocalShare (ratio), utilizationMarginFactor (ratio), utilizationNoise (utilization), maxLocalUtilization (utilization), localShareGainRatio (ratio), maxLocalShareStep (share), minLocalitySubsetEndpoints (endpoints) | nearby endpoints respond faster until they are full
+//	weight of other zones | locality.go | setLocalityWeights, spareFactor | minLocalityWeight (ratio), maxSpareFactor (ratio), zone.capacity (traffic shares) | spillover goes where there is spare utilization
+//	response from another region in time | locality.go | canAnswerInTime | request.deadline (time), latencyStats.mean (ns) | the round trip is part of every response
+//	spillover by limits | locality.go | noteMissedTurns | endpoint.nextTurn (virtual time) | limits of local endpoints grow when they alone cause spillover
+//	evidence of an endpoint | zonehealth.go | isUnhealthy, isErring, isOverdue, countEndpoint | unhealthyErrorRate (ratio), erringErrorRate (ratio), overdueDeviations (mean deviations), responsiveWithin (duration) | only a zone's own endpoints speak against it
+//	correlated failure | zonehealth.go | detectCorrelatedFailure, mostlySuspect, ejectOverdue, countErring | minCorrelatedEndpoints (endpoints), responsiveRatio (endpoints) | several endpoints of a zone fail together sooner than each alone shows
+//	ejection of a zone | zonehealth.go | updateZoneState, mayEject, eject | ejectFraction (ratio), minUnhealthyEndpoints (endpoints), zoneOutlierRatio (ratio), minRemainingCapacityRatio (ratio) | the fault must be the zone's, and the others must carry its traffic
+//	degraded zone | zonehealth.go | unhealthyFraction, isDegraded | degradedFraction (ratio) | half of its endpoints carry half of its share
+//	trials of a zone | zonehealth.go | allowsZoneTrial, beginTrial | trialsToRecover (trials), firstTrialTicks (ticks) | one request at a time risks little
+//	recovery of a zone | zonehealth.go | beginRecovery, advanceRecovery, endRecovery | recoveryStep (ratio), minStepPeriods (periods), maxStepMultiple (multiple) | the full share at once would overload a zone that warms up
+//	weight of a snapshot | restore.go | confidence | snapshotLifetime (duration), Snapshot.TakenAt (time) | older values are less likely to hold
+//	restored endpoint | restore.go | restoreEndpoint, restoreSlowStart, restoreBudget | EndpointStats.Unresponsive (flag), EndpointStats.Backoff (duration), EndpointStats.WarmingSince (time) | an endpoint that was ejected gets a trial first
+//	restored zone | restore.go | restoreZone | ZoneStats.Failed (flag), ZoneStats.RecoveredShare (ratio) | a zone that was ejected passes its trials first
+//
+// # States of a zone
+//
+// A zone is healthy, degraded (half of its endpoints are unhealthy: it gets half of its share), ejected (most of them are:
+// it gets trials only) or recovering (its share grows in steps). Operators can drain it: then it gets nothing new.
 package balancer
