--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -17,13 +17,13 @@
 
 // setTiming derives the tick, and the latency assumed before any response, from the shortest latency objective.
 func (b *Balancer) setTiming(shortest time.Duration) {
-	b.latency = float64(shortest) / initialLatencyDivisor
+	b.means.latency = float64(shortest) / initialLatencyDivisor
 	b.tick = max(b.settings.EventSpacing, shortest/ticksPerLatencyObjective, time.Millisecond)
 }
 
 // OnRequest handles a new request of a client.
 func (b *Balancer) OnRequest(now time.Duration, q Request) {
-	c := b.classes[q.Class]
+	c := b.clients.classes[q.Class]
 	if c == nil { // a class that the settings lack; never sent, so a retry is harmless
 		b.effects.Reject(q.ID, 0)
 		return
@@ -46,12 +46,12 @@
 	b.observeCostHint(q)
 	r.workUnits = b.expectedWork(q, c)
 	r.priority = b.priority(r)
-	t := b.tenants[r.Tenant]
+	t := b.clients.tenants[r.Tenant]
 	if t != nil && t.countRequest(now) {
 		r.priority *= b.settings.OverQuotaFactor
 	}
 	c.longestTimeout = max(c.longestTimeout, q.Timeout)
-	reserve := time.Duration((attemptReserveLatencies - c.LatePriorityFactor) * cmp.Or(c.latency, b.latency))
+	reserve := time.Duration((attemptReserveLatencies - c.LatePriorityFactor) * cmp.Or(c.latency, b.means.latency))
 	if c.isLateRetry(q, reserve) {
 		r.priority *= c.LatePriorityFactor
 	}
@@ -63,9 +63,9 @@
 // expectedWork is the work of a request, in mean requests.
 func (b *Balancer) expectedWork(q Request, c *class) float64 {
 	if q.CostHint <= 0 {
-		return cmp.Or(c.latency/b.latency, 1)
+		return cmp.Or(c.latency/b.means.latency, 1)
 	}
-	return max(float64(q.CostHint)/b.meanCost, minExpectedWorkUnits)
+	return max(float64(q.CostHint)/b.means.costHint, minExpectedWorkUnits)
 }
 
 // priority is the value of a response to r, for each unit of its work.
@@ -85,7 +85,7 @@
 
 // isSaturated reports whether, within the last mean latency, there was a request that no endpoint could take.
 func (b *Balancer) isSaturated(now time.Duration) bool {
-	return now-b.saturatedAt < time.Duration(b.latency)
+	return now-b.blocking.saturatedAt < time.Duration(b.means.latency)
 }
 
 // admit sends r if an endpoint can take it, queues it if one may be free in time, and otherwise answers it.
@@ -96,7 +96,7 @@
 		return
 	}
 	if permitted { // also if it can't be queued: otherwise limits would stay low while requests are rejected
-		b.saturatedAt = now
+		b.blocking.saturatedAt = now
 	}
 	if (permitted || len(r.attempts) == 0) && now < r.attemptBy {
 		b.queue.add(r)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -2,43 +2,40 @@
 
 import (
 	"math/rand/v2"
-	"slices"
 	"time"
-
-	"sprucehill/internal/stats"
 )
 
 // Balancer decides for one balancer process. See the package comment for the contract.
 type Balancer struct {
-	settings    Settings
-	effects     Effects
-	log         eventLog
-	rng         *rand.Rand
-	classes     map[string]*class
-	tenants     map[string]*tenant
-	safestClass Idempotency
-	tick        time.Duration // interval of queue processing and failure detection
-
+	settings        Settings
+	effects         Effects
+	log             eventLog
+	rng             *rand.Rand
+	tick            time.Duration // interval of queue processing and failure detection
+	periodStartedAt time.Duration // start of the present bandPeriod
+
+	clients   clientTable
 	requests  map[RequestID]*request
 	queue     requestQueue
-	byID      map[EndpointID]*endpoint
-	endpoints []*endpoint // in order of arrival
-	subset    []*endpoint // those in use, and what has left the subset with attempts in flight
-	zones     []*zone     // in order of arrival
+	blocking  blockingTimes
+	fleet     fleetState
+	turns     turnOrder
+	means     trafficMeans
 	locality  locality
+	discovery discoveryRetry
+}
+
+// clientTable is what the settings say of requests, with what has been measured of them.
+type clientTable struct {
+	classes     map[string]*class
+	tenants     map[string]*tenant
+	safestClass Idempotency // the safest kind of idempotency that a class has
+}
 
-	fleetSize    FleetSize
-	fleet        fleetStats
-	latency      float64 // running mean over all responses, ns
-	meanCost     float64 // of the cost hints, ns
-	initialLimit float64 // an endpoint's concurrency limit before anything is known of it
-	virtualTime  float64 // of the interleave
-
-	periodStartedAt  time.Duration
-	saturatedAt      time.Duration // last time that no endpoint could take a request
-	lastAttemptAt    time.Duration
-	blockedSince     time.Duration // the first request after the last attempt that no endpoint could take
-	discoveryBackoff time.Duration
+// trafficMeans holds running means over all requests and responses.
+type trafficMeans struct {
+	latency  float64 // of responses, ns
+	costHint float64 // of requests that have one, ns
 }
 
 // locality is how much of the traffic stays close to the balancer.
@@ -49,14 +46,6 @@
 	disabled    bool    // the subset is so small that locality would leave all to chance
 }
 
-// fleetStats is what the endpoints of the subset have in common, as of the last period.
-type fleetStats struct {
-	utilization      float64 // the median
-	workPerWeight    float64 // work in a period that warm endpoints do for weight and utilization; 0: not known
-	maxWorkPerWeight float64 // the most that one does for its weight and utilization
-	baselineLatency  float64 // the lower quartile of the endpoints', ns
-}
-
 const (
 	tickToken      = 1 // timers of the regular tick
 	discoveryToken = 2 // timers of the next call to discovery
@@ -76,26 +65,14 @@
 		effects:         effects,
 		log:             eventLog{effects: effects, lastAt: map[logTopic]time.Duration{}},
 		rng:             rand.New(rand.NewPCG(seed, 0)),
-		classes:         map[string]*class{},
-		tenants:         map[string]*tenant{},
-		safestClass:     NonIdempotent,
-		requests:        map[RequestID]*request{},
-		byID:            map[EndpointID]*endpoint{},
 		periodStartedAt: now,
-		saturatedAt:     now,
-		lastAttemptAt:   now,
-	}
-	shortest := settings.Classes[0].LatencyObjective
-	for _, c := range settings.Classes {
-		b.classes[c.Name] = &class{Class: c}
-		b.safestClass = min(b.safestClass, c.Idempotency)
-		shortest = min(shortest, c.LatencyObjective)
-	}
-	for _, t := range settings.Tenants {
-		b.tenants[t.Name] = &tenant{updatedAt: now.Seconds()}
+		clients:         newClientTable(settings, now),
+		requests:        map[RequestID]*request{},
+		blocking:        blockingTimes{saturatedAt: now, lastAttemptAt: now},
+		fleet:           fleetState{byID: map[EndpointID]*endpoint{}},
 	}
 	b.OnFleetSizeChanged(now, FleetSize{settings.Balancers, settings.Rank, settings.Balancers})
-	b.setTiming(shortest)
+	b.setTiming(settings.shortestObjective())
 	effects.SetTimer(b.tick, tickToken)
 	if settings.PollDiscovery {
 		effects.WatchEndpoints()
@@ -103,15 +80,37 @@
 	return b, nil
 }
 
+// newClientTable returns the table of the classes and tenants of the settings.
+func newClientTable(settings Settings, now time.Duration) clientTable {
+	t := clientTable{classes: map[string]*class{}, tenants: map[string]*tenant{}, safestClass: NonIdempotent}
+	for _, c := range settings.Classes {
+		t.classes[c.Name] = &class{Class: c}
+		t.safestClass = min(t.safestClass, c.Idempotency)
+	}
+	for _, entry := range settings.Tenants {
+		t.tenants[entry.Name] = &tenant{updatedAt: now.Seconds()}
+	}
+	return t
+}
+
+// shortestObjective is the shortest latency objective of the classes.
+func (s Settings) shortestObjective() time.Duration {
+	shortest := s.Classes[0].LatencyObjective
+	for _, c := range s.Classes {
+		shortest = min(shortest, c.LatencyObjective)
+	}
+	return shortest
+}
+
 // OnFleetSizeChanged sets the number of balancers from now on. Counters and measurements stay.
 func (b *Balancer) OnFleetSizeChanged(now time.Duration, size FleetSize) {
-	b.fleetSize = FleetSize{
+	b.fleet.size = FleetSize{
 		Balancers:    max(size.Balancers, 1),
 		Rank:         max(size.Rank, 0),
 		MaxBalancers: max(size.MaxBalancers, size.Balancers, 1),
 	}
 	for _, t := range b.settings.Tenants {
-		b.tenants[t.Name].rate = t.Quota / float64(b.fleetSize.MaxBalancers)
+		b.clients.tenants[t.Name].rate = t.Quota / float64(b.fleet.size.MaxBalancers)
 	}
 	b.rebuildSubset(now)
 }
@@ -126,7 +125,7 @@
 	if now-b.periodStartedAt >= bandPeriod {
 		b.closePeriod(now)
 	}
-	for _, e := range b.subset {
+	for _, e := range b.fleet.subset {
 		b.detectUnresponsive(e, now)
 		b.requestHealthCheck(e, now)
 	}
@@ -136,30 +135,19 @@
 
 // closePeriod ends a band period: it adjusts traffic shares and recomputes everything that is computed once a period.
 func (b *Balancer) closePeriod(now time.Duration) {
-	for _, e := range b.subset {
+	for _, e := range b.fleet.subset {
 		b.integrateBand(e, now)
 		e.work.closePeriod()
 	}
-	b.adjustShares()
-	b.raiseLimitCeilings()
+	b.fleet.adjustShares()
+	b.fleet.raiseLimitCeilings()
 	b.periodStartedAt = now
-	b.updateFleetStats()
-	b.forgetRemoved()
+	b.fleet.updateStats()
+	b.fleet.forgetRemoved()
 	b.rebuildSubset(now)
 	b.updateLocality(now)
 	b.advanceRecovery()
-	b.estimateWorkPerWeight()
-}
-
-// forgetRemoved drops endpoints that are removed and have no attempt in flight.
-func (b *Balancer) forgetRemoved() {
-	b.endpoints = slices.DeleteFunc(b.endpoints, func(e *endpoint) bool {
-		forgotten := e.State == Removed && len(e.attempts) == 0
-		if forgotten {
-			delete(b.byID, e.ID)
-		}
-		return forgotten
-	})
+	b.fleet.estimateWorkPerWeight()
 }
 
 // requestHealthCheck asks for an endpoint's load report once a period, where reports come with health checks.
@@ -174,36 +162,25 @@
 // OnHealthCheckResult takes a health check's result: a reading only, since a process that answers it may serve nothing
 // else.
 func (b *Balancer) OnHealthCheckResult(now time.Duration, result HealthCheckResult) {
-	e := b.byID[result.Endpoint]
+	e := b.fleet.byID[result.Endpoint]
 	if e != nil && result.Status == OK {
 		b.recordUtilization(e, result.Load.clean(), 0, now)
 	}
 }
 
-// valueAbove is the value over one in n of the endpoints that have readings: the median for n = 2.
-func (b *Balancer) valueAbove(n int, value func(*endpoint) float64) float64 {
-	samples := make([]float64, 0, len(b.subset)+1)
-	for _, e := range b.subset {
-		if e.inSubset && e.utilization.readings > 0 {
-			samples = append(samples, value(e))
-		}
-	}
-	return stats.ValueAbove(n, samples)
-}
-
 // OnEndpointUpdate handles a list of endpoints from discovery, or a failed call.
 func (b *Balancer) OnEndpointUpdate(now time.Duration, mode UpdateMode, list []Endpoint) {
 	if mode == UpdateFailed {
 		b.retryDiscovery(now)
 		return
 	}
-	b.discoveryBackoff = 0
+	b.discovery.backoff = 0
 	listed := make(map[EndpointID]bool, len(list))
 	for _, entry := range list {
 		listed[entry.ID] = true
 		b.applyEndpoint(entry.clean(), now)
 	}
-	for _, e := range b.endpoints {
+	for _, e := range b.fleet.endpoints {
 		if mode != UpdateDelta && !listed[e.ID] {
 			e.State = Removed
 		}
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -9,6 +9,17 @@
 // it.
 const notificationDelay = 6 * time.Second
 
+// discoveryRetry is the state of repeated calls to discovery.
+type discoveryRetry struct {
+	backoff time.Duration // 0 after a successful call
+}
+
+// grow lengthens the backoff after a failed call, up to a longest one, and returns it.
+func (d *discoveryRetry) grow(longest time.Duration) time.Duration {
+	d.backoff = min(max(d.backoff*backoffGrowthFactor, longest/4), longest)
+	return d.backoff
+}
+
 // retryDiscovery sets the time of the next call to discovery. The wait grows with each failure and is drawn, so that
 // balancers do not call in step. It stays well under notificationDelay, or under the drain grace where discovery pushes:
 // after that time a change counts as notified even if no call has succeeded.
@@ -17,15 +28,15 @@
 	if !b.settings.PollDiscovery {
 		longest = b.settings.Obligations.DrainGrace / 4
 	}
-	b.discoveryBackoff = min(max(b.discoveryBackoff*backoffGrowthFactor, longest/4), longest)
-	wait := b.discoveryBackoff/2 + time.Duration(b.rng.Int64N(int64(b.discoveryBackoff)+1))
+	backoff := b.discovery.grow(longest)
+	wait := backoff/2 + b.drawWait(backoff)
 	b.effects.SetTimer(wait, discoveryToken)
 	b.log.add(now, DiscoveryCallFailed{RetryIn: wait})
 }
 
 // applyEndpoint applies one entry of a list.
 func (b *Balancer) applyEndpoint(entry Endpoint, now time.Duration) {
-	e := b.byID[entry.ID]
+	e := b.fleet.byID[entry.ID]
 	if e == nil {
 		if entry.State == Removed {
 			return
@@ -41,7 +52,7 @@
 		}
 	}
 	e.Endpoint = entry
-	e.zone = b.zoneNamed(entry.Zone)
+	e.zone = b.fleet.zoneNamed(entry.Zone)
 	weight := entry.Weight
 	if b.settings.Weights == WeightLive { // late, and the same for all balancers: following it at once would oscillate
 		weight = e.weight + smoothingFactor*(entry.Weight-e.weight)
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -15,10 +15,10 @@
 	var previous time.Duration
 	for range 3 {
 		b.OnEndpointUpdate(time.Hour, UpdateFailed, nil)
-		if b.discoveryBackoff <= previous {
-			t.Errorf("backoff %v after %v", b.discoveryBackoff, previous)
+		if b.discovery.backoff <= previous {
+			t.Errorf("backoff %v after %v", b.discovery.backoff, previous)
 		}
-		previous = b.discoveryBackoff
+		previous = b.discovery.backoff
 	}
 	// Regression: waits grew to 7.5 s, a second and a half after changes counted as notified.
 	longest := longestDiscoveryWait(b, effects, 50)
@@ -30,8 +30,8 @@
 	if effects.count("watch") != 2 {
 		t.Error("did not subscribe again")
 	}
-	if len(b.endpoints) != 1 {
-		t.Errorf("%d endpoints after failed calls, want 1", len(b.endpoints))
+	if len(b.fleet.endpoints) != 1 {
+		t.Errorf("%d endpoints after failed calls, want 1", len(b.fleet.endpoints))
 	}
 }
 
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -119,8 +119,8 @@
 	e.slowStart.budget.At = now
 	e.outlier.backoff = b.tick
 	e.outlier.respondedAt = now
-	b.byID[entry.ID] = e
-	b.endpoints = append(b.endpoints, e)
+	b.fleet.byID[entry.ID] = e
+	b.fleet.endpoints = append(b.fleet.endpoints, e)
 	return e
 }
 
@@ -145,9 +145,9 @@
 // joinSubset prepares an endpoint that comes into use. Its first turn is drawn, so that balancers do not act in step.
 func (b *Balancer) joinSubset(e *endpoint, wanted float64, now time.Duration) {
 	first := b.rng.Float64()
-	e.limit.current = cmp.Or(e.limit.current, b.initialLimit)
+	e.limit.current = cmp.Or(e.limit.current, b.fleet.initialLimit)
 	e.utilization.integratedAt = now
-	e.nextTurn = b.virtualTime + first*wanted
+	e.nextTurn = b.turns.virtualTime + first*wanted
 	e.limit.pausedUntil = max(e.limit.pausedUntil, now+time.Duration(first*float64(b.attemptInterval(e))))
 	e.slowStart.budget = leakybucket.Bucket{Level: first, At: now}
 	e.healthCheckedAt = now - time.Duration(first*float64(bandPeriod))
--- a/balancer/fixtures_test.go
+++ b/balancer/fixtures_test.go
@@ -162,7 +162,7 @@
 
 // observeWrite gives a Balancer the result of a write of mean work that the ledger does not hold.
 func observeWrite(b *Balancer, e *endpoint, status Status, latency, now time.Duration) {
-	a := &attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: e}
+	a := &attempt{request: &request{class: b.clients.classes["write"], workUnits: 1}, endpoint: e}
 	b.observeResult(a, AttemptResult{Latency: latency, Status: status}, now)
 }
 
@@ -170,7 +170,7 @@
 func startRead(b *Balancer, e *endpoint, id RequestID, now time.Duration) {
 	r := &request{
 		Request:   Request{ID: id, Timeout: time.Second},
-		class:     b.classes["read"],
+		class:     b.clients.classes["read"],
 		workUnits: 1,
 		deadline:  now + time.Second,
 	}
@@ -188,7 +188,7 @@
 func runPeriods(b *Balancer, now time.Duration, n int, utilization map[string]float64) time.Duration {
 	for range n {
 		now += bandPeriod
-		for _, e := range b.endpoints {
+		for _, e := range b.fleet.endpoints {
 			for i := range bandWindowReadings { // a full window, with a rate that differs so that no report counts as repeated
 				report := LoadReport{
 					Fields:      HasUtilization | HasRate,
--- a/balancer/ledger.go
+++ b/balancer/ledger.go
@@ -113,7 +113,7 @@
 	e.attempts = append(e.attempts, a)
 	e.work.period += r.workUnits
 	e.zone.attempts++
-	b.lastAttemptAt = a.sentAt
+	b.blocking.lastAttemptAt = a.sentAt
 }
 
 // finishRequest records that r has its final answer, from the attempt of an index or noAttempt, and cancels its other
--- a/balancer/limit.go
+++ b/balancer/limit.go
@@ -46,14 +46,14 @@
 // from the first has no lower one of its own.
 func (b *Balancer) adjustLimitByLatency(a *attempt, now time.Duration) {
 	e := a.endpoint
-	baseline := min(e.latency.baseline, cmp.Or(b.fleet.baselineLatency, e.latency.baseline))
+	baseline := min(e.latency.baseline, cmp.Or(b.fleet.stats.baselineLatency, e.latency.baseline))
 	objective := float64(a.request.class.LatencyObjective)
 	saturated := e.latency.perUnit() > max(saturatedLatencyRatio*baseline, saturatedObjectiveRatio*objective)
 	switch {
 	case saturated && !e.hasHeadroom():
 		b.reduceLimit(e, now, limitReductionFactor)
-	case e.limit.current < b.initialLimit: // recovered
-		e.limit.current = b.initialLimit
+	case e.limit.current < b.fleet.initialLimit: // recovered
+		e.limit.current = b.fleet.initialLimit
 	case e.hasHeadroom() && b.needsHigherLimit(e, now):
 		e.limit.current = max(e.limit.current, min(e.limit.current+limitGrowthAttempts, e.limit.ceiling))
 	}
@@ -64,7 +64,7 @@
 	if b.isSaturated(now) {
 		return true
 	}
-	missedTurn := now-e.limit.missedTurnAt < time.Duration(b.latency)
+	missedTurn := now-e.limit.missedTurnAt < time.Duration(b.means.latency)
 	return missedTurn && e.utilization.mean < minExcessUtilization && e.limit.current < e.neededConcurrency()
 }
 
@@ -81,26 +81,26 @@
 		return
 	}
 	used := float64(len(e.attempts) + 1)
-	e.limit.current = max(b.minLimit(), min(e.limit.current, used)*factor)
+	e.limit.current = max(b.fleet.minLimit(), min(e.limit.current, used)*factor)
 	e.limit.reducedAt = now
 }
 
 // minLimit is the least limit of an endpoint.
-func (b *Balancer) minLimit() float64 {
-	return b.initialLimit * minFleetLimitAttempts / initialFleetLimitAttempts
+func (f *fleetState) minLimit() float64 {
+	return f.initialLimit * minFleetLimitAttempts / initialFleetLimitAttempts
 }
 
 // raiseLimitCeilings sets how far each limit may grow in the next period: to twice its present value. Load reports show
 // the effect of a higher limit only after a period.
-func (b *Balancer) raiseLimitCeilings() {
-	for _, e := range b.subset {
+func (f *fleetState) raiseLimitCeilings() {
+	for _, e := range f.subset {
 		e.limit.ceiling = max(2*e.limit.current, initialFleetLimitAttempts)
 	}
 }
 
 // attemptInterval is the wait between attempts at an endpoint whose limit is under one.
 func (b *Balancer) attemptInterval(e *endpoint) time.Duration {
-	return time.Duration(max(0, 1/e.limit.current-1) * cmp.Or(e.latency.mean, b.latency))
+	return time.Duration(max(0, 1/e.limit.current-1) * cmp.Or(e.latency.mean, b.means.latency))
 }
 
 // pauseAfter sets the pause that follows an attempt, where the limit is under one. An endpoint that was idle may get one
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -18,24 +18,24 @@
 // updateLocality adjusts how much of the traffic stays in the zone and in the region, by the utilization there and
 // elsewhere. All balancers of a zone adjust alike, by the same late reports, so each step is small.
 func (b *Balancer) updateLocality(now time.Duration) {
-	home := b.zoneNamed(b.settings.Zone)
+	home := b.fleet.zoneNamed(b.settings.Zone)
 	locality := &b.locality
 	locality.home = home
 	b.summarizeZones(now)
-	all := b.summarize(func(*zone) bool { return true })
-	region := b.summarize(func(z *zone) bool { return z.region == home.region })
+	all := b.fleet.summarize(func(*zone) bool { return true })
+	region := b.fleet.summarize(func(z *zone) bool { return z.region == home.region })
 	if home.capacity == 0 || home.capacity == all.capacity || locality.disabled { // shares alone decide
-		for _, z := range b.zones {
+		for _, z := range b.fleet.zones {
 			z.localityWeight = 1
 		}
 		locality.localShare = 0
 		return
 	}
 	if locality.localShare == 0 { // assume equal load from each zone until there are readings
-		locality.localShare = min(maxLocalShare, b.usableZones()*home.capacity/all.capacity)
+		locality.localShare = min(maxLocalShare, b.fleet.usableZones()*home.capacity/all.capacity)
 		locality.regionShare = maxLocalShare
 	}
-	local := b.summarize(func(z *zone) bool { return z == home })
+	local := b.fleet.summarize(func(z *zone) bool { return z == home })
 	if all.measured && local.measured {
 		locality.localShare = adjustShare(locality.localShare, local, all)
 	}
@@ -74,8 +74,8 @@
 		toFar = 1 - b.locality.localShare
 		toNear = 0
 	}
-	others := b.summarize(func(z *zone) bool { return z != home })
-	for _, z := range b.zones {
+	others := b.fleet.summarize(func(z *zone) bool { return z != home })
+	for _, z := range b.fleet.zones {
 		part, capacity := toNear, near
 		if z.region != home.region {
 			part, capacity = toFar, far
@@ -114,7 +114,7 @@
 		return
 	}
 	missed := false
-	for _, e := range b.subset {
+	for _, e := range b.fleet.subset {
 		if e.inSubset && e.Zone == b.settings.Zone && e.nextTurn < best.nextTurn {
 			e.limit.missedTurnAt = now
 			missed = true
--- a/balancer/measurements.go
+++ b/balancer/measurements.go
@@ -17,7 +17,7 @@
 	stats.UpdateEWMA(&e.latency.deviation, math.Abs(sample-e.latency.mean), weight) // at first as large as the mean
 	stats.UpdateEWMA(&e.latency.mean, sample, weight)
 	stats.UpdateEWMA(&e.latency.workUnits, max(a.request.workUnits, minWorkUnits), weight)
-	stats.UpdateEWMA(&b.latency, sample, smoothingFactor)
+	stats.UpdateEWMA(&b.means.latency, sample, smoothingFactor)
 	stats.UpdateEWMA(&a.request.class.latency, sample, smoothingFactor)
 	stats.UpdateEWMA(&e.latency.smoothed, e.latency.perUnit(), smoothingFactor)
 	stats.UpdateEWMA(&e.latency.baseline, e.latency.smoothed, baselineSmoothingFactor)
@@ -27,7 +27,7 @@
 // observeCostHint updates the running mean of cost hints.
 func (b *Balancer) observeCostHint(q Request) {
 	if q.CostHint > 0 {
-		stats.UpdateEWMA(&b.meanCost, float64(q.CostHint), costHintSmoothingFactor)
+		stats.UpdateEWMA(&b.means.costHint, float64(q.CostHint), costHintSmoothingFactor)
 	}
 }
 
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -14,7 +14,7 @@
 // responseTimeout is how long an endpoint may give no response before it counts as unresponsive. The fleet's latency
 // bounds it from below, because the mean of an endpoint with few responses is not reliable.
 func (b *Balancer) responseTimeout(e *endpoint, workUnits float64) time.Duration {
-	expected := max(e.latency.mean+timeoutDeviations*e.latency.deviation, (1+timeoutDeviations/2)*b.latency)
+	expected := max(e.latency.mean+timeoutDeviations*e.latency.deviation, (1+timeoutDeviations/2)*b.means.latency)
 	return time.Duration(expected*max(1, workUnits)) + b.tick
 }
 
@@ -82,7 +82,7 @@
 // allowsTrial reports whether an unresponsive endpoint gets r as a trial. The safest class goes first, others after
 // another backoff.
 func (b *Balancer) allowsTrial(e *endpoint, r *request, now time.Duration) bool {
-	if r.class.Idempotency == b.safestClass {
+	if r.class.Idempotency == b.clients.safestClass {
 		return now >= e.outlier.nextTrialAt
 	}
 	return now >= e.outlier.nextTrialAt+e.outlier.backoff
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -24,14 +24,14 @@
 	}
 	if best != nil {
 		b.noteMissedTurns(best, now)
-		b.chargeTurn(best, shares/b.trafficShare(best, now))
+		b.turns.charge(best, shares/b.trafficShare(best, now))
 	}
 	return best, permitted
 }
 
 // selectEndpoint is the eligible endpoint whose turn is due first, and the sum of all traffic shares.
 func (b *Balancer) selectEndpoint(r *request, now time.Duration) (best *endpoint, shares float64, permitted bool) {
-	for _, e := range b.subset {
+	for _, e := range b.fleet.subset {
 		if !e.inSubset {
 			continue
 		}
@@ -47,11 +47,11 @@
 	return best, shares, permitted
 }
 
-// chargeTurn sets an endpoint's next turn one round on. A round is the turns of all for one of its own, in virtual time:
+// charge sets an endpoint's next turn one round on. A round is the turns of all for one of its own, in virtual time:
 // turns are an even interleave by traffic shares.
-func (b *Balancer) chargeTurn(e *endpoint, round float64) {
-	b.virtualTime = max(b.virtualTime, e.nextTurn)
-	e.nextTurn = max(e.nextTurn, b.virtualTime-maxTurnDebtRounds*round) + round
+func (t *turnOrder) charge(e *endpoint, round float64) {
+	t.virtualTime = max(t.virtualTime, e.nextTurn)
+	e.nextTurn = max(e.nextTurn, t.virtualTime-maxTurnDebtRounds*round) + round
 }
 
 // isEligible reports whether an endpoint may take r at this turn.
@@ -78,17 +78,15 @@
 // Without it no attempt would be made for as long as every endpoint is in backoff. The safest class goes first, others
 // after another half of maxBlocked.
 func (b *Balancer) lastResort(r *request, now time.Duration) (best *endpoint) {
-	if b.lastAttemptAt >= b.blockedSince {
-		b.blockedSince = now
-	}
+	blocked := b.blocking.blockedFor(now)
 	wait := maxBlocked
-	if r.class.Idempotency != b.safestClass {
+	if r.class.Idempotency != b.clients.safestClass {
 		wait += maxBlocked / 2
 	}
-	if now-b.blockedSince < wait {
+	if blocked < wait {
 		return nil
 	}
-	for _, e := range b.subset {
+	for _, e := range b.fleet.subset {
 		if !e.inSubset || !e.zone.inUse() || !b.mayAttempt(r, e, now) || !b.canAnswerInTime(e, r, now) {
 			continue
 		}
--- a/balancer/restore_test.go
+++ b/balancer/restore_test.go
@@ -11,10 +11,10 @@
 	t.Helper()
 	b, _ := newTestBalancer(t, testSettings(), fourZones(3))
 	now, _ := sendReads(b, time.Hour, 1, 400, map[string]Status{"near": OK, "b": OK, "c": OK, "d": OK})
-	b.endpoints[1].shareFactor = 0.4
-	b.endpoints[2].outlier.unresponsive = true
-	b.endpoints[2].outlier.backoff = 300 * ms
-	ejected := b.zoneNamed("c")
+	b.fleet.endpoints[1].shareFactor = 0.4
+	b.fleet.endpoints[2].outlier.unresponsive = true
+	b.fleet.endpoints[2].outlier.backoff = 300 * ms
+	ejected := b.fleet.zoneNamed("c")
 	ejected.health.ejected = true
 	ejected.health.recoveredShare = 1
 	return b, now
@@ -44,26 +44,26 @@
 		t.Run(test.age.String(), func(t *testing.T) {
 			b := restoredBalancer(t, now+test.age, fourZones(3), snapshot)
 			wantFactor := 1 - test.confidence*0.6
-			if !approximately(b.endpoints[1].shareFactor, wantFactor) {
-				t.Errorf("share factor %v, want %v", b.endpoints[1].shareFactor, wantFactor)
+			if !approximately(b.fleet.endpoints[1].shareFactor, wantFactor) {
+				t.Errorf("share factor %v, want %v", b.fleet.endpoints[1].shareFactor, wantFactor)
 			}
-			limit := b.endpoints[0].limit.current
-			wantLimit := b.initialLimit + test.confidence*(before.endpoints[0].limit.current-b.initialLimit)
+			limit := b.fleet.endpoints[0].limit.current
+			wantLimit := b.fleet.initialLimit + test.confidence*(before.fleet.endpoints[0].limit.current-b.fleet.initialLimit)
 			if !approximately(limit, wantLimit) {
 				t.Errorf("limit %v, want %v", limit, wantLimit)
 			}
 			known := test.confidence > 0
-			if b.endpoints[2].outlier.unresponsive != known {
+			if b.fleet.endpoints[2].outlier.unresponsive != known {
 				t.Errorf("unresponsive %v, want %v", !known, known)
 			}
-			if b.zoneNamed("c").health.ejected != known {
+			if b.fleet.zoneNamed("c").health.ejected != known {
 				t.Errorf("zone ejected %v, want %v", !known, known)
 			}
-			if (b.endpoints[0].latency.mean > 0) != known {
+			if (b.fleet.endpoints[0].latency.mean > 0) != known {
 				t.Errorf("latency of an endpoint known: %v, want %v", !known, known)
 			}
-			if (b.latency == before.latency) != known {
-				t.Errorf("latency %v, before the restart %v; want them equal: %v", b.latency, before.latency, known)
+			if (b.means.latency == before.means.latency) != known {
+				t.Errorf("latency %v, before the restart %v; want them equal: %v", b.means.latency, before.means.latency, known)
 			}
 		})
 	}
@@ -98,8 +98,8 @@
 		}
 		b.OnEndpointUpdate(now, UpdateCached, fourZones(3))
 		b.Restore(now, snapshot)
-		e := b.endpoints[2]
-		r := &request{class: b.classes["read"], workUnits: 1, deadline: now + time.Second}
+		e := b.fleet.endpoints[2]
+		r := &request{class: b.clients.classes["read"], workUnits: 1, deadline: now + time.Second}
 		if e.outlier.nextTrialAt > now && b.isEligible(e, r, now) {
 			t.Error("an unresponsive endpoint is eligible before its trial is due")
 		}
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -50,24 +50,24 @@
 func (b *Balancer) TakeSnapshot(now time.Duration) Snapshot {
 	snapshot := Snapshot{
 		TakenAt:          now,
-		Latency:          b.latency,
-		MeanCost:         b.meanCost,
+		Latency:          b.means.latency,
+		MeanCost:         b.means.costHint,
 		ClassLatency:     map[string]float64{},
 		LocalShare:       b.locality.localShare,
 		RegionShare:      b.locality.regionShare,
-		WorkPerWeight:    b.fleet.workPerWeight,
-		MaxWorkPerWeight: b.fleet.maxWorkPerWeight,
-		Endpoints:        make([]EndpointStats, 0, len(b.subset)),
+		WorkPerWeight:    b.fleet.stats.workPerWeight,
+		MaxWorkPerWeight: b.fleet.stats.maxWorkPerWeight,
+		Endpoints:        make([]EndpointStats, 0, len(b.fleet.subset)),
 	}
-	for name, c := range b.classes {
+	for name, c := range b.clients.classes {
 		snapshot.ClassLatency[name] = c.latency
 	}
-	for _, e := range b.subset {
+	for _, e := range b.fleet.subset {
 		if e.State != Removed && e.inSubset {
 			snapshot.Endpoints = append(snapshot.Endpoints, e.stats())
 		}
 	}
-	for _, z := range b.zones {
+	for _, z := range b.fleet.zones {
 		if z.drained {
 			snapshot.DrainedZones = append(snapshot.DrainedZones, z.name)
 		}
@@ -116,32 +116,32 @@
 		b.restoreFleet(snapshot)
 	}
 	for _, known := range snapshot.Endpoints {
-		e := b.byID[known.ID]
+		e := b.fleet.byID[known.ID]
 		if e != nil && e.State == Active {
 			b.restoreEndpoint(e, known, now, snapshot.TakenAt)
 		}
 	}
 	for _, known := range snapshot.Zones {
-		z := b.zoneNamed(known.Name)
+		z := b.fleet.zoneNamed(known.Name)
 		if trusted {
 			b.restoreZone(z, known, now)
 		}
 	}
 	for _, name := range snapshot.DrainedZones {
-		b.zoneNamed(name).drained = true
+		b.fleet.zoneNamed(name).drained = true
 	}
 	b.rebuildSubset(now)
 	b.updateLocality(now)
-	b.estimateWorkPerWeight()
+	b.fleet.estimateWorkPerWeight()
 }
 
 // restoreFleet restores the statistics over all endpoints.
 func (b *Balancer) restoreFleet(snapshot Snapshot) {
-	b.latency = snapshot.Latency
-	b.meanCost = finite(snapshot.MeanCost)
-	b.fleet.workPerWeight = finite(snapshot.WorkPerWeight)
-	b.fleet.maxWorkPerWeight = finite(snapshot.MaxWorkPerWeight)
-	for name, c := range b.classes {
+	b.means.latency = snapshot.Latency
+	b.means.costHint = finite(snapshot.MeanCost)
+	b.fleet.stats.workPerWeight = finite(snapshot.WorkPerWeight)
+	b.fleet.stats.maxWorkPerWeight = finite(snapshot.MaxWorkPerWeight)
+	for name, c := range b.clients.classes {
 		c.latency = finite(snapshot.ClassLatency[name])
 	}
 	local, region := snapshot.LocalShare, snapshot.RegionShare
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -35,7 +35,7 @@
 // known.
 func (b *Balancer) ZoneStatuses(now time.Duration) []ZoneStatus {
 	shares, total := map[*zone]float64{}, 0.0
-	for _, e := range b.subset {
+	for _, e := range b.fleet.subset {
 		if e.inSubset && e.zone.inUse() {
 			share := b.trafficShare(e, now)
 			shares[e.zone] += share
@@ -44,7 +44,7 @@
 	}
 	b.summarizeZones(now)
 	var statuses []ZoneStatus
-	for _, z := range b.zones {
+	for _, z := range b.fleet.zones {
 		if z.listed == 0 && !z.drained {
 			continue
 		}
@@ -92,7 +92,7 @@
 // EndpointCounts tells how many endpoints the list holds, and how many of them get nothing now but trials: those that
 // drain, are unresponsive or could not be reached.
 func (b *Balancer) EndpointCounts(now time.Duration) (known, skipped int) {
-	for _, e := range b.endpoints {
+	for _, e := range b.fleet.endpoints {
 		if e.State == Removed {
 			continue
 		}
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -17,23 +17,23 @@
 // rebuildSubset chooses the endpoints that this balancer uses. All balancers see the same ring and take a stretch from a
 // place of their own; the golden ratio spreads these evenly for any run of ranks.
 func (b *Balancer) rebuildSubset(now time.Duration) {
-	active := slices.DeleteFunc(slices.Clone(b.endpoints), func(e *endpoint) bool { return e.State != Active })
+	active := slices.DeleteFunc(slices.Clone(b.fleet.endpoints), func(e *endpoint) bool { return e.State != Active })
 	slices.SortFunc(active, func(x, y *endpoint) int { return cmp.Compare(x.ringPosition, y.ringPosition) })
-	count, balancers := float64(len(active)), float64(b.fleetSize.Balancers)
+	count, balancers := float64(len(active)), float64(b.fleet.size.Balancers)
 	fair := math.Ceil(count * balancersPerEndpoint / max(balancersPerEndpoint, balancers-balancersPerEndpoint))
 	wanted := max(1, min(count, max(minSubsetEndpoints, fair)))
 	b.locality.disabled = wanted < min(count, minLocalitySubsetEndpoints)
-	b.initialLimit = initialFleetLimitAttempts * max(count, 1) / wanted / float64(b.fleetSize.MaxBalancers)
-	_, place := math.Modf(float64(b.fleetSize.Rank) * math.Phi)
+	b.fleet.initialLimit = initialFleetLimitAttempts * max(count, 1) / wanted / float64(b.fleet.size.MaxBalancers)
+	_, place := math.Modf(float64(b.fleet.size.Rank) * math.Phi)
 	chosen := chooseStretch(b.localFirst(active, place, wanted), wanted)
-	b.subset = b.subset[:0]
-	for _, e := range b.endpoints {
+	b.fleet.subset = b.fleet.subset[:0]
+	for _, e := range b.fleet.endpoints {
 		if chosen[e] && !e.inSubset {
 			b.joinSubset(e, wanted, now)
 		}
 		e.inSubset = chosen[e]
 		if e.inSubset || len(e.attempts) > 0 {
-			b.subset = append(b.subset, e)
+			b.fleet.subset = append(b.fleet.subset, e)
 		}
 	}
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -24,11 +24,11 @@
 			settings.Rank = rank
 			settings.Zone = []string{"near", "far"}[rank%2]
 			b, _ := newTestBalancer(t, settings, fleet(test.endpoints))
-			size := len(b.subset)
+			size := len(b.fleet.subset)
 			if size < test.least || size > test.most {
 				t.Fatalf("%+v: a balancer uses %d endpoints", test, size)
 			}
-			for _, e := range b.subset {
+			for _, e := range b.fleet.subset {
 				users[e.ID]++
 			}
 		}
@@ -59,21 +59,21 @@
 		settings.Balancers = max(size.Balancers, 1)
 		settings.Rank = max(size.Rank, 0)
 		fresh, _ := newTestBalancer(t, settings, fleet(40))
-		for i, e := range b.endpoints {
-			if e.inSubset != fresh.endpoints[i].inSubset {
+		for i, e := range b.fleet.endpoints {
+			if e.inSubset != fresh.fleet.endpoints[i].inSubset {
 				t.Errorf("%+v: endpoint %d in the subset: %v", size, e.ID, e.inSubset)
 			}
 		}
 		maxBalancers := float64(max(size.MaxBalancers, 1))
 		for _, tenant := range settings.Tenants {
-			rate, want := b.tenants[tenant.Name].rate, tenant.Quota/maxBalancers
+			rate, want := b.clients.tenants[tenant.Name].rate, tenant.Quota/maxBalancers
 			if rate != want {
 				t.Errorf("%+v: tenant %s has %v requests a second, want %v", size, tenant.Name, rate, want)
 			}
 		}
-		want := fresh.initialLimit * float64(settings.Balancers) / maxBalancers
-		if !approximately(b.initialLimit, want) {
-			t.Errorf("%+v: initial limit %v, want %v", size, b.initialLimit, want)
+		want := fresh.fleet.initialLimit * float64(settings.Balancers) / maxBalancers
+		if !approximately(b.fleet.initialLimit, want) {
+			t.Errorf("%+v: initial limit %v, want %v", size, b.fleet.initialLimit, want)
 		}
 	}
 }
@@ -83,24 +83,24 @@
 	settings := testSettings()
 	settings.Balancers = 40
 	b, _ := newTestBalancer(t, settings, fleet(40))
-	before := slices.Clone(b.subset)
+	before := slices.Clone(b.fleet.subset)
 	before[0].outlier.unresponsive = true
 	before[1].slowStart.active = true
 	before[1].slowStart.since = time.Hour
 	b.rebuildSubset(time.Hour)
-	if len(b.subset) != len(before)+2 {
-		t.Errorf("%d endpoints in use, then %d with one unresponsive and one warming up", len(before), len(b.subset))
+	if len(b.fleet.subset) != len(before)+2 {
+		t.Errorf("%d endpoints in use, then %d with one unresponsive and one warming up", len(before), len(b.fleet.subset))
 	}
 	draining := before[2].Endpoint
 	draining.State = Draining
 	b.OnEndpointUpdate(time.Hour, UpdateDelta, []Endpoint{draining})
-	if before[2].inSubset || len(b.subset) != len(before)+2 {
-		t.Errorf("a draining endpoint was not replaced: %d in use", len(b.subset))
+	if before[2].inSubset || len(b.fleet.subset) != len(before)+2 {
+		t.Errorf("a draining endpoint was not replaced: %d in use", len(b.fleet.subset))
 	}
 	before[0].outlier.unresponsive = false
 	before[1].slowStart.active = false
 	b.rebuildSubset(time.Hour)
-	if len(b.subset) != len(before) {
-		t.Errorf("%d in use after the others recovered, %d at first", len(b.subset), len(before))
+	if len(b.fleet.subset) != len(before) {
+		t.Errorf("%d in use after the others recovered, %d at first", len(b.fleet.subset), len(before))
 	}
 }
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -52,8 +52,8 @@
 }
 
 // zoneNamed is the zone of a name, known from then on.
-func (b *Balancer) zoneNamed(name string) *zone {
-	known := b.findZone(name)
+func (f *fleetState) zoneNamed(name string) *zone {
+	known := f.findZone(name)
 	if known != nil {
 		return known
 	}
@@ -62,17 +62,17 @@
 		region = ""
 	}
 	z := &zone{name: name, region: region, localityWeight: 1, health: zoneHealth{recoveredShare: 1, stepMultiple: 1}}
-	b.zones = append(b.zones, z)
+	f.zones = append(f.zones, z)
 	return z
 }
 
 // findZone is a zone that is known, or nil.
-func (b *Balancer) findZone(name string) *zone {
-	i := slices.IndexFunc(b.zones, func(z *zone) bool { return z.name == name })
+func (f *fleetState) findZone(name string) *zone {
+	i := slices.IndexFunc(f.zones, func(z *zone) bool { return z.name == name })
 	if i < 0 {
 		return nil
 	}
-	return b.zones[i]
+	return f.zones[i]
 }
 
 // meanUtilization is that of its endpoints with readings; it needs some.
@@ -89,17 +89,17 @@
 
 // summarizeZones sums up what is known of each zone, and forgets those without endpoints.
 func (b *Balancer) summarizeZones(now time.Duration) {
-	for _, z := range b.zones {
+	for _, z := range b.fleet.zones {
 		z.listed = 0
 		z.capacity = 0
 		z.utilizationSum = 0
 		z.measuredCapacity = 0
 	}
-	for _, e := range b.endpoints {
+	for _, e := range b.fleet.endpoints {
 		e.zone.listed++
 	}
-	b.zones = slices.DeleteFunc(b.zones, func(z *zone) bool { return z.listed == 0 && z.name != b.settings.Zone && !z.drained })
-	for _, e := range b.subset {
+	b.fleet.zones = slices.DeleteFunc(b.fleet.zones, func(z *zone) bool { return z.listed == 0 && z.name != b.settings.Zone && !z.drained })
+	for _, e := range b.fleet.subset {
 		if !e.inSubset || !e.isUsable() {
 			continue
 		}
@@ -120,10 +120,10 @@
 }
 
 // summarize adds up the zones that a function selects.
-func (b *Balancer) summarize(selects func(*zone) bool) zoneGroup {
+func (f *fleetState) summarize(selects func(*zone) bool) zoneGroup {
 	var group zoneGroup
 	var utilizationSum, measuredCapacity float64
-	for _, z := range b.zones {
+	for _, z := range f.zones {
 		if selects(z) {
 			group.capacity += z.capacity
 			utilizationSum += z.utilizationSum
@@ -138,8 +138,8 @@
 }
 
 // usableZones is how many zones have capacity.
-func (b *Balancer) usableZones() (count float64) {
-	for _, z := range b.zones {
+func (f *fleetState) usableZones() (count float64) {
+	for _, z := range f.zones {
 		if z.capacity > 0 {
 			count++
 		}
@@ -149,10 +149,10 @@
 
 // countEvidence counts the evidence of all endpoints for their zones, and returns their number and weight.
 func (b *Balancer) countEvidence(now time.Duration) (members int, weight float64) {
-	for _, z := range b.zones {
+	for _, z := range b.fleet.zones {
 		z.health.resetEvidence()
 	}
-	for _, e := range b.subset {
+	for _, e := range b.fleet.subset {
 		if e.inSubset {
 			members++
 			weight += e.weight
@@ -163,8 +163,8 @@
 }
 
 // weightOutside is the weight of all usable endpoints outside a zone.
-func (b *Balancer) weightOutside(z *zone) (weight float64) {
-	for _, e := range b.subset {
+func (f *fleetState) weightOutside(z *zone) (weight float64) {
+	for _, e := range f.subset {
 		if e.inSubset && e.zone != z && e.isUsable() {
 			weight += e.weight
 		}
@@ -177,12 +177,12 @@
 	members, weight := b.countEvidence(now)
 	b.detectCorrelatedFailure(now)
 	unhealthy := 0
-	for _, z := range b.zones {
+	for _, z := range b.fleet.zones {
 		z.health.countErring()
 		unhealthy += z.health.unhealthy
 	}
 	changed := false
-	for _, z := range b.zones {
+	for _, z := range b.fleet.zones {
 		elsewhere := float64(unhealthy-z.health.unhealthy) / float64(max(1, members-z.health.members))
 		if b.updateZoneState(z, elsewhere, weight, now) {
 			changed = true
@@ -190,13 +190,13 @@
 		z.health.endRecovery()
 	}
 	if changed {
-		b.estimateWorkPerWeight()
+		b.fleet.estimateWorkPerWeight()
 	}
 }
 
 // countLate counts the endpoints that respond late or not at all, and the responsive ones, in zones that respond.
-func (b *Balancer) countLate() (late, responsive int) {
-	for _, z := range b.zones {
+func (f *fleetState) countLate() (late, responsive int) {
+	for _, z := range f.zones {
 		if z.health.responsive > 0 {
 			late += z.health.unhealthy + z.health.overdue + z.health.slow
 			responsive += z.health.responsive
--- a/balancer/zonehealth.go
+++ b/balancer/zonehealth.go
@@ -43,7 +43,7 @@
 	if oldest == nil || e.latency.mean == 0 || e.latency.isSlow() {
 		return false
 	}
-	expected := max(e.latency.mean+overdueDeviations*e.latency.deviation, b.latency)
+	expected := max(e.latency.mean+overdueDeviations*e.latency.deviation, b.means.latency)
 	return float64(e.waitingTime(oldest, now)) > max(1, oldest.request.workUnits)*expected
 }
 
@@ -71,8 +71,8 @@
 // of them alone would be ejected. The endpoints of other zones have to respond in time: a faulty link of this balancer
 // makes responses late in all zones. Zones without any response do not count there, since they are faulty themselves.
 func (b *Balancer) detectCorrelatedFailure(now time.Duration) {
-	late, responsive := b.countLate()
-	for _, z := range b.zones {
+	late, responsive := b.fleet.countLate()
+	for _, z := range b.fleet.zones {
 		suspects, lateElsewhere := z.health.unhealthy+z.health.overdue, late
 		if z.health.responsive > 0 {
 			lateElsewhere -= suspects + z.health.slow
@@ -93,7 +93,7 @@
 
 // ejectOverdue marks the overdue endpoints of a zone as unresponsive.
 func (b *Balancer) ejectOverdue(z *zone, now time.Duration) {
-	for _, e := range slices.Clone(b.subset) {
+	for _, e := range slices.Clone(b.fleet.subset) {
 		if e.zone == z && !e.outlier.unresponsive && b.isOverdue(e, now) {
 			z.health.unhealthy++
 			z.health.overdue--
@@ -140,7 +140,7 @@
 // mayEject reports whether most of a zone is unhealthy, and the others have the capacity to go on without it.
 func (b *Balancer) mayEject(z *zone, weight float64) bool {
 	mostlyUnhealthy := z.health.unhealthy >= minUnhealthyEndpoints && z.health.unhealthyFraction() >= ejectFraction
-	return mostlyUnhealthy && b.weightOutside(z) >= minRemainingCapacityRatio*weight
+	return mostlyUnhealthy && b.fleet.weightOutside(z) >= minRemainingCapacityRatio*weight
 }
 
 // unhealthyFraction is the fraction of a zone that is unhealthy. Once half of the zone is, endpoints without evidence do not
@@ -193,8 +193,8 @@
 // advanceRecovery gives recovering zones their next step, once the last one has lasted long enough and their utilization is
 // not over the fleet's.
 func (b *Balancer) advanceRecovery() {
-	fleet := b.summarize(func(*zone) bool { return true })
-	for _, z := range b.zones {
+	fleet := b.fleet.summarize(func(*zone) bool { return true })
+	for _, z := range b.fleet.zones {
 		health := &z.health
 		health.stepAgePeriods++
 		waits := health.stepAgePeriods < minStepPeriods*health.stepMultiple || health.isDegraded()
@@ -213,7 +213,7 @@
 // be sent elsewhere after a failure.
 func (b *Balancer) allowsZoneTrial(z *zone, r *request, now time.Duration) bool {
 	ended := z.health.trial == nil || z.health.trial.ended
-	return ended && now >= z.health.nextTrialAt && r.class.Idempotency == b.safestClass
+	return ended && now >= z.health.nextTrialAt && r.class.Idempotency == b.clients.safestClass
 }
 
 // beginTrial records a trial of an ejected zone. While trials succeed the next follows at once.
