--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -7,29 +7,29 @@
 // eventParsers has, by the name of each message that is an event, what sets the event's kind and fields from those of
 // the current line. The instance is common to all and not theirs to parse.
 var eventParsers = map[string]func(*Reader, *Event){
-	"attach":      (*Reader).parseAttach,
-	"exit":        (*Reader).parseExit,
-	"endpoints":   (*Reader).parseEndpointUpdate,
-	"inbound":     (*Reader).parseRequest,
-	"established": (*Reader).parseStreamStarted,
-	"verdict":     (*Reader).parseAttemptResult,
-	"lapsed":      (*Reader).parseClientDisconnected,
-	"elapsed":     (*Reader).parseTimer,
-	"health":      (*Reader).parseHealthCheckResult,
-	"inbox":       (*Reader).parseInbox,
+	messageAttach:             (*Reader).parseAttach,
+	messageExit:               (*Reader).parseExit,
+	messageEndpointUpdate:     (*Reader).parseEndpointUpdate,
+	messageRequest:            (*Reader).parseRequest,
+	messageStreamStarted:      (*Reader).parseStreamStarted,
+	messageAttemptResult:      (*Reader).parseAttemptResult,
+	messageClientDisconnected: (*Reader).parseClientDisconnected,
+	messageTimer:              (*Reader).parseTimer,
+	messageHealthCheckResult:  (*Reader).parseHealthCheckResult,
+	messageInbox:              (*Reader).parseInbox,
 }
 
 func (r *Reader) parseAttach(e *Event) {
 	e.Kind = KindAttach
-	e.Seed = r.fields.requiredUint("random_seed", 64)
-	e.Settings = r.fields.settings("params")
+	e.Seed = r.fields.requiredUint(fieldSeed, 64)
+	e.Settings = r.fields.settings(fieldSettings)
 }
 
 func (r *Reader) parseExit(e *Event) { e.Kind = KindExit }
 
 func (r *Reader) parseEndpointUpdate(e *Event) {
 	e.Kind = KindEndpointUpdate
-	e.Mode = r.fields.updateMode("mode")
+	e.Mode = r.fields.updateMode(fieldUpdateMode)
 	if e.Mode != balancer.UpdateFailed {
 		e.Endpoints = r.referencedList()
 	}
@@ -37,9 +37,9 @@
 
 // referencedList returns the numbered list that the current line refers to.
 func (r *Reader) referencedList() []balancer.Endpoint {
-	number := r.fields.requiredUint("bank", 31)
+	number := r.fields.requiredUint(fieldListNumber, 31)
 	if number >= maxLists || !r.lists[number].defined {
-		r.fields.fail("bank", "no such list")
+		r.fields.fail(fieldListNumber, "no such list")
 		return nil
 	}
 	return r.lists[number].endpoints
@@ -50,13 +50,13 @@
 	e.Kind = KindRequest
 	e.Request = balancer.Request{
 		ID:       f.requestID(),
-		Timeout:  f.requiredDuration("budget_us"),
-		Class:    r.intern(f.required("class")),
-		Tenant:   r.intern(f.optional("org")),
-		Key:      f.optionalHex("key"),
-		HasKey:   f.has("key"),
-		Retry:    f.flag("retry"),
-		CostHint: f.optionalDuration("cost_guess_us"),
+		Timeout:  f.requiredDuration(fieldRequestTimeout),
+		Class:    r.intern(f.required(fieldClass)),
+		Tenant:   r.intern(f.optional(fieldTenant)),
+		Key:      f.optionalHex(fieldKey),
+		HasKey:   f.has(fieldKey),
+		Retry:    f.flag(fieldRetry),
+		CostHint: f.optionalDuration(fieldCostHint),
 	}
 }
 
@@ -69,9 +69,9 @@
 	f := &r.fields
 	e.Kind = KindAttemptResult
 	e.Result = f.attempt()
-	e.Result.Status = f.status("disposition")
-	e.Result.RequestClosed = f.flag("over")
-	e.Result.Load = f.loadReport("metrics")
+	e.Result.Status = f.status(fieldStatus)
+	e.Result.RequestClosed = f.flag(fieldRequestClosed)
+	e.Result.Load = f.loadReport(fieldLoadReport)
 }
 
 func (r *Reader) parseClientDisconnected(e *Event) {
@@ -81,64 +81,36 @@
 
 func (r *Reader) parseTimer(e *Event) {
 	e.Kind = KindTimer
-	e.TimerToken = r.fields.requiredUint("ctx", 63)
+	e.TimerToken = r.fields.requiredUint(fieldTimerToken, 63)
 }
 
 func (r *Reader) parseHealthCheckResult(e *Event) {
 	f := &r.fields
 	e.Kind = KindHealthCheckResult
 	e.HealthCheck = balancer.HealthCheckResult{
-		Endpoint: balancer.EndpointID(f.requiredUint("upstream", 32)),
-		Latency:  f.requiredDuration("cost_time_us"),
-		Status:   f.status("disposition"),
-		Load:     f.loadReport("metrics"),
+		Endpoint: balancer.EndpointID(f.requiredUint(fieldEndpoint, 32)),
+		Latency:  f.requiredDuration(fieldLatency),
+		Status:   f.status(fieldStatus),
+		Load:     f.loadReport(fieldLoadReport),
 	}
 }
 
 func (r *Reader) parseInbox(e *Event) {
 	e.Kind = KindInbox
-	r.fields.requiredUint("author", 31)
+	r.fields.requiredUint(fieldSender, 31)
 }
 
 // requestID parses a request's identifier.
-func (f *fields) requestID() balancer.RequestID { return balancer.RequestID(f.requiredHex("id")) }
+func (f *fields) requestID() balancer.RequestID {
+	return balancer.RequestID(f.requiredHex(fieldRequestID))
+}
 
 // attempt parses the fields that identify an attempt, and how long it has taken.
 func (f *fields) attempt() balancer.AttemptResult {
 	return balancer.AttemptResult{
 		ID:       f.requestID(),
-		Endpoint: balancer.EndpointID(f.requiredUint("upstream", 32)),
-		Attempt:  int(f.requiredUint("go", 31)),
-		Latency:  f.requiredDuration("cost_time_us"),
-	}
-}
-
-// updateMode parses how an endpoint list relates to the one before it.
-func (f *fields) updateMode(name string) balancer.UpdateMode {
-	switch string(f.required(name)) {
-	case "D":
-		return balancer.UpdateDelta
-	case "F":
-		return balancer.UpdateComplete
-	case "C":
-		return balancer.UpdateCached
-	case "X":
-		return balancer.UpdateFailed
-	}
-	f.fail(name, "unknown list mode")
-	return 0
-}
-
-// endpointState parses the state of an endpoint.
-func (f *fields) endpointState(name string) balancer.EndpointState {
-	switch string(f.required(name)) {
-	case "active":
-		return balancer.Active
-	case "leaving":
-		return balancer.Draining
-	case "left":
-		return balancer.Removed
+		Endpoint: balancer.EndpointID(f.requiredUint(fieldEndpoint, 32)),
+		Attempt:  int(f.requiredUint(fieldAttempt, 31)),
+		Latency:  f.requiredDuration(fieldLatency),
 	}
-	f.fail(name, "unknown state")
-	return 0
 }
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -52,7 +52,7 @@
 
 // runsToLineEnd reports whether a field's value may contain spaces.
 func runsToLineEnd(name []byte) bool {
-	return string(name) == "params" || string(name) == "note_text"
+	return string(name) == fieldSettings || string(name) == fieldText
 }
 
 // fail records an error, unless there is one.
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -99,12 +99,12 @@
 	for {
 		line, err := r.readLine()
 		if errors.Is(err, io.EOF) {
-			return fmt.Errorf("line %d: batch %d ends without eob", r.line, b.Serial)
+			return fmt.Errorf("line %d: batch %d ends without %s", r.line, b.Serial, messageBatchEnd)
 		}
 		if err != nil {
 			return err
 		}
-		if string(line) == "eob" {
+		if string(line) == messageBatchEnd {
 			return nil
 		}
 		if err := r.parseMessage(line, b); err != nil {
@@ -150,11 +150,11 @@
 	if err != nil {
 		return err
 	}
-	if string(name) != "frame" {
-		return fmt.Errorf("message %q where frame was expected", name)
+	if string(name) != messageBatch {
+		return fmt.Errorf("message %q where %s was expected", name, messageBatch)
 	}
-	b.At = f.requiredDuration("at_time_us")
-	b.Serial = f.requiredUint("serial", 64)
+	b.At = f.requiredDuration(fieldTime)
+	b.Serial = f.requiredUint(fieldSerial, 64)
 	b.Events = b.Events[:0]
 	return f.err
 }
@@ -167,7 +167,7 @@
 	if err != nil {
 		return err
 	}
-	if string(name) == "sheet" {
+	if string(name) == messageList {
 		return r.readList()
 	}
 	parse, known := eventParsers[string(name)]
@@ -177,7 +177,7 @@
 	b.Events = append(b.Events, Event{})
 	event := &b.Events[len(b.Events)-1]
 	parse(r, event)
-	event.Instance = int(f.requiredUint("balancer_id", 31))
+	event.Instance = int(f.requiredUint(fieldInstance, 31))
 	if f.err != nil {
 		return fmt.Errorf("%s: %w", name, f.err)
 	}
@@ -187,30 +187,30 @@
 // readList parses the head of a numbered endpoint list, which is the current line, and reads its entries.
 func (r *Reader) readList() error {
 	f := &r.fields
-	number := f.requiredUint("bank", 31)
-	count := f.requiredUint("items", 31)
+	number := f.requiredUint(fieldListNumber, 31)
+	count := f.requiredUint(fieldListLength, 31)
 	if f.err == nil && number >= maxLists {
-		f.fail("bank", "out of range")
+		f.fail(fieldListNumber, "out of range")
 	}
 	if f.err != nil {
-		return fmt.Errorf("sheet: %w", f.err)
+		return fmt.Errorf("%s: %w", messageList, f.err)
 	}
 	endpoints := make([]balancer.Endpoint, 0, min(count, maxPreallocatedEndpoints))
 	for range count {
 		line, err := r.readLine()
 		if err != nil {
-			return fmt.Errorf("sheet: items=%d, but %d follow: %w", count, len(endpoints), err)
+			return fmt.Errorf("%s: %s=%d, but %d follow: %w", messageList, fieldListLength, count, len(endpoints), err)
 		}
 		name, err := f.parse(line)
 		if err != nil {
 			return err
 		}
-		if string(name) != "m" {
-			return fmt.Errorf("sheet: items=%d, but %d follow", count, len(endpoints))
+		if string(name) != messageListEntry {
+			return fmt.Errorf("%s: %s=%d, but %d follow", messageList, fieldListLength, count, len(endpoints))
 		}
 		endpoint := r.parseEndpoint()
 		if f.err != nil {
-			return fmt.Errorf("m: %w", f.err)
+			return fmt.Errorf("%s: %w", messageListEntry, f.err)
 		}
 		endpoints = append(endpoints, endpoint)
 	}
@@ -222,12 +222,12 @@
 func (r *Reader) parseEndpoint() balancer.Endpoint {
 	f := &r.fields
 	return balancer.Endpoint{
-		ID:        balancer.EndpointID(f.requiredUint("upstream", 32)),
-		Cell:      int(f.optionalUint("block", 62)),
-		Zone:      r.intern(f.optional("region_part")),
-		Weight:    f.optionalFloat("nominal", 1),
-		StartedAt: f.optionalDuration("came_up_us"),
-		State:     f.endpointState("availability"),
+		ID:        balancer.EndpointID(f.requiredUint(fieldEndpoint, 32)),
+		Cell:      int(f.optionalUint(fieldCell, 62)),
+		Zone:      r.intern(f.optional(fieldZone)),
+		Weight:    f.optionalFloat(fieldWeight, 1),
+		StartedAt: f.optionalDuration(fieldStartedAt),
+		State:     f.endpointState(fieldEndpointState),
 	}
 }
 
