--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -49,7 +49,7 @@
 //	pause between attempts | limit.go | attemptInterval, pauseAfter | concurrencyLimiter.current (attempts), latencyStats.mean (ns) | a limit under one needs time without an attempt
 //	slow-start budget | slowstart.go | slowStartCapacity, fitsSlowStart, chargeSlowStart, slowStartRate | slowStartBudgetRatio (ratio), localitySlowStartBudgetRatio (ratio), Obligations.OverloadMultiple (ratio), Obligations.OverloadWindow (duration), Obligations.SlowStartFrom (ratio) | a warming endpoint fails above its present capacity
 //	start of slow start | slowstart.go | beginSlowStart | Obligations.SlowStartWindow (duration) | measurements from before a restart no longer hold
-//	unresponsive endpoint | outlier.go | responseTimeout, detectUnresponsive, markUnresponsive, markResponsive | timeoutDeviations (mean deviations), trafficMeans.latency (ns), Balancer.tick (duration) | silence shows a fault earlier than the client's timeout
+//	unresponsive endpoint | outlier.go | responseTimeout, detectUnresponsive, markUnresponsive, markResponsive | timeoutDeviations (mean deviations), trafficMeans.latency (ns), Balancer.tick (duration) | a missing response shows a fault earlier than the client's timeout
 //	hedge or cancel at an unresponsive endpoint | outlier.go | moveAttempts | Class.Idempotency (kind), Limits.AllowHedging (flag), Limits.AllowCancel (flag) | what waits there may still be answered elsewhere in time
 //	trials of an endpoint | outlier.go | isOnTrial, recordTrial, allowsTrial | backoffGrowthFactor (ratio), outlierState.nextTrialAt (time) | the safest class risks least
 //	backoff after a failed connection | outlier.go | backOff | outlierState.backoff (duration), Obligations.SlowStartWindow (duration) | the endpoint is down or has no free connection
@@ -62,7 +62,7 @@
 //	weight of other zones | locality.go | setLocalityWeights, spareFactor | minLocalityWeight (ratio), maxSpareFactor (ratio), zone.capacity (traffic shares) | spillover goes where there is spare utilization
 //	response from another region in time | locality.go | canAnswerInTime | request.deadline (time), latencyStats.mean (ns) | the round trip is part of every response
 //	spillover by limits | locality.go | noteMissedTurns | endpoint.nextTurn (virtual time) | limits of local endpoints grow when they alone cause spillover
-//	evidence of an endpoint | zonehealth.go | isUnhealthy, isErring, isOverdue, countEndpoint | unhealthyErrorRate (ratio), erringErrorRate (ratio), overdueDeviations (mean deviations), responsiveWithin (duration) | only a zone's own endpoints speak against it
+//	evidence of an endpoint | zonehealth.go | isUnhealthy, isErring, isOverdue, countEndpoint | unhealthyErrorRate (ratio), erringErrorRate (ratio), overdueDeviations (mean deviations), responsiveWithin (duration) | only a zone's own endpoints are evidence against it
 //	correlated failure | zonehealth.go | detectCorrelatedFailure, mostlySuspect, ejectOverdue, countErring | minCorrelatedEndpoints (endpoints), responsiveRatio (endpoints) | several endpoints of a zone fail together sooner than each alone shows
 //	ejection of a zone | zonehealth.go | updateZoneState, mayEject, eject | ejectFraction (ratio), minUnhealthyEndpoints (endpoints), zoneOutlierRatio (ratio), minRemainingCapacityRatio (ratio) | the fault must be the zone's, and the others must carry its traffic
 //	degraded zone | zonehealth.go | unhealthyFraction, isDegraded | degradedFraction (ratio) | half of its endpoints carry half of its share
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -4,13 +4,21 @@
 
 // Events is the set of methods by which an owner drives a Balancer.
 type Events interface {
+	// OnEndpointUpdate delivers a list of endpoints from discovery, or the failure of a call.
 	OnEndpointUpdate(now time.Duration, mode UpdateMode, list []Endpoint)
+	// OnRequest delivers a new request of a client.
 	OnRequest(now time.Duration, r Request)
-	OnBodySent(now time.Duration, id RequestID, attempt int)      // an Upload's last byte is written: its timeout begins
-	OnStreamStarted(now time.Duration, id RequestID, attempt int) // a streamed response has begun
-	OnAttemptResult(now time.Duration, o AttemptResult)
-	OnClientDisconnected(now time.Duration, id RequestID) // no answer is needed any more
-	OnHealthCheckResult(now time.Duration, p HealthCheckResult)
+	// OnBodySent reports that the last byte of an Upload is written. Its Timeout begins.
+	OnBodySent(now time.Duration, id RequestID, attempt int)
+	// OnStreamStarted reports that a streamed response has begun.
+	OnStreamStarted(now time.Duration, id RequestID, attempt int)
+	// OnAttemptResult delivers the end of an attempt.
+	OnAttemptResult(now time.Duration, result AttemptResult)
+	// OnClientDisconnected reports that a request needs no answer any more.
+	OnClientDisconnected(now time.Duration, id RequestID)
+	// OnHealthCheckResult delivers the end of a health check.
+	OnHealthCheckResult(now time.Duration, result HealthCheckResult)
+	// OnTimer reports that a timer is due.
 	OnTimer(now time.Duration, token uint64)
 }
 
@@ -49,7 +57,7 @@
 const (
 	UpdateDelta    UpdateMode = iota // changed entries only
 	UpdateComplete                   // the complete list: what it lacks is removed
-	UpdateCached                     // the complete list as last held, possibly stale
+	UpdateCached                     // the complete list as last received, possibly stale
 	UpdateFailed                     // the call failed or the watch broke; no entries
 )
 
@@ -90,7 +98,7 @@
 // isResponse reports whether the endpoint has responded.
 func (s Status) isResponse() bool { return s == OK || s == Error || s == Rejected }
 
-// isFailure reports whether the status speaks against the endpoint's health. A full queue does not.
+// isFailure reports whether the status is evidence against the endpoint's health. A full queue is none.
 func (s Status) isFailure() bool {
 	return s == Error || s == Timeout || s == ConnectFailed || s == Reset
 }
@@ -108,7 +116,7 @@
 	HasErrors
 )
 
-// LoadReport is what an endpoint reports of its load; Fields tells which values it holds.
+// LoadReport is what an endpoint reports of its load. Fields has a bit for each value that it holds.
 type LoadReport struct {
 	Fields      LoadField
 	Utilization float64 // fraction of its CPU that is busy
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -53,7 +53,7 @@
 
 // Obligations holds the figures of the rules for draining and slow start that the site sets.
 type Obligations struct {
-	PollInterval     time.Duration // discovery by polling: ask at least this often
+	PollInterval     time.Duration // longest time between two polls of discovery
 	SlowStartFrom    float64       // an endpoint starts with at least this fraction of its capacity
 	SlowStartWindow  time.Duration // after which it has all of it
 	OverloadMultiple float64       // a warming endpoint that gets more than this multiple of its present capacity
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -109,7 +109,7 @@
 
 // Restore takes up what another Balancer knew, as evidence of its age. It belongs after the first OnEndpointUpdate and
 // before the first OnRequest. Endpoints that are not listed any more are ignored. An age below zero, of a clock that was
-// set back, tells nothing of how old figures are: they are not used.
+// set back, says nothing of the real age: nothing but drained zones and slow starts is restored then.
 func (b *Balancer) Restore(now time.Duration, snapshot Snapshot) {
 	trusted := confidence(now-snapshot.TakenAt) > 0
 	if trusted && isAmount(snapshot.Latency) && snapshot.Latency > 0 {
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -89,8 +89,8 @@
 	return ZoneRecovering
 }
 
-// EndpointCounts tells how many endpoints the list holds, and how many of them get nothing now but trials: those that
-// drain, are unresponsive or could not be reached.
+// EndpointCounts returns how many endpoints the list holds, and how many of them get nothing now but trials. Those are
+// draining, unresponsive or unreachable.
 func (b *Balancer) EndpointCounts(now time.Duration) (known, skipped int) {
 	for _, e := range b.fleet.endpoints {
 		if e.State == Removed {
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -51,7 +51,7 @@
 	h.erring = 0
 }
 
-// zoneNamed is the zone of a name, known from then on.
+// zoneNamed is the zone of a name. One that is not known is added.
 func (f *fleetState) zoneNamed(name string) *zone {
 	known := f.findZone(name)
 	if known != nil {
--- a/balancer/zonehealth.go
+++ b/balancer/zonehealth.go
@@ -87,8 +87,8 @@
 
 // mostlySuspect reports whether so many unhealthy or overdue endpoints are most of a zone.
 func (h *zoneHealth) mostlySuspect(suspects int) bool {
-	ofHeard := ejectFraction * float64(suspects+h.responsive)
-	return suspects >= minCorrelatedEndpoints && 2*suspects >= h.members && float64(suspects) >= ofHeard
+	minSuspects := ejectFraction * float64(suspects+h.responsive)
+	return suspects >= minCorrelatedEndpoints && 2*suspects >= h.members && float64(suspects) >= minSuspects
 }
 
 // ejectOverdue marks the overdue endpoints of a zone as unresponsive.
--- a/internal/lab/model/effects.go
+++ b/internal/lab/model/effects.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// SetTimer asks for an OnTimer event.
+// SetTimer schedules an OnTimer event.
 func (n *node) SetTimer(after time.Duration, token uint64) {
 	n.after(after, message{kind: msgTimer, id: token, incarnation: n.incarnation})
 }
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -7,16 +7,16 @@
 	"sprucehill/balancer"
 )
 
-// This file has what the decision module asks of its surroundings: the methods of balancer.Effects. The module calls
-// them on the loop's goroutine, from inside its own event methods, so none of them may call back into the module; an
-// outcome that is known at once is postponed until the module has returned.
+// This file has the methods of balancer.Effects. The decision module calls them on the loop's goroutine, from inside its own
+// event methods, so none of them may call back into the module. An outcome that is known at once is postponed until the
+// module has returned.
 
 // Send makes an attempt of a request at an endpoint. timeout bounds the attempt; 0: the request's deadline alone does.
 func (l *loop) Send(id balancer.RequestID, up balancer.EndpointID, timeout time.Duration) {
 	r := l.requests[id]
 	endpoint := l.endpoints[up]
 	if r == nil || endpoint == nil { // the module knows both from the loop
-		l.log.info("attempt of an unknown request or at an unknown endpoint", "request", id, "endpoint", up)
+		l.log.info("attempt skipped: request or endpoint unknown", "request_id", id, "endpoint", up)
 		return
 	}
 	now := l.now()
@@ -96,7 +96,7 @@
 	}
 }
 
-// HealthCheck asks an endpoint whether it serves and, where the settings have load reports, for its load. It does
+// HealthCheck checks an endpoint and, where the settings have load reports, fetches its load report. It does
 // nothing where there is no capacity for another connection.
 func (l *loop) HealthCheck(up balancer.EndpointID) {
 	endpoint := l.endpoints[up]
@@ -133,10 +133,10 @@
 // UnwatchEndpoints stops the watch of discovery.
 func (l *loop) UnwatchEndpoints() { l.discovery.stopWatch() }
 
-// FetchEndpoints asks discovery for the complete list once.
+// FetchEndpoints polls discovery once for the complete list.
 func (l *loop) FetchEndpoints() { l.discovery.fetch() }
 
-// SetTimer asks for a call of the module's OnTimer with the token.
+// SetTimer has the module's OnTimer called with the token.
 func (l *loop) SetTimer(after time.Duration, token uint64) {
 	l.setTimer(timer{at: l.now() + max(after, 0), token: token})
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -96,8 +96,8 @@
 	weighsByWork = map[string]bool{"": false, "request": false, "work": true}
 )
 
-// ConnectionTimeouts is the part of the settings that concerns connections to upstreams. The simulator acts on it by itself; a real
-// balancer has to.
+// ConnectionTimeouts is the part of the settings that concerns connections to upstreams. The simulator applies it by
+// itself. A real balancer has to.
 type ConnectionTimeouts struct {
 	KeepAlive      time.Duration // after which an upstream closes an idle connection
 	ConnectTimeout time.Duration // within which a connection has to be established
