--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -19,23 +19,35 @@
 // elsewhere. All balancers of a zone adjust alike, by the same late reports, so each step is small.
 func (b *Balancer) updateLocality(now time.Duration) {
 	home := b.fleet.zoneNamed(b.settings.Zone)
-	locality := &b.locality
-	locality.home = home
+	b.locality.home = home
 	b.summarizeZones(now)
 	all := b.fleet.summarize(func(*zone) bool { return true })
 	region := b.fleet.summarize(func(z *zone) bool { return z.region == home.region })
-	if home.capacity == 0 || home.capacity == all.capacity || locality.disabled { // shares alone decide
-		for _, z := range b.fleet.zones {
-			z.localityWeight = 1
-		}
-		locality.localShare = 0
+	if home.capacity == 0 || home.capacity == all.capacity || b.locality.disabled {
+		b.endLocality()
 		return
 	}
-	if locality.localShare == 0 { // assume equal load from each zone until there are readings
-		locality.localShare = min(maxLocalShare, b.fleet.usableZones()*home.capacity/all.capacity)
+	b.adjustLocalShares(region, all)
+	b.setLocalityWeights(region.capacity-home.capacity, all.capacity-region.capacity)
+}
+
+// endLocality leaves the distribution between zones to the traffic shares alone.
+func (b *Balancer) endLocality() {
+	b.locality.localShare = 0
+	for _, z := range b.fleet.zones {
+		z.localityWeight = 1
+	}
+}
+
+// adjustLocalShares adjusts the shares of the traffic that stay in the zone and in the region. At first it assumes that the
+// clients of each zone send equal load.
+func (b *Balancer) adjustLocalShares(region, all zoneGroup) {
+	locality := &b.locality
+	if locality.localShare == 0 {
+		locality.localShare = min(maxLocalShare, b.fleet.usableZones()*locality.home.capacity/all.capacity)
 		locality.regionShare = maxLocalShare
 	}
-	local := b.fleet.summarize(func(z *zone) bool { return z == home })
+	local := b.fleet.summarize(func(z *zone) bool { return z == locality.home })
 	if all.measured && local.measured {
 		locality.localShare = adjustShare(locality.localShare, local, all)
 	}
@@ -46,7 +58,6 @@
 		locality.regionShare = 1
 	}
 	locality.regionShare = max(locality.regionShare, locality.localShare)
-	b.setLocalityWeights(region.capacity-home.capacity, all.capacity-region.capacity)
 }
 
 // adjustShare adjusts the share of the traffic that stays in a part of the fleet. It grows, up to maxLocalShare, while the
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,7 +9,7 @@
 )
 
 // settingsJSON is the settings object as it is written, without the keys that are not used. Durations are in
-// microseconds.
+// microseconds. Its tags name the keys; errors repeat a key where tags can't serve them.
 type settingsJSON struct {
 	Zone         string  `json:"az"`
 	Balancers    int     `json:"balancers"`
