--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// With a complete list of other endpoints every 50 ms, nothing of ended requests and removed endpoints is kept.
+// With a complete list of other endpoints every 50 ms, nothing remains of ended requests and removed endpoints.
 func TestStateStaysBounded(t *testing.T) {
 	checker, _ := runRandomEvents(t, testSettings(), 3, 0)
 	b, err := New(testSettings(), 3, checker.now, &recorder{})
@@ -145,7 +145,7 @@
 	}
 	b.OnTimer(now+2*time.Second, tickToken)
 	if len(b.requests)+len(b.queue) > 0 || len(b.fleet.endpoints) != 4 || len(b.fleet.byID) != 4 {
-		t.Errorf("%d requests, %d of them queued, and %d endpoints are kept", len(b.requests), len(b.queue), len(b.fleet.endpoints))
+		t.Errorf("%d requests, %d of them queued, and %d endpoints remain", len(b.requests), len(b.queue), len(b.fleet.endpoints))
 	}
 }
 
--- a/balancer/locality_test.go
+++ b/balancer/locality_test.go
@@ -191,7 +191,7 @@
 			rt.Fatalf("zone %s has locality weight %v", z.name, z.localityWeight)
 		}
 		if !listed[z.name] {
-			rt.Fatalf("zone %s is kept without endpoints", z.name)
+			rt.Fatalf("zone %s remains without endpoints", z.name)
 		}
 	}
 	local, region := b.locality.localShare, b.locality.regionShare
--- a/balancer/operators_test.go
+++ b/balancer/operators_test.go
@@ -75,7 +75,7 @@
 }
 
 // checkRecovery checks that the share of a zone in use grows by one step at a time, and that each step but the first comes
-// after the one before was held.
+// after the one before has lasted long enough.
 func (s *drainScenario) checkRecovery(z *zone) {
 	if s.drained[z.name] {
 		return
@@ -95,7 +95,7 @@
 }
 
 // A drained zone gets nothing until it is reinstated, whatever discovery and load reports say, and then each step of its
-// share in order, each held for its periods. Some zone that is not drained has endpoints at any time.
+// share in order, each lasting for its periods. Some zone that is not drained has endpoints at any time.
 func TestReinstatedZoneRecoversStepByStep(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := &drainScenario{
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -28,7 +28,7 @@
 	deadline     time.Duration
 	attempts     []*checkedAttempt
 	finalAnswers int
-	closedAt     time.Duration // when the balancer learnt that it needs no answer any more; 0: open
+	closedAt     time.Duration // when the balancer was notified that it needs no answer any more; 0: open
 }
 
 // checkedAttempt is an attempt as the rules see it.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,7 +9,7 @@
 )
 
 // settingsJSON is the settings object as it is written, without the keys that are not used. Durations are in
-// microseconds. Its tags name the keys; errors repeat a key where tags can't serve them.
+// microseconds. Its tags name the keys. Errors repeat a key, because code can't refer to a tag.
 type settingsJSON struct {
 	Zone         string  `json:"az"`
 	Balancers    int     `json:"balancers"`
