--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -8,28 +8,16 @@
 	"slices"
 	"testing"
 	"time"
-
-	"github.com/pelletier/go-toml/v2"
 )
 
 // The operators' staff carry a printed copy of the files that decide, so these stay short.
 func TestModuleSize(t *testing.T) {
-	var deployment struct {
-		Policy []string `toml:"policy"`
-	}
-	text, err := os.ReadFile("../deploy/balancer.toml")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := toml.Unmarshal(text, &deployment); err != nil {
-		t.Fatal(err)
-	}
 	const (
 		maxLines      = 1200 // the operators do not accept a longer one
 		maxLineLength = 125  // bytes
 	)
 	lines := 0
-	for _, file := range deployment.Policy {
+	for _, file := range policyFiles(t) {
 		text, err := os.ReadFile(filepath.Join("..", file))
 		if err != nil {
 			t.Fatal(err)
@@ -84,7 +72,7 @@
 		b.OnTimer(now, tickToken)
 		b.OnTimer(now, unknownToken)
 	}
-	for _, e := range b.endpoints {
+	for _, e := range b.fleet.endpoints {
 		for name, value := range map[string]float64{
 			"mean utilization":      e.utilization.mean,
 			"utilization deviation": e.utilization.deviation,
@@ -127,7 +115,7 @@
 	}
 }
 
-// With a complete list of other endpoints every 50 ms, nothing of ended requests and removed endpoints is kept.
+// With a complete list of other endpoints every 50 ms, nothing remains of ended requests and removed endpoints.
 func TestStateStaysBounded(t *testing.T) {
 	checker, _ := runRandomEvents(t, testSettings(), 3, 0)
 	b, err := New(testSettings(), 3, checker.now, &recorder{})
@@ -156,8 +144,8 @@
 		}
 	}
 	b.OnTimer(now+2*time.Second, tickToken)
-	if len(b.requests)+len(b.queue) > 0 || len(b.endpoints) != 4 || len(b.byID) != 4 {
-		t.Errorf("%d requests, %d of them queued, and %d endpoints are kept", len(b.requests), len(b.queue), len(b.endpoints))
+	if len(b.requests)+len(b.queue) > 0 || len(b.fleet.endpoints) != 4 || len(b.fleet.byID) != 4 {
+		t.Errorf("%d requests, %d of them queued, and %d endpoints remain", len(b.requests), len(b.queue), len(b.fleet.endpoints))
 	}
 }
 
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -5,27 +5,38 @@
 	"time"
 )
 
-// notificationDelay is the time after which a change counts as notified at the latest, whether or not a call has brought
+// notificationDelay is the longest time until an endpoint's change counts as notified, whether or not a call has brought
 // it.
 const notificationDelay = 6 * time.Second
 
-// retryDiscovery sets the time of the next call to discovery: later after each failure, and never all balancers at once.
-// What discovery has counts as notified after notificationDelay, heard or not, so calls stay close; where it pushes, at
-// once.
+// discoveryRetry is the state of repeated calls to discovery.
+type discoveryRetry struct {
+	backoff time.Duration // 0 after a successful call
+}
+
+// grow lengthens the backoff after a failed call, up to a longest one, and returns it.
+func (d *discoveryRetry) grow(longest time.Duration) time.Duration {
+	d.backoff = min(max(d.backoff*backoffGrowthFactor, longest/4), longest)
+	return d.backoff
+}
+
+// retryDiscovery sets the time of the next call to discovery. The wait grows with each failure and is drawn, so that
+// balancers do not call in step. It stays well under notificationDelay, or under the drain grace where discovery pushes:
+// after that time a change counts as notified even if no call has succeeded.
 func (b *Balancer) retryDiscovery(now time.Duration) {
 	longest := min(b.settings.Obligations.PollInterval/8, notificationDelay/4)
 	if !b.settings.PollDiscovery {
 		longest = b.settings.Obligations.DrainGrace / 4
 	}
-	b.discoveryBackoff = min(max(b.discoveryBackoff*backoffGrowth, longest/4), longest)
-	wait := b.discoveryBackoff/2 + time.Duration(b.rng.Int64N(int64(b.discoveryBackoff)+1))
+	backoff := b.discovery.grow(longest)
+	wait := backoff/2 + b.drawWait(backoff)
 	b.effects.SetTimer(wait, discoveryToken)
-	b.log(now, "discovery", "discovery call failed: asking again in %v", wait)
+	b.log.add(now, DiscoveryCallFailed{RetryIn: wait})
 }
 
 // applyEndpoint applies one entry of a list.
 func (b *Balancer) applyEndpoint(entry Endpoint, now time.Duration) {
-	e := b.byID[entry.ID]
+	e := b.fleet.byID[entry.ID]
 	if e == nil {
 		if entry.State == Removed {
 			return
@@ -41,10 +52,10 @@
 		}
 	}
 	e.Endpoint = entry
-	e.zone = b.zoneNamed(entry.Zone)
+	e.zone = b.fleet.zoneNamed(entry.Zone)
 	weight := entry.Weight
-	if b.settings.Weights == WeightLive { // late and the same for all balancers: only its slow mean is safe to follow
-		weight = e.weight + ewmaWeight*(entry.Weight-e.weight)
+	if b.settings.Weights == WeightLive { // late, and the same for all balancers: following it at once would oscillate
+		weight = e.weight + smoothingFactor*(entry.Weight-e.weight)
 	}
 	e.weight = max(weight, math.SmallestNonzeroFloat32)
 }
--- a/balancer/limit.go
+++ b/balancer/limit.go
@@ -4,78 +4,72 @@
 	"cmp"
 	"math"
 	"time"
-
-	"sprucehill/internal/stats"
 )
 
-// The adaptive concurrency limit. Those without a unit are ratios.
+// Limits of attempts in flight at one endpoint are of all balancers together.
 const (
-	initialFleetLimit       = 8.0   // attempts in flight at one endpoint, over all balancers, at first
-	minFleetLimit           = 0.25  // over all balancers: with pauses, so that a saturated endpoint can recover
-	limitReduction          = 0.8   // on a saturated response
-	limitGrowth             = 0.5   // attempts, on a response of an endpoint with headroom while the fleet is saturated
-	fullUtilization         = 0.8   // mean utilisation over which more attempts in flight bring no more
-	saturatedRatio          = 1.6   // latency over this multiple of the baseline means saturated or unhealthy
-	saturatedObjectiveShare = 0.5   // if it is also over this part of the objective: below, saturation does no harm
-	baselineDrift           = 0.005 // weight of a sample by which the baseline latency drifts up
-	minWorkUnits            = 0.5   // even the smallest request has a fixed part
+	initialFleetLimitAttempts = 8.0   // the first limit
+	minFleetLimitAttempts     = 0.25  // the least limit; below 1 there are pauses, in which an endpoint can recover
+	limitReductionFactor      = 0.8   // factor of a limit on a saturated response
+	limitGrowthAttempts       = 0.5   // attempts by which a response of an endpoint with headroom raises its limit
+	fullUtilizationRatio      = 0.8   // mean utilization from which there is no headroom
+	saturatedLatencyRatio     = 1.6   // multiple of the baseline over which latency counts as saturated or slow
+	saturatedObjectiveRatio   = 0.5   // part of the latency objective up to which latency never counts as saturated
+	baselineSmoothingFactor   = 0.005 // weight ratio of a new sample by which the baseline latency drifts up
+	minWorkUnits              = 0.5   // mean requests that a response counts as at least, for its fixed part
 
-	rejectionReduction = limitReduction * limitReduction // on a full queue or a timeout
+	rejectionReductionFactor = limitReductionFactor * limitReductionFactor // factor of a limit on a full queue or a timeout
 )
 
-// hasHeadroom reports whether the readings show spare utilisation; without readings there is none.
+// hasHeadroom reports whether the readings show spare utilization; without readings there is none.
 func (e *endpoint) hasHeadroom() bool {
 	u := &e.utilization
-	return u.readings > 0 && u.mean < fullUtilization && u.lastReport.Queue <= 0
-}
-
-// observeLatency updates the running means by a response. The rarer an endpoint's responses, the more weight each has for
-// it.
-func (b *Balancer) observeLatency(a *attempt, latency time.Duration) {
-	e, sample := a.endpoint, float64(latency)
-	weight := max(ewmaWeight, 1-e.limit.current)
-	stats.UpdateEWMA(&e.latency.deviation, math.Abs(sample-e.latency.mean), weight) // at first as large as the mean
-	stats.UpdateEWMA(&e.latency.mean, sample, weight)
-	stats.UpdateEWMA(&e.latency.workUnits, max(a.request.workUnits, minWorkUnits), weight)
-	stats.UpdateEWMA(&b.latency, sample, ewmaWeight)
-	stats.UpdateEWMA(&a.request.class.latency, sample, ewmaWeight)
-	stats.UpdateEWMA(&e.latency.smoothed, e.latency.perUnit(), ewmaWeight)
-	stats.UpdateEWMA(&e.latency.baseline, e.latency.smoothed, baselineDrift)
-	e.latency.baseline = min(e.latency.baseline, e.latency.smoothed)
+	return u.readings > 0 && u.mean < fullUtilizationRatio && u.lastReport.Queue <= 0
 }
 
 // isSlow reports whether latency is far over its baseline.
-func (l *latencyStats) isSlow() bool { return l.smoothed > saturatedRatio*l.baseline }
+func (l *latencyStats) isSlow() bool { return l.smoothed > saturatedLatencyRatio*l.baseline }
+
+// adjustLimit moves the limit of an endpoint by the status of an attempt. With headroom a response that did not come was
+// lost, not delayed by load.
+func (b *Balancer) adjustLimit(a *attempt, status Status, now time.Duration) {
+	switch {
+	case status == OK:
+		b.adjustLimitByLatency(a, now)
+	case status == Rejected || (status == Timeout && !a.endpoint.hasHeadroom()):
+		b.reduceLimit(a.endpoint, now, rejectionReductionFactor)
+	}
+}
 
-// adjustLimit moves the limit by a response. A slow response alone proves no saturation, since work and waits vary by as
-// much: where readings show headroom the limit grows instead. An endpoint that was saturated from the first knows no
-// better baseline of itself, so the fleet's counts too.
-func (b *Balancer) adjustLimit(a *attempt, now time.Duration) {
+// adjustLimitByLatency moves the limit by a good response. A slow one alone proves no saturation, because work and waits
+// vary by as much. With headroom the limit grows instead. The fleet's baseline counts too: an endpoint that was saturated
+// from the first has no lower one of its own.
+func (b *Balancer) adjustLimitByLatency(a *attempt, now time.Duration) {
 	e := a.endpoint
-	baseline := min(e.latency.baseline, cmp.Or(b.fleet.baselineLatency, e.latency.baseline))
+	baseline := min(e.latency.baseline, cmp.Or(b.fleet.stats.baselineLatency, e.latency.baseline))
 	objective := float64(a.request.class.LatencyObjective)
-	saturated := e.latency.perUnit() > max(saturatedRatio*baseline, saturatedObjectiveShare*objective)
+	saturated := e.latency.perUnit() > max(saturatedLatencyRatio*baseline, saturatedObjectiveRatio*objective)
 	switch {
 	case saturated && !e.hasHeadroom():
-		b.reduceLimit(e, now, limitReduction)
-	case e.limit.current < b.initialLimit: // recovered
-		e.limit.current = b.initialLimit
+		b.reduceLimit(e, now, limitReductionFactor)
+	case e.limit.current < b.fleet.initialLimit: // recovered
+		e.limit.current = b.fleet.initialLimit
 	case e.hasHeadroom() && b.needsHigherLimit(e, now):
-		e.limit.current = max(e.limit.current, min(e.limit.current+limitGrowth, e.limit.ceiling))
+		e.limit.current = max(e.limit.current, min(e.limit.current+limitGrowthAttempts, e.limit.ceiling))
 	}
 }
 
-// needsHigherLimit reports whether requests find no endpoint, or leave the zone only because of the limit of e.
+// needsHigherLimit reports whether requests find no endpoint, or go to another zone only because of the limit of e.
 func (b *Balancer) needsHigherLimit(e *endpoint, now time.Duration) bool {
 	if b.isSaturated(now) {
 		return true
 	}
-	missedTurn := now-e.limit.missedTurnAt < time.Duration(b.latency)
-	return missedTurn && e.utilization.mean < minExcessLevel && e.limit.current < e.neededConcurrency()
+	missedTurn := now-e.limit.missedTurnAt < time.Duration(b.means.latency)
+	return missedTurn && e.utilization.mean < minExcessUtilization && e.limit.current < e.neededConcurrency()
 }
 
-// neededConcurrency is how many attempts are in flight at e for its own traffic, with a margin for bursts. It
-// goes by the baseline latency: an endpoint that holds many because it is slow needs no more.
+// neededConcurrency is how many attempts are in flight at e for its own traffic, with a margin for bursts. It goes by the
+// baseline latency: an endpoint with many in flight because it is slow needs no higher limit.
 func (e *endpoint) neededConcurrency() float64 {
 	mean := e.work.mean / bandPeriod.Seconds() * e.latency.baseline / float64(time.Second)
 	return mean + 2*math.Sqrt(mean) + 1
@@ -87,27 +81,30 @@
 		return
 	}
 	used := float64(len(e.attempts) + 1)
-	e.limit.current = max(b.minLimit(), min(e.limit.current, used)*factor)
+	e.limit.current = max(b.fleet.minLimit(), min(e.limit.current, used)*factor)
 	e.limit.reducedAt = now
 }
 
 // minLimit is the least limit of an endpoint.
-func (b *Balancer) minLimit() float64 { return b.initialLimit * minFleetLimit / initialFleetLimit }
+func (f *fleetState) minLimit() float64 {
+	return f.initialLimit * minFleetLimitAttempts / initialFleetLimitAttempts
+}
 
-// raiseLimitCeilings lets each limit at most double in the next period, before a reading can tell of full utilisation.
-func (b *Balancer) raiseLimitCeilings() {
-	for _, e := range b.subset {
-		e.limit.ceiling = max(2*e.limit.current, initialFleetLimit)
+// raiseLimitCeilings sets how far each limit may grow in the next period: to twice its present value. Load reports show
+// the effect of a higher limit only after a period.
+func (f *fleetState) raiseLimitCeilings() {
+	for _, e := range f.subset {
+		e.limit.ceiling = max(2*e.limit.current, initialFleetLimitAttempts)
 	}
 }
 
 // attemptInterval is the wait between attempts at an endpoint whose limit is under one.
 func (b *Balancer) attemptInterval(e *endpoint) time.Duration {
-	return time.Duration(max(0, 1/e.limit.current-1) * cmp.Or(e.latency.mean, b.latency))
+	return time.Duration(max(0, 1/e.limit.current-1) * cmp.Or(e.latency.mean, b.means.latency))
 }
 
-// pauseAfter sets the pause that follows an attempt, where the limit is under one. An endpoint that was idle has one
-// attempt in hand, since requests come by chance.
+// pauseAfter sets the pause that follows an attempt, where the limit is under one. An endpoint that was idle may get one
+// attempt before the pause, because requests arrive at random.
 func (b *Balancer) pauseAfter(a *attempt, now time.Duration) {
 	e, interval := a.endpoint, b.attemptInterval(a.endpoint)
 	begun := max(e.limit.pausedUntil, a.sentAt-interval)
--- a/balancer/limit_test.go
+++ b/balancer/limit_test.go
@@ -7,7 +7,7 @@
 
 func TestLimitOfSaturatedEndpointIsReducedAndRecovers(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(1))
-	e := b.endpoints[0]
+	e := b.fleet.endpoints[0]
 	now := time.Hour
 	serve := func(id RequestID, latency time.Duration) {
 		now += time.Second
@@ -30,8 +30,8 @@
 	}
 	e.limit.pausedUntil = now
 	serve(500, 80*ms)
-	if e.limit.current < b.initialLimit {
-		t.Errorf("limit %v after a fast response, want %v at least", e.limit.current, b.initialLimit)
+	if e.limit.current < b.fleet.initialLimit {
+		t.Errorf("limit %v after a fast response, want %v at least", e.limit.current, b.fleet.initialLimit)
 	}
 }
 
@@ -41,13 +41,13 @@
 		settings := testSettings()
 		settings.Balancers = balancers
 		b, _ := newTestBalancer(t, settings, fleet(1))
-		e := b.endpoints[0]
+		e := b.fleet.endpoints[0]
 		for i := range 60 {
-			b.reduceLimit(e, time.Hour+time.Duration(i)*time.Second, limitReduction)
+			b.reduceLimit(e, time.Hour+time.Duration(i)*time.Second, limitReductionFactor)
 		}
 		total := e.limit.current * float64(balancers)
-		if !approximately(total, minFleetLimit) {
-			t.Errorf("%d balancers: their limits sum to %v, want %v", balancers, total, minFleetLimit)
+		if !approximately(total, minFleetLimitAttempts) {
+			t.Errorf("%d balancers: their limits sum to %v, want %v", balancers, total, minFleetLimitAttempts)
 		}
 	}
 }
@@ -55,15 +55,15 @@
 // Regression: a balancer that started while an endpoint was saturated took its slow responses for the baseline.
 func TestEndpointSaturatedFromTheStartIsJudgedByFleetBaseline(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(8))
-	for _, e := range b.endpoints {
+	for _, e := range b.fleet.endpoints {
 		setUtilization(e, 1, 0.9)
 		e.latency.baseline = float64(60 * ms)
 	}
-	e := b.endpoints[3]
+	e := b.fleet.endpoints[3]
 	e.latency.baseline = 0
 	b.closePeriod(time.Hour + bandPeriod)
 	observeWrite(b, e, OK, 200*ms, time.Hour+2*bandPeriod)
-	if e.limit.current >= b.initialLimit {
+	if e.limit.current >= b.fleet.initialLimit {
 		t.Errorf("limit %v after a response three times as slow as the fleet's baseline", e.limit.current)
 	}
 }
@@ -84,32 +84,31 @@
 			for i := range 200 { // more than its limits allow
 				b.OnRequest(time.Hour, Request{ID: RequestID(i + 1), Class: "write", Timeout: time.Second})
 			}
-			for _, e := range b.endpoints {
+			for _, e := range b.fleet.endpoints {
 				attempts[e.ID] += len(e.attempts)
 			}
 		}
 		for id, n := range attempts {
-			if n > initialFleetLimit {
+			if n > initialFleetLimitAttempts {
 				t.Errorf("endpoint %d got %d attempts at once from %d balancers", id, n, balancers)
 			}
 		}
-		// With 3 in place of initialFleetLimit a fifth of the requests was rejected until limits had grown.
-		if balancers == 2 && attempts[1] != initialFleetLimit {
-			t.Errorf("endpoint 1 got %d attempts at once from 2 balancers, want %v", attempts[1], initialFleetLimit)
+		if balancers == 2 && attempts[1] != initialFleetLimitAttempts {
+			t.Errorf("endpoint 1 got %d attempts at once from 2 balancers, want %v", attempts[1], initialFleetLimitAttempts)
 		}
 	}
 }
 
-// Regression: balancers that started in overload let limits grow at endpoints that were fully utilised already.
+// Regression: balancers that started in overload let limits grow at endpoints that were fully utilized already.
 func TestLimitDoesNotGrowAtFullUtilization(t *testing.T) {
 	for _, test := range []struct {
 		utilization float64
 		wantGrowth  bool
 	}{{0.5, true}, {0.97, false}} {
 		b, _ := newTestBalancer(t, testSettings(), fleet(1))
-		b.saturatedAt = time.Hour
-		e := b.endpoints[0]
-		setUtilization(e, bandReadings, test.utilization)
+		b.blocking.saturatedAt = time.Hour
+		e := b.fleet.endpoints[0]
+		setUtilization(e, bandWindowReadings, test.utilization)
 		before := e.limit.current
 		observeWrite(b, e, OK, 50*ms, time.Hour)
 		if (e.limit.current > before) != test.wantGrowth {
@@ -122,14 +121,14 @@
 // One balancer of four rejected most of its requests for ten seconds beside idle endpoints.
 func TestIdleEndpointOfHighWeightIsNotTakenForSaturated(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(4))
-	for _, e := range b.endpoints {
-		setUtilization(e, bandReadings, 0.2)
+	for _, e := range b.fleet.endpoints {
+		setUtilization(e, bandWindowReadings, 0.2)
 		e.latency.workUnits = 1
 		e.latency.mean = float64(50 * ms)
 	}
 	b.closePeriod(time.Hour)
-	b.saturatedAt = time.Hour
-	e := b.endpoints[0]
+	b.blocking.saturatedAt = time.Hour
+	e := b.fleet.endpoints[0]
 	e.weight = 3
 	e.limit.current = 2
 	observeWrite(b, e, OK, 55*ms, time.Hour)
@@ -144,36 +143,36 @@
 	settings := testSettings()
 	settings.Balancers = 8
 	b, _ := newTestBalancer(t, settings, fleet(4))
-	e := b.endpoints[0]
+	e := b.fleet.endpoints[0]
 	for i := range 30 {
 		latency := []time.Duration{190, 60, 60, 60}[i%4] * ms
 		observeWrite(b, e, OK, latency, 2*time.Hour+time.Duration(i)*time.Second)
-		if i > 8 && e.limit.current < b.initialLimit {
-			t.Fatalf("response %d after %v: limit %v, want %v", i, latency, e.limit.current, b.initialLimit)
+		if i > 8 && e.limit.current < b.fleet.initialLimit {
+			t.Fatalf("response %d after %v: limit %v, want %v", i, latency, e.limit.current, b.fleet.initialLimit)
 		}
 	}
 }
 
 // Regression: limits doubled in each round trip, and many balancers overloaded a fleet before the first reading showed full
-// utilisation.
+// utilization.
 func TestLimitAtMostDoublesInAPeriod(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(1))
-	e := b.endpoints[0]
+	e := b.fleet.endpoints[0]
 	setUtilization(e, 1, 0.5)
 	respond := func(now time.Duration) {
 		for range 50 {
-			b.saturatedAt = now
+			b.blocking.saturatedAt = now
 			observeWrite(b, e, OK, 10*ms, now)
 		}
 	}
 	respond(time.Hour)
-	if e.limit.current != initialFleetLimit {
-		t.Errorf("limit %v in the first period, want %v", e.limit.current, initialFleetLimit)
+	if e.limit.current != initialFleetLimitAttempts {
+		t.Errorf("limit %v in the first period, want %v", e.limit.current, initialFleetLimitAttempts)
 	}
 	b.closePeriod(time.Hour + bandPeriod)
 	respond(time.Hour + bandPeriod)
-	if e.limit.current != 2*initialFleetLimit {
-		t.Errorf("limit %v in the next period, want %v", e.limit.current, 2*initialFleetLimit)
+	if e.limit.current != 2*initialFleetLimitAttempts {
+		t.Errorf("limit %v in the next period, want %v", e.limit.current, 2*initialFleetLimitAttempts)
 	}
 }
 
@@ -191,21 +190,21 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b, _ := newTestBalancer(t, testSettings(), fleet(1))
-			e := b.endpoints[0]
+			e := b.fleet.endpoints[0]
 			e.latency.mean = float64(test.latency)
 			e.latency.workUnits = 1
 			e.latency.smoothed = float64(test.baseline)
 			e.latency.baseline = float64(test.baseline)
 			observeWrite(b, e, OK, test.latency, 2*time.Hour)
-			if (e.limit.current < b.initialLimit) != test.wantReduced {
-				t.Errorf("limit %v, initially %v", e.limit.current, b.initialLimit)
+			if (e.limit.current < b.fleet.initialLimit) != test.wantReduced {
+				t.Errorf("limit %v, initially %v", e.limit.current, b.fleet.initialLimit)
 			}
 		})
 	}
 }
 
 // Where work and waits for other services vary, responses of an idle endpoint are often slow. Regression: these alone kept
-// the limit at its start, and four requests of five were rejected while readings showed a quarter of full utilisation.
+// the limit at its start, and four requests of five were rejected while readings showed a quarter of full utilization.
 func TestSlowResponsesWithHeadroomDoNotReduceLimit(t *testing.T) {
 	for _, test := range []struct {
 		balancers   int
@@ -222,19 +221,19 @@
 		settings := testSettings()
 		settings.Balancers = test.balancers
 		b, _ := newTestBalancer(t, settings, fleet(1))
-		e := b.endpoints[0]
+		e := b.fleet.endpoints[0]
 		now := 2 * time.Hour
 		for i := range 20 {
 			now += time.Second
-			b.saturatedAt = now
+			b.blocking.saturatedAt = now
 			setUtilization(e, 1, test.utilization)
 			e.utilization.lastReport.Queue = test.queue
 			latency := []time.Duration{90, 250}[i%2] * ms
 			observeWrite(b, e, OK, latency, now)
 		}
-		grown := e.limit.current >= min(2*b.initialLimit, e.limit.ceiling)
+		grown := e.limit.current >= min(2*b.fleet.initialLimit, e.limit.ceiling)
 		if grown != test.wantGrowth {
-			t.Errorf("%+v: limit %v, initially %v", test, e.limit.current, b.initialLimit)
+			t.Errorf("%+v: limit %v, initially %v", test, e.limit.current, b.fleet.initialLimit)
 		}
 	}
 }
@@ -243,11 +242,11 @@
 // some times and were rejected at others.
 func TestIdleEndpointMayTakeOneAttemptBeforePausing(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(1))
-	e := b.endpoints[0]
+	e := b.fleet.endpoints[0]
 	e.latency.mean = float64(100 * ms)
 	endAttempt := func(sentAt time.Duration) {
 		e.limit.current = 0.2
-		a := &attempt{request: &request{class: b.classes["write"], workUnits: 1}, endpoint: e, sentAt: sentAt}
+		a := &attempt{request: &request{class: b.clients.classes["write"], workUnits: 1}, endpoint: e, sentAt: sentAt}
 		b.observeResult(a, AttemptResult{Latency: 100 * ms, Status: Error}, sentAt+100*ms)
 	}
 	now := 2 * time.Hour // the endpoint was idle for long
@@ -268,9 +267,9 @@
 		readings    int
 		utilization float64
 		wantReduced bool
-	}{{bandReadings, 0.2, false}, {bandReadings, 0.95, true}, {0, 0, true}} {
+	}{{bandWindowReadings, 0.2, false}, {bandWindowReadings, 0.95, true}, {0, 0, true}} {
 		b, _ := newTestBalancer(t, testSettings(), fleet(1))
-		e := b.endpoints[0]
+		e := b.fleet.endpoints[0]
 		setUtilization(e, test.readings, test.utilization)
 		e.limit.current = 8
 		observeWrite(b, e, Timeout, time.Second, 2*time.Hour)
@@ -287,9 +286,9 @@
 	settings := testSettings()
 	settings.Balancers = 8 // each may have one attempt in flight
 	b, effects := newTestBalancer(t, settings, fleet(1))
-	e := b.endpoints[0]
+	e := b.fleet.endpoints[0]
 	now := 2 * time.Hour
-	b.classes["read"].latency = float64(200 * ms)
+	b.clients.classes["read"].latency = float64(200 * ms)
 	e.limit.pausedUntil = 0
 	for id := range RequestID(2) {
 		b.OnRequest(now, Request{ID: id + 1, Class: "read", Timeout: time.Second})
@@ -299,7 +298,7 @@
 	}
 	setUtilization(e, 1, 0.3)
 	b.OnAttemptResult(now+50*ms, AttemptResult{ID: 1, Endpoint: e.ID, Latency: 50 * ms, Status: OK, RequestClosed: true})
-	want := b.initialLimit + limitGrowth
+	want := b.fleet.initialLimit + limitGrowthAttempts
 	if e.limit.current != want {
 		t.Errorf("limit %v after a response and a rejection, want %v", e.limit.current, want)
 	}
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -1,43 +1,53 @@
 package balancer
 
-import (
-	"time"
-)
+import "time"
 
-// Locality, see the package comment. Constants without a unit are ratios.
+// Utilization, shares of the traffic and locality weights are ratios.
 const (
-	minLocalitySubset   = 8    // endpoints used of more, under which one or two are local: one that drains is half of them
-	maxLocalShare       = 0.92 // of the traffic: with less for the rest, readings from elsewhere grow old
-	utilizationMargin   = 1.05 // utilisation over the fleet's by this factor is still no reason to spill over,
-	utilizationNoise    = 0.02 // and by this much more
-	localUtilizationMax = 0.7  // utilisation over which staying local is no aim any more
-	localShareGain      = 0.5  // a period's move for an excess of full utilisation: reports lag by a period or two
-	maxLocalShareStep   = 0.05 // in a period
-	minLocalityWeight   = 1e-3 // no zone may be forgotten
-	maxSpareFactor      = 2    // by which zones alike in distance differ for their utilisation
+	minLocalitySubsetEndpoints = 8    // endpoints in use from which they are divided by locality
+	maxLocalShare              = 0.92 // of the traffic that stays in a zone or region: the rest brings readings from elsewhere
+	utilizationMarginFactor    = 1.05 // multiple of the fleet's utilization that a zone may have without spilling over
+	utilizationNoise           = 0.02 // utilization that it may have beyond that multiple
+	maxLocalUtilization        = 0.7  // utilization over which the local share always shrinks
+	localShareGainRatio        = 0.5  // change of the local share in a period for an excess of full utilization
+	maxLocalShareStep          = 0.05 // largest change of the local share in a period
+	minLocalityWeight          = 1e-3 // least locality weight: every zone gets some traffic
+	maxSpareFactor             = 2    // by which zones alike in distance differ at most for their utilization
 )
 
-// updateLocality moves how much of the traffic stays local and in the region, by the utilisation there and elsewhere. All
-// that a zone's balancers learn, alike and late, moves them alike, so a move is small.
+// updateLocality adjusts how much of the traffic stays in the zone and in the region, by the utilization there and
+// elsewhere. All balancers of a zone adjust alike, by the same late reports, so each step is small.
 func (b *Balancer) updateLocality(now time.Duration) {
-	home := b.zoneNamed(b.settings.Zone)
-	locality := &b.locality
-	locality.home = home
+	home := b.fleet.zoneNamed(b.settings.Zone)
+	b.locality.home = home
 	b.summarizeZones(now)
-	all := b.summarize(func(*zone) bool { return true })
-	region := b.summarize(func(z *zone) bool { return z.region == home.region })
-	if home.capacity == 0 || home.capacity == all.capacity || locality.disabled { // shares alone decide
-		for _, z := range b.zones {
-			z.localityWeight = 1
-		}
-		locality.localShare = 0
+	all := b.fleet.summarize(func(*zone) bool { return true })
+	region := b.fleet.summarize(func(z *zone) bool { return z.region == home.region })
+	if home.capacity == 0 || home.capacity == all.capacity || b.locality.disabled {
+		b.endLocality()
 		return
 	}
-	if locality.localShare == 0 { // assume equal load from each zone until there are readings
-		locality.localShare = min(maxLocalShare, b.usableZones()*home.capacity/all.capacity)
+	b.adjustLocalShares(region, all)
+	b.setLocalityWeights(region.capacity-home.capacity, all.capacity-region.capacity)
+}
+
+// endLocality leaves the distribution between zones to the traffic shares alone.
+func (b *Balancer) endLocality() {
+	b.locality.localShare = 0
+	for _, z := range b.fleet.zones {
+		z.localityWeight = 1
+	}
+}
+
+// adjustLocalShares adjusts the shares of the traffic that stay in the zone and in the region. At first it assumes that the
+// clients of each zone send equal load.
+func (b *Balancer) adjustLocalShares(region, all zoneGroup) {
+	locality := &b.locality
+	if locality.localShare == 0 {
+		locality.localShare = min(maxLocalShare, b.fleet.usableZones()*locality.home.capacity/all.capacity)
 		locality.regionShare = maxLocalShare
 	}
-	local := b.summarize(func(z *zone) bool { return z == home })
+	local := b.fleet.summarize(func(z *zone) bool { return z == locality.home })
 	if all.measured && local.measured {
 		locality.localShare = adjustShare(locality.localShare, local, all)
 	}
@@ -48,26 +58,25 @@
 		locality.regionShare = 1
 	}
 	locality.regionShare = max(locality.regionShare, locality.localShare)
-	b.setLocalityWeights(region.capacity-home.capacity, all.capacity-region.capacity)
 }
 
-// adjustShare moves the share of the traffic that stays in a part of the fleet by the utilisation to spare there: up to
-// maxLocalShare; down to an even share where there is little to spare, since a full fleet has no turns to lose; and to
-// half of that where its utilisation is over the fleet's.
+// adjustShare adjusts the share of the traffic that stays in a part of the fleet. It grows, up to maxLocalShare, while the
+// part has spare utilization. Without spare utilization it shrinks to an even share, and to half of that while the part is
+// more utilized than the fleet.
 func adjustShare(share float64, part, fleet zoneGroup) float64 {
 	least := part.capacity / fleet.capacity
-	acceptable := utilizationMargin*fleet.utilization + utilizationNoise
+	acceptable := utilizationMarginFactor*fleet.utilization + utilizationNoise
 	if part.utilization > acceptable {
 		least /= 2
 	}
-	move := localShareGain * (min(acceptable, localUtilizationMax) - part.utilization)
+	move := localShareGainRatio * (min(acceptable, maxLocalUtilization) - part.utilization)
 	move = max(-maxLocalShareStep, min(maxLocalShareStep, move))
 	return max(least, min(maxLocalShare, share+move))
 }
 
-// setLocalityWeights sets the weight of shares in each zone: 1 at home, elsewhere so that the parts of the traffic which
-// leave come out, given the capacity near (in the region, but for home) and far. Of zones alike in distance the less
-// utilised gets more.
+// setLocalityWeights sets the locality weight of each zone: 1 for the balancer's own. Weights elsewhere follow from the
+// parts of the traffic that leave, and from the capacity near (the rest of the region) and far (other regions). Of zones
+// at the same distance the less utilized gets more.
 func (b *Balancer) setLocalityWeights(near, far float64) {
 	home := b.locality.home
 	toFar := 1 - b.locality.regionShare
@@ -76,8 +85,8 @@
 		toFar = 1 - b.locality.localShare
 		toNear = 0
 	}
-	others := b.summarize(func(z *zone) bool { return z != home })
-	for _, z := range b.zones {
+	others := b.fleet.summarize(func(z *zone) bool { return z != home })
+	for _, z := range b.fleet.zones {
 		part, capacity := toNear, near
 		if z.region != home.region {
 			part, capacity = toFar, far
@@ -91,7 +100,7 @@
 	}
 }
 
-// spareFactor is over 1 for a zone with less utilisation than the others' mean, and under 1 for one with more.
+// spareFactor is over 1 for a zone with less utilization than the others' mean, and under 1 for one with more.
 func (z *zone) spareFactor(others float64) float64 {
 	if z.measuredCapacity == 0 || others == 0 {
 		return 1
@@ -100,8 +109,8 @@
 	return max(1.0/maxSpareFactor, min(maxSpareFactor, factor))
 }
 
-// canAnswerInTime reports whether a response from e can come before the client gives up. It checks other regions only:
-// the way there and back is part of every response, and one nearby may be quicker this time.
+// canAnswerInTime reports whether a response from e can come before the client gives up. It excludes other regions only:
+// their round trip is part of every response, while an endpoint nearby may respond faster than its mean.
 func (b *Balancer) canAnswerInTime(e *endpoint, r *request, now time.Duration) bool {
 	if b.locality.home == nil || e.zone.region == b.locality.home.region || e.latency.workUnits == 0 {
 		return true
@@ -109,14 +118,14 @@
 	return r.deadline-now >= time.Duration(e.latency.perUnit()*r.workUnits)
 }
 
-// noteMissedTurns records which local endpoints were due before a remote one that gets the turn: only their limits sent it
-// away, and these may grow as where no endpoint is free.
+// noteMissedTurns records which local endpoints were due before a remote one that gets the turn. Only their concurrency
+// limits have caused the spillover, so these limits may grow.
 func (b *Balancer) noteMissedTurns(best *endpoint, now time.Duration) {
 	if b.locality.localShare == 0 || best.Zone == b.settings.Zone {
 		return
 	}
 	missed := false
-	for _, e := range b.subset {
+	for _, e := range b.fleet.subset {
 		if e.inSubset && e.Zone == b.settings.Zone && e.nextTurn < best.nextTurn {
 			e.limit.missedTurnAt = now
 			missed = true
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	slowStartMargin         = 0.6 // part of the slow-start budget that is used
-	localitySlowStartMargin = 0.8 // of that, where locality sends all balancers of a zone there at once
+	slowStartBudgetRatio         = 0.6 // part of the slow-start budget that is used
+	localitySlowStartBudgetRatio = 0.8 // part of that part, where all balancers of a zone send there at once
 )
 
 // slowStartCapacity is the fraction of its capacity that an endpoint is sure to have.
@@ -23,32 +23,41 @@
 	e.slowStart.active = true
 	e.slowStart.since = at
 	e.forgetMeasurements()
-	e.limit.current = b.initialLimit
+	e.limit.current = b.fleet.initialLimit
 }
 
-// fitsSlowStart reports whether an endpoint is warm, or r fits this balancer's part of what it may get while it warms up,
-// judged by what warm ones do. No request counts less than the mean: many small ones overload an endpoint too.
+// fitsSlowStart reports whether an endpoint is warm, or r fits this balancer's part of its slow-start budget. The budget
+// follows from the work of warm endpoints. No request counts less than the mean: many small ones overload an endpoint too.
 func (b *Balancer) fitsSlowStart(e *endpoint, r *request, now time.Duration) bool {
 	if b.slowStartCapacity(e, now) == 1 {
 		return true
 	}
 	budget := &e.slowStart.budget
-	if b.fleet.workPerWeight == 0 { // no warm endpoint to judge by: one at a time, and not the next on a quick failure
-		return len(e.attempts) == 0 && (budget.Level < 1 || now-budget.At >= time.Duration(b.latency))
+	if b.fleet.stats.workPerWeight == 0 { // no warm endpoint to compare with: one at a time, none right after a failure
+		return len(e.attempts) == 0 && (budget.Level < 1 || now-budget.At >= time.Duration(b.means.latency))
 	}
 	rate := b.slowStartRate(e, now)
 	budget.Leak(now, rate)
 	return budget.Level <= max(0, rate*b.settings.Obligations.OverloadWindow.Seconds()-max(1, r.workUnits))
 }
 
-// slowStartRate is the rate, in mean requests a second, at which the budget of a warming endpoint frees: half of this
-// balancer's part of what it may get. What zones count for can change at once and work can't, so no endpoint is taken to
-// do more than the best one does.
+// chargeSlowStart counts an attempt against the budget of a warming endpoint. Until a warm endpoint is known the budget
+// does not leak.
+func (b *Balancer) chargeSlowStart(e *endpoint, workUnits float64, now time.Duration) {
+	if b.fleet.stats.workPerWeight == 0 {
+		e.slowStart.budget.At = now
+	}
+	e.slowStart.budget.Add(max(1, workUnits))
+}
+
+// slowStartRate is the rate, in mean requests a second, at which the budget of a warming endpoint leaks: half of this
+// balancer's part of what it may get. No endpoint is assumed to do more work than the best one does, because the weight
+// of a zone can jump and the work of its endpoints can't.
 func (b *Balancer) slowStartRate(e *endpoint, now time.Duration) float64 {
-	work := min(b.fleet.maxWorkPerWeight, e.zone.shareFactor()*b.fleet.workPerWeight)
+	work := min(b.fleet.stats.maxWorkPerWeight, e.zone.shareFactor()*b.fleet.stats.workPerWeight)
 	capacity := e.weight * work / bandPeriod.Seconds()
 	if b.locality.localShare > 0 {
-		capacity *= localitySlowStartMargin
+		capacity *= localitySlowStartBudgetRatio
 	}
-	return slowStartMargin / 2 * b.settings.Obligations.OverloadMultiple * b.slowStartCapacity(e, now) * capacity
+	return slowStartBudgetRatio / 2 * b.settings.Obligations.OverloadMultiple * b.slowStartCapacity(e, now) * capacity
 }
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -11,7 +11,7 @@
 	ClassLatency     map[string]float64 `json:"Classes"` // usual latency of each class, ns, by name
 	LocalShare       float64            `json:"Stay"`    // fraction of the traffic that stays in the zone
 	RegionShare      float64            `json:"Keep"`    // fraction of the traffic that stays in the region
-	WorkPerWeight    float64            `json:"Carry"`   // work a period that warm endpoints do for weight and utilisation
+	WorkPerWeight    float64            `json:"Carry"`   // work a period that warm endpoints do for weight and utilization
 	MaxWorkPerWeight float64            `json:"Most"`    // the most that one endpoint does
 	Endpoints        []EndpointStats    `json:"Upstreams"`
 	Zones            []ZoneStats        `json:"Zones"`
@@ -43,31 +43,31 @@
 	Name           string  `json:"Name"`
 	Failed         bool    `json:"Failed"` // ejected on the evidence of its endpoints
 	RecoveredShare float64 `json:"Back"`   // fraction of its traffic share that it has regained
-	HoldPeriods    int     `json:"Hold"`   // how long a recovery step is held, in units of the shortest hold
+	HoldPeriods    int     `json:"Hold"`   // how long a recovery step lasts, in units of the shortest time
 }
 
 // TakeSnapshot returns what is known now. It shares nothing with the Balancer.
 func (b *Balancer) TakeSnapshot(now time.Duration) Snapshot {
 	snapshot := Snapshot{
 		TakenAt:          now,
-		Latency:          b.latency,
-		MeanCost:         b.meanCost,
+		Latency:          b.means.latency,
+		MeanCost:         b.means.costHint,
 		ClassLatency:     map[string]float64{},
 		LocalShare:       b.locality.localShare,
 		RegionShare:      b.locality.regionShare,
-		WorkPerWeight:    b.fleet.workPerWeight,
-		MaxWorkPerWeight: b.fleet.maxWorkPerWeight,
-		Endpoints:        make([]EndpointStats, 0, len(b.subset)),
+		WorkPerWeight:    b.fleet.stats.workPerWeight,
+		MaxWorkPerWeight: b.fleet.stats.maxWorkPerWeight,
+		Endpoints:        make([]EndpointStats, 0, len(b.fleet.subset)),
 	}
-	for name, c := range b.classes {
+	for name, c := range b.clients.classes {
 		snapshot.ClassLatency[name] = c.latency
 	}
-	for _, e := range b.subset {
+	for _, e := range b.fleet.subset {
 		if e.State != Removed && e.inSubset {
 			snapshot.Endpoints = append(snapshot.Endpoints, e.stats())
 		}
 	}
-	for _, z := range b.zones {
+	for _, z := range b.fleet.zones {
 		if z.drained {
 			snapshot.DrainedZones = append(snapshot.DrainedZones, z.name)
 		}
@@ -103,45 +103,45 @@
 		Name:           z.name,
 		Failed:         z.health.ejected,
 		RecoveredShare: z.health.recoveredShare,
-		HoldPeriods:    z.health.holdMultiple,
+		HoldPeriods:    z.health.stepMultiple,
 	}
 }
 
 // Restore takes up what another Balancer knew, as evidence of its age. It belongs after the first OnEndpointUpdate and
 // before the first OnRequest. Endpoints that are not listed any more are ignored. An age below zero, of a clock that was
-// set back, tells nothing of how old figures are: they are not used.
+// set back, says nothing of the real age: nothing but drained zones and slow starts is restored then.
 func (b *Balancer) Restore(now time.Duration, snapshot Snapshot) {
 	trusted := confidence(now-snapshot.TakenAt) > 0
 	if trusted && isAmount(snapshot.Latency) && snapshot.Latency > 0 {
 		b.restoreFleet(snapshot)
 	}
 	for _, known := range snapshot.Endpoints {
-		e := b.byID[known.ID]
+		e := b.fleet.byID[known.ID]
 		if e != nil && e.State == Active {
 			b.restoreEndpoint(e, known, now, snapshot.TakenAt)
 		}
 	}
 	for _, known := range snapshot.Zones {
-		z := b.zoneNamed(known.Name)
+		z := b.fleet.zoneNamed(known.Name)
 		if trusted {
 			b.restoreZone(z, known, now)
 		}
 	}
 	for _, name := range snapshot.DrainedZones {
-		b.zoneNamed(name).drained = true
+		b.fleet.zoneNamed(name).drained = true
 	}
 	b.rebuildSubset(now)
 	b.updateLocality(now)
-	b.estimateWorkPerWeight()
+	b.fleet.estimateWorkPerWeight()
 }
 
 // restoreFleet restores the statistics over all endpoints.
 func (b *Balancer) restoreFleet(snapshot Snapshot) {
-	b.latency = snapshot.Latency
-	b.meanCost = finite(snapshot.MeanCost)
-	b.fleet.workPerWeight = finite(snapshot.WorkPerWeight)
-	b.fleet.maxWorkPerWeight = finite(snapshot.MaxWorkPerWeight)
-	for name, c := range b.classes {
+	b.means.latency = snapshot.Latency
+	b.means.costHint = finite(snapshot.MeanCost)
+	b.fleet.stats.workPerWeight = finite(snapshot.WorkPerWeight)
+	b.fleet.stats.maxWorkPerWeight = finite(snapshot.MaxWorkPerWeight)
+	for name, c := range b.clients.classes {
 		c.latency = finite(snapshot.ClassLatency[name])
 	}
 	local, region := snapshot.LocalShare, snapshot.RegionShare
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	balancersPerEndpoint = 4.0 // balancers that share an endpoint, where there are enough
-	minSubset            = 2   // endpoints that a balancer uses at least
+	balancersPerEndpoint = 4.0 // balancers that use one endpoint, where there are enough of both
+	minSubsetEndpoints   = 2   // endpoints that a balancer uses at least
 )
 
 // rebuildSubset chooses the endpoints that this balancer uses. All balancers see the same ring and take a stretch from a
 // place of their own; the golden ratio spreads these evenly for any run of ranks.
 func (b *Balancer) rebuildSubset(now time.Duration) {
-	active := slices.DeleteFunc(slices.Clone(b.endpoints), func(e *endpoint) bool { return e.State != Active })
+	active := slices.DeleteFunc(slices.Clone(b.fleet.endpoints), func(e *endpoint) bool { return e.State != Active })
 	slices.SortFunc(active, func(x, y *endpoint) int { return cmp.Compare(x.ringPosition, y.ringPosition) })
-	count, balancers := float64(len(active)), float64(b.fleetSize.Balancers)
+	count, balancers := float64(len(active)), float64(b.fleet.size.Balancers)
 	fair := math.Ceil(count * balancersPerEndpoint / max(balancersPerEndpoint, balancers-balancersPerEndpoint))
-	wanted := max(1, min(count, max(minSubset, fair)))
-	b.locality.disabled = wanted < min(count, minLocalitySubset)
-	b.initialLimit = initialFleetLimit * max(count, 1) / wanted / float64(b.fleetSize.MaxBalancers)
-	_, place := math.Modf(float64(b.fleetSize.Rank) * math.Phi)
+	wanted := max(1, min(count, max(minSubsetEndpoints, fair)))
+	b.locality.disabled = wanted < min(count, minLocalitySubsetEndpoints)
+	b.fleet.initialLimit = initialFleetLimitAttempts * max(count, 1) / wanted / float64(b.fleet.size.MaxBalancers)
+	_, place := math.Modf(float64(b.fleet.size.Rank) * math.Phi)
 	chosen := chooseStretch(b.localFirst(active, place, wanted), wanted)
-	b.subset = b.subset[:0]
-	for _, e := range b.endpoints {
+	b.fleet.subset = b.fleet.subset[:0]
+	for _, e := range b.fleet.endpoints {
 		if chosen[e] && !e.inSubset {
 			b.joinSubset(e, wanted, now)
 		}
 		e.inSubset = chosen[e]
 		if e.inSubset || len(e.attempts) > 0 {
-			b.subset = append(b.subset, e)
+			b.fleet.subset = append(b.fleet.subset, e)
 		}
 	}
 }
@@ -54,10 +54,10 @@
 	return chosen
 }
 
-// localFirst orders the ring for a balancer at a place from 0 to 1 that uses so many endpoints: as many of its own zone
-// as make its part if every zone's balancers send as much, then the others. It goes round the rings of its zone and of
-// the others each by its place, so that every endpoint of a zone has about as many balancers. Without zones, or where it
-// uses all, there is one ring.
+// localFirst orders the endpoints for a balancer at a place from 0 to 1 on the ring that uses a wanted number of them. First
+// come endpoints of its own zone, as many as its part if the balancers of every zone send as much. Then come the others.
+// Local and remote endpoints are two rings, so that every endpoint of a zone has about as many balancers. Without zones,
+// or where all endpoints are used, there is one ring.
 func (b *Balancer) localFirst(active []*endpoint, place, wanted float64) []*endpoint {
 	var local, remote []*endpoint
 	zones := map[*zone]bool{}
@@ -73,7 +73,7 @@
 		return ring.From(active, place)
 	}
 	part := wanted * float64(len(local)*len(zones)) / float64(len(active))
-	part = math.Round(max(1, min(wanted-1, part))) // it needs readings from the others
+	part = math.Round(max(1, min(wanted-1, part))) // readings from the others are needed too
 	n := min(len(local), int(part))
 	local, remote = ring.From(local, place), ring.From(remote, place)
 	return slices.Concat(local[:n], remote, local[n:])
--- a/balancer/zonehealth.go
+++ b/balancer/zonehealth.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Zone health, see the package comment for the states. Constants without a unit are ratios.
+// Zone health. Fractions of endpoints and error rates are ratios, 0 to 1.
 const (
-	degradedFraction     = 0.5            // of a zone's endpoints unhealthy: it gets this part of its share
-	ejectFraction        = 0.75           // of them: it is ejected
-	minUnhealthy         = 2              // endpoints: one bad endpoint is no zone
-	outlierRatio         = 3              // times unhealthier than the rest, or the fault is not the zone's
-	minRemainingCapacity = 0.4            // of all capacity that the other zones must have: else everybody is needed
-	unhealthyErrorRate   = 0.5            // over which an endpoint is unhealthy
-	erringErrorRate      = 0.3            // the same where several of a zone fail at once: two in a row
-	overdueDeviations    = 2.0            // over its mean latency that count as overdue where several are so together
-	minCorrelated        = 3              // that many
-	responsiveRatio      = 8              // times as many of the others have responded lately as are overdue
-	responsiveSpan       = 2 * bandPeriod // since its last response an endpoint counts as responsive
-	trialsToRecover      = 3              // successful trials in a row that end an ejection
-	firstTrialTicks      = 2              // between the first trials
-	recoveryStep         = 0.25           // of its share that a zone gains at once
-	minHoldPeriods       = 3              // that a step is held: long enough for reports of its effect
-	maxHoldMultiple      = 8              // times as long are steps held at most, after setbacks
+	degradedFraction          = 0.5            // of a zone unhealthy, from which it gets only this part of its share
+	ejectFraction             = 0.75           // of a zone unhealthy, from which it is ejected
+	minUnhealthyEndpoints     = 2              // unhealthy endpoints that a degraded or ejected zone has at least
+	zoneOutlierRatio          = 3              // times as unhealthy as the others that a zone at fault is
+	minRemainingCapacityRatio = 0.4            // part of all weight that the other zones have when a zone is ejected
+	unhealthyErrorRate        = 0.5            // from which an endpoint is unhealthy
+	erringErrorRate           = 0.3            // from which an endpoint is erring; two errors in a row reach it
+	overdueDeviations         = 2.0            // mean deviations over its mean latency after which a response is overdue
+	minCorrelatedEndpoints    = 3              // endpoints of a zone that fail together in a correlated failure
+	responsiveRatio           = 8              // responsive endpoints elsewhere for each late one, if a zone is at fault
+	responsiveWithin          = 2 * bandPeriod // since its last response, for an endpoint to count as responsive
+	trialsToRecover           = 3              // successful trials in a row that end an ejection
+	firstTrialTicks           = 2              // ticks between the first two trials
+	recoveryStep              = 0.25           // fraction of its share that a recovering zone gains at once
+	minStepPeriods            = 3              // periods that a step lasts at least: reports of its effect take as long
+	maxStepMultiple           = 8              // times as long that a step lasts at most, after setbacks
 )
 
 // isUnhealthy reports whether e gives no good responses now.
@@ -30,20 +30,20 @@
 	return e.outlier.unresponsive || now < e.outlier.unreachableUntil || e.outlier.errorRate >= unhealthyErrorRate
 }
 
-// isErring reports whether e has failed since its zone last gave a good response, and not for the first time. Where several
-// do, all are unhealthy: a balancer that sends a zone little would see five errors of each only after it has lost much.
+// isErring reports whether e has failed since its zone last gave a good response, and not for the first time. Several such
+// endpoints of a zone are unhealthy before unhealthyErrorRate: with little traffic to a zone that rate takes too long.
 func (e *endpoint) isErring() bool {
 	return e.outlier.failedAt > e.zone.health.succeededAt && e.outlier.errorRate >= erringErrorRate
 }
 
 // isOverdue reports whether e has not responded for well over its usual time. One endpoint alone may do so by chance;
-// several of a zone at once, while the rest responds, do not. One that has been slow for a while has another fault.
+// several of a zone at once do not. An endpoint that has been slow for a while is saturated, not overdue.
 func (b *Balancer) isOverdue(e *endpoint, now time.Duration) bool {
 	oldest := e.oldestAttempt()
 	if oldest == nil || e.latency.mean == 0 || e.latency.isSlow() {
 		return false
 	}
-	expected := max(e.latency.mean+overdueDeviations*e.latency.deviation, b.latency)
+	expected := max(e.latency.mean+overdueDeviations*e.latency.deviation, b.means.latency)
 	return float64(e.waitingTime(oldest, now)) > max(1, oldest.request.workUnits)*expected
 }
 
@@ -59,7 +59,7 @@
 		health.unhealthy++
 	case b.isOverdue(e, now):
 		health.overdue++
-	case len(e.attempts) > 0 || now-e.outlier.respondedAt < responsiveSpan:
+	case len(e.attempts) > 0 || now-e.outlier.respondedAt < responsiveWithin:
 		health.responsive++
 		if e.latency.isSlow() {
 			health.slow++
@@ -67,34 +67,33 @@
 	}
 }
 
-// detectCorrelatedFailure ejects endpoints of one zone that are overdue at once, long before each alone would be. The
-// others have to respond as quickly as they can, but for zones that do not respond at all: a link of the balancer's own
-// that loses some messages makes responses late everywhere, and where that is usual by now, overdue only where little is
-// known.
+// detectCorrelatedFailure ejects the overdue endpoints of a zone if most of it is overdue at once. That is long before each
+// of them alone would be ejected. The endpoints of other zones have to respond in time: a faulty link of this balancer
+// makes responses late in all zones. Zones without any response do not count there, since they are faulty themselves.
 func (b *Balancer) detectCorrelatedFailure(now time.Duration) {
-	late, responsive := b.countLate()
-	for _, z := range b.zones {
+	late, responsive := b.fleet.countLate()
+	for _, z := range b.fleet.zones {
 		suspects, lateElsewhere := z.health.unhealthy+z.health.overdue, late
 		if z.health.responsive > 0 {
 			lateElsewhere -= suspects + z.health.slow
 		}
 		responsiveElsewhere := responsive - z.health.responsive
-		othersRespond := responsiveElsewhere >= minCorrelated && lateElsewhere*responsiveRatio <= responsiveElsewhere
+		othersRespond := responsiveElsewhere >= minCorrelatedEndpoints && lateElsewhere*responsiveRatio <= responsiveElsewhere
 		if z.health.overdue > 0 && z.health.mostlySuspect(suspects) && othersRespond {
 			b.ejectOverdue(z, now)
 		}
 	}
 }
 
-// mostlySuspect reports whether so many suspects are most of a zone.
+// mostlySuspect reports whether so many unhealthy or overdue endpoints are most of a zone.
 func (h *zoneHealth) mostlySuspect(suspects int) bool {
-	ofHeard := ejectFraction * float64(suspects+h.responsive)
-	return suspects >= minCorrelated && 2*suspects >= h.members && float64(suspects) >= ofHeard
+	minSuspects := ejectFraction * float64(suspects+h.responsive)
+	return suspects >= minCorrelatedEndpoints && 2*suspects >= h.members && float64(suspects) >= minSuspects
 }
 
 // ejectOverdue marks the overdue endpoints of a zone as unresponsive.
 func (b *Balancer) ejectOverdue(z *zone, now time.Duration) {
-	for _, e := range slices.Clone(b.subset) {
+	for _, e := range slices.Clone(b.fleet.subset) {
 		if e.zone == z && !e.outlier.unresponsive && b.isOverdue(e, now) {
 			z.health.unhealthy++
 			z.health.overdue--
@@ -105,13 +104,13 @@
 
 // countErring counts erring endpoints as unhealthy where they are several.
 func (h *zoneHealth) countErring() {
-	if h.erring >= minCorrelated {
+	if h.erring >= minCorrelatedEndpoints {
 		h.unhealthy = max(h.unhealthy, h.erring)
 		h.responsive = min(h.responsive, h.members-h.unhealthy)
 	}
 }
 
-// updateZoneState moves a zone to another state, if the evidence asks for it; elsewhere is the unhealthy fraction of the
+// updateZoneState moves a zone to another state if the evidence is sufficient. elsewhere is the unhealthy fraction of the
 // other zones, weight that of all endpoints.
 func (b *Balancer) updateZoneState(z *zone, elsewhere, weight float64, now time.Duration) (changed bool) {
 	health := &z.health
@@ -120,18 +119,19 @@
 		health.ejected = false
 	case health.ejected && health.trialSuccesses >= trialsToRecover:
 		health.beginRecovery()
-		periods := minHoldPeriods * health.holdMultiple
-		b.log(now, "zone", "zone %q responds again: its share grows by steps of %d periods", z.name, periods)
+		b.log.add(now, ZoneRecoveryStarted{Zone: z.name, StepPeriods: minStepPeriods * health.stepMultiple})
 		return true
-	case !z.inUse() || elsewhere*outlierRatio > health.unhealthyFraction():
+	case !z.inUse(): // drained, or ejected and not recovered: only operators or trials change that
+	case elsewhere*zoneOutlierRatio > health.unhealthyFraction():
+		// The others are nearly as unhealthy. The fault may be in this balancer's link, or in all zones.
 	case b.mayEject(z, weight):
 		health.eject(now)
 		health.backoff = firstTrialTicks * b.tick
-		b.log(now, "zone", "zone %q: %d of %d endpoints unhealthy: trials only", z.name, health.unhealthy, health.members)
+		b.log.add(now, ZoneEjected{Zone: z.name, Unhealthy: health.unhealthy, Members: health.members})
 		return true
 	case health.isDegraded() && health.recoveredShare > degradedFraction:
 		health.recoveredShare = degradedFraction
-		health.heldPeriods = 0
+		health.stepAgePeriods = 0
 		return true
 	}
 	return false
@@ -139,21 +139,12 @@
 
 // mayEject reports whether most of a zone is unhealthy, and the others have the capacity to go on without it.
 func (b *Balancer) mayEject(z *zone, weight float64) bool {
-	mostlyUnhealthy := z.health.unhealthy >= minUnhealthy && z.health.unhealthyFraction() >= ejectFraction
-	return mostlyUnhealthy && b.weightOutside(z) >= minRemainingCapacity*weight
+	mostlyUnhealthy := z.health.unhealthy >= minUnhealthyEndpoints && z.health.unhealthyFraction() >= ejectFraction
+	return mostlyUnhealthy && b.fleet.weightOutside(z) >= minRemainingCapacityRatio*weight
 }
 
-// inUse reports whether a zone gets traffic beyond trials.
-func (z *zone) inUse() bool { return !z.drained && !z.health.ejected }
-
-// isUsable reports whether an endpoint counts for the capacity of its zone.
-func (e *endpoint) isUsable() bool { return !e.outlier.unresponsive && e.zone.inUse() }
-
-// shareFactor is what traffic shares count for in a zone that is in use.
-func (z *zone) shareFactor() float64 { return z.localityWeight * z.health.recoveredShare }
-
-// unhealthyFraction is the fraction of a zone that is unhealthy. Once that is half of all, endpoints that nothing is
-// known of do not speak for the zone: no evidence is not good evidence.
+// unhealthyFraction is the fraction of a zone that is unhealthy. Once half of the zone is, endpoints without evidence do not
+// count as healthy any more.
 func (h *zoneHealth) unhealthyFraction() float64 {
 	of := h.members
 	if 2*h.unhealthy >= h.members {
@@ -164,13 +155,13 @@
 
 // isDegraded reports whether at least degradedFraction of a zone is unhealthy.
 func (h *zoneHealth) isDegraded() bool {
-	return h.unhealthy >= minUnhealthy && h.unhealthyFraction() >= degradedFraction
+	return h.unhealthy >= minUnhealthyEndpoints && h.unhealthyFraction() >= degradedFraction
 }
 
-// eject stops traffic to a zone but for trials. After a setback during recovery the next steps are held longer.
+// eject stops traffic to a zone but for trials. After a setback during recovery the next steps last longer.
 func (h *zoneHealth) eject(now time.Duration) {
 	if h.recovering {
-		h.holdMultiple = min(2*h.holdMultiple, maxHoldMultiple)
+		h.stepMultiple = min(2*h.stepMultiple, maxStepMultiple)
 	}
 	h.ejected = true
 	h.recovering = false
@@ -184,7 +175,7 @@
 	h.ejected = false
 	h.recovering = true
 	h.recoveredShare = recoveryStep
-	h.heldPeriods = 0
+	h.stepAgePeriods = 0
 }
 
 // endRecovery ends the recovery of a zone that has all of its share, and after a long healthy time the memory of
@@ -194,53 +185,42 @@
 		return
 	}
 	h.recovering = false
-	if h.heldPeriods >= minHoldPeriods*maxHoldMultiple {
-		h.holdMultiple = 1
+	if h.stepAgePeriods >= minStepPeriods*maxStepMultiple {
+		h.stepMultiple = 1
 	}
 }
 
-// advanceRecovery gives recovering zones their next step, once the last has been held and their utilisation is not over
-// the fleet's: what that step brought has been borne.
+// advanceRecovery gives recovering zones their next step, once the last one has lasted long enough and their utilization is
+// not over the fleet's.
 func (b *Balancer) advanceRecovery() {
-	fleet := b.summarize(func(*zone) bool { return true })
-	for _, z := range b.zones {
+	fleet := b.fleet.summarize(func(*zone) bool { return true })
+	for _, z := range b.fleet.zones {
 		health := &z.health
-		health.heldPeriods++
-		waits := health.heldPeriods < minHoldPeriods*health.holdMultiple || health.isDegraded()
+		health.stepAgePeriods++
+		waits := health.stepAgePeriods < minStepPeriods*health.stepMultiple || health.isDegraded()
 		if !z.inUse() || health.recoveredShare == 1 || waits {
 			continue
 		}
-		most := max(utilizationMargin*fleet.utilization+utilizationNoise, minExcessLevel)
+		most := max(utilizationMarginFactor*fleet.utilization+utilizationNoise, minExcessUtilization)
 		if !fleet.measured || z.measuredCapacity == 0 || z.meanUtilization() <= most {
 			health.recoveredShare = min(1, health.recoveredShare+recoveryStep)
-			health.heldPeriods = 0
+			health.stepAgePeriods = 0
 		}
 	}
 }
 
-// observeResult counts successful trials in a row.
-func (z *zone) observeResult(status Status) {
-	switch status {
-	case OK:
-		z.health.trialSuccesses++
-	case Rejected, Cancelled, NotSent:
-	default:
-		z.health.trialSuccesses = 0
-	}
-}
-
-// allowsTrial reports whether an ejected zone gets a trial: one at a time, of the safest class, so that it may go
-// elsewhere.
-func (b *Balancer) allowsTrial(z *zone, r *request, now time.Duration) bool {
+// allowsZoneTrial reports whether an ejected zone gets r as a trial: one at a time, of the safest class. Such a request may
+// be sent elsewhere after a failure.
+func (b *Balancer) allowsZoneTrial(z *zone, r *request, now time.Duration) bool {
 	ended := z.health.trial == nil || z.health.trial.ended
-	return ended && now >= z.health.nextTrialAt && r.class.Idempotency == b.safestClass
+	return ended && now >= z.health.nextTrialAt && r.class.Idempotency == b.clients.safestClass
 }
 
 // beginTrial records a trial of an ejected zone. While trials succeed the next follows at once.
 func (z *zone) beginTrial(a *attempt) {
 	z.health.trial = a
 	z.health.nextTrialAt = a.sentAt + z.health.backoff
-	z.health.backoff = min(z.health.backoff*backoffGrowth, bandPeriod)
+	z.health.backoff = min(z.health.backoff*backoffGrowthFactor, bandPeriod)
 	if z.health.trialSuccesses > 0 {
 		z.health.nextTrialAt = a.sentAt
 	}
--- a/internal/lab/model/effects.go
+++ b/internal/lab/model/effects.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// SetTimer asks for an OnTimer event.
+// SetTimer schedules an OnTimer event.
 func (n *node) SetTimer(after time.Duration, token uint64) {
 	n.after(after, message{kind: msgTimer, id: token, incarnation: n.incarnation})
 }
@@ -74,10 +74,13 @@
 }
 
 // WatchEndpoints does nothing: the agent's updates come as soon as it has them.
-func (n *node) WatchEndpoints(bool) {}
+func (n *node) WatchEndpoints() {}
+
+// UnwatchEndpoints does nothing: the agent sends updates as long as the node runs.
+func (n *node) UnwatchEndpoints() {}
 
 // FetchEndpoints does nothing: the process fetches the list when it starts and when it continues.
 func (n *node) FetchEndpoints() {}
 
-// Log drops the module's log lines.
-func (n *node) Log(string) {}
+// Log drops the module's log events.
+func (n *node) Log(balancer.LogEvent) {}
