--- a/cmd/balancer/logqueue.go
+++ b/cmd/balancer/logqueue.go
@@ -3,15 +3,13 @@
 import (
 	"io"
 	"time"
-)
 
-const (
-	// logQueueLength is how many lines of the log may wait for being written.
-	logQueueLength = 512
-	// logFlushTimeout bounds the wait for lines that are still to be written at the end of the process.
-	logFlushTimeout = 500 * time.Millisecond
+	"sprucehill/internal/timelimit"
 )
 
+// logQueueLength is how many lines of the log may wait for being written.
+const logQueueLength = 512
+
 // logQueue is a writer that never waits: lines are written to its destination by a goroutine of its own, and lost while too many
 // wait. Whoever logs goes on also where nobody reads the log.
 type logQueue struct {
@@ -36,9 +34,9 @@
 	return len(line), nil
 }
 
-// Flush waits until what has been queued is written, logFlushTimeout at most.
+// Flush waits until what has been queued is written, timelimit.LogFlush at most.
 func (q *logQueue) Flush() {
-	limit := time.NewTimer(logFlushTimeout)
+	limit := time.NewTimer(timelimit.LogFlush)
 	defer limit.Stop()
 	written := make(chan struct{})
 	select {
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -18,6 +18,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"sprucehill/internal/timelimit"
 )
 
 const (
@@ -25,8 +27,6 @@
 	maxConnections = 16
 	// maxCallSize bounds a call with its line feed, in bytes.
 	maxCallSize = 128
-	// callerTimeout bounds how long a caller may take to send its line, and again to read its answer and close.
-	callerTimeout = 2 * time.Second
 	// maxDiscarded bounds the bytes that are read after a call, so that a caller who sent more still gets its answer.
 	maxDiscarded = 64 << 10
 	// acceptRetryDelay is the wait after a connection could not be accepted, as where descriptors are short.
@@ -129,9 +129,9 @@
 
 // handle reads one call and answers it.
 func (s *server) handle(c net.Conn) {
-	c.SetDeadline(time.Now().Add(callerTimeout))
+	c.SetDeadline(time.Now().Add(timelimit.OperatorConnection))
 	answer := s.readAndExecute(c)
-	c.SetDeadline(time.Now().Add(callerTimeout))
+	c.SetDeadline(time.Now().Add(timelimit.OperatorConnection))
 	if _, err := io.WriteString(c, answer); err != nil {
 		return // the caller has gone
 	}
--- a/internal/proxy/acceptfailure_test.go
+++ b/internal/proxy/acceptfailure_test.go
@@ -73,7 +73,7 @@
 	l.setBroken(syscall.EBADF)
 	b.sendRaw(t, "checkin", "", "") // the accept call that waits returns with it; the next one fails
 	<-s.arrivals
-	eventually(t, "the shutdown has begun", b.proxy.front.shuttingDown.Load)
+	eventually(t, "the shutdown has begun", b.proxy.front.lifecycle.shutdown.isActive)
 	close(release)
 	assertEqual(t, "status", <-first, 200)
 	err := <-b.ended
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/timelimit"
 )
 
 // The stages of an attempt. The loop may drop an attempt that waits for its connection; one that has been claimed for
@@ -92,7 +93,9 @@
 
 // isOver reports whether the window of an earlier attempt has ended. The lock is held.
 func (w *idempotencyWindow) isOver(now time.Duration) bool {
-	return slices.ContainsFunc(w.executions, func(x possibleExecution) bool { return now-x.startedAt >= w.duration })
+	return slices.ContainsFunc(w.executions, func(x possibleExecution) bool {
+		return timelimit.Window{Start: x.startedAt, Length: w.duration}.IsOver(now)
+	})
 }
 
 // exclude removes an attempt that has certainly not been executed: it bounds no other.
--- a/internal/proxy/attemptwriter.go
+++ b/internal/proxy/attemptwriter.go
@@ -8,15 +8,13 @@
 	"strconv"
 	"sync"
 	"time"
-)
 
-const (
-	// upstreamStallTimeout is how long an upstream may take nothing of an upload, or send nothing of a streamed response.
-	upstreamStallTimeout = 5 * time.Second
-	// copyBufferSize is the size of the buffers through which bodies are streamed.
-	copyBufferSize = 16 << 10
+	"sprucehill/internal/timelimit"
 )
 
+// copyBufferSize is the size, in bytes, of the buffers through which bodies are streamed.
+const copyBufferSize = 16 << 10
+
 // errClientBody says that the client's body broke off, so the fault is not the upstream's.
 var errClientBody = errors.New("the client's body did not come whole")
 
@@ -55,7 +53,7 @@
 	buf := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(buf)
 	for {
-		if err := c.SetWriteDeadline(time.Now().Add(upstreamStallTimeout)); err != nil {
+		if err := c.SetWriteDeadline(time.Now().Add(timelimit.UpstreamStall)); err != nil {
 			return progress, err
 		}
 		if a.abandoned.Load() { // abandoned in the meantime: its expired deadline has just been replaced
@@ -85,7 +83,7 @@
 	if m.isChunked() {
 		part = append(part, lastChunk)
 	}
-	if err := c.SetWriteDeadline(time.Now().Add(upstreamStallTimeout)); err != nil {
+	if err := c.SetWriteDeadline(time.Now().Add(timelimit.UpstreamStall)); err != nil {
 		return false, err
 	}
 	_, err = part.WriteTo(c)
--- a/internal/proxy/clientconns.go
+++ b/internal/proxy/clientconns.go
@@ -6,10 +6,9 @@
 	"net"
 	"net/http"
 	"time"
-)
 
-// evictionMinIdle is how long a connection must have been idle before it may be closed to make room for a new one.
-const evictionMinIdle = 2 * time.Second
+	"sprucehill/internal/timelimit"
+)
 
 // maxLoggedConns is how many open connections are logged one by one.
 const maxLoggedConns = 8
@@ -45,9 +44,9 @@
 // closeAfterDrainedResponse closes a connection that has become idle where clients are sent away: its response began too
 // early to say so. Waiting for the next sweep would let its client send another request.
 func (f *frontend) closeAfterDrainedResponse(conn *framingConn) {
-	cause, away := f.awayCause()
+	cause, ending := f.lifecycle.closeCause()
 	switch {
-	case away:
+	case ending:
 		f.closeIfIdle(conn, cause)
 	case conn.isShut(): // a drain has ended meanwhile
 		f.closeIfIdle(conn, closedByDrain)
@@ -74,7 +73,7 @@
 // evict closes the connection that has been idle for longest, or newcomer if there is none. The lock is held.
 func (f *frontend) evict(newcomer *framingConn) {
 	victim := newcomer
-	since := f.now() - evictionMinIdle
+	since := f.now() - timelimit.EvictionMinIdle
 	for conn, status := range f.conns {
 		if status.since <= since && conn.isIdle() {
 			victim = conn
--- a/internal/proxy/connpool.go
+++ b/internal/proxy/connpool.go
@@ -5,20 +5,11 @@
 	"time"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/timelimit"
 )
 
-const (
-	// idleMargin is how long before the upstream would an idle connection is closed: a request written to one that
-	// the upstream has just closed ends as a reset.
-	idleMargin = 5 * time.Second
-	// evictEvery is the interval between two searches for connections that have been idle for too long.
-	evictEvery = time.Second
-)
-
-// idleTimeout is how long a connection may be idle where upstreams close theirs after keepAlive.
-func idleTimeout(keepAlive time.Duration) time.Duration {
-	return max(keepAlive-idleMargin, keepAlive/2)
-}
+// evictEvery is the interval between two searches for connections that have been idle for too long.
+const evictEvery = time.Second
 
 // connPool holds the idle connections to upstreams and bounds how many connections there are, idle, in use and being
 // opened together. The lists of idle connections are fields of the endpoints. It belongs to the loop and is used on the
@@ -53,7 +44,7 @@
 	}
 	last := len(e.idle) - 1
 	c := e.idle[last]
-	if p.now()-c.idleSince >= p.idleTimeout {
+	if p.isExpired(c, p.now()) {
 		p.closeIdle(e)
 		return nil
 	}
@@ -61,6 +52,11 @@
 	return c
 }
 
+// isExpired reports whether an idle connection is past the idle timeout at the time now.
+func (p *connPool) isExpired(c *upstreamConn, now time.Duration) bool {
+	return timelimit.Window{Start: c.idleSince, Length: p.idleTimeout}.IsOver(now)
+}
+
 // reserve counts a connection that is about to be opened. At the limit, the connection that has been idle for longest,
 // at whatever endpoint, is closed for it; false: none is idle.
 func (p *connPool) reserve() bool {
@@ -154,7 +150,7 @@
 func (p *connPool) evictIdle(now time.Duration) {
 	for _, e := range p.endpoints {
 		n := 0
-		for n < len(e.idle) && now-e.idle[n].idleSince >= p.idleTimeout {
+		for n < len(e.idle) && p.isExpired(e.idle[n], now) {
 			n++
 		}
 		if n > 0 {
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -96,7 +96,7 @@
 func TestTimeBeforeDrainLimit(t *testing.T) {
 	const ms = time.Millisecond
 	f := &frontend{}
-	f.drainAt.Store(int64(10 * time.Second))
+	f.lifecycle.drain.startedAt.Store(int64(10 * time.Second))
 	for _, x := range []struct{ since, timeout, want time.Duration }{
 		{-5 * ms, 20000 * ms, 20000 * ms}, // before the drain
 		{0, 20000 * ms, 20000 * ms},
@@ -108,12 +108,12 @@
 		{4000 * ms, 20000 * ms, 20000 * ms}, // behind the limit
 	} {
 		for _, draining := range []bool{false, true} {
-			f.draining.Store(draining)
+			f.lifecycle.drain.begun.Store(draining)
 			want := x.timeout
 			if draining {
 				want = x.want
 			}
-			got := f.timeBeforeDrainLimit(10*time.Second+x.since, x.timeout)
+			got := f.lifecycle.schedule().BeforeDrainLimit(10*time.Second+x.since, x.timeout)
 			assertEqual(t, fmt.Sprintf("draining %v, %v after", draining, x.since), got, want)
 		}
 	}
@@ -128,7 +128,7 @@
 			group.Go(func() { b.proxy.Drain(on) })
 		}
 		group.Wait()
-		if ordered, draining := b.proxy.loop.saver.currentOrders().Drain, b.proxy.front.draining.Load(); ordered != draining {
+		if ordered, draining := b.proxy.loop.saver.currentOrders().Drain, b.proxy.front.lifecycle.drain.isActive(); ordered != draining {
 			t.Fatalf("round %d: the saved order is %v, the state %v", round, ordered, draining)
 		}
 	}
--- a/internal/proxy/framingconn.go
+++ b/internal/proxy/framingconn.go
@@ -6,6 +6,8 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"sprucehill/internal/timelimit"
 )
 
 // framingConn is a client connection whose requests are checked for framing errors: a head in doubt is not passed on
@@ -171,7 +173,7 @@
 	}
 	nextBegan := !c.scan.atRequestStart() && (atStart || c.scan.requestCount > complete)
 	if nextBegan {
-		c.headBy = time.Now().Add(clientReadTimeout)
+		c.headBy = time.Now().Add(timelimit.ClientRead)
 		if c.inLaterHead() {
 			c.Conn.SetReadDeadline(c.headBy)
 		}
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -8,23 +8,14 @@
 	"net"
 	"net/http"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/timelimit"
 )
 
-const (
-	// clientReadTimeout bounds how long a client may take to send a request, including the silence before the first one:
-	// a client that sends nothing has to be disconnected within 3 s of connecting.
-	clientReadTimeout = 2500 * time.Millisecond
-	// clientWriteTimeout bounds how long a client may take to read its response, or each part of a streamed one.
-	clientWriteTimeout = 10 * time.Second
-	// clientIdleTimeout is how long a client connection may stay idle between two requests.
-	clientIdleTimeout = 2 * time.Minute
-	// maxHeaderBytes bounds the head of a request.
-	maxHeaderBytes = 16 << 10
-)
+// maxHeaderBytes bounds the head of a request.
+const maxHeaderBytes = 16 << 10
 
 // response is the one response that a client gets to its request. Its body counts against the body budget until it is
 // written.
@@ -41,24 +32,18 @@
 // It owns the client connections. A request belongs to the loop once it has been posted; the frontend then only waits for
 // the reply, or for the client to disconnect.
 type frontend struct {
-	ctx        context.Context // ends the goroutines that the frontend starts
-	metrics    *proxyMetrics
-	bodyBudget *byteBudget // of buffered bodies, shared with the loop
-	classes    map[string]balancer.Class
-	post       func(event)          // posts to the loop; may wait
-	inherited  bool                 // the listener was handed down by the platform
-	maxConns   int                  // bound on client connections
-	now        func() time.Duration // the loop's clock
-	server     http.Server
-	listener   *framingListener
-	// longestDeadline is the longest deadline of all classes.
-	longestDeadline time.Duration
-
-	shuttingDown atomic.Bool   // a graceful shutdown has begun
-	shutdownAt   atomic.Int64  // when it began, a time.Duration on the loop's clock
-	acceptEnded  chan struct{} // closed once no more connections are accepted
-	draining     atomic.Bool   // operators have asked for a drain
-	drainAt      atomic.Int64  // when the last drain began, a time.Duration on the loop's clock
+	ctx         context.Context // ends the goroutines that the frontend starts
+	metrics     *proxyMetrics
+	bodyBudget  *byteBudget // of buffered bodies, shared with the loop
+	classes     map[string]balancer.Class
+	post        func(event)          // posts to the loop; may wait
+	inherited   bool                 // the listener was handed down by the platform
+	maxConns    int                  // bound on client connections
+	now         func() time.Duration // the loop's clock
+	server      http.Server
+	listener    *framingListener
+	lifecycle   lifecycle
+	acceptEnded chan struct{} // closed once no more connections are accepted
 
 	mu          sync.Mutex // guards the fields below
 	conns       map[*framingConn]connStatus
@@ -67,27 +52,27 @@
 
 func newFrontend(c *Config, l net.Listener, to *loop) *frontend {
 	f := &frontend{
-		ctx:             to.ctx,
-		metrics:         to.metrics,
-		bodyBudget:      to.dialer.bodyBudget,
-		classes:         make(map[string]balancer.Class, len(c.Settings.Classes)),
-		post:            to.post,
-		inherited:       c.inheritsListener(),
-		maxConns:        c.maxClientConns(),
-		now:             to.now,
-		listener:        &framingListener{Listener: l, now: to.now},
-		longestDeadline: c.longestDeadline(),
-		acceptEnded:     make(chan struct{}),
-		conns:           map[*framingConn]connStatus{},
+		ctx:         to.ctx,
+		metrics:     to.metrics,
+		bodyBudget:  to.dialer.bodyBudget,
+		classes:     make(map[string]balancer.Class, len(c.Settings.Classes)),
+		post:        to.post,
+		inherited:   c.inheritsListener(),
+		maxConns:    c.maxClientConns(),
+		now:         to.now,
+		listener:    &framingListener{Listener: l, now: to.now},
+		lifecycle:   lifecycle{longestDeadline: c.longestDeadline()},
+		acceptEnded: make(chan struct{}),
+		conns:       map[*framingConn]connStatus{},
 	}
 	for _, class := range c.Settings.Classes {
 		f.classes[class.Name] = class
 	}
 	f.server = http.Server{
 		Handler:           f,
-		ReadHeaderTimeout: clientReadTimeout,
-		WriteTimeout:      clientReadTimeout + f.longestDeadline + clientWriteTimeout,
-		IdleTimeout:       clientIdleTimeout,
+		ReadHeaderTimeout: timelimit.ClientRead,
+		WriteTimeout:      timelimit.ClientRead + f.lifecycle.longestDeadline + timelimit.ClientWrite,
+		IdleTimeout:       timelimit.ClientIdle,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ConnContext:       withConn,
 		ConnState:         f.trackConn,
@@ -99,7 +84,7 @@
 func (f *frontend) serve() error {
 	defer close(f.acceptEnded)
 	err := f.server.Serve(f.listener)
-	if !errors.Is(err, http.ErrServerClosed) && !f.shuttingDown.Load() {
+	if !errors.Is(err, http.ErrServerClosed) && !f.lifecycle.shutdown.isActive() {
 		return fmt.Errorf("serving clients: %w", err)
 	}
 	return nil
@@ -135,27 +120,10 @@
 	x.serve()
 }
 
-// awayCause reports whether clients are sent away, by a shutdown or a drain that has begun, and by which.
-func (f *frontend) awayCause() (cause closeCause, away bool) {
-	switch {
-	case f.shuttingDown.Load():
-		return closedByShutdown, true
-	case f.draining.Load():
-		return closedByDrain, true
-	}
-	return "", false
-}
-
-// sendsClientsAway reports whether a drain or a shutdown has begun.
-func (f *frontend) sendsClientsAway() bool {
-	_, away := f.awayCause()
-	return away
-}
-
 // closesConns reports whether each connection is to be closed once its present request is answered, and why. The answer holds for
 // the moment: it has to be asked for when the response is written, not only when its request comes.
 func (f *frontend) closesConns() (cause closeCause, closes bool) {
-	if cause, away := f.awayCause(); away {
+	if cause, closes := f.lifecycle.closeCause(); closes {
 		return cause, true
 	}
 	return closedByLimit, f.nearConnLimit()
@@ -187,7 +155,7 @@
 
 // serveHealthCheck answers 200 if the event loop is running and new clients are welcome.
 func (f *frontend) serveHealthCheck(w http.ResponseWriter) {
-	if !f.sendsClientsAway() {
+	if !f.lifecycle.isEnding() {
 		reached := make(barrier)
 		f.post(reached)
 		<-reached
@@ -195,11 +163,11 @@
 	if cause, closes := f.closesConns(); closes { // asked again after the wait for the loop
 		f.closeAfterResponse(w, cause)
 	}
-	if f.shuttingDown.Load() {
+	if f.lifecycle.shutdown.isActive() {
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
 		return
 	}
-	if f.draining.Load() {
+	if f.lifecycle.drain.isActive() {
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -6,13 +6,15 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"sprucehill/internal/timelimit"
 )
 
 // A client that is silent, or stops in the middle of a request, has to get an error or a close within 3 s of connecting. It
 // used to have 5 s for the head and 10 s for the rest, and each such client held a descriptor for as long.
 func TestSlowClientsAreDisconnected(t *testing.T) {
-	if clientReadTimeout >= 3*time.Second {
-		t.Errorf("clients have %v", clientReadTimeout)
+	if timelimit.ClientRead >= 3*time.Second {
+		t.Errorf("clients have %v", timelimit.ClientRead)
 	}
 	s := newTestUpstream(t, respondOK)
 	b := newBalancer(t, activeMember("s-00000001", s))
@@ -21,7 +23,7 @@
 	const complete = head + "Content-Length: 0\r\n\r\n"
 	for _, sent := range []string{"", "PO", head, head + "Content-Length: 9\r\n\r\nbody", complete + "P", complete + "POST"} {
 		c := b.dialConn(t)
-		c.SetDeadline(time.Now().Add(2 * clientReadTimeout)) // only a failure takes that long
+		c.SetDeadline(time.Now().Add(2 * timelimit.ClientRead)) // only a failure takes that long
 		if _, err := io.WriteString(c, sent); err != nil {
 			t.Fatal(err)
 		}
@@ -69,7 +71,7 @@
 	idle := open(http.StateIdle)
 	now += time.Second
 	silent := open(http.StateNew)
-	now += evictionMinIdle
+	now += timelimit.EvictionMinIdle
 	first := open(http.StateActive) // over the limit: idle has been so for longest
 	second := open(http.StateActive)
 	third := open(http.StateActive) // none is left to make room
--- a/internal/proxy/killdeadline_test.go
+++ b/internal/proxy/killdeadline_test.go
@@ -7,6 +7,8 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"sprucehill/internal/timelimit"
 )
 
 // SIGKILL comes some time after SIGTERM, and a late request that has not been answered by then is lost. A late request has
@@ -15,20 +17,20 @@
 	b := newBalancer(t)
 	f := b.proxy.front
 	const shutdownAt, timeout = time.Hour, 9 * time.Second
-	f.shutdownAt.Store(int64(shutdownAt))
-	assertEqual(t, "while it serves", f.timeBeforeKill(shutdownAt+2*time.Second, timeout), timeout)
-	f.shuttingDown.Store(true)
+	f.lifecycle.shutdown.startedAt.Store(int64(shutdownAt))
+	assertEqual(t, "while it serves", f.lifecycle.schedule().BeforeKill(shutdownAt+2*time.Second, timeout), timeout)
+	f.lifecycle.shutdown.begun.Store(true)
 	for _, x := range []struct{ longest, since, want time.Duration }{
-		{4 * time.Second, killDelay - killMargin - 1, timeout},
-		{4 * time.Second, killDelay - killMargin, killDeadlineCap},
+		{4 * time.Second, timelimit.KillDelay - timelimit.AnswerMargin - 1, timeout},
+		{4 * time.Second, timelimit.KillDelay - timelimit.AnswerMargin, timelimit.KillDeadlineCap},
 		{4 * time.Second, 2 * time.Second, 1350 * time.Millisecond},
 		{time.Second, 2 * time.Second, 0},
 		{time.Second, time.Second, 350 * time.Millisecond},
 	} {
-		f.longestDeadline = x.longest
-		assertEqual(t, x.since.String()+" after SIGTERM", f.timeBeforeKill(shutdownAt+x.since, timeout), x.want)
+		f.lifecycle.longestDeadline = x.longest
+		assertEqual(t, x.since.String()+" after SIGTERM", f.lifecycle.schedule().BeforeKill(shutdownAt+x.since, timeout), x.want)
 	}
-	f.shutdownAt.Store(int64(f.now() - 4*time.Second))
+	f.lifecycle.shutdown.startedAt.Store(int64(f.now() - 4*time.Second))
 	resp, err := http.ReadResponse(bufio.NewReader(b.sendRaw(t, "checkin", "", "")), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -61,8 +63,8 @@
 		}
 		return false
 	})
-	f.shutdownAt.Store(int64(f.now() - time.Second)) // the shutdown has begun meanwhile
-	f.shuttingDown.Store(true)
+	f.lifecycle.shutdown.startedAt.Store(int64(f.now() - time.Second)) // the shutdown has begun meanwhile
+	f.lifecycle.shutdown.begun.Store(true)
 	if _, err := client.Write([]byte{0}); err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +72,7 @@
 	<-s.arrivals
 	b.await(t, "its time has begun", func(l *loop) bool { return q.deadline != noDeadline })
 	b.runInLoop(t, func(*loop) {
-		kill := time.Duration(f.shutdownAt.Load()) + min(f.longestDeadline, killDeadlineCap) + killDelay
+		kill := time.Duration(f.lifecycle.shutdown.startedAt.Load()) + min(f.lifecycle.longestDeadline, timelimit.KillDeadlineCap) + timelimit.KillDelay
 		if q.deadline >= kill {
 			t.Errorf("it has until %v after the kill", q.deadline-kill)
 		}
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -8,6 +8,7 @@
 
 	"sprucehill/balancer"
 	"sprucehill/internal/metrics"
+	"sprucehill/internal/timelimit"
 )
 
 const (
@@ -76,7 +77,7 @@
 	l.pool = &connPool{
 		endpoints:   l.endpoints,
 		maxOpen:     c.maxUpstreamConns(),
-		idleTimeout: idleTimeout(c.Links.KeepAlive),
+		idleTimeout: timelimit.UpstreamIdle(c.Links.KeepAlive),
 		now:         l.now,
 	}
 	l.saver = newStateSaver(c, l.log)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/timelimit"
 )
 
 // Proxy is one balancer with its clients, upstreams and discovery. Its methods may be called from any goroutine.
@@ -74,9 +75,9 @@
 	switch {
 	case !p.serving.Load():
 		return false, "starting"
-	case p.front.shuttingDown.Load():
+	case p.front.lifecycle.shutdown.isActive():
 		return false, "stopping"
-	case p.front.draining.Load():
+	case p.front.lifecycle.drain.isActive():
 		return true, "draining"
 	}
 	return true, "serving"
@@ -88,23 +89,20 @@
 	p.front.setDraining(on)
 	_, state = p.Ready()
 	// Of orders at the same moment, the one that is saved last saves the state that all of them have led to.
-	err := p.loop.saver.updateOrders(func(o *savedOrders) { o.Drain = p.front.draining.Load() })
+	err := p.loop.saver.updateOrders(func(o *savedOrders) { o.Drain = p.front.lifecycle.drain.isActive() })
 	if err != nil {
 		return false, state + ", " + err.Error()
 	}
 	return true, state
 }
 
-// operatorTimeout bounds an operator's call that the loop answers: operators are promised an answer in 1 s.
-const operatorTimeout = 700 * time.Millisecond
-
 // errBusy says that the loop has not come to a call in time. What was ordered may still be done.
 var errBusy = errors.New("the balancer is too busy to answer")
 
 // callLoop has the loop run a function on its goroutine, and waits for that.
 func (p *Proxy) callLoop(do func(l *loop)) error {
 	call := operatorCall{do, make(chan struct{})}
-	timeout := time.NewTimer(operatorTimeout)
+	timeout := time.NewTimer(timelimit.OperatorCall)
 	defer timeout.Stop()
 	select {
 	case p.loop.events <- call:
--- a/internal/proxy/requestbody.go
+++ b/internal/proxy/requestbody.go
@@ -6,18 +6,14 @@
 	"sync"
 	"sync/atomic"
 	"time"
-)
 
-const (
-	// minBodyRate is the pace, in bytes per second, that a client has to keep while it sends a body: half of what the
-	// platform promises for its clients.
-	minBodyRate = 32 << 10
-	// maxRequestSilence is when a client that sends nothing more has to be disconnected, from the beginning of its request.
-	maxRequestSilence = 2900 * time.Millisecond
-	// minFirstByteWait is how long the first bytes of a body may take to come where the head was slow.
-	minFirstByteWait = 400 * time.Millisecond
+	"sprucehill/internal/timelimit"
 )
 
+// minBodyRate is the pace, in bytes per second, that a client has to keep while it sends a body: half of what the platform
+// promises for its clients.
+const minBodyRate = 32 << 10
+
 // requestBody reads a client's body and enforces its pace. Only the time in which the client sends nothing counts against
 // it, and each byte that it sends earns it more.
 //
@@ -36,7 +32,7 @@
 	return &requestBody{
 		body:       r.Body,
 		control:    http.NewResponseController(w),
-		credit:     clientReadTimeout,
+		credit:     timelimit.ClientRead,
 		onComplete: func() {},
 		failed:     make(chan struct{}),
 	}
@@ -44,7 +40,7 @@
 
 // allowFirstByte sets how long the body may take to begin where reading the head took headTime.
 func (b *requestBody) allowFirstByte(headTime time.Duration) {
-	b.credit = min(clientReadTimeout, max(minFirstByteWait, maxRequestSilence-headTime))
+	b.credit = min(timelimit.ClientRead, max(timelimit.FirstBodyByte, timelimit.RequestSilence-headTime))
 }
 
 func (b *requestBody) Read(p []byte) (int, error) {
@@ -54,7 +50,7 @@
 	}
 	n, err := b.body.Read(p)
 	earned := time.Duration(n) * time.Second / minBodyRate
-	b.credit = min(clientReadTimeout, b.credit-time.Since(began)+earned)
+	b.credit = min(timelimit.ClientRead, b.credit-time.Since(began)+earned)
 	switch {
 	case err == io.EOF:
 		_ = b.control.SetReadDeadline(time.Time{}) // fails only on a closed connection, which the next read shows
--- a/internal/proxy/requestparse.go
+++ b/internal/proxy/requestparse.go
@@ -9,12 +9,9 @@
 	"time"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/timelimit"
 )
 
-// responseMargin is taken off the client's deadline, which counts from its sending: it covers the way here and back, and
-// one turn of the event loop.
-const responseMargin = 4 * time.Millisecond
-
 // Why a request is malformed. The texts are part of the response to the client.
 var (
 	errUnknownClass   = errors.New("X-Class names no known class")
@@ -113,7 +110,7 @@
 // makeUpload turns a request into one whose body is forwarded as it comes.
 func (f *frontend) makeUpload(q *request, body *requestBody, contentLength int64) {
 	q.Upload = true
-	q.timeLeft = f.timeLeft
+	q.timeLeft = f.lifecycle.timeLeft
 	q.message.rest = body
 	q.message.contentLength = contentLength
 	body.onComplete = func() { f.metrics.inProgress.Add(1) }
@@ -128,7 +125,7 @@
 	q.Tenant = r.Header.Get("X-Tenant")
 	q.Retry = r.Header.Get("X-Retry") == "1"
 	timeout := min(class.Deadline, deadlineOf(r, class.Deadline))
-	q.Timeout = max(0, min(timeout-responseMargin, f.timeLeft(q.arrivedAt, timeout)))
+	q.Timeout = max(0, min(timeout-timelimit.DeadlineMargin, f.lifecycle.timeLeft(q.arrivedAt, timeout)))
 	costMicroseconds, err := strconv.ParseInt(r.Header.Get("X-Cost-Hint"), 10, 32)
 	if err == nil && costMicroseconds > 0 {
 		q.CostHint = time.Duration(costMicroseconds) * time.Microsecond
--- a/internal/proxy/responsestream.go
+++ b/internal/proxy/responsestream.go
@@ -4,6 +4,8 @@
 	"errors"
 	"net/http"
 	"time"
+
+	"sprucehill/internal/timelimit"
 )
 
 // errResponseTooLong says that a response without a length has gone on for longer than any valid one does.
@@ -17,13 +19,13 @@
 	bytesRead int64 // of the body, by read
 }
 
-// read reads the next part of the body. It fails if the upstream sends nothing for upstreamStallTimeout, or sends without
+// read reads the next part of the body. It fails if the upstream sends nothing for timelimit.UpstreamStall, or sends without
 // an end.
 func (s *responseStream) read(p []byte) (n int, err error) {
 	if s.bytesRead > maxResponseLength {
 		return 0, errResponseTooLong
 	}
-	if err := s.conn.SetReadDeadline(time.Now().Add(upstreamStallTimeout)); err != nil {
+	if err := s.conn.SetReadDeadline(time.Now().Add(timelimit.UpstreamStall)); err != nil {
 		return 0, err
 	}
 	s.conn.readLimit.N = maxResponseRead // the limit is for heads and framing; a streamed body is not buffered
--- a/internal/proxy/responsewriter.go
+++ b/internal/proxy/responsewriter.go
@@ -7,6 +7,8 @@
 	"net/http"
 	"strconv"
 	"time"
+
+	"sprucehill/internal/timelimit"
 )
 
 // delivery is how writing a response ended.
@@ -81,7 +83,7 @@
 		part = buf[:n]
 		switch {
 		case errors.Is(err, io.EOF):
-			if x.frontend.sendsClientsAway() {
+			if x.frontend.lifecycle.isEnding() {
 				connOf(x.httpRequest).endAfterResponse()
 			}
 			if _, err := x.writer.Write(part); err != nil {
@@ -96,8 +98,8 @@
 	}
 }
 
-// extendWriteDeadline gives the client another clientWriteTimeout for reading. That fails only on a closed connection,
+// extendWriteDeadline gives the client another timelimit.ClientWrite for reading. That fails only on a closed connection,
 // which the next write shows.
 func extendWriteDeadline(control *http.ResponseController) {
-	_ = control.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
+	_ = control.SetWriteDeadline(time.Now().Add(timelimit.ClientWrite))
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -10,6 +10,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"sprucehill/internal/timelimit"
 )
 
 // partialRequest is a client connection on which one request has been answered and a part of the next one's head has come.
@@ -173,7 +175,7 @@
 	f.closeIdleConns(0, closedByDrain)
 	f.mu.Lock()
 	for c, status := range f.conns { // it entered its state long ago
-		status.since -= 2 * evictionMinIdle
+		status.since -= 2 * timelimit.EvictionMinIdle
 		f.conns[c] = status
 	}
 	f.maxConns = len(f.conns)
