--- a/cmd/balancer/logqueue.go
+++ b/cmd/balancer/logqueue.go
@@ -2,6 +2,8 @@
 
 import (
 	"io"
+	"log/slog"
+	"sync/atomic"
 	"time"
 
 	"sprucehill/internal/timelimit"
@@ -10,12 +12,14 @@
 // logQueueLength is how many lines of the log may wait for being written.
 const logQueueLength = 512
 
-// logQueue is a writer that never waits: lines are written to its destination by a goroutine of its own, and lost while too many
-// wait. Whoever logs goes on also where nobody reads the log.
+// logQueue is a writer that never waits: a goroutine of its own writes the lines to their destination. Lines are lost while too
+// many wait, so whoever logs goes on where nobody reads the log. Once the queue has been written, a line tells how many were
+// lost.
 type logQueue struct {
 	destination io.Writer
 	lines       chan []byte
-	flush       chan chan struct{} // asks the goroutine to tell once all that was queued before is written
+	lost        atomic.Int64       // lines that were lost since the last line that told so
+	flush       chan chan struct{} // asks the goroutine to close a channel once all that was queued before is written
 }
 
 // newLogQueue returns a queue before a destination. Its goroutine ends with the process.
@@ -30,6 +34,7 @@
 	select {
 	case q.lines <- append([]byte(nil), line...):
 	default:
+		q.lost.Add(1)
 	}
 	return len(line), nil
 }
@@ -55,14 +60,32 @@
 		select {
 		case line := <-q.lines:
 			q.write(line)
+			q.logLost()
 		case written := <-q.flush:
-			for range len(q.lines) {
-				q.write(<-q.lines)
-			}
+			q.writeQueued()
+			q.logLost()
+			q.writeQueued() // the line of logLost
 			close(written)
 		}
 	}
 }
 
-// write writes a line. One that can't be written is lost: there is nowhere to say so.
+// writeQueued writes the lines that are queued now.
+func (q *logQueue) writeQueued() {
+	for range len(q.lines) {
+		q.write(<-q.lines)
+	}
+}
+
+// write writes a line. One that can't be written is lost: there is nowhere to log that.
 func (q *logQueue) write(line []byte) { _, _ = q.destination.Write(line) }
+
+// logLost logs how many lines were lost, once no line waits: the queue then has space for this one.
+func (q *logQueue) logLost() {
+	if len(q.lines) > 0 {
+		return
+	}
+	if lost := q.lost.Swap(0); lost > 0 {
+		slog.Warn("log lines lost", "count", lost)
+	}
+}
--- a/cmd/balancer/stalledlog_test.go
+++ b/cmd/balancer/stalledlog_test.go
@@ -1,7 +1,12 @@
 package main
 
 import (
+	"bufio"
+	"fmt"
+	"io"
+	"log/slog"
 	"os"
+	"strings"
 	"testing"
 	"time"
 )
@@ -46,3 +51,25 @@
 	}
 	p.terminate(t)
 }
+
+// Lines that come while the log is not read are counted, and the count is logged once it is read again.
+func TestLostLogLinesAreCounted(t *testing.T) {
+	const lost = 7
+	read, write := io.Pipe()
+	queue := newLogQueue(write)
+	former := slog.Default()
+	slog.SetDefault(slog.New(slog.NewTextHandler(queue, nil)))
+	t.Cleanup(func() { slog.SetDefault(former) })
+	fmt.Fprintln(queue, "first")
+	waitFor(t, "the first line is being written", func() bool { return len(queue.lines) == 0 })
+	for range logQueueLength + lost {
+		fmt.Fprintln(queue, "line")
+	}
+	lines := bufio.NewScanner(read)
+	for range 1 + logQueueLength {
+		lines.Scan()
+	}
+	if lines.Scan(); !strings.HasSuffix(lines.Text(), fmt.Sprintf(`level=WARN msg="log lines lost" count=%d`, lost)) {
+		t.Errorf("got %q", lines.Text())
+	}
+}
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -8,6 +8,8 @@
 //
 // The package promises that an attempt is written to the wire at most once, that every accepted request gets at most one
 // response, and that a request whose end on the wire is in doubt is never forwarded. It does not retry by itself.
+//
+// The package logs to the default logger of package slog, also on the event loop: a handler that waits holds up the balancer.
 package proxy
 
 import (
--- a/internal/proxy/endpointupdate.go
+++ b/internal/proxy/endpointupdate.go
@@ -1,6 +1,8 @@
 package proxy
 
 import (
+	"log/slog"
+
 	"sprucehill/balancer"
 )
 
@@ -11,10 +13,10 @@
 	case update.from != l.discovery.client:
 		l.applyFromPreviousDiscovery(update)
 	case update.err != nil:
-		l.log.info("endpoint update failed", "err", update.err)
+		slog.Info("endpoint update failed", "err", update.err)
 		l.balancer.OnEndpointUpdate(l.now(), balancer.UpdateFailed, nil)
 	case l.discovery.isStale(update):
-		l.log.info("stale endpoint list ignored", "revision", update.list.Revision, "held", l.discovery.revision)
+		slog.Info("stale endpoint list ignored", "revision", update.list.Revision, "held", l.discovery.revision)
 		l.discovery.ignore(update)
 	default:
 		l.acceptEndpointUpdate(update)
@@ -37,7 +39,7 @@
 func (l *loop) acceptEndpointUpdate(update endpointUpdate) {
 	list := update.list
 	if list.Revision < l.discovery.revision {
-		l.log.info("discovery restarted its revisions", "revision", list.Revision, "held", l.discovery.revision)
+		slog.Info("discovery restarted its revisions", "revision", list.Revision, "held", l.discovery.revision)
 		if !list.Complete { // these are changes of a list that is not held: the next call gets all of it
 			list.Revision = 0
 		}
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -1,6 +1,8 @@
 package proxy
 
 import (
+	"log/slog"
+
 	"sprucehill/balancer"
 )
 
@@ -135,7 +137,7 @@
 type discoveryMoved struct{ address string }
 
 func (e discoveryMoved) apply(l *loop) {
-	l.log.info("discovery moved", "address", e.address)
+	slog.Info("discovery moved", "address", e.address)
 	l.saver.discovery = e.address
 	l.discovery.moveTo(e.address)
 }
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"log/slog"
 	"math/rand/v2"
 	"net"
 	"time"
@@ -62,7 +63,7 @@
 		ctx:        ctx,
 		settings:   c.Settings,
 		events:     make(chan event, eventQueueLength),
-		log:        newLogWriter(),
+		log:        &logWriter{},
 		origin:     time.Now(),
 		requests:   map[balancer.RequestID]*request{},
 		endpoints:  endpointTable{},
@@ -128,7 +129,6 @@
 // run dispatches events until the context ends. Updates from discovery go before all other events: nothing may be sent
 // to an endpoint whose draining this process has been notified of.
 func (l *loop) run() {
-	go l.log.run(l.ctx)
 	wake := time.NewTimer(0)
 	for {
 		select {
@@ -170,5 +170,5 @@
 	l.metrics.knownEndpoints.Set(known)
 	l.metrics.skippedEndpoints.Set(skipped)
 	l.saver.saveSnapshot(l.balancer, now)
-	l.zones.update(now, l.balancer.ZoneStatuses(now), l.settings.Zone, l.log.info)
+	l.zones.update(now, l.balancer.ZoneStatuses(now), l.settings.Zone, slog.Info)
 }
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"log/slog"
 	"net/http"
 	"time"
 
@@ -56,7 +57,7 @@
 	req := a.request
 	now := l.now()
 	if debugLogged() {
-		l.log.debug("attempt ended", "request", req.message.header.Get("X-Request-Id"), "attempt", a.index,
+		slog.Debug("attempt ended", "request", req.message.header.Get("X-Request-Id"), "attempt", a.index,
 			"upstream", a.address, "status", r.status, "after", (now - a.sentAt).Round(time.Millisecond), "closed", req.closed)
 	}
 	if neverRan(r.status) {
