--- a/cmd/balancer/drain_test.go
+++ b/cmd/balancer/drain_test.go
@@ -262,7 +262,7 @@
 // open, sends the next request on it before the next search for idle connections; that one hangs as well. Cause: whether a
 // response closes its connection was decided once, when its request came, so that a drain that began in the meantime did not
 // count. What settled it: the responses and ages that this test prints, and the log of the balancer, which has "drain
-// begun", and 4 s later "drain goes on" with the open connections.
+// started", and 4 s later "drain limit passed" with the open connections.
 func TestDrainReleasesConnectionsInUse(t *testing.T) {
 	p, address, operators, clients := startDrainScenario(t)
 	drainedAt := time.Now()
--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -61,8 +61,8 @@
 	limitResources(config)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	slog.Info("starting", "name", config.Name, "listen", config.Listen, "known", len(config.Known.Members),
-		"management", config.Management, "inherits", config.ListenFD != 0, "unused", config.UnusedKeys)
+	slog.Info("starting", "name", config.Name, "listen", config.Listen, "endpoints", len(config.Known.Members),
+		"management", config.Management, "inherited_listener", config.ListenFD != 0, "unused_keys", config.UnusedKeys)
 	listener, err := config.OpenListener()
 	if err != nil {
 		return err
@@ -161,7 +161,7 @@
 	go func() {
 		defer close(done)
 		if err := management.Serve(ctx, listener, target); err != nil {
-			slog.Error("operators are not answered any more", "err", err)
+			slog.Error("management server failed", "err", err)
 		}
 	}()
 	return func() {
@@ -181,7 +181,7 @@
 		}
 		address, err := proxy.LoadDiscovery(os.Getenv)
 		if err != nil {
-			slog.Error("not reloaded", "err", err)
+			slog.Error("reload failed", "err", err)
 			continue
 		}
 		select {
--- a/cmd/balancer/members.go
+++ b/cmd/balancer/members.go
@@ -45,7 +45,7 @@
 	next.Incarnation = max(next.Incarnation, last.Incarnation+1)
 	next.Balancers = last.Balancers
 	if err := s.saveSync(next); err != nil {
-		slog.Error("the incarnation could not be persisted", "incarnation", next.Incarnation, "err", err)
+		slog.Error("saving incarnation failed", "incarnation", next.Incarnation, "err", err)
 	}
 	return next
 }
--- a/internal/management/commands.go
+++ b/internal/management/commands.go
@@ -16,24 +16,24 @@
 	"zone-status": func(b Balancer) string { return listing(b.WriteZones) },
 	"members":     func(b Balancer) string { return listing(b.WriteMembers) },
 	"drain-on": func(b Balancer) string {
-		slog.Info("operators drain the balancer")
-		return verdict(b.Drain(true))
+		slog.Info("balancer drained by operator")
+		return verdict(b.StartDrain())
 	},
 	"drain-off": func(b Balancer) string {
-		slog.Info("operators end the drain")
-		return verdict(b.Drain(false))
+		slog.Info("balancer restored by operator")
+		return verdict(b.EndDrain())
 	},
 }
 
 // zoneCommands has what executes each call whose argument is the name of a zone.
 var zoneCommands = map[string]func(b Balancer, zone string) (answer string){
 	"zone-leave": func(b Balancer, zone string) string {
-		slog.Info("operators leave a zone", "zone", zone)
-		return verdict(b.Zone(zone, true))
+		slog.Info("zone drained by operator", "zone", zone)
+		return verdict(b.DrainZone(zone))
 	},
 	"zone-return": func(b Balancer, zone string) string {
-		slog.Info("operators return a zone", "zone", zone)
-		return verdict(b.Zone(zone, false))
+		slog.Info("zone restored by operator", "zone", zone)
+		return verdict(b.RestoreZone(zone))
 	},
 }
 
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -40,12 +40,16 @@
 	Ready() (ready bool, state string)
 	// WriteMetrics writes the metrics, one to a line.
 	WriteMetrics(w io.Writer) error
-	// Drain starts draining the balancer, or stops it. The state is the one from now on, or says what went wrong.
-	// Repeating it is harmless.
-	Drain(on bool) (done bool, state string)
-	// Zone drains a zone, so that it gets no new requests, or returns it to service step by step. The state is the
-	// zone's from now on, or says why it was not done.
-	Zone(name string, leave bool) (done bool, state string)
+	// StartDrain starts a drain of the balancer. The state is the one from now on, or says what went wrong. Repeating it
+	// is harmless.
+	StartDrain() (done bool, state string)
+	// EndDrain ends the drain of the balancer. Its results are as those of StartDrain.
+	EndDrain() (done bool, state string)
+	// DrainZone drains a zone, so that it gets no new requests. The state is the zone's from now on, or says why it was
+	// not done.
+	DrainZone(name string) (done bool, state string)
+	// RestoreZone returns a zone to service step by step. Its results are as those of DrainZone.
+	RestoreZone(name string) (done bool, state string)
 	// WriteZones writes the state of each zone, one to a line.
 	WriteZones(w io.Writer) error
 	// WriteMembers writes what this balancer knows of its fleet, one member to a line. An error says why it knows
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// fakeBalancer is a Balancer that records the calls to Drain.
+// fakeBalancer is a Balancer that records the calls to StartDrain (true) and EndDrain (false).
 type fakeBalancer struct {
 	mu     sync.Mutex
 	ready  bool
@@ -26,7 +26,11 @@
 	return false, "starting"
 }
 
-func (f *fakeBalancer) Drain(on bool) (bool, string) {
+func (f *fakeBalancer) StartDrain() (bool, string) { return f.recordDrain(true) }
+
+func (f *fakeBalancer) EndDrain() (bool, string) { return f.recordDrain(false) }
+
+func (f *fakeBalancer) recordDrain(on bool) (bool, string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.drains = append(f.drains, on)
@@ -38,11 +42,18 @@
 	return err
 }
 
-func (f *fakeBalancer) Zone(name string, leave bool) (bool, string) {
+func (f *fakeBalancer) DrainZone(name string) (bool, string) { return answerForZone(name, "left") }
+
+func (f *fakeBalancer) RestoreZone(name string) (bool, string) {
+	return answerForZone(name, "returning")
+}
+
+// answerForZone returns a state for the zone dc-a, and an error's text for others.
+func answerForZone(name, state string) (bool, string) {
 	if name != "dc-a" {
 		return false, "it is not known"
 	}
-	return true, map[bool]string{true: "left", false: "returning"}[leave]
+	return true, state
 }
 
 func (f *fakeBalancer) WriteZones(w io.Writer) error {
--- a/internal/proxy/clientconns.go
+++ b/internal/proxy/clientconns.go
@@ -119,7 +119,7 @@
 		}
 		logged++
 		slog.Info("client connection open", "client", conn.RemoteAddr(), "state", status.state,
-			"for", (f.now() - status.since).Round(time.Millisecond), "idle", conn.isIdle(), "answered", conn.answeredCount())
+			"elapsed", (f.now() - status.since).Round(time.Millisecond), "idle", conn.isIdle(), "answered", conn.answeredCount())
 	}
 }
 
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -11,29 +11,35 @@
 // drainSweepInterval is the time between two looks for idle connections during a drain.
 const drainSweepInterval = 100 * time.Millisecond
 
-// setDraining sends clients away, or welcomes them again. While draining, health checks fail, responses close their
+// startDrain sends clients away, unless a drain has begun already. While draining, health checks fail, responses close their
 // connections, and idle connections are closed once no more clients are expected. The listener stays open for those that
 // come anyway.
-func (f *frontend) setDraining(on bool) {
+func (f *frontend) startDrain() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if on == (f.cancelDrain != nil) {
+	if f.cancelDrain != nil {
 		return
 	}
-	if !on {
-		f.lifecycle.drain.end()
-		slog.Info("drain ended", "connections", len(f.conns))
-		f.cancelDrain()
-		f.cancelDrain = nil
-		return
-	}
-	slog.Info("drain begun", "connections", len(f.conns))
+	slog.Info("drain started", "connections", len(f.conns))
 	f.lifecycle.drain.begin(f.now())
 	ctx, cancel := context.WithCancel(f.ctx)
 	f.cancelDrain = cancel
 	go f.closeIdleWhileDraining(ctx)
 }
 
+// endDrain accepts clients again, if a drain has begun.
+func (f *frontend) endDrain() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.cancelDrain == nil {
+		return
+	}
+	f.lifecycle.drain.end()
+	slog.Info("drain ended", "connections", len(f.conns))
+	f.cancelDrain()
+	f.cancelDrain = nil
+}
+
 // closeIdleWhileDraining closes idle connections, after timelimit.DrainIdleGrace, until ctx ends. It reports which connections are
 // open after timelimit.Drain.
 func (f *frontend) closeIdleWhileDraining(ctx context.Context) {
@@ -50,7 +56,7 @@
 		select {
 		case <-sweep.C:
 		case <-report:
-			slog.Info("drain goes on", "connections", f.openConns())
+			slog.Info("drain limit passed", "connections", f.openConns())
 			f.logOpenConns()
 		case <-ctx.Done():
 		}
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -29,7 +29,7 @@
 	assertEqual(t, "closes before", closes, false)
 
 	for range 2 { // it may be repeated
-		done, state := b.proxy.Drain(true)
+		done, state := b.proxy.StartDrain()
 		assertEqual(t, "drain-on", done, true)
 		assertEqual(t, "state", state, "draining")
 	}
@@ -55,7 +55,7 @@
 	})
 
 	for range 2 {
-		b.proxy.Drain(false)
+		b.proxy.EndDrain()
 	}
 	status, _ = b.statusAndClose(t, b.healthRequest(t))
 	assertEqual(t, "health after", status, 200)
@@ -63,7 +63,7 @@
 	assertEqual(t, "status after", status, 200)
 	assertEqual(t, "closes after", closes, false)
 
-	b.proxy.Drain(true) // the balancer still shuts down cleanly
+	b.proxy.StartDrain() // the balancer still shuts down cleanly
 	b.cancel()
 	b.awaitEnd(t)
 	ready, _ := b.proxy.Ready()
@@ -124,13 +124,13 @@
 	b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) { c.StateWriter = newMemoryWriter() })
 	for round := range 2000 {
 		var group sync.WaitGroup
-		for _, on := range []bool{true, false} {
-			group.Go(func() { b.proxy.Drain(on) })
+		for _, order := range []func() (bool, string){b.proxy.StartDrain, b.proxy.EndDrain} {
+			group.Go(func() { order() })
 		}
 		group.Wait()
 		if ordered, draining := b.proxy.loop.saver.currentOrders().Drain, b.proxy.front.lifecycle.drain.isActive(); ordered != draining {
 			t.Fatalf("round %d: the saved order is %v, the state %v", round, ordered, draining)
 		}
 	}
-	b.proxy.Drain(false)
+	b.proxy.EndDrain()
 }
--- a/internal/proxy/endpointupdate.go
+++ b/internal/proxy/endpointupdate.go
@@ -16,7 +16,7 @@
 		slog.Info("endpoint update failed", "err", update.err)
 		l.balancer.OnEndpointUpdate(l.now(), balancer.UpdateFailed, nil)
 	case l.discovery.isStale(update):
-		slog.Info("stale endpoint list ignored", "revision", update.list.Revision, "held", l.discovery.revision)
+		slog.Info("stale endpoint list ignored", "revision", update.list.Revision, "current_revision", l.discovery.revision)
 		l.discovery.ignore(update)
 	default:
 		l.acceptEndpointUpdate(update)
@@ -39,7 +39,7 @@
 func (l *loop) acceptEndpointUpdate(update endpointUpdate) {
 	list := update.list
 	if list.Revision < l.discovery.revision {
-		slog.Info("discovery restarted its revisions", "revision", list.Revision, "held", l.discovery.revision)
+		slog.Info("discovery revisions restarted", "revision", list.Revision, "current_revision", l.discovery.revision)
 		if !list.Complete { // these are changes of a list that is not held: the next call gets all of it
 			list.Revision = 0
 		}
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -137,7 +137,7 @@
 type discoveryMoved struct{ address string }
 
 func (e discoveryMoved) apply(l *loop) {
-	slog.Info("discovery moved", "address", e.address)
+	slog.Info("discovery address changed", "address", e.address)
 	l.saver.discovery = e.address
 	l.discovery.moveTo(e.address)
 }
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -131,8 +131,8 @@
 		return
 	}
 	header := x.httpRequest.Header
-	slog.Debug("request ended", "id", header.Get("X-Request-Id"), "class", x.request.Class, "retry", x.request.Retry,
-		"end", string(x.end), "status", x.status, "after", time.Since(began).Round(time.Millisecond),
-		"timeout", x.request.Timeout.Round(time.Millisecond), "closes", x.writer.Header().Get("Connection") == "close",
+	slog.Debug("request ended", "request_id", header.Get("X-Request-Id"), "class", x.request.Class, "retry", x.request.Retry,
+		"outcome", string(x.end), "status", x.status, "elapsed", time.Since(began).Round(time.Millisecond),
+		"timeout", x.request.Timeout.Round(time.Millisecond), "closes_connection", x.writer.Header().Get("Connection") == "close",
 		"client", x.httpRequest.RemoteAddr)
 }
--- a/internal/proxy/framinglistener.go
+++ b/internal/proxy/framinglistener.go
@@ -79,7 +79,7 @@
 // retryAfter waits before the next accept call, and logs the first error of a series.
 func (l *framingListener) retryAfter(err error) {
 	if !l.failing {
-		slog.Warn("a connection could not be accepted", "err", err)
+		slog.Warn("accept failed", "err", err)
 	}
 	l.failing = true
 	time.Sleep(acceptRetryDelay)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -31,7 +31,7 @@
 	p.loop = newLoop(life, &p.config)
 	p.front = newFrontend(&p.config, listener, p.loop)
 	if p.loop.saver.currentOrders().Drain {
-		p.front.setDraining(true) // before operators can order otherwise
+		p.front.startDrain() // before operators can order otherwise
 	}
 	return p
 }
@@ -50,7 +50,7 @@
 	for {
 		select {
 		case err := <-served: // the listener has failed; what has been accepted is still owed its response
-			slog.Error("no more connections are accepted: shutting down", "err", err)
+			slog.Error("listener failed, shutting down", "err", err)
 			p.front.shutDown()
 			p.saveLastSnapshot()
 			return err
@@ -83,10 +83,20 @@
 	return true, "serving"
 }
 
-// Drain sends clients away without ending the process, or accepts them again. done is false where the order may not
-// outlive the process.
-func (p *Proxy) Drain(on bool) (done bool, state string) {
-	p.front.setDraining(on)
+// StartDrain sends clients away without ending the process. done is false where the order may not outlive the process.
+func (p *Proxy) StartDrain() (done bool, state string) {
+	p.front.startDrain()
+	return p.saveDrainOrder()
+}
+
+// EndDrain accepts clients again. done is false where the order may not outlive the process.
+func (p *Proxy) EndDrain() (done bool, state string) {
+	p.front.endDrain()
+	return p.saveDrainOrder()
+}
+
+// saveDrainOrder saves whether the balancer drains now, and returns its state.
+func (p *Proxy) saveDrainOrder() (done bool, state string) {
 	_, state = p.Ready()
 	// Of orders at the same moment, the one that is saved last saves the state that all of them have led to.
 	err := p.loop.saver.updateOrders(func(o *savedOrders) { o.Drain = p.front.lifecycle.drain.isActive() })
@@ -117,16 +127,8 @@
 	}
 }
 
-// Zone sends nothing new to a zone, or takes it back step by step.
-func (p *Proxy) Zone(name string, leave bool) (done bool, state string) {
-	if leave {
-		return p.drainZone(name)
-	}
-	return p.reinstateZone(name)
-}
-
-// drainZone sends nothing new to a zone.
-func (p *Proxy) drainZone(name string) (done bool, state string) {
+// DrainZone sends no new requests to a zone. If it is not done, or the order may not outlive the process, state says why.
+func (p *Proxy) DrainZone(name string) (done bool, state string) {
 	drained := false // the loop's own until it has answered
 	err := p.callLoop(func(l *loop) { drained = l.balancer.DrainZone(l.now(), name) })
 	if err != nil {
@@ -135,11 +137,11 @@
 	if !drained {
 		return false, "it is not known, or the last that is not left"
 	}
-	return p.saveZoneOrder(name, true, "left")
+	return p.saveZoneOrder("left", func(o *savedOrders) { o.setZoneDrained(name, true) })
 }
 
-// reinstateZone takes a drained zone back step by step.
-func (p *Proxy) reinstateZone(name string) (done bool, state string) {
+// RestoreZone returns a drained zone to service step by step. Its results are as those of DrainZone.
+func (p *Proxy) RestoreZone(name string) (done bool, state string) {
 	reinstated := false // the loop's own until it has answered
 	err := p.callLoop(func(l *loop) { reinstated = l.balancer.ReinstateZone(l.now(), name) })
 	if err != nil {
@@ -148,12 +150,12 @@
 	if !reinstated {
 		return false, "it was not left"
 	}
-	return p.saveZoneOrder(name, false, "returning")
+	return p.saveZoneOrder("returning", func(o *savedOrders) { o.setZoneDrained(name, false) })
 }
 
-// saveZoneOrder saves what was ordered of a zone, which is in a state now.
-func (p *Proxy) saveZoneOrder(name string, drained bool, state string) (done bool, text string) {
-	err := p.loop.saver.updateOrders(func(o *savedOrders) { o.setZoneDrained(name, drained) })
+// saveZoneOrder saves what an order for a zone changes. The zone is in the given state now.
+func (p *Proxy) saveZoneOrder(state string, change func(*savedOrders)) (done bool, text string) {
+	err := p.loop.saver.updateOrders(change)
 	if err != nil {
 		return false, state + ", " + err.Error()
 	}
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -57,8 +57,8 @@
 	req := a.request
 	now := l.now()
 	if debugLogged() {
-		slog.Debug("attempt ended", "request", req.message.header.Get("X-Request-Id"), "attempt", a.index,
-			"upstream", a.address, "status", r.status, "after", (now - a.sentAt).Round(time.Millisecond), "closed", req.closed)
+		slog.Debug("attempt ended", "request_id", req.message.header.Get("X-Request-Id"), "attempt", a.index,
+			"endpoint", a.address, "status", r.status, "elapsed", (now - a.sentAt).Round(time.Millisecond), "request_closed", req.closed)
 	}
 	if neverRan(r.status) {
 		req.window.exclude(a)
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -39,7 +39,7 @@
 		select {
 		case <-sweep.C:
 		case <-limit:
-			slog.Warn("closing client connections at the time limit", "open", f.openConns())
+			slog.Warn("client connections closed at shutdown limit", "connections", f.openConns())
 			f.logOpenConns()
 			f.server.Close()
 			return
--- a/internal/proxy/statesaver_test.go
+++ b/internal/proxy/statesaver_test.go
@@ -79,7 +79,7 @@
 		r, ok := writer.Load(kindList)
 		return ok && strings.Contains(string(r.Payload), "s-00000001")
 	})
-	if done, state := b.proxy.Drain(true); !done || state != "draining" {
+	if done, state := b.proxy.StartDrain(); !done || state != "draining" {
 		t.Errorf("drain-on: %v, %s", done, state)
 	}
 	b.stop(t)
@@ -95,7 +95,7 @@
 	if err := again.proxy.callLoop(func(l *loop) { lat = l.balancer.TakeSnapshot(l.now()).Latency }); err != nil || lat == 0 {
 		t.Errorf("restarted: %v, usual latency %v", err, lat)
 	}
-	if done, _ := again.proxy.Drain(false); !done {
+	if done, _ := again.proxy.EndDrain(); !done {
 		t.Error("drain-off")
 	}
 	again.stop(t)
@@ -114,7 +114,7 @@
 	if status, _ := b.do(t, b.newRequest("checkin", "")); status != 200 {
 		t.Errorf("served with %d", status)
 	}
-	if done, state := b.proxy.Drain(true); done || !strings.HasPrefix(state, "draining, but not kept") {
+	if done, state := b.proxy.StartDrain(); done || !strings.HasPrefix(state, "draining, but not kept") {
 		t.Errorf("drain-on: %v, %s", done, state)
 	}
 	if _, state := b.proxy.Ready(); state != "draining" {
--- a/internal/proxy/zonemetrics.go
+++ b/internal/proxy/zonemetrics.go
@@ -38,8 +38,8 @@
 	for _, zone := range zones {
 		was := before[zone.Name] // a new zone counts as having been healthy
 		if was != zone.State && z.mayLog(now) {
-			log("zone", "zone", zone.Name, "state", zone.State.String(), "was", was.String(),
-				"bad", zone.Unhealthy, "listed", zone.Listed)
+			log("zone state changed", "zone", zone.Name, "state", zone.State.String(), "previous", was.String(),
+				"unhealthy", zone.Unhealthy, "listed", zone.Listed)
 		}
 	}
 	z.last.Store(&zoneReport{home: home, zones: zones[:min(len(zones), maxZonesReported)]})
--- a/internal/proxy/zonemetrics_test.go
+++ b/internal/proxy/zonemetrics_test.go
@@ -56,7 +56,7 @@
 	if by := answeredBy(t, b, 40); by["a"] == 0 || by["z"] == 0 {
 		t.Fatalf("before: served by %v", by)
 	}
-	done, state := b.proxy.Zone("z1", true)
+	done, state := b.proxy.DrainZone("z1")
 	assertEqual(t, "zone-leave", done, true)
 	assertEqual(t, "state", state, "left")
 	if by := answeredBy(t, b, 20); by["a"] > 0 {
@@ -76,10 +76,10 @@
 		t.Errorf("status: %s", got)
 	}
 	for _, name := range []string{"z2", "z3"} {
-		done, _ = b.proxy.Zone(name, true)
+		done, _ = b.proxy.DrainZone(name)
 		assertEqual(t, "zone-leave "+name, done, false)
 	}
-	done, state = b.proxy.Zone("z1", false)
+	done, state = b.proxy.RestoreZone("z1")
 	assertEqual(t, "zone-return", done, true)
 	assertEqual(t, "state", state, "returning")
 	if got := zonesText(t, b); !strings.Contains(got, `zone "z1" returning`) {
@@ -89,7 +89,7 @@
 		t.Errorf("reinstated: served by %v", by)
 	}
 	zoneMetricsFollow(t, b)
-	done, _ = b.proxy.Zone("z1", false)
+	done, _ = b.proxy.RestoreZone("z1")
 	assertEqual(t, "zone-return again", done, false)
 }
 
