--- a/internal/proxy/zonemetrics.go
+++ b/internal/proxy/zonemetrics.go
@@ -38,7 +38,7 @@
 	for _, zone := range zones {
 		was := before[zone.Name] // a new zone counts as having been healthy
 		if was != zone.State && z.mayLog(now) {
-			log("zone state changed", "zone", zone.Name, "state", zone.State.String(), "previous", was.String(),
+			log("zone state changed", "zone", zone.Name, "state", zone.State.String(), "previous_state", was.String(),
 				"unhealthy", zone.Unhealthy, "listed", zone.Listed)
 		}
 	}
