--- a/internal/proxy/clientconns.go
+++ b/internal/proxy/clientconns.go
@@ -5,6 +5,7 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"sync"
 	"time"
 
 	"sprucehill/internal/timelimit"
@@ -19,62 +20,73 @@
 	since time.Duration
 }
 
-// trackConn records a connection's change of state; it is the server's ConnState hook. A connection over the limit makes
-// room by closing the one that has been idle for longest, or is closed itself: file descriptors must not run out.
-func (f *frontend) trackConn(netConn net.Conn, state http.ConnState) {
+// clientConns has the open client connections and bounds their number. Its methods may be called from any goroutine.
+type clientConns struct {
+	metrics   connMetrics
+	lifecycle *lifecycle
+	now       func() time.Duration // the loop's clock
+
+	mu   sync.Mutex // guards the fields below
+	max  int        // bound on the number of connections
+	open map[*framingConn]connStatus
+}
+
+// track records a connection's change of state; it is the server's ConnState hook. A connection over the limit replaces the
+// one that has been idle for longest, or is closed itself: file descriptors must not run out.
+func (c *clientConns) track(netConn net.Conn, state http.ConnState) {
 	conn := netConn.(*framingConn) // all come from a framingListener
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if state == http.StateClosed || state == http.StateHijacked {
-		f.forget(conn)
+		c.forget(conn)
 		return
 	}
-	f.forget(conn) // in its former state
-	f.metrics.conns.added(state)
-	f.conns[conn] = connStatus{state: state, since: f.now()}
+	c.forget(conn) // in its former state
+	c.metrics.added(state)
+	c.open[conn] = connStatus{state: state, since: c.now()}
 	if state == http.StateIdle {
 		conn.onAnswered()
-		f.closeAfterDrainedResponse(conn)
+		c.closeAfterDrainedResponse(conn)
 	}
-	if state == http.StateNew && len(f.conns) > f.maxConns {
-		f.evict(conn)
+	if state == http.StateNew && len(c.open) > c.max {
+		c.evict(conn)
 	}
 }
 
 // closeAfterDrainedResponse closes a connection that has become idle where clients are sent away: its response began too
 // early to say so. Waiting for the next sweep would let its client send another request.
-func (f *frontend) closeAfterDrainedResponse(conn *framingConn) {
-	cause, ending := f.lifecycle.closeCause()
+func (c *clientConns) closeAfterDrainedResponse(conn *framingConn) {
+	cause, ending := c.lifecycle.closeCause()
 	switch {
 	case ending:
-		f.closeIfIdle(conn, cause)
+		c.closeIfIdle(conn, cause)
 	case conn.isShut(): // a drain has ended meanwhile
-		f.closeIfIdle(conn, closedByDrain)
+		c.closeIfIdle(conn, closedByDrain)
 	}
 }
 
 // closeIfIdle closes a connection if it is between two requests, and counts that.
-func (f *frontend) closeIfIdle(conn *framingConn, cause closeCause) {
+func (c *clientConns) closeIfIdle(conn *framingConn, cause closeCause) {
 	if conn.closeIfIdle() {
-		f.metrics.conns.countClose(cause)
+		c.metrics.countClose(cause)
 	}
 }
 
 // forget removes a connection from the open ones, if it is one of them. The lock is held.
-func (f *frontend) forget(conn *framingConn) {
-	status, tracked := f.conns[conn]
+func (c *clientConns) forget(conn *framingConn) {
+	status, tracked := c.open[conn]
 	if !tracked {
 		return
 	}
-	f.metrics.conns.removed(status.state)
-	delete(f.conns, conn)
+	c.metrics.removed(status.state)
+	delete(c.open, conn)
 }
 
 // evict closes the connection that has been idle for longest, or newcomer if there is none. The lock is held.
-func (f *frontend) evict(newcomer *framingConn) {
+func (c *clientConns) evict(newcomer *framingConn) {
 	victim := newcomer
-	since := f.now() - timelimit.EvictionMinIdle
-	for conn, status := range f.conns {
+	since := c.now() - timelimit.EvictionMinIdle
+	for conn, status := range c.open {
 		if status.since <= since && conn.isIdle() {
 			victim = conn
 			since = status.since
@@ -84,50 +96,50 @@
 		victim = newcomer
 		newcomer.Close()
 	}
-	f.metrics.conns.countClose(closedByLimit)
-	f.forget(victim) // net/http reports it as closed only once its goroutine has noticed
+	c.metrics.countClose(closedByLimit)
+	c.forget(victim) // net/http reports it as closed only once its goroutine has noticed
 }
 
-// nearConnLimit reports whether connections are so many that each should close after its response.
-func (f *frontend) nearConnLimit() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.conns) > f.maxConns*7/8
+// nearLimit reports whether connections are so many that each should close after its response.
+func (c *clientConns) nearLimit() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.open) > c.max*7/8
 }
 
-// closeIdleConns closes the connections between two requests, and those that have been in their state for minSilence
+// closeIdle closes the connections between two requests, and those that have been in their state for minSilence
 // without beginning a request. The cause is for the metrics.
-func (f *frontend) closeIdleConns(minSilence time.Duration, cause closeCause) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	now := f.now()
-	for conn, status := range f.conns {
+func (c *clientConns) closeIdle(minSilence time.Duration, cause closeCause) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.now()
+	for conn, status := range c.open {
 		if status.state == http.StateIdle || now-status.since >= minSilence {
-			f.closeIfIdle(conn, cause)
+			c.closeIfIdle(conn, cause)
 		}
 	}
 }
 
-// logOpenConns logs the open connections, maxLoggedConns at most.
-func (f *frontend) logOpenConns() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// logOpen logs the open connections, maxLoggedConns at most.
+func (c *clientConns) logOpen() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	logged := 0
-	for conn, status := range f.conns {
+	for conn, status := range c.open {
 		if logged == maxLoggedConns {
 			return
 		}
 		logged++
 		slog.Info("client connection open", "client", conn.RemoteAddr(), "state", status.state,
-			"elapsed", (f.now() - status.since).Round(time.Millisecond), "idle", conn.isIdle(), "answered", conn.answeredCount())
+			"elapsed", (c.now() - status.since).Round(time.Millisecond), "idle", conn.isIdle(), "answered", conn.answeredCount())
 	}
 }
 
-// openConns is the number of client connections.
-func (f *frontend) openConns() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.conns)
+// count returns the number of client connections.
+func (c *clientConns) count() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.open)
 }
 
 // connKey is the context key of a request's connection.
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -7,7 +7,6 @@
 	"io"
 	"net"
 	"net/http"
-	"sync"
 	"time"
 
 	"sprucehill/balancer"
@@ -32,38 +31,47 @@
 // It owns the client connections. A request belongs to the loop once it has been posted; the frontend then only waits for
 // the reply, or for the client to disconnect.
 type frontend struct {
-	ctx         context.Context // ends the goroutines that the frontend starts
-	metrics     *proxyMetrics
-	bodyBudget  *byteBudget // of buffered bodies, shared with the loop
-	classes     map[string]balancer.Class
-	post        func(event)          // posts to the loop; may wait
-	inherited   bool                 // the listener was handed down by the platform
-	maxConns    int                  // bound on client connections
-	now         func() time.Duration // the loop's clock
-	server      http.Server
-	listener    *framingListener
-	lifecycle   lifecycle
-	acceptEnded chan struct{} // closed once no more connections are accepted
-
-	mu          sync.Mutex // guards the fields below
-	conns       map[*framingConn]connStatus
-	cancelDrain context.CancelFunc // ends closeIdleWhileDraining; nil: not draining
+	ctx        context.Context // ends the goroutines that the frontend starts
+	metrics    *proxyMetrics
+	bodyBudget *byteBudget // of buffered bodies, shared with the loop
+	classes    map[string]balancer.Class
+	post       func(event)          // posts to the loop; may wait
+	now        func() time.Duration // the loop's clock
+	server     http.Server
+	acceptor   acceptor
+	lifecycle  lifecycle
+	conns      clientConns
+	drainSweep drainSweep
+}
+
+// acceptor is where client connections come from.
+type acceptor struct {
+	listener  *framingListener
+	inherited bool          // the listener was handed down by the platform
+	ended     chan struct{} // closed once no more connections are accepted
 }
 
 func newFrontend(c *Config, l net.Listener, to *loop) *frontend {
 	f := &frontend{
-		ctx:         to.ctx,
-		metrics:     to.metrics,
-		bodyBudget:  to.dialer.bodyBudget,
-		classes:     make(map[string]balancer.Class, len(c.Settings.Classes)),
-		post:        to.post,
-		inherited:   c.inheritsListener(),
-		maxConns:    c.maxClientConns(),
-		now:         to.now,
-		listener:    &framingListener{Listener: l, now: to.now},
-		lifecycle:   lifecycle{longestDeadline: c.longestDeadline()},
-		acceptEnded: make(chan struct{}),
-		conns:       map[*framingConn]connStatus{},
+		ctx:        to.ctx,
+		metrics:    to.metrics,
+		bodyBudget: to.dialer.bodyBudget,
+		classes:    make(map[string]balancer.Class, len(c.Settings.Classes)),
+		post:       to.post,
+		now:        to.now,
+		lifecycle:  lifecycle{longestDeadline: c.longestDeadline()},
+		acceptor: acceptor{
+			listener:  &framingListener{Listener: l, now: to.now},
+			inherited: c.inheritsListener(),
+			ended:     make(chan struct{}),
+		},
+	}
+	f.conns = clientConns{
+		metrics:   to.metrics.conns,
+		lifecycle: &f.lifecycle,
+		now:       to.now,
+		max:       c.maxClientConns(),
+		open:      map[*framingConn]connStatus{},
 	}
 	for _, class := range c.Settings.Classes {
 		f.classes[class.Name] = class
@@ -75,15 +83,15 @@
 		IdleTimeout:       timelimit.ClientIdle,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ConnContext:       withConn,
-		ConnState:         f.trackConn,
+		ConnState:         f.conns.track,
 	}
 	return f
 }
 
 // serve accepts connections until shutDown is called.
 func (f *frontend) serve() error {
-	defer close(f.acceptEnded)
-	err := f.server.Serve(f.listener)
+	defer close(f.acceptor.ended)
+	err := f.server.Serve(f.acceptor.listener)
 	if !errors.Is(err, http.ErrServerClosed) && !f.lifecycle.shutdown.isActive() {
 		return fmt.Errorf("serving clients: %w", err)
 	}
@@ -126,7 +134,7 @@
 	if cause, closes := f.lifecycle.closeCause(); closes {
 		return cause, true
 	}
-	return closedByLimit, f.nearConnLimit()
+	return closedByLimit, f.conns.nearLimit()
 }
 
 // closeAfterResponse makes net/http close the connection once the present request is answered.
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -48,11 +48,12 @@
 	now := time.Hour
 	f := newFrontend(&Config{Sockets: 6}, nil, newTestLoop(t, 0))
 	f.now = func() time.Duration { return now }
+	f.conns.now = f.now
 	open := func(s http.ConnState) net.Conn {
 		c, peer := net.Pipe()
 		t.Cleanup(func() { c.Close(); peer.Close() })
 		framed := &framingConn{Conn: c, now: f.now}
-		f.trackConn(framed, http.StateNew)
+		f.conns.track(framed, http.StateNew)
 		if s == http.StateNew {
 			return c
 		}
@@ -60,8 +61,8 @@
 		if _, err := io.ReadFull(framed, make([]byte, 18)); err != nil {
 			return c // it was over the limit, and closed itself
 		}
-		if f.trackConn(framed, http.StateActive); s == http.StateIdle {
-			f.trackConn(framed, s)
+		if f.conns.track(framed, http.StateActive); s == http.StateIdle {
+			f.conns.track(framed, s)
 		}
 		return c
 	}
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -135,7 +135,7 @@
 		left := ""
 		for stack := range strings.SplitSeq(string(text[:runtime.Stack(text, true)]), "\n\n") {
 			for _, of := range []string{"(*loop)", "(*frontend)", "(*framingConn)", "(*discoveryClient)", "(*discoveryWatcher)",
-				"(*connPool)", "(*logWriter)", "(*stateSaver)", "dialer"} {
+				"(*connPool)", "(*clientConns)", "(*logWriter)", "(*stateSaver)", "dialer"} {
 				if strings.Contains(stack, "sprucehill/internal/proxy."+of) && !strings.Contains(stack, "proxy.assertNothingRuns") {
 					left = stack
 				}
@@ -300,7 +300,7 @@
 // awaitClientsClosed waits until no client connection is open.
 func (b *testBalancer) awaitClientsClosed(t *testing.T) {
 	t.Helper()
-	eventually(t, "no client's connection is open", func() bool { return b.proxy.front.openConns() == 0 })
+	eventually(t, "no client's connection is open", func() bool { return b.proxy.front.conns.count() == 0 })
 }
 
 // attemptsOut is how many attempts are in flight.
--- a/internal/proxy/idleclose_test.go
+++ b/internal/proxy/idleclose_test.go
@@ -41,14 +41,14 @@
 
 // allIdle reports whether there is a client connection, and all of them are between two requests.
 func (f *frontend) allIdle() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.conns {
+	f.conns.mu.Lock()
+	defer f.conns.mu.Unlock()
+	for c := range f.conns.open {
 		if !c.isIdle() {
 			return false
 		}
 	}
-	return len(f.conns) > 0
+	return len(f.conns.open) > 0
 }
 
 // A request comes at the very moment at which its idle connection is closed. Either the request was first, and the
@@ -80,7 +80,7 @@
 				ask()
 				<-r.taken
 				if first == "close" {
-					f.closeIdleConns(0, closedByDrain)
+					f.conns.closeIdle(0, closedByDrain)
 				}
 				close(r.back)
 				if first == "close" {
@@ -92,8 +92,8 @@
 					sent++
 				}
 				eventually(t, "the connection is closed", func() bool {
-					f.closeIdleConns(0, closedByDrain)
-					return f.openConns() == 0
+					f.conns.closeIdle(0, closedByDrain)
+					return f.conns.count() == 0
 				})
 				b.awaitSettled(t)
 				assertEqual(t, "requests at the upstream", len(s.arrivals), sent)
@@ -141,11 +141,11 @@
 		t.Fatal(err)
 	}
 	c.endAfterResponse() // in a drain, which is over when the response is
-	b.proxy.front.trackConn(c, http.StateActive)
-	b.proxy.front.trackConn(c, http.StateIdle)
+	b.proxy.front.conns.track(c, http.StateActive)
+	b.proxy.front.conns.track(c, http.StateIdle)
 	client.SetReadDeadline(time.Now().Add(time.Second))
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the connection is open: %v", err)
 	}
-	b.proxy.front.trackConn(c, http.StateClosed)
+	b.proxy.front.conns.track(c, http.StateClosed)
 }
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -33,8 +33,7 @@
 	events   chan event
 	log      *logWriter
 
-	origin time.Time     // when the loop was made
-	epoch  time.Duration // origin as Unix time
+	clock clock
 
 	serial   uint64 // the last that was given to a request or a timer
 	requests map[balancer.RequestID]*request
@@ -51,9 +50,8 @@
 	discovery  *discoveryWatcher
 	saver      *stateSaver
 
-	metrics   *proxyMetrics
-	zones     zoneMetrics
-	publishAt time.Duration // when the loop's gauges are next due, on its clock
+	metrics *proxyMetrics
+	report  loopReport
 }
 
 var _ balancer.Effects = (*loop)(nil)
@@ -64,16 +62,13 @@
 		settings:   c.Settings,
 		events:     make(chan event, eventQueueLength),
 		log:        &logWriter{},
-		origin:     time.Now(),
+		clock:      newClock(),
 		requests:   map[balancer.RequestID]*request{},
 		endpoints:  endpointTable{},
 		ids:        newEndpointIDs(),
 		localities: c.Localities,
 		metrics:    newProxyMetrics(c.Settings.Classes),
 	}
-	// The clock is Unix time at the start, and goes on by the monotonic clock: times that discovery gives need no
-	// conversion, also those from before this process, and setting the system's clock does not move it.
-	l.epoch = time.Duration(l.origin.UnixNano())
 	l.dialer = newDialer(c, l.metrics.attemptsWritten, l.now)
 	l.pool = &connPool{
 		endpoints:   l.endpoints,
@@ -100,7 +95,7 @@
 }
 
 // now is the loop's clock.
-func (l *loop) now() time.Duration { return l.epoch + time.Since(l.origin) }
+func (l *loop) now() time.Duration { return l.clock.now() }
 
 // post hands an event to the loop. It may wait for the loop, which never waits for who posts.
 func (l *loop) post(e event) { l.events <- e }
@@ -165,10 +160,10 @@
 // publish sets the gauges that only the loop can, and saves what the decision module has learnt. The module's own timers
 // see to it that the loop runs often enough for it.
 func (l *loop) publish(now time.Duration) {
-	l.publishAt = now + publishEvery
 	known, skipped := l.balancer.EndpointCounts(now)
 	l.metrics.knownEndpoints.Set(known)
 	l.metrics.skippedEndpoints.Set(skipped)
 	l.saver.saveSnapshot(l.balancer, now)
-	l.zones.update(now, l.balancer.ZoneStatuses(now), l.settings.Zone, slog.Info)
+	l.report.zones.update(now, l.balancer.ZoneStatuses(now), l.settings.Zone, slog.Info)
+	l.report.nextAt = now + publishEvery
 }
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -11,6 +11,16 @@
 // publishEvery is how often the loop sets the gauges that only it can.
 const publishEvery = 200 * time.Millisecond
 
+// loopReport is what the loop reports from time to time beside its metrics. It belongs to the loop's goroutine, except for the
+// method write of zones.
+type loopReport struct {
+	zones  zoneMetrics
+	nextAt time.Duration // when the next report is due, on the loop's clock
+}
+
+// isDue reports whether the next report is due at the time now.
+func (r *loopReport) isDue(now time.Duration) bool { return now >= r.nextAt }
+
 // proxyMetrics is what the balancer reports to its operators. Each count is taken where the fact occurs, so its methods
 // may be called from any goroutine.
 type proxyMetrics struct {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -189,5 +189,5 @@
 	if err := p.loop.metrics.set.Write(w); err != nil {
 		return err
 	}
-	return p.loop.zones.write(w)
+	return p.loop.report.zones.write(w)
 }
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -15,16 +15,16 @@
 // closed at once: the connections in its queue, and those still to come, belong to the successor process.
 func (f *frontend) shutDown() {
 	f.lifecycle.shutdown.begin(f.now())
-	slog.Info("shutting down", "connections", f.openConns())
-	if f.inherited {
-		f.listener.Close()
+	slog.Info("shutting down", "connections", f.conns.count())
+	if f.acceptor.inherited {
+		f.acceptor.listener.Close()
 		f.post(releaseIdle{})
 	}
 	time.Sleep(timelimit.ShutdownAccept)
-	if !f.inherited {
-		f.listener.closeWhenDrained()
+	if !f.acceptor.inherited {
+		f.acceptor.listener.closeWhenDrained()
 	}
-	<-f.acceptEnded // from here on the last accepted connection counts among the open ones
+	<-f.acceptor.ended // from here on the last accepted connection counts among the open ones
 	f.awaitClients()
 }
 
@@ -34,13 +34,13 @@
 	limit := time.After(f.lifecycle.longestDeadline + timelimit.ClientWrite)
 	sweep := time.NewTicker(shutdownSweepInterval)
 	defer sweep.Stop()
-	for f.openConns() > 0 {
-		f.closeIdleConns(timelimit.ShutdownFirstByte, closedByShutdown)
+	for f.conns.count() > 0 {
+		f.conns.closeIdle(timelimit.ShutdownFirstByte, closedByShutdown)
 		select {
 		case <-sweep.C:
 		case <-limit:
-			slog.Warn("client connections closed at shutdown limit", "connections", f.openConns())
-			f.logOpenConns()
+			slog.Warn("client connections closed at shutdown limit", "connections", f.conns.count())
+			f.conns.logOpen()
 			f.server.Close()
 			return
 		}
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -42,9 +42,9 @@
 
 // anyPartialRequest reports whether a later request has come in part on some connection.
 func (f *frontend) anyPartialRequest() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c, is := range f.conns {
+	f.conns.mu.Lock()
+	defer f.conns.mu.Unlock()
+	for c, is := range f.conns.open {
 		if is.state == http.StateIdle && !c.isIdle() {
 			return true
 		}
@@ -156,14 +156,14 @@
 	b := newBalancer(t, activeMember("s-00000001", s))
 	x := b.sendPartialRequest(t)
 	b.cancel()
-	<-b.proxy.front.acceptEnded // the listener is closed, and idle connections are being closed
+	<-b.proxy.front.acceptor.ended // the listener is closed, and idle connections are being closed
 	for range 3 {
-		b.proxy.front.closeIdleConns(0, closedByDrain)
+		b.proxy.front.conns.closeIdle(0, closedByDrain)
 	}
 	x.end(t)
 	x.answer(t, 200)
 	b.awaitEnd(t)
-	assertEqual(t, "open connections", b.proxy.front.openConns(), 0)
+	assertEqual(t, "open connections", b.proxy.front.conns.count(), 0)
 }
 
 // The same while draining, and where a connection has to make room.
@@ -172,24 +172,24 @@
 	b := newBalancer(t, activeMember("s-00000001", s))
 	f := b.proxy.front
 	x := b.sendPartialRequest(t)
-	f.closeIdleConns(0, closedByDrain)
-	f.mu.Lock()
-	for c, status := range f.conns { // it entered its state long ago
+	f.conns.closeIdle(0, closedByDrain)
+	f.conns.mu.Lock()
+	for c, status := range f.conns.open { // it entered its state long ago
 		status.since -= 2 * timelimit.EvictionMinIdle
-		f.conns[c] = status
+		f.conns.open[c] = status
 	}
-	f.maxConns = len(f.conns)
-	f.mu.Unlock()
+	f.conns.max = len(f.conns.open)
+	f.conns.mu.Unlock()
 	other, peer := net.Pipe()
 	defer other.Close()
 	defer peer.Close()
-	f.trackConn(&framingConn{Conn: other, now: f.now}, http.StateNew) // over the limit: it is closed itself
+	f.conns.track(&framingConn{Conn: other, now: f.now}, http.StateNew) // over the limit: it is closed itself
 	if _, err := peer.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the new connection: %v, want its end", err)
 	}
-	f.mu.Lock()
-	f.maxConns = 100
-	f.mu.Unlock()
+	f.conns.mu.Lock()
+	f.conns.max = 100
+	f.conns.mu.Unlock()
 	x.end(t)
 	x.answer(t, 200)
 }
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -84,7 +84,7 @@
 	}
 	now := l.now()
 	l.pool.evictIdleIfDue(now)
-	if now >= l.publishAt {
+	if l.report.isDue(now) {
 		l.publish(now)
 	}
 }
