--- a/internal/management/commands.go
+++ b/internal/management/commands.go
@@ -62,10 +62,8 @@
 	return lines.String() + "END\n"
 }
 
+// verdictWords has the first word of an answer of one line, by whether what was called for is so.
+var verdictWords = map[bool]string{true: "YES", false: "NO"}
+
 // verdict is an answer of one line.
-func verdict(yes bool, state string) string {
-	if yes {
-		return "YES " + state + "\n"
-	}
-	return "NO " + state + "\n"
-}
+func verdict(yes bool, state string) string { return verdictWords[yes] + " " + state + "\n" }
--- a/internal/proxy/responsestream.go
+++ b/internal/proxy/responsestream.go
@@ -34,10 +34,9 @@
 	return n, err
 }
 
-// finish returns the connection if it can be used again, and closes it otherwise. complete tells whether the body has been
-// read to its end.
-func (s *responseStream) finish(complete bool) *upstreamConn {
-	if !complete || s.resp.Close {
+// release returns the connection if it can be used again, and closes it otherwise. The body has been read to its end.
+func (s *responseStream) release() *upstreamConn {
+	if s.resp.Close {
 		s.conn.Close()
 		return nil
 	}
--- a/internal/proxy/responsewriter.go
+++ b/internal/proxy/responsewriter.go
@@ -57,7 +57,13 @@
 	defer func() {
 		// Where watching could not be stopped, a read deadline may still be set on the upstream's connection.
 		stopped := stopWatching()
-		x.frontend.post(streamFinished{upstream.endpoint, upstream.finish(result == delivered && stopped)})
+		var reusable *upstreamConn
+		if result == delivered && stopped {
+			reusable = upstream.release()
+		} else {
+			upstream.conn.Close()
+		}
+		x.frontend.post(streamFinished{upstream.endpoint, reusable})
 	}()
 	if n := upstream.resp.ContentLength; n >= 0 {
 		x.writer.Header().Set("Content-Length", strconv.FormatInt(n, 10))
