--- a/cmd/balancer/logqueue.go
+++ b/cmd/balancer/logqueue.go
@@ -13,13 +13,13 @@
 const logQueueLength = 512
 
 // logQueue is a writer that never waits: a goroutine of its own writes the lines to their destination. Lines are lost while too
-// many wait, so whoever logs goes on where nobody reads the log. Once the queue has been written, a line tells how many were
+// many wait, so whoever logs goes on where nobody reads the log. Once the queue has been written, a line reports how many were
 // lost.
 type logQueue struct {
 	destination io.Writer
 	lines       chan []byte
-	lost        atomic.Int64       // lines that were lost since the last line that told so
-	flush       chan chan struct{} // asks the goroutine to close a channel once all that was queued before is written
+	lost        atomic.Int64       // lines that were lost and are not reported yet
+	flush       chan chan struct{} // requests that the goroutine closes a channel once all that was queued before is written
 }
 
 // newLogQueue returns a queue before a destination. Its goroutine ends with the process.
--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// loadConfiguration reads the configuration and the fleet file, and sets the logger that the latter asks for.
+// loadConfiguration reads the configuration and the fleet file, and sets the logger that the latter configures.
 func loadConfiguration(logWriter io.Writer) (proxy.Config, fleet.File, error) {
 	config, err := proxy.LoadConfig(os.Getenv)
 	if err != nil {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -52,7 +52,7 @@
 	return remaining
 }
 
-// drop keeps an attempt from being sent if writing it has not begun.
+// drop prevents an attempt from being sent if writing it has not begun. It reports whether it did so.
 func (a *attempt) drop() bool { return a.stage.CompareAndSwap(attemptWaiting, attemptDropped) }
 
 // claim takes the attempt for writing at the time now, and returns how long its upstream has for it. It fails if the
@@ -76,7 +76,7 @@
 }
 
 // idempotencyWindow is the time within which upstreams recognize the retries of an idempotent request. The decision module
-// checks it when it asks for an attempt, but an attempt may wait for its connection until after the window's end. Its zero
+// checks it when it starts an attempt, but an attempt may wait for its connection until after the window's end. Its zero
 // value bounds nothing.
 type idempotencyWindow struct {
 	duration   time.Duration // from the first attempt that may have been executed; 0: no bound
@@ -91,7 +91,7 @@
 	startedAt time.Duration
 }
 
-// isOver reports whether the window of an earlier attempt has ended. The lock is held.
+// isOver reports whether the window of an earlier attempt has ended. The caller has the lock.
 func (w *idempotencyWindow) isOver(now time.Duration) bool {
 	return slices.ContainsFunc(w.executions, func(x possibleExecution) bool {
 		return timelimit.Window{Start: x.startedAt, Length: w.duration}.IsOver(now)
--- a/internal/proxy/attemptwriter.go
+++ b/internal/proxy/attemptwriter.go
@@ -16,7 +16,7 @@
 const copyBufferSize = 16 << 10
 
 // errClientBody says that the client's body broke off, so the fault is not the upstream's.
-var errClientBody = errors.New("the client's body did not come whole")
+var errClientBody = errors.New("the client's body is incomplete")
 
 // copyBuffers are *[copyBufferSize]byte for streaming bodies.
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
--- a/internal/proxy/bodybudget.go
+++ b/internal/proxy/bodybudget.go
@@ -7,7 +7,7 @@
 
 const (
 	// maxBody is how many bytes are buffered of one body at most, of a request or a response: what is buffered completely
-	// can be sent or asked for again. A longer body is streamed.
+	// can be sent again, or requested again. A longer body is streamed.
 	maxBody = 64 << 10
 	// minBodyBuffer is how many bytes of a body are buffered even when the budget is spent.
 	minBodyBuffer = 4 << 10
--- a/internal/proxy/clientconns.go
+++ b/internal/proxy/clientconns.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// forget removes a connection from the open ones, if it is one of them. The lock is held.
+// forget removes a connection from the open ones, if it is one of them. The caller has the lock.
 func (c *clientConns) forget(conn *framingConn) {
 	status, tracked := c.open[conn]
 	if !tracked {
@@ -82,7 +82,7 @@
 	delete(c.open, conn)
 }
 
-// evict closes the connection that has been idle for longest, or newcomer if there is none. The lock is held.
+// evict closes the connection that has been idle for longest, or newcomer if there is none. The caller has the lock.
 func (c *clientConns) evict(newcomer *framingConn) {
 	victim := newcomer
 	since := c.now() - timelimit.EvictionMinIdle
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -171,7 +171,7 @@
 	return &f, nil
 }
 
-// maxUnusedKeys is how many unused keys are kept at most.
+// maxUnusedKeys is how many unused keys are reported at most.
 const maxUnusedKeys = 16
 
 // unusedKeys returns the keys of a configuration's top level that are not used, sorted.
--- a/internal/proxy/connmetrics.go
+++ b/internal/proxy/connmetrics.go
@@ -10,7 +10,7 @@
 type closeCause string
 
 const (
-	closedByDrain    closeCause = "drain"     // operators have asked for a drain
+	closedByDrain    closeCause = "drain"     // operators have ordered a drain
 	closedByShutdown closeCause = "shutdown"  // the process ends
 	closedByLimit    closeCause = "limit"     // there are too many connections
 	closedByRequest  closeCause = "malformed" // the end of a request is in doubt, or its body is not read
@@ -33,10 +33,10 @@
 	return m
 }
 
-// added notes a connection that enters a state.
+// added counts a connection that enters a state.
 func (m connMetrics) added(state http.ConnState) { m.open[state].Add(1) }
 
-// removed notes a connection that leaves a state.
+// removed stops counting a connection that leaves a state.
 func (m connMetrics) removed(state http.ConnState) { m.open[state].Add(-1) }
 
 // countClose counts a connection that is closed, now or after its response.
--- a/internal/proxy/connpool.go
+++ b/internal/proxy/connpool.go
@@ -98,7 +98,7 @@
 	switch {
 	case c == nil:
 		p.open--
-	case c.abandoned: // given up while its response came
+	case c.abandoned: // abandoned while its response came
 		p.close(c)
 	case p.releasing || e.state != balancer.Active || c.RemoteAddr().String() != e.address:
 		p.close(c)
@@ -129,7 +129,7 @@
 	e.idle = nil
 }
 
-// release closes all idle connections and keeps none from then on.
+// release closes all idle connections, and from then on each connection after its use.
 func (p *connPool) release() {
 	p.releasing = true
 	for _, e := range p.endpoints {
--- a/internal/proxy/dialer.go
+++ b/internal/proxy/dialer.go
@@ -10,7 +10,7 @@
 )
 
 // This file carries out one attempt on one connection. http.Transport is not used for it: it may write a request again by
-// itself when a kept connection breaks, it closes the connection of an attempt that is abandoned, and it does not report
+// itself when a reused connection breaks, it closes the connection of an attempt that is abandoned, and it does not report
 // whether the last byte was written. Responses are still parsed by net/http.
 
 // dialFunc opens a connection to an address within timeout.
--- a/internal/proxy/endpointupdate.go
+++ b/internal/proxy/endpointupdate.go
@@ -40,7 +40,7 @@
 	list := update.list
 	if list.Revision < l.discovery.revision {
 		slog.Info("discovery revisions restarted", "revision", list.Revision, "current_revision", l.discovery.revision)
-		if !list.Complete { // these are changes of a list that is not held: the next call gets all of it
+		if !list.Complete { // these are changes of a list that the loop does not have: the next call gets the complete list
 			list.Revision = 0
 		}
 	}
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -51,7 +51,7 @@
 
 func (e attemptFinished) apply(l *loop) {
 	a := e.attempt
-	a.message = message{} // a timer may keep the attempt for long
+	a.message = message{} // a timer may refer to the attempt for long
 	a.head = nil
 	endpoint := a.endpoint
 	delete(endpoint.inFlight, a)
@@ -116,7 +116,7 @@
 	})
 }
 
-// releaseIdle asks the loop to close idle connections, now and from now on: a process that takes over from this one
+// releaseIdle has the loop close idle connections, now and from now on: a process that takes over from this one
 // shares the limit on descriptors.
 type releaseIdle struct{}
 
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -128,8 +128,8 @@
 	x.serve()
 }
 
-// closesConns reports whether each connection is to be closed once its present request is answered, and why. The answer holds for
-// the moment: it has to be asked for when the response is written, not only when its request comes.
+// closesConns reports whether each connection is to be closed once its present request is answered, and why. The result is
+// valid only now: call it when the response is written, not only when its request arrives.
 func (f *frontend) closesConns() (cause closeCause, closes bool) {
 	if cause, closes := f.lifecycle.closeCause(); closes {
 		return cause, true
@@ -139,7 +139,7 @@
 
 // closeAfterResponse makes net/http close the connection once the present request is answered.
 func (f *frontend) closeAfterResponse(w http.ResponseWriter, cause closeCause) {
-	if w.Header().Get("Connection") == "" { // not asked for before
+	if w.Header().Get("Connection") == "" { // not set before
 		f.metrics.conns.countClose(cause)
 	}
 	w.Header().Set("Connection", "close")
@@ -161,14 +161,14 @@
 	return r.URL.Path == "/healthz" && r.Method == http.MethodGet && r.Header.Get("X-Request-Id") == ""
 }
 
-// serveHealthCheck answers 200 if the event loop is running and new clients are welcome.
+// serveHealthCheck answers 200 if the event loop is running and new clients are accepted.
 func (f *frontend) serveHealthCheck(w http.ResponseWriter) {
 	if !f.lifecycle.isEnding() {
 		reached := make(barrier)
 		f.post(reached)
 		<-reached
 	}
-	if cause, closes := f.closesConns(); closes { // asked again after the wait for the loop
+	if cause, closes := f.closesConns(); closes { // it may have changed during the wait for the loop
 		f.closeAfterResponse(w, cause)
 	}
 	if f.lifecycle.shutdown.isActive() {
--- a/internal/proxy/healthcheck.go
+++ b/internal/proxy/healthcheck.go
@@ -18,7 +18,7 @@
 	endpoint *endpoint
 	sentAt   time.Duration // on the loop's clock
 	address  string        // host:port
-	load     bool          // ask for a load report, and not only whether it runs
+	load     bool          // request a load report, and not only whether the upstream serves
 	conn     *upstreamConn // an idle connection; nil: a new one is opened
 }
 
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -157,8 +157,8 @@
 	l.deliverOutcomes()
 }
 
-// publish sets the gauges that only the loop can, and saves what the decision module has learnt. The module's own timers
-// see to it that the loop runs often enough for it.
+// publish sets the gauges that only the loop can, and saves a snapshot of the decision module. The module's own timers
+// make the loop run often enough for it.
 func (l *loop) publish(now time.Duration) {
 	known, skipped := l.balancer.EndpointCounts(now)
 	l.metrics.knownEndpoints.Set(known)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// saveLastSnapshot saves what the decision module has learnt up to the end.
+// saveLastSnapshot saves a snapshot of the decision module at the end.
 func (p *Proxy) saveLastSnapshot() {
 	// A loop that is too busy for it has saved most of that shortly before.
 	_ = p.callLoop(func(l *loop) { l.saver.saveLastSnapshot(l.balancer, l.now()) })
--- a/internal/proxy/requestbody.go
+++ b/internal/proxy/requestbody.go
@@ -10,7 +10,7 @@
 	"sprucehill/internal/timelimit"
 )
 
-// minBodyRate is the pace, in bytes per second, that a client has to keep while it sends a body: half of what the platform
+// minBodyRate is the pace, in bytes per second, that a client has to maintain while it sends a body: half of what the platform
 // promises for its clients.
 const minBodyRate = 32 << 10
 
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -116,7 +116,7 @@
 	l.closeRequest(r)
 }
 
-// closeRequest notes that the client gets nothing more. Attempts that still wait for a connection are dropped: nobody
+// closeRequest records that the client gets nothing more. Attempts that still wait for a connection are dropped: nobody
 // would get their response, whether or not the settings allow cancelling what has been sent.
 func (l *loop) closeRequest(r *request) {
 	r.closed = true
@@ -129,7 +129,7 @@
 }
 
 // releaseRequest deletes a request that is closed and has no attempt in flight. Its timer stays until the deadline, but
-// does not keep its body.
+// does not refer to its body any more.
 func (l *loop) releaseRequest(r *request) {
 	if r.closed && r.undelivered == 0 {
 		delete(l.requests, r.ID)
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -18,7 +18,7 @@
 	// on.
 	maxResponseLength = 64 << 20
 	// unsizedResponseHoldTime is how long a response of unknown length is buffered before what has come is passed on. Until
-	// it is complete it might be one that can be asked for again, but holding back a long one costs its client time.
+	// it is complete it might be one that can be requested again, but delaying a long one costs its client time.
 	unsizedResponseHoldTime = 200 * time.Millisecond
 )
 
--- a/internal/proxy/responsewriter.go
+++ b/internal/proxy/responsewriter.go
@@ -23,14 +23,14 @@
 // write writes a response to the client. Only a streamed one can end other than delivered.
 func (x *exchange) write(a response) delivery {
 	header := x.writer.Header()
-	// Asked again: a drain or shutdown that began while the request was in progress must not leave its connection open.
+	// A drain or shutdown that began while the request was in progress must not leave its connection open.
 	if cause, closes := x.frontend.closesConns(); closes {
 		x.frontend.closeAfterResponse(x.writer, cause)
 	}
 	if a.contentType != "" {
 		header.Set("Content-Type", a.contentType)
 	} else {
-		header["Content-Type"] = nil // keeps net/http from guessing one
+		header["Content-Type"] = nil // prevents net/http from guessing one
 	}
 	if a.retryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -30,7 +30,7 @@
 
 // awaitClients closes idle connections until none is open, or until the time limit closes the rest.
 func (f *frontend) awaitClients() {
-	// http.Server.Shutdown is no substitute: it also closes a kept connection whose next request has come in part.
+	// http.Server.Shutdown is no substitute: it also closes a persistent connection on which a part of the next request has arrived.
 	limit := time.After(f.lifecycle.longestDeadline + timelimit.ClientWrite)
 	sweep := time.NewTicker(shutdownSweepInterval)
 	defer sweep.Stop()
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -41,7 +41,7 @@
 	old := *q
 	last := len(old) - 1
 	t := old[last]
-	old[last] = timer{} // or the array would keep its request alive
+	old[last] = timer{} // or the array would refer to its request
 	*q = old[:last]
 	return t
 }
