--- a/cmd/balancer/logmessages_test.go
+++ b/cmd/balancer/logmessages_test.go
@@ -139,8 +139,12 @@
 			t.Errorf("%s: a text that is not constant is logged", file.Name.Name)
 		}
 		for _, text := range texts {
-			message := messages.add(level, text, keysOf(call.Args[1:]))
-			message.moreKeys = message.moreKeys || call.Ellipsis.IsValid()
+			if call.Ellipsis.IsValid() {
+				list := call.Args[len(call.Args)-1]
+				messages.add(level, text, keysOfList(declaration, list)).moreKeys = true
+				continue
+			}
+			messages.add(level, text, keysOf(call.Args[1:]))
 		}
 		return true
 	})
@@ -177,10 +181,17 @@
 
 // textsOf returns the constant texts that an expression may be: itself, or what is assigned to the variable.
 func textsOf(declaration ast.Decl, expression ast.Expr) (texts []string) {
-	if text, ok := literal(expression); ok {
-		return []string{text}
+	for _, value := range append(assignedTo(declaration, expression), expression) {
+		if text, ok := literal(value); ok {
+			texts = append(texts, text)
+		}
 	}
-	variable, ok := expression.(*ast.Ident)
+	return texts
+}
+
+// assignedTo returns the values that a declaration assigns to a variable, except those that begin with the variable itself.
+func assignedTo(declaration ast.Decl, variable ast.Expr) (values []ast.Expr) {
+	name, ok := variable.(*ast.Ident)
 	if !ok {
 		return nil
 	}
@@ -189,13 +200,39 @@
 		if !ok || len(assignment.Lhs) != 1 {
 			return true
 		}
-		assigned, ok := assignment.Lhs[0].(*ast.Ident)
-		if text, constant := literal(assignment.Rhs[0]); ok && constant && assigned.Name == variable.Name {
-			texts = append(texts, text)
+		if assigned, ok := assignment.Lhs[0].(*ast.Ident); ok && assigned.Name == name.Name {
+			values = append(values, withoutAppend(assignment.Rhs[0], name.Name))
 		}
 		return true
 	})
-	return texts
+	return values
+}
+
+// withoutAppend returns what an append to a variable adds to it, or else the expression itself.
+func withoutAppend(expression ast.Expr, variable string) ast.Expr {
+	call, ok := expression.(*ast.CallExpr)
+	if !ok || len(call.Args) == 0 {
+		return expression
+	}
+	if first, ok := call.Args[0].(*ast.Ident); !ok || first.Name != variable {
+		return expression
+	}
+	return &ast.CompositeLit{Elts: call.Args[1:]}
+}
+
+// keysOfList returns the literal keys of a list of keys and values: what is assigned to the variable, and what a function adds
+// behind its first argument.
+func keysOfList(declaration ast.Decl, list ast.Expr) (keys []string) {
+	if call, ok := list.(*ast.CallExpr); ok && len(call.Args) > 0 {
+		return append(keysOfList(declaration, call.Args[0]), keysOf(call.Args[1:])...)
+	}
+	if composite, ok := list.(*ast.CompositeLit); ok {
+		return keysOf(composite.Elts)
+	}
+	for _, value := range assignedTo(declaration, list) {
+		keys = append(keys, keysOfList(declaration, value)...)
+	}
+	return keys
 }
 
 // keysOf returns the keys among the arguments behind a message: each first of two.
