--- a/cmd/balancer/logqueue.go
+++ b/cmd/balancer/logqueue.go
@@ -2,22 +2,24 @@
 
 import (
 	"io"
+	"log/slog"
+	"sync/atomic"
 	"time"
-)
 
-const (
-	// logQueueLength is how many lines of the log may wait for being written.
-	logQueueLength = 512
-	// logFlushTimeout bounds the wait for lines that are still to be written at the end of the process.
-	logFlushTimeout = 500 * time.Millisecond
+	"sprucehill/internal/timelimit"
 )
 
-// logQueue is a writer that never waits: lines are written to its destination by a goroutine of its own, and lost while too many
-// wait. Whoever logs goes on also where nobody reads the log.
+// logQueueLength is how many lines of the log may wait for being written.
+const logQueueLength = 512
+
+// logQueue is a writer that never waits: a goroutine of its own writes the lines to their destination. Lines are lost while too
+// many wait, so whoever logs goes on where nobody reads the log. Once the queue has been written, a line reports how many were
+// lost.
 type logQueue struct {
 	destination io.Writer
 	lines       chan []byte
-	flush       chan chan struct{} // asks the goroutine to tell once all that was queued before is written
+	lost        atomic.Int64       // lines that were lost and are not reported yet
+	flush       chan chan struct{} // requests that the goroutine closes a channel once all that was queued before is written
 }
 
 // newLogQueue returns a queue before a destination. Its goroutine ends with the process.
@@ -32,13 +34,14 @@
 	select {
 	case q.lines <- append([]byte(nil), line...):
 	default:
+		q.lost.Add(1)
 	}
 	return len(line), nil
 }
 
-// Flush waits until what has been queued is written, logFlushTimeout at most.
+// Flush waits until what has been queued is written, timelimit.LogFlush at most.
 func (q *logQueue) Flush() {
-	limit := time.NewTimer(logFlushTimeout)
+	limit := time.NewTimer(timelimit.LogFlush)
 	defer limit.Stop()
 	written := make(chan struct{})
 	select {
@@ -57,14 +60,32 @@
 		select {
 		case line := <-q.lines:
 			q.write(line)
+			q.logLost()
 		case written := <-q.flush:
-			for range len(q.lines) {
-				q.write(<-q.lines)
-			}
+			q.writeQueued()
+			q.logLost()
+			q.writeQueued() // the line of logLost
 			close(written)
 		}
 	}
 }
 
-// write writes a line. One that can't be written is lost: there is nowhere to say so.
+// writeQueued writes the lines that are queued now.
+func (q *logQueue) writeQueued() {
+	for range len(q.lines) {
+		q.write(<-q.lines)
+	}
+}
+
+// write writes a line. One that can't be written is lost: there is nowhere to log that.
 func (q *logQueue) write(line []byte) { _, _ = q.destination.Write(line) }
+
+// logLost logs how many lines were lost, once no line waits: the queue then has space for this one.
+func (q *logQueue) logLost() {
+	if len(q.lines) > 0 {
+		return
+	}
+	if lost := q.lost.Swap(0); lost > 0 {
+		slog.Warn("log lines lost", "count", lost)
+	}
+}
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -18,6 +18,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"sprucehill/internal/timelimit"
 )
 
 const (
@@ -25,8 +27,6 @@
 	maxConnections = 16
 	// maxCallSize bounds a call with its line feed, in bytes.
 	maxCallSize = 128
-	// callerTimeout bounds how long a caller may take to send its line, and again to read its answer and close.
-	callerTimeout = 2 * time.Second
 	// maxDiscarded bounds the bytes that are read after a call, so that a caller who sent more still gets its answer.
 	maxDiscarded = 64 << 10
 	// acceptRetryDelay is the wait after a connection could not be accepted, as where descriptors are short.
@@ -40,12 +40,16 @@
 	Ready() (ready bool, state string)
 	// WriteMetrics writes the metrics, one to a line.
 	WriteMetrics(w io.Writer) error
-	// Drain starts draining the balancer, or stops it. The state is the one from now on, or says what went wrong.
-	// Repeating it is harmless.
-	Drain(on bool) (done bool, state string)
-	// Zone drains a zone, so that it gets no new requests, or returns it to service step by step. The state is the
-	// zone's from now on, or says why it was not done.
-	Zone(name string, leave bool) (done bool, state string)
+	// StartDrain starts a drain of the balancer. The state is the one from now on, or says what went wrong. Repeating it
+	// is harmless.
+	StartDrain() (done bool, state string)
+	// EndDrain ends the drain of the balancer. Its results are as those of StartDrain.
+	EndDrain() (done bool, state string)
+	// DrainZone drains a zone, so that it gets no new requests. The state is the zone's from now on, or says why it was
+	// not done.
+	DrainZone(name string) (done bool, state string)
+	// RestoreZone returns a zone to service step by step. Its results are as those of DrainZone.
+	RestoreZone(name string) (done bool, state string)
 	// WriteZones writes the state of each zone, one to a line.
 	WriteZones(w io.Writer) error
 	// WriteMembers writes what this balancer knows of its fleet, one member to a line. An error says why it knows
@@ -129,9 +133,9 @@
 
 // handle reads one call and answers it.
 func (s *server) handle(c net.Conn) {
-	c.SetDeadline(time.Now().Add(callerTimeout))
+	c.SetDeadline(time.Now().Add(timelimit.OperatorConnection))
 	answer := s.readAndExecute(c)
-	c.SetDeadline(time.Now().Add(callerTimeout))
+	c.SetDeadline(time.Now().Add(timelimit.OperatorConnection))
 	if _, err := io.WriteString(c, answer); err != nil {
 		return // the caller has gone
 	}
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -8,6 +8,8 @@
 //
 // The package promises that an attempt is written to the wire at most once, that every accepted request gets at most one
 // response, and that a request whose end on the wire is in doubt is never forwarded. It does not retry by itself.
+//
+// The package logs to the default logger of package slog, also on the event loop: a handler that waits holds up the balancer.
 package proxy
 
 import (
@@ -169,7 +171,7 @@
 	return &f, nil
 }
 
-// maxUnusedKeys is how many unused keys are kept at most.
+// maxUnusedKeys is how many unused keys are reported at most.
 const maxUnusedKeys = 16
 
 // unusedKeys returns the keys of a configuration's top level that are not used, sorted.
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -1,6 +1,8 @@
 package proxy
 
 import (
+	"log/slog"
+
 	"sprucehill/balancer"
 )
 
@@ -49,7 +51,7 @@
 
 func (e attemptFinished) apply(l *loop) {
 	a := e.attempt
-	a.message = message{} // a timer may keep the attempt for long
+	a.message = message{} // a timer may refer to the attempt for long
 	a.head = nil
 	endpoint := a.endpoint
 	delete(endpoint.inFlight, a)
@@ -114,7 +116,7 @@
 	})
 }
 
-// releaseIdle asks the loop to close idle connections, now and from now on: a process that takes over from this one
+// releaseIdle has the loop close idle connections, now and from now on: a process that takes over from this one
 // shares the limit on descriptors.
 type releaseIdle struct{}
 
@@ -135,7 +137,7 @@
 type discoveryMoved struct{ address string }
 
 func (e discoveryMoved) apply(l *loop) {
-	l.log.info("discovery moved", "address", e.address)
+	slog.Info("discovery address changed", "address", e.address)
 	l.saver.discovery = e.address
 	l.discovery.moveTo(e.address)
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/timelimit"
 )
 
 // Proxy is one balancer with its clients, upstreams and discovery. Its methods may be called from any goroutine.
@@ -30,7 +31,7 @@
 	p.loop = newLoop(life, &p.config)
 	p.front = newFrontend(&p.config, listener, p.loop)
 	if p.loop.saver.currentOrders().Drain {
-		p.front.setDraining(true) // before operators can order otherwise
+		p.front.startDrain() // before operators can order otherwise
 	}
 	return p
 }
@@ -49,7 +50,7 @@
 	for {
 		select {
 		case err := <-served: // the listener has failed; what has been accepted is still owed its response
-			slog.Error("no more connections are accepted: shutting down", "err", err)
+			slog.Error("listener failed, shutting down", "err", err)
 			p.front.shutDown()
 			p.saveLastSnapshot()
 			return err
@@ -63,7 +64,7 @@
 	}
 }
 
-// saveLastSnapshot saves what the decision module has learnt up to the end.
+// saveLastSnapshot saves a snapshot of the decision module at the end.
 func (p *Proxy) saveLastSnapshot() {
 	// A loop that is too busy for it has saved most of that shortly before.
 	_ = p.callLoop(func(l *loop) { l.saver.saveLastSnapshot(l.balancer, l.now()) })
@@ -74,37 +75,44 @@
 	switch {
 	case !p.serving.Load():
 		return false, "starting"
-	case p.front.shuttingDown.Load():
+	case p.front.lifecycle.shutdown.isActive():
 		return false, "stopping"
-	case p.front.draining.Load():
+	case p.front.lifecycle.drain.isActive():
 		return true, "draining"
 	}
 	return true, "serving"
 }
 
-// Drain sends clients away without ending the process, or accepts them again. done is false where the order may not
-// outlive the process.
-func (p *Proxy) Drain(on bool) (done bool, state string) {
-	p.front.setDraining(on)
+// StartDrain sends clients away without ending the process. done is false where the order may not outlive the process.
+func (p *Proxy) StartDrain() (done bool, state string) {
+	p.front.startDrain()
+	return p.saveDrainOrder()
+}
+
+// EndDrain accepts clients again. done is false where the order may not outlive the process.
+func (p *Proxy) EndDrain() (done bool, state string) {
+	p.front.endDrain()
+	return p.saveDrainOrder()
+}
+
+// saveDrainOrder saves whether the balancer drains now, and returns its state.
+func (p *Proxy) saveDrainOrder() (done bool, state string) {
 	_, state = p.Ready()
 	// Of orders at the same moment, the one that is saved last saves the state that all of them have led to.
-	err := p.loop.saver.updateOrders(func(o *savedOrders) { o.Drain = p.front.draining.Load() })
+	err := p.loop.saver.updateOrders(func(o *savedOrders) { o.Drain = p.front.lifecycle.drain.isActive() })
 	if err != nil {
 		return false, state + ", " + err.Error()
 	}
 	return true, state
 }
 
-// operatorTimeout bounds an operator's call that the loop answers: operators are promised an answer in 1 s.
-const operatorTimeout = 700 * time.Millisecond
-
 // errBusy says that the loop has not come to a call in time. What was ordered may still be done.
 var errBusy = errors.New("the balancer is too busy to answer")
 
 // callLoop has the loop run a function on its goroutine, and waits for that.
 func (p *Proxy) callLoop(do func(l *loop)) error {
 	call := operatorCall{do, make(chan struct{})}
-	timeout := time.NewTimer(operatorTimeout)
+	timeout := time.NewTimer(timelimit.OperatorCall)
 	defer timeout.Stop()
 	select {
 	case p.loop.events <- call:
@@ -119,16 +127,8 @@
 	}
 }
 
-// Zone sends nothing new to a zone, or takes it back step by step.
-func (p *Proxy) Zone(name string, leave bool) (done bool, state string) {
-	if leave {
-		return p.drainZone(name)
-	}
-	return p.reinstateZone(name)
-}
-
-// drainZone sends nothing new to a zone.
-func (p *Proxy) drainZone(name string) (done bool, state string) {
+// DrainZone sends no new requests to a zone. If it is not done, or the order may not outlive the process, state says why.
+func (p *Proxy) DrainZone(name string) (done bool, state string) {
 	drained := false // the loop's own until it has answered
 	err := p.callLoop(func(l *loop) { drained = l.balancer.DrainZone(l.now(), name) })
 	if err != nil {
@@ -137,11 +137,11 @@
 	if !drained {
 		return false, "it is not known, or the last that is not left"
 	}
-	return p.saveZoneOrder(name, true, "left")
+	return p.saveZoneOrder("left", func(o *savedOrders) { o.setZoneDrained(name, true) })
 }
 
-// reinstateZone takes a drained zone back step by step.
-func (p *Proxy) reinstateZone(name string) (done bool, state string) {
+// RestoreZone returns a drained zone to service step by step. Its results are as those of DrainZone.
+func (p *Proxy) RestoreZone(name string) (done bool, state string) {
 	reinstated := false // the loop's own until it has answered
 	err := p.callLoop(func(l *loop) { reinstated = l.balancer.ReinstateZone(l.now(), name) })
 	if err != nil {
@@ -150,12 +150,12 @@
 	if !reinstated {
 		return false, "it was not left"
 	}
-	return p.saveZoneOrder(name, false, "returning")
+	return p.saveZoneOrder("returning", func(o *savedOrders) { o.setZoneDrained(name, false) })
 }
 
-// saveZoneOrder saves what was ordered of a zone, which is in a state now.
-func (p *Proxy) saveZoneOrder(name string, drained bool, state string) (done bool, text string) {
-	err := p.loop.saver.updateOrders(func(o *savedOrders) { o.setZoneDrained(name, drained) })
+// saveZoneOrder saves what an order for a zone changes. The zone is in the given state now.
+func (p *Proxy) saveZoneOrder(state string, change func(*savedOrders)) (done bool, text string) {
+	err := p.loop.saver.updateOrders(change)
 	if err != nil {
 		return false, state + ", " + err.Error()
 	}
@@ -189,5 +189,5 @@
 	if err := p.loop.metrics.set.Write(w); err != nil {
 		return err
 	}
-	return p.loop.zones.write(w)
+	return p.loop.report.zones.write(w)
 }
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"log/slog"
 	"net/http"
 	"time"
 
@@ -56,8 +57,8 @@
 	req := a.request
 	now := l.now()
 	if debugLogged() {
-		l.log.debug("attempt ended", "request", req.message.header.Get("X-Request-Id"), "attempt", a.index,
-			"upstream", a.address, "status", r.status, "after", (now - a.sentAt).Round(time.Millisecond), "closed", req.closed)
+		slog.Debug("attempt ended", "request_id", req.message.header.Get("X-Request-Id"), "attempt", a.index,
+			"endpoint", a.address, "status", r.status, "elapsed", (now - a.sentAt).Round(time.Millisecond), "request_closed", req.closed)
 	}
 	if neverRan(r.status) {
 		req.window.exclude(a)
@@ -115,7 +116,7 @@
 	l.closeRequest(r)
 }
 
-// closeRequest notes that the client gets nothing more. Attempts that still wait for a connection are dropped: nobody
+// closeRequest records that the client gets nothing more. Attempts that still wait for a connection are dropped: nobody
 // would get their response, whether or not the settings allow cancelling what has been sent.
 func (l *loop) closeRequest(r *request) {
 	r.closed = true
@@ -128,7 +129,7 @@
 }
 
 // releaseRequest deletes a request that is closed and has no attempt in flight. Its timer stays until the deadline, but
-// does not keep its body.
+// does not refer to its body any more.
 func (l *loop) releaseRequest(r *request) {
 	if r.closed && r.undelivered == 0 {
 		delete(l.requests, r.ID)
--- a/internal/proxy/responsewriter.go
+++ b/internal/proxy/responsewriter.go
@@ -7,6 +7,8 @@
 	"net/http"
 	"strconv"
 	"time"
+
+	"sprucehill/internal/timelimit"
 )
 
 // delivery is how writing a response ended.
@@ -21,14 +23,14 @@
 // write writes a response to the client. Only a streamed one can end other than delivered.
 func (x *exchange) write(a response) delivery {
 	header := x.writer.Header()
-	// Asked again: a drain or shutdown that began while the request was in progress must not leave its connection open.
+	// A drain or shutdown that began while the request was in progress must not leave its connection open.
 	if cause, closes := x.frontend.closesConns(); closes {
 		x.frontend.closeAfterResponse(x.writer, cause)
 	}
 	if a.contentType != "" {
 		header.Set("Content-Type", a.contentType)
 	} else {
-		header["Content-Type"] = nil // keeps net/http from guessing one
+		header["Content-Type"] = nil // prevents net/http from guessing one
 	}
 	if a.retryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
@@ -55,7 +57,13 @@
 	defer func() {
 		// Where watching could not be stopped, a read deadline may still be set on the upstream's connection.
 		stopped := stopWatching()
-		x.frontend.post(streamFinished{upstream.endpoint, upstream.finish(result == delivered && stopped)})
+		var reusable *upstreamConn
+		if result == delivered && stopped {
+			reusable = upstream.release()
+		} else {
+			upstream.conn.Close()
+		}
+		x.frontend.post(streamFinished{upstream.endpoint, reusable})
 	}()
 	if n := upstream.resp.ContentLength; n >= 0 {
 		x.writer.Header().Set("Content-Length", strconv.FormatInt(n, 10))
@@ -81,7 +89,7 @@
 		part = buf[:n]
 		switch {
 		case errors.Is(err, io.EOF):
-			if x.frontend.sendsClientsAway() {
+			if x.frontend.lifecycle.isEnding() {
 				connOf(x.httpRequest).endAfterResponse()
 			}
 			if _, err := x.writer.Write(part); err != nil {
@@ -96,8 +104,8 @@
 	}
 }
 
-// extendWriteDeadline gives the client another clientWriteTimeout for reading. That fails only on a closed connection,
+// extendWriteDeadline gives the client another timelimit.ClientWrite for reading. That fails only on a closed connection,
 // which the next write shows.
 func extendWriteDeadline(control *http.ResponseController) {
-	_ = control.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
+	_ = control.SetWriteDeadline(time.Now().Add(timelimit.ClientWrite))
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -10,6 +10,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"sprucehill/internal/timelimit"
 )
 
 // partialRequest is a client connection on which one request has been answered and a part of the next one's head has come.
@@ -22,9 +24,9 @@
 // sendPartialRequest opens a connection with a partial request, and waits until the part has been read.
 func (b *testBalancer) sendPartialRequest(t *testing.T) partialRequest {
 	t.Helper()
-	x := partialRequest{Conn: b.sendRaw(t, "checkin", "", "")}
+	x := partialRequest{Conn: b.sendRaw(t, "checkin", "")}
 	x.in = bufio.NewReader(x)
-	x.answer(t, 200)
+	x.answer(t)
 	var text strings.Builder
 	if err := b.newRequest("checkin", "").Write(&text); err != nil {
 		t.Fatal(err)
@@ -40,9 +42,9 @@
 
 // anyPartialRequest reports whether a later request has come in part on some connection.
 func (f *frontend) anyPartialRequest() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c, is := range f.conns {
+	f.conns.mu.Lock()
+	defer f.conns.mu.Unlock()
+	for c, is := range f.conns.open {
 		if is.state == http.StateIdle && !c.isIdle() {
 			return true
 		}
@@ -50,15 +52,15 @@
 	return false
 }
 
-// answer reads a response and checks its status.
-func (x partialRequest) answer(t *testing.T, status int) {
+// answer reads a response and checks that it is successful.
+func (x partialRequest) answer(t *testing.T) {
 	t.Helper()
 	resp, err := http.ReadResponse(x.in, nil)
 	if err != nil {
 		t.Fatalf("a request that had begun got no response: %v", err)
 	}
 	io.Copy(io.Discard, resp.Body)
-	assertEqual(t, "status", resp.StatusCode, status)
+	assertEqual(t, "status", resp.StatusCode, http.StatusOK)
 }
 
 // end sends the rest of the request.
@@ -154,14 +156,14 @@
 	b := newBalancer(t, activeMember("s-00000001", s))
 	x := b.sendPartialRequest(t)
 	b.cancel()
-	<-b.proxy.front.acceptEnded // the listener is closed, and idle connections are being closed
+	<-b.proxy.front.acceptor.ended // the listener is closed, and idle connections are being closed
 	for range 3 {
-		b.proxy.front.closeIdleConns(0, closedByDrain)
+		b.proxy.front.conns.closeIdle(0, closedByDrain)
 	}
 	x.end(t)
-	x.answer(t, 200)
+	x.answer(t)
 	b.awaitEnd(t)
-	assertEqual(t, "open connections", b.proxy.front.openConns(), 0)
+	assertEqual(t, "open connections", b.proxy.front.conns.count(), 0)
 }
 
 // The same while draining, and where a connection has to make room.
@@ -170,26 +172,26 @@
 	b := newBalancer(t, activeMember("s-00000001", s))
 	f := b.proxy.front
 	x := b.sendPartialRequest(t)
-	f.closeIdleConns(0, closedByDrain)
-	f.mu.Lock()
-	for c, status := range f.conns { // it entered its state long ago
-		status.since -= 2 * evictionMinIdle
-		f.conns[c] = status
-	}
-	f.maxConns = len(f.conns)
-	f.mu.Unlock()
+	f.conns.closeIdle(0, closedByDrain)
+	f.conns.mu.Lock()
+	for c, status := range f.conns.open { // it entered its state long ago
+		status.since -= 2 * timelimit.EvictionMinIdle
+		f.conns.open[c] = status
+	}
+	f.conns.max = len(f.conns.open)
+	f.conns.mu.Unlock()
 	other, peer := net.Pipe()
 	defer other.Close()
 	defer peer.Close()
-	f.trackConn(&framingConn{Conn: other, now: f.now}, http.StateNew) // over the limit: it is closed itself
+	f.conns.track(&framingConn{Conn: other, now: f.now}, http.StateNew) // over the limit: it is closed itself
 	if _, err := peer.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the new connection: %v, want its end", err)
 	}
-	f.mu.Lock()
-	f.maxConns = 100
-	f.mu.Unlock()
+	f.conns.mu.Lock()
+	f.conns.max = 100
+	f.conns.mu.Unlock()
 	x.end(t)
-	x.answer(t, 200)
+	x.answer(t)
 }
 
 // pausedListener is a listener that accepts nothing until the test resumes it. It reports when it has been asked to end.
@@ -224,13 +226,13 @@
 		func(*Config) {}, activeMember("s-00000001", s))
 	var waiting []net.Conn
 	for range 5 {
-		waiting = append(waiting, b.sendRaw(t, "checkin", "", ""))
+		waiting = append(waiting, b.sendRaw(t, "checkin", ""))
 	}
 	b.cancel()
 	<-l.ending
 	close(l.resume)
 	for _, c := range waiting {
-		partialRequest{Conn: c, in: bufio.NewReader(c)}.answer(t, 200)
+		partialRequest{Conn: c, in: bufio.NewReader(c)}.answer(t)
 	}
 	b.awaitEnd(t)
 	if c, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://")); err == nil {
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -41,7 +41,7 @@
 	old := *q
 	last := len(old) - 1
 	t := old[last]
-	old[last] = timer{} // or the array would keep its request alive
+	old[last] = timer{} // or the array would refer to its request
 	*q = old[:last]
 	return t
 }
@@ -84,7 +84,7 @@
 	}
 	now := l.now()
 	l.pool.evictIdleIfDue(now)
-	if now >= l.publishAt {
+	if l.report.isDue(now) {
 		l.publish(now)
 	}
 }
