--- a/cmd/balancer/members_test.go
+++ b/cmd/balancer/members_test.go
@@ -125,13 +125,22 @@
 	return s, strings.Join(all, " ")
 }
 
+// membersCallTimeout bounds a call of members.
+const membersCallTimeout = 5 * time.Second
+
 // callMembers returns the answer to the management call members, without its END.
 func (p *peer) callMembers() ([]string, error) {
-	text, err := readCall(p.management, "members")
+	c, err := openCall(p.management, "members")
+	if err != nil {
+		return nil, err
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(membersCallTimeout))
+	text, err := io.ReadAll(c)
 	if err != nil {
 		return nil, err
 	}
-	lines := strings.Split(strings.TrimSpace(text), "\n")
+	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	last := len(lines) - 1
 	if lines[last] != "END" {
 		return nil, io.ErrUnexpectedEOF
--- a/internal/proxy/decisionlog_test.go
+++ b/internal/proxy/decisionlog_test.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"context"
 	"log/slog"
 	"reflect"
 	"testing"
@@ -19,16 +20,52 @@
 		{balancer.EndpointUnresponsive{Endpoint: 7, Silence: time.Second}, "endpoint unresponsive",
 			[]any{"endpoint", balancer.EndpointID(7), "elapsed", time.Second}},
 		{balancer.ZoneEjected{Zone: "z", Unhealthy: 3, Members: 4}, "zone ejected",
-			[]any{"zone", "z", "unhealthy", 3, "members", 4}},
-		{balancer.ZoneRecoveryStarted{Zone: "z", StepPeriods: 6}, "zone recovery started", []any{"zone", "z", "step_periods", 6}},
-		{balancer.RequestsShed{QueueLength: 5}, "request shed", []any{"queue_length", 5}},
+			[]any{"zone", "z", "unhealthy", int64(3), "members", int64(4)}},
+		{balancer.ZoneRecoveryStarted{Zone: "z", StepPeriods: 6}, "zone recovery started", []any{"zone", "z", "step_periods", int64(6)}},
+		{balancer.RequestsShed{QueueLength: 5}, "request shed", []any{"queue_length", int64(5)}},
 		{balancer.DiscoveryCallFailed{RetryIn: time.Second}, "discovery call failed", []any{"retry_in", time.Second}},
 	} {
-		l := &loop{log: newLogWriter()}
-		l.Log(test.event)
-		got, want := <-l.log.entries, logEntry{slog.LevelInfo, test.text, test.keys}
-		if !reflect.DeepEqual(got, want) {
+		records := captureLog(t)
+		new(loop).Log(test.event)
+		want := []logRecord{{slog.LevelInfo, test.text, test.keys}}
+		if got := *records; !reflect.DeepEqual(got, want) {
 			t.Errorf("%T is logged as %+v, want %+v", test.event, got, want)
 		}
 	}
 }
+
+// logRecord is a line of the log: its message, and keys with their values as in slog.Info.
+type logRecord struct {
+	level slog.Level
+	text  string
+	keys  []any
+}
+
+// captureLog makes a recorder the default logger until the test ends.
+func captureLog(t *testing.T) *[]logRecord {
+	t.Helper()
+	var records []logRecord
+	former := slog.Default()
+	t.Cleanup(func() { slog.SetDefault(former) })
+	slog.SetDefault(slog.New(recordingHandler{&records}))
+	return &records
+}
+
+// recordingHandler keeps the lines of the log.
+type recordingHandler struct{ records *[]logRecord }
+
+func (h recordingHandler) Enabled(context.Context, slog.Level) bool { return true }
+
+func (h recordingHandler) Handle(_ context.Context, r slog.Record) error {
+	var keys []any
+	r.Attrs(func(a slog.Attr) bool {
+		keys = append(keys, a.Key, a.Value.Any())
+		return true
+	})
+	*h.records = append(*h.records, logRecord{r.Level, r.Message, keys})
+	return nil
+}
+
+func (h recordingHandler) WithAttrs([]slog.Attr) slog.Handler { return h }
+
+func (h recordingHandler) WithGroup(string) slog.Handler { return h }
