--- a/internal/proxy/acceptfailure_test.go
+++ b/internal/proxy/acceptfailure_test.go
@@ -43,7 +43,7 @@
 }
 
 // newBalancerOnFailing starts a balancer whose clients come through a listener that fails.
-func newBalancerOnFailing(t *testing.T, l *failingListener, members ...endpointEntry) *testBalancer {
+func newBalancerOnFailing(t *testing.T, l *failingListener, members ...Entry) *testBalancer {
 	t.Helper()
 	return newBalancerOn(t, newTestDiscovery(t), func(x net.Listener) net.Listener {
 		l.recordingListener = x.(recordingListener)
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -52,7 +52,7 @@
 	// Sockets is the limit on open sockets of the process.
 	Sockets int
 	// Known is the endpoint list as last known, maybe stale.
-	Known endpointList
+	Known List
 	// Settings are for the decision module.
 	Settings balancer.Settings
 	// Links are the settings of connections to upstreams.
@@ -99,7 +99,7 @@
 	Management string          `json:"management"`
 	Seed       string          `json:"seed"` // hexadecimal
 	Limits     fileLimits      `json:"limits"`
-	Known      endpointList    `json:"known"`
+	Known      List            `json:"known"`
 	Settings   json.RawMessage `json:"settings"`
 
 	text []byte // the complete file
@@ -231,7 +231,7 @@
 		return c, err
 	}
 	for _, m := range c.Known.Members {
-		if err := m.validate(); err != nil {
+		if err := m.Validate(); err != nil {
 			return c, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -119,12 +119,12 @@
 		t.Fatal(err)
 	}
 	l := newLoop(t.Context(), &c)
-	m := endpointEntry{ID: "s-1", Phase: "up", UpSinceMS: time.Now().Add(-3 * time.Second).UnixMilli()}
-	if age := l.now() - m.toEndpoint(1).StartedAt; age < 2900*time.Millisecond || age > 4*time.Second {
+	m := Entry{ID: "s-1", Phase: "up", UpSinceMS: time.Now().Add(-3 * time.Second).UnixMilli()}
+	if age := l.now() - m.ToEndpoint(1).StartedAt; age < 2900*time.Millisecond || age > 4*time.Second {
 		t.Errorf("age %v, want 3 s", age)
 	}
 	m.UpSinceMS = 0
-	assertEqual(t, "long ago", m.toEndpoint(1).StartedAt, time.Duration(0))
+	assertEqual(t, "long ago", m.ToEndpoint(1).StartedAt, time.Duration(0))
 }
 
 func TestParseLoadReport(t *testing.T) {
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -13,113 +13,118 @@
 )
 
 const (
-	// watchTimeout is how long discovery may hold a watch call open until there is a newer list. answerTimeout is how much later
-	// the answer may come, and how long that of a fetch may take. What discovery has to tell counts as notified 2 s after
-	// watchTimeout, and an agent that does not respond must have been noticed before: a longer wait would delay that.
-	watchTimeout  = 2 * time.Second
-	answerTimeout = 1 * time.Second
-	// watchInterval is the least time from one watch call to the next: an agent that answers at once must not keep the
+	// WatchTimeout is how long discovery may hold a watch call open until there is a newer list.
+	WatchTimeout = 2 * time.Second
+	// AnswerTimeout is how much later than WatchTimeout the answer may come, and how long that of a fetch may take. What
+	// discovery has to tell counts as notified 2 s after WatchTimeout, and an agent that does not respond must have been
+	// noticed before: a longer wait would delay that.
+	AnswerTimeout = 1 * time.Second
+	// WatchInterval is the least time from one watch call to the next: an agent that answers at once must not keep the
 	// core busy. Discovery takes a call 200 ms after the last answer for a new watch.
-	watchInterval = 100 * time.Millisecond
+	WatchInterval = 100 * time.Millisecond
 	// maxListBytes bounds an answer.
 	maxListBytes = 4 << 20
 )
 
-// endpointUpdate is an answer of discovery for the loop, or the failure of a call.
-type endpointUpdate struct {
-	list endpointList
-	err  error
-	from *discoveryClient
+// Update is an answer of discovery, or the failure of a call. Whoever takes one from a Watcher has to call MarkApplied.
+type Update struct {
+	List List  // the answer; empty where the call failed
+	Err  error // why the call failed; nil: it was answered
+
+	from *client
 	// began and ended place the call and its answer in the order of all calls and answers of this client.
 	began, ended uint64
-	applied      chan struct{} // closed once the loop has applied the update
+	applied      chan struct{} // closed by MarkApplied
 }
 
-// discoveryClient asks one discovery service for the list of endpoints and delivers the answers to the loop. Each call
-// of watch or fetch runs on a goroutine of its own. After a failure it does not ask again by itself: when to do so is
-// for the decision module to say.
-type discoveryClient struct {
+// MarkApplied lets the call's goroutine go on. It must be called exactly once, when the update has been applied or ignored.
+func (u Update) MarkApplied() { close(u.applied) }
+
+// client calls one discovery service for the list of endpoints and delivers the answers to the owner. Each call of watch
+// or fetch runs on a goroutine of its own. After a failure it does not call again by itself: when to do so is for the owner
+// to say.
+type client struct {
 	url  string
 	http *http.Client
-	// revision is that of the list that the loop holds. The loop sets it: what the loop has not taken is asked for again.
+	// revision is that of the owner's list. The owner sets it: what it has not applied is requested again.
 	revision atomic.Uint64
 	sequence atomic.Uint64 // counts calls and answers
-	// deliver returns once the loop has applied the update.
-	deliver func(endpointUpdate)
+	// deliver returns once the owner has applied the update.
+	deliver func(Update)
 	// firstDelay is how long, a time.Duration, the next watch waits before its first call. That watch sets it to 0.
 	firstDelay atomic.Int64
 }
 
-// newDiscoveryClient returns a client of the service at an address, for a loop that holds a list up to a revision.
-func newDiscoveryClient(address string, revision uint64, deliver func(endpointUpdate)) *discoveryClient {
-	d := &discoveryClient{
+// newClient returns a client of the service at an address, for an owner whose list is of a revision.
+func newClient(address string, revision uint64, deliver func(Update)) *client {
+	c := &client{
 		url:     "http://" + address + "/v1/servers",
 		http:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}},
 		deliver: deliver,
 	}
-	d.revision.Store(revision)
-	return d
+	c.revision.Store(revision)
+	return c
 }
 
 // delayFirstCall has the next watch wait before its first call.
-func (d *discoveryClient) delayFirstCall(delay time.Duration) { d.firstDelay.Store(int64(delay)) }
+func (c *client) delayFirstCall(delay time.Duration) { c.firstDelay.Store(int64(delay)) }
 
 // watch follows the list until a call fails or ctx ends.
-func (d *discoveryClient) watch(ctx context.Context) {
+func (c *client) watch(ctx context.Context) {
 	select {
-	case <-time.After(time.Duration(d.firstDelay.Swap(0))):
+	case <-time.After(time.Duration(c.firstDelay.Swap(0))):
 	case <-ctx.Done():
 	}
 	for ctx.Err() == nil {
-		nextCall := time.After(watchInterval)
-		update := d.call(ctx, d.watchURL(), watchTimeout+answerTimeout)
-		if update.err != nil {
+		nextCall := time.After(WatchInterval)
+		update := c.call(ctx, c.watchURL(), WatchTimeout+AnswerTimeout)
+		if update.Err != nil {
 			if ctx.Err() != nil {
 				return
 			}
 			<-nextCall // on a failure the module may ask for a new watch at once
-			d.deliver(update)
+			c.deliver(update)
 			return
 		}
-		d.deliver(update) // what has been notified counts, also where the watch was ended just then
+		c.deliver(update) // what has been notified counts, also where the watch was ended just then
 		<-nextCall
 	}
 }
 
-// watchURL is that of a call which waits for a list newer than the one that the loop holds.
-func (d *discoveryClient) watchURL() string {
-	return fmt.Sprintf("%s?since=%d&timeout_ms=%d", d.url, d.revision.Load(), watchTimeout.Milliseconds())
+// watchURL is that of a call which waits for a list newer than the owner's.
+func (c *client) watchURL() string {
+	return fmt.Sprintf("%s?since=%d&timeout_ms=%d", c.url, c.revision.Load(), WatchTimeout.Milliseconds())
 }
 
 // fetch asks for the complete list once.
-func (d *discoveryClient) fetch(ctx context.Context) {
-	update := d.call(ctx, d.url, answerTimeout)
-	if update.err == nil || ctx.Err() == nil {
-		d.deliver(update)
+func (c *client) fetch(ctx context.Context) {
+	update := c.call(ctx, c.url, AnswerTimeout)
+	if update.Err == nil || ctx.Err() == nil {
+		c.deliver(update)
 	}
 }
 
 // call makes one call and returns its answer or failure.
-func (d *discoveryClient) call(ctx context.Context, url string, timeout time.Duration) endpointUpdate {
-	update := endpointUpdate{from: d, began: d.sequence.Add(1)}
-	update.list, update.err = d.get(ctx, url, timeout)
-	if update.err != nil {
-		update.err = fmt.Errorf("discovery: %w", update.err)
+func (c *client) call(ctx context.Context, url string, timeout time.Duration) Update {
+	update := Update{from: c, began: c.sequence.Add(1)}
+	update.List, update.Err = c.get(ctx, url, timeout)
+	if update.Err != nil {
+		update.Err = fmt.Errorf("discovery: %w", update.Err)
 	}
-	update.ended = d.sequence.Add(1)
+	update.ended = c.sequence.Add(1)
 	return update
 }
 
 // get reads the list at a URL, its entries sorted by their IDs.
-func (d *discoveryClient) get(ctx context.Context, url string, timeout time.Duration) (endpointList, error) {
+func (c *client) get(ctx context.Context, url string, timeout time.Duration) (List, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	var list endpointList
+	var list List
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return list, err
 	}
-	resp, err := d.http.Do(req)
+	resp, err := c.http.Do(req)
 	if err != nil {
 		return list, err
 	}
@@ -135,10 +140,10 @@
 		return list, err
 	}
 	for i := range list.Members {
-		if err := list.Members[i].validate(); err != nil {
+		if err := list.Members[i].Validate(); err != nil {
 			return list, err
 		}
 	}
-	slices.SortFunc(list.Members, func(a, b endpointEntry) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(list.Members, func(a, b Entry) int { return strings.Compare(a.ID, b.ID) })
 	return list, nil
 }
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -126,14 +126,14 @@
 
 // WatchEndpoints starts following discovery, in place of a watch that runs, or stops following it.
 func (l *loop) WatchEndpoints(on bool) {
-	l.discovery.stopWatch()
+	l.discovery.StopWatch()
 	if on {
-		l.discovery.startWatch()
+		l.discovery.StartWatch()
 	}
 }
 
 // FetchEndpoints asks discovery for the complete list once.
-func (l *loop) FetchEndpoints() { l.discovery.fetch() }
+func (l *loop) FetchEndpoints() { l.discovery.Fetch() }
 
 // SetTimer asks for a call of the module's OnTimer with the token.
 func (l *loop) SetTimer(after time.Duration, token uint64) {
--- a/internal/proxy/endpointlist.go
+++ b/internal/proxy/endpointlist.go
@@ -9,22 +9,22 @@
 	"sprucehill/balancer"
 )
 
-// endpointList is a list of upstreams, as discovery answers it, the configuration names it and the state saver keeps it.
-type endpointList struct {
-	Revision uint64          `json:"revision"`
-	Complete bool            `json:"complete"` // false: only the entries that changed
-	Members  []endpointEntry `json:"members"`
+// List is a list of upstreams, in the form of discovery's answers. The configuration and saved state have the same form.
+type List struct {
+	Revision uint64  `json:"revision"` // rises with each change; 0: of none
+	Complete bool    `json:"complete"` // false: only the entries that changed
+	Members  []Entry `json:"members"`
 }
 
-// endpointEntry is an entry of an endpoint list.
-type endpointEntry struct {
+// Entry is an entry of a List: one upstream.
+type Entry struct {
 	ID        string  `json:"id"`
 	HostPort  string  `json:"host_port"`
 	Locality  string  `json:"locality"` // the zone, with or without its region
 	Cell      int     `json:"cell"`
-	Phase     string  `json:"phase"` // a key of phases
-	Size      float64 `json:"size"`
-	UpSinceMS int64   `json:"up_since_ms"` // Unix time; 0: long ago
+	Phase     string  `json:"phase"`       // a key of phases
+	Size      float64 `json:"size"`        // its weight against others
+	UpSinceMS int64   `json:"up_since_ms"` // Unix time, in milliseconds; 0: long ago
 }
 
 // phases maps discovery's phases to the decision module's states.
@@ -37,8 +37,9 @@
 // errNoEntryID says that an entry of an endpoint list names no endpoint.
 var errNoEntryID = errors.New("an entry has no id")
 
-// validate returns an error that says what makes the entry unusable.
-func (m *endpointEntry) validate() error {
+// Validate returns an error that says what makes the entry unusable: no ID, an unknown phase, or an address that is not an
+// IP address with a port. A removed entry needs no address.
+func (m *Entry) Validate() error {
 	if m.ID == "" {
 		return errNoEntryID
 	}
@@ -46,7 +47,7 @@
 	if !ok {
 		return fmt.Errorf("%s: phase %q is unknown", m.ID, m.Phase)
 	}
-	if state == balancer.Removed { // it needs no address
+	if state == balancer.Removed {
 		return nil
 	}
 	if _, err := netip.ParseAddrPort(m.HostPort); err != nil {
@@ -55,8 +56,11 @@
 	return nil
 }
 
-// toEndpoint returns the entry as the decision module takes it, under an ID of the module's.
-func (m *endpointEntry) toEndpoint(id balancer.EndpointID) balancer.Endpoint {
+// IsRemoved reports whether the entry says that its upstream is gone.
+func (m *Entry) IsRemoved() bool { return phases[m.Phase] == balancer.Removed }
+
+// ToEndpoint returns the entry as the decision module takes it, under an ID of the module's. StartedAt is Unix time.
+func (m *Entry) ToEndpoint(id balancer.EndpointID) balancer.Endpoint {
 	return balancer.Endpoint{
 		ID:     id,
 		Zone:   m.Locality,
--- a/internal/proxy/endpointupdate.go
+++ b/internal/proxy/endpointupdate.go
@@ -5,17 +5,17 @@
 )
 
 // onEndpointUpdate handles an answer of discovery, or the failure of a call.
-func (l *loop) onEndpointUpdate(update endpointUpdate) {
-	defer close(update.applied)
+func (l *loop) onEndpointUpdate(update Update) {
+	defer update.MarkApplied()
 	switch {
-	case update.from != l.discovery.client:
+	case l.discovery.IsFromPrevious(update):
 		l.applyFromPreviousDiscovery(update)
-	case update.err != nil:
-		l.log.info("endpoint update failed", "err", update.err)
+	case update.Err != nil:
+		l.log.info("endpoint update failed", "err", update.Err)
 		l.balancer.OnEndpointUpdate(l.now(), balancer.UpdateFailed, nil)
-	case l.discovery.isStale(update):
-		l.log.info("stale endpoint list ignored", "revision", update.list.Revision, "held", l.discovery.revision)
-		l.discovery.ignore(update)
+	case l.discovery.IsStale(update):
+		l.log.info("stale endpoint list ignored", "revision", update.List.Revision, "held", l.discovery.Revision())
+		l.discovery.Ignore(update)
 	default:
 		l.acceptEndpointUpdate(update)
 	}
@@ -24,31 +24,31 @@
 
 // applyFromPreviousDiscovery applies an answer of the service before the last move. It counts until the present service
 // has answered; the revisions of the two have nothing to do with each other.
-func (l *loop) applyFromPreviousDiscovery(update endpointUpdate) {
-	if update.err != nil || l.discovery.lastAccepted != 0 {
+func (l *loop) applyFromPreviousDiscovery(update Update) {
+	if update.Err != nil || l.discovery.HasAccepted() {
 		return
 	}
-	list := update.list
+	list := update.List
 	list.Revision = 0
 	l.applyEndpointList(updateMode(list), list)
 }
 
 // acceptEndpointUpdate applies an answer of the present service.
-func (l *loop) acceptEndpointUpdate(update endpointUpdate) {
-	list := update.list
-	if list.Revision < l.discovery.revision {
-		l.log.info("discovery restarted its revisions", "revision", list.Revision, "held", l.discovery.revision)
+func (l *loop) acceptEndpointUpdate(update Update) {
+	list := update.List
+	if list.Revision < l.discovery.Revision() {
+		l.log.info("discovery restarted its revisions", "revision", list.Revision, "held", l.discovery.Revision())
 		if !list.Complete { // these are changes of a list that is not held: the next call gets all of it
 			list.Revision = 0
 		}
 	}
-	l.discovery.accept(update)
+	l.discovery.Accept(update)
 	l.applyEndpointList(updateMode(list), list)
-	l.discovery.client.revision.Store(l.discovery.revision)
+	l.discovery.ContinueFromRevision()
 }
 
 // updateMode is how the decision module takes an answer of discovery.
-func updateMode(list endpointList) balancer.UpdateMode {
+func updateMode(list List) balancer.UpdateMode {
 	if list.Complete {
 		return balancer.UpdateComplete
 	}
@@ -57,8 +57,8 @@
 
 // applyEndpointList applies a list: first to the endpoint table, so that nothing goes to an endpoint that drains, then
 // to the decision module, which may send at once.
-func (l *loop) applyEndpointList(mode balancer.UpdateMode, list endpointList) {
-	l.discovery.revision = list.Revision
+func (l *loop) applyEndpointList(mode balancer.UpdateMode, list List) {
+	l.discovery.SetRevision(list.Revision)
 	endpoints := l.updateEndpoints(mode, list)
 	l.balancer.OnEndpointUpdate(l.now(), mode, endpoints)
 	l.deliverOutcomes()
@@ -68,12 +68,12 @@
 }
 
 // updateEndpoints applies a list to the endpoint table and returns its entries as the decision module takes them.
-func (l *loop) updateEndpoints(mode balancer.UpdateMode, list endpointList) []balancer.Endpoint {
+func (l *loop) updateEndpoints(mode balancer.UpdateMode, list List) []balancer.Endpoint {
 	endpoints := make([]balancer.Endpoint, 0, len(list.Members))
 	listed := make(map[balancer.EndpointID]bool, len(list.Members))
 	for i := range list.Members {
 		entry := &list.Members[i]
-		endpoint := entry.toEndpoint(l.ids.idOf(entry.ID))
+		endpoint := entry.ToEndpoint(l.ids.idOf(entry.ID))
 		endpoint.Zone = qualifyZone(l.localities, endpoint.Zone)
 		endpoints = append(endpoints, endpoint)
 		listed[endpoint.ID] = true
--- a/internal/proxy/endpointupdate_test.go
+++ b/internal/proxy/endpointupdate_test.go
@@ -20,7 +20,7 @@
 			first := dials.next(t)
 			entry := activeMember("s-00000001", after)
 			entry.Phase = phase
-			list := endpointList{Revision: 12, Members: []endpointEntry{entry}}
+			list := List{Revision: 12, Members: []Entry{entry}}
 			if phase != "up" {
 				list.Members = append(list.Members, activeMember("s-00000002", after))
 			}
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -137,5 +137,5 @@
 func (e discoveryMoved) apply(l *loop) {
 	l.log.info("discovery moved", "address", e.address)
 	l.saver.discovery = e.address
-	l.discovery.moveTo(e.address)
+	l.discovery.MoveTo(e.address)
 }
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -10,12 +10,8 @@
 	"sprucehill/internal/metrics"
 )
 
-const (
-	// eventQueueLength is how many events may wait for the loop before those who post them wait too.
-	eventQueueLength = 1024
-	// updateQueueLength is how many answers of discovery may wait for the loop.
-	updateQueueLength = 4
-)
+// eventQueueLength is how many events may wait for the loop before those who post them wait too.
+const eventQueueLength = 1024
 
 // event is something that happened outside of the loop. apply is called on the loop's goroutine.
 type event interface{ apply(l *loop) }
@@ -46,7 +42,7 @@
 
 	ids        *endpointIDs
 	localities map[string]string // zones without a region, to region/zone
-	discovery  *discoveryWatcher
+	discovery  *Watcher
 	saver      *stateSaver
 
 	metrics   *proxyMetrics
@@ -80,10 +76,10 @@
 		now:         l.now,
 	}
 	l.saver = newStateSaver(c, l.log)
-	l.discovery = newDiscoveryWatcher(ctx, c.Discovery, l.saver.initial.Revision)
+	l.discovery = NewWatcher(ctx, c.Discovery, l.saver.initial.Revision)
 	if l.saver.restored {
 		seeded := rand.New(rand.NewPCG(c.Seed, 1))
-		l.discovery.client.delayFirstCall(time.Duration(seeded.Int64N(int64(maxStartDelay(c.Settings)) + 1)))
+		l.discovery.DelayFirstCall(time.Duration(seeded.Int64N(int64(maxStartDelay(c.Settings)) + 1)))
 	}
 	return l
 }
@@ -131,7 +127,7 @@
 	wake := time.NewTimer(0)
 	for {
 		select {
-		case update := <-l.discovery.updates:
+		case update := <-l.discovery.Updates():
 			l.onEndpointUpdate(update)
 			continue
 		default:
@@ -141,7 +137,7 @@
 			wake.Reset(max(0, at-l.now()))
 		}
 		select {
-		case update := <-l.discovery.updates:
+		case update := <-l.discovery.Updates():
 			l.onEndpointUpdate(update)
 		case e := <-l.events:
 			l.dispatch(e)
@@ -154,8 +150,8 @@
 
 // dispatch applies an event, after an update from discovery that came meanwhile.
 func (l *loop) dispatch(e event) {
-	if len(l.discovery.updates) > 0 {
-		l.onEndpointUpdate(<-l.discovery.updates)
+	if len(l.discovery.Updates()) > 0 {
+		l.onEndpointUpdate(<-l.discovery.Updates())
 	}
 	e.apply(l)
 	l.deliverOutcomes()
--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -97,7 +97,7 @@
 		assertEqual(t, id, b.metric(t, id), n)
 	}
 
-	b.discovery.answers <- endpointList{Revision: 11, Complete: true, Members: []endpointEntry{stays}}
+	b.discovery.answers <- List{Revision: 11, Complete: true, Members: []Entry{stays}}
 	<-b.discovery.calls // the list has been applied: the next call names its revision
 	status, _ = b.do(t, b.newRequest("read", ""))
 	assertEqual(t, "status", status, 200)
--- a/internal/proxy/statesaver.go
+++ b/internal/proxy/statesaver.go
@@ -44,10 +44,10 @@
 	log       *logWriter
 	discovery string // the address of the service that is followed
 
-	initial  endpointList // to begin with
-	restored bool         // initial is from before this process
+	initial  List // to begin with
+	restored bool // initial is from before this process
 
-	members      map[string]endpointEntry       // the list as it is now
+	members      map[string]Entry               // the list as it is now
 	names        map[balancer.EndpointID]string // discovery's IDs of members
 	nextSnapshot time.Duration                  // on the loop's clock
 
@@ -62,7 +62,7 @@
 		log:       log,
 		discovery: c.Discovery,
 		initial:   c.Known,
-		members:   map[string]endpointEntry{},
+		members:   map[string]Entry{},
 		names:     map[balancer.EndpointID]string{},
 	}
 	if s.writer == nil {
@@ -100,7 +100,7 @@
 		return
 	}
 	for i := range saved.List.Members {
-		if err := saved.List.Members[i].validate(); err != nil {
+		if err := saved.List.Members[i].Validate(); err != nil {
 			s.logIgnored(r, kindList, err)
 			return
 		}
@@ -161,7 +161,7 @@
 }
 
 // saveList takes a list that has been applied, and saves what the complete one is now.
-func (s *stateSaver) saveList(ids *endpointIDs, mode balancer.UpdateMode, list endpointList) {
+func (s *stateSaver) saveList(ids *endpointIDs, mode balancer.UpdateMode, list List) {
 	if s.writer == nil {
 		return
 	}
@@ -171,7 +171,7 @@
 	}
 	for _, m := range list.Members {
 		id := ids.idOf(m.ID)
-		if phases[m.Phase] == balancer.Removed {
+		if m.IsRemoved() {
 			delete(s.members, m.ID)
 			delete(s.names, id)
 			continue
@@ -179,8 +179,8 @@
 		s.members[m.ID] = m
 		s.names[id] = m.ID
 	}
-	byID := func(a, b endpointEntry) int { return cmp.Compare(a.ID, b.ID) }
-	complete := endpointList{
+	byID := func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) }
+	complete := List{
 		Revision: list.Revision,
 		Complete: true,
 		Members:  slices.SortedFunc(maps.Values(s.members), byID),
--- a/internal/proxy/statesaver_test.go
+++ b/internal/proxy/statesaver_test.go
@@ -68,7 +68,7 @@
 	withWriter := func(c *Config) { c.StateWriter = writer }
 	b := newBalancerWith(t, g, withWriter, activeMember("s-00000009", newTestUpstream(t, respondOK)))
 	select { // discovery has another list than the configuration
-	case g.answers <- endpointList{Revision: 12, Complete: true, Members: []endpointEntry{activeMember("s-00000001", s)}}:
+	case g.answers <- List{Revision: 12, Complete: true, Members: []Entry{activeMember("s-00000001", s)}}:
 	case <-time.After(30 * time.Second):
 		t.Fatal("discovery was not asked")
 	}
@@ -144,8 +144,8 @@
 // counts as notified at once; the delay was once up to 250 ms whatever the grace.
 func TestFirstDiscoveryCallIsWithinTheDrainGrace(t *testing.T) {
 	const grace = 100 * time.Millisecond
-	list, err := json.Marshal(savedList{Discovery: "127.0.0.1:1", List: endpointList{Revision: 12, Complete: true,
-		Members: []endpointEntry{{ID: "s-00000001", HostPort: "127.0.0.1:1", Phase: "up"}}}})
+	list, err := json.Marshal(savedList{Discovery: "127.0.0.1:1", List: List{Revision: 12, Complete: true,
+		Members: []Entry{{ID: "s-00000001", HostPort: "127.0.0.1:1", Phase: "up"}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,7 +169,7 @@
 			c.Settings.Obligations.DrainGrace = grace
 			l := newLoop(t.Context(), &c)
 			assertEqual(t, "knows its upstreams from before", l.saver.restored, true)
-			if delay := time.Duration(l.discovery.client.firstDelay.Load()); delay > test.longest {
+			if delay := l.discovery.FirstCallDelay(); delay > test.longest {
 				t.Errorf("polls %v, seed %d: %v before the first call, want at most %v", test.polls, seed, delay, test.longest)
 			}
 		}
@@ -185,7 +185,7 @@
 	}{
 		{
 			"list",
-			savedList{Discovery: "127.0.0.1:1", List: endpointList{Revision: 12, Complete: true, Members: []endpointEntry{{ID: "s-1", HostPort: "127.0.0.1:2",
+			savedList{Discovery: "127.0.0.1:1", List: List{Revision: 12, Complete: true, Members: []Entry{{ID: "s-1", HostPort: "127.0.0.1:2",
 				Locality: "r/z", Cell: 3, Phase: "up", Size: 1.5, UpSinceMS: 4}}}},
 			`{"discovery":"127.0.0.1:1","list":{"revision":12,"complete":true,"members":[{"id":"s-1","host_port":"127.0.0.1:2",` +
 				`"locality":"r/z","cell":3,"phase":"up","size":1.5,"up_since_ms":4}]}}`,
--- a/internal/proxy/zonemetrics_test.go
+++ b/internal/proxy/zonemetrics_test.go
@@ -62,7 +62,7 @@
 	if by := answeredBy(t, b, 20); by["a"] > 0 {
 		t.Errorf("drained: served by %v", by)
 	}
-	list := endpointList{Revision: 12, Complete: true, Members: []endpointEntry{home, away}}
+	list := List{Revision: 12, Complete: true, Members: []Entry{home, away}}
 	select {
 	case b.discovery.answers <- list:
 	case <-time.After(30 * time.Second):
