--- a/internal/proxy/endpointlist.go
+++ b/internal/discovery/list.go
@@ -1,4 +1,4 @@
-package proxy
+package discovery
 
 import (
 	"errors"
--- a/internal/proxy/discoverywatcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -1,4 +1,4 @@
-package proxy
+package discovery
 
 import (
 	"testing"
@@ -30,3 +30,11 @@
 	w.Accept(second)
 	assertEqual(t, "an older revision after that", w.IsStale(update(older-1, 12, 13)), true)
 }
+
+// assertEqual fails the test if got is not want.
+func assertEqual(t *testing.T, what string, got, want any) {
+	t.Helper()
+	if got != want {
+		t.Errorf("%s: got %v, want %v", what, got, want)
+	}
+}
--- a/internal/proxy/acceptfailure_test.go
+++ b/internal/proxy/acceptfailure_test.go
@@ -8,6 +8,8 @@
 	"sync"
 	"syscall"
 	"testing"
+
+	"sprucehill/internal/discovery"
 )
 
 // failingListener fails its first accept calls, or all of them once it is broken.
@@ -43,7 +45,7 @@
 }
 
 // newBalancerOnFailing starts a balancer whose clients come through a listener that fails.
-func newBalancerOnFailing(t *testing.T, l *failingListener, members ...Entry) *testBalancer {
+func newBalancerOnFailing(t *testing.T, l *failingListener, members ...discovery.Entry) *testBalancer {
 	t.Helper()
 	return newBalancerOn(t, newTestDiscovery(t), func(x net.Listener) net.Listener {
 		l.recordingListener = x.(recordingListener)
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -23,6 +23,7 @@
 	"time"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/discovery"
 	"sprucehill/internal/wire"
 )
 
@@ -52,7 +53,7 @@
 	// Sockets is the limit on open sockets of the process.
 	Sockets int
 	// Known is the endpoint list as last known, maybe stale.
-	Known List
+	Known discovery.List
 	// Settings are for the decision module.
 	Settings balancer.Settings
 	// Links are the settings of connections to upstreams.
@@ -99,7 +100,7 @@
 	Management string          `json:"management"`
 	Seed       string          `json:"seed"` // hexadecimal
 	Limits     fileLimits      `json:"limits"`
-	Known      List            `json:"known"`
+	Known      discovery.List  `json:"known"`
 	Settings   json.RawMessage `json:"settings"`
 
 	text []byte // the complete file
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/discovery"
 )
 
 const configText = `{"name":"n3","listen":"127.0.0.1:7070","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
@@ -119,7 +120,7 @@
 		t.Fatal(err)
 	}
 	l := newLoop(t.Context(), &c)
-	m := Entry{ID: "s-1", Phase: "up", UpSinceMS: time.Now().Add(-3 * time.Second).UnixMilli()}
+	m := discovery.Entry{ID: "s-1", Phase: "up", UpSinceMS: time.Now().Add(-3 * time.Second).UnixMilli()}
 	if age := l.now() - m.ToEndpoint(1).StartedAt; age < 2900*time.Millisecond || age > 4*time.Second {
 		t.Errorf("age %v, want 3 s", age)
 	}
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -11,6 +11,7 @@
 	"testing"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/discovery"
 )
 
 // agent is a discovery agent whose answers a test writes byte by byte, for one connection and call at a time.
@@ -59,7 +60,7 @@
 }
 
 // newBalancerOfAgent starts a balancer that follows an agent.
-func newBalancerOfAgent(t *testing.T, a *agent, change func(*Config), members ...Entry) *testBalancer {
+func newBalancerOfAgent(t *testing.T, a *agent, change func(*Config), members ...discovery.Entry) *testBalancer {
 	t.Helper()
 	return newBalancerWith(t, newTestDiscovery(t), func(c *Config) {
 		change(c)
@@ -80,7 +81,7 @@
 // A list is read in every form that HTTP and JSON have for it.
 func TestEndpointListIsReadInEveryForm(t *testing.T) {
 	s := newTestUpstream(t, respondOK)
-	list := List{Revision: 12, Members: []Entry{drainingMember(activeMember("s-00000001", s)), activeMember("s-00000002", s)}}
+	list := discovery.List{Revision: 12, Members: []discovery.Entry{drainingMember(activeMember("s-00000001", s)), activeMember("s-00000002", s)}}
 	plain, err := json.Marshal(list)
 	if err != nil {
 		t.Fatal(err)
@@ -152,7 +153,7 @@
 				b := newBalancerOfAgent(t, a, withSettings(t, `"membership_mode":"on_request"`, `"membership_mode":"`+mode+`"`),
 					activeMember("s-00000001", removed), activeMember("s-00000002", stays))
 				end(<-a.calls)
-				text, err := json.Marshal(List{Revision: 12, Complete: true, Members: []Entry{activeMember("s-00000002", stays)}})
+				text, err := json.Marshal(discovery.List{Revision: 12, Complete: true, Members: []discovery.Entry{activeMember("s-00000002", stays)}})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/proxy/endpointupdate.go
+++ b/internal/proxy/endpointupdate.go
@@ -2,10 +2,11 @@
 
 import (
 	"sprucehill/balancer"
+	"sprucehill/internal/discovery"
 )
 
 // onEndpointUpdate handles an answer of discovery, or the failure of a call.
-func (l *loop) onEndpointUpdate(update Update) {
+func (l *loop) onEndpointUpdate(update discovery.Update) {
 	defer update.MarkApplied()
 	switch {
 	case l.discovery.IsFromPrevious(update):
@@ -24,7 +25,7 @@
 
 // applyFromPreviousDiscovery applies an answer of the service before the last move. It counts until the present service
 // has answered; the revisions of the two have nothing to do with each other.
-func (l *loop) applyFromPreviousDiscovery(update Update) {
+func (l *loop) applyFromPreviousDiscovery(update discovery.Update) {
 	if update.Err != nil || l.discovery.HasAccepted() {
 		return
 	}
@@ -34,7 +35,7 @@
 }
 
 // acceptEndpointUpdate applies an answer of the present service.
-func (l *loop) acceptEndpointUpdate(update Update) {
+func (l *loop) acceptEndpointUpdate(update discovery.Update) {
 	list := update.List
 	if list.Revision < l.discovery.Revision() {
 		l.log.info("discovery restarted its revisions", "revision", list.Revision, "held", l.discovery.Revision())
@@ -48,7 +49,7 @@
 }
 
 // updateMode is how the decision module takes an answer of discovery.
-func updateMode(list List) balancer.UpdateMode {
+func updateMode(list discovery.List) balancer.UpdateMode {
 	if list.Complete {
 		return balancer.UpdateComplete
 	}
@@ -57,7 +58,7 @@
 
 // applyEndpointList applies a list: first to the endpoint table, so that nothing goes to an endpoint that drains, then
 // to the decision module, which may send at once.
-func (l *loop) applyEndpointList(mode balancer.UpdateMode, list List) {
+func (l *loop) applyEndpointList(mode balancer.UpdateMode, list discovery.List) {
 	l.discovery.SetRevision(list.Revision)
 	endpoints := l.updateEndpoints(mode, list)
 	l.balancer.OnEndpointUpdate(l.now(), mode, endpoints)
@@ -68,7 +69,7 @@
 }
 
 // updateEndpoints applies a list to the endpoint table and returns its entries as the decision module takes them.
-func (l *loop) updateEndpoints(mode balancer.UpdateMode, list List) []balancer.Endpoint {
+func (l *loop) updateEndpoints(mode balancer.UpdateMode, list discovery.List) []balancer.Endpoint {
 	endpoints := make([]balancer.Endpoint, 0, len(list.Members))
 	listed := make(map[balancer.EndpointID]bool, len(list.Members))
 	for i := range list.Members {
--- a/internal/proxy/endpointupdate_test.go
+++ b/internal/proxy/endpointupdate_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/discovery"
 )
 
 // A list gives an endpoint another address, or takes it away, while an attempt waits for its connection: the attempt is
@@ -20,7 +21,7 @@
 			first := dials.next(t)
 			entry := activeMember("s-00000001", after)
 			entry.Phase = phase
-			list := List{Revision: 12, Members: []Entry{entry}}
+			list := discovery.List{Revision: 12, Members: []discovery.Entry{entry}}
 			if phase != "up" {
 				list.Members = append(list.Members, activeMember("s-00000002", after))
 			}
--- a/internal/proxy/fakes_test.go
+++ b/internal/proxy/fakes_test.go
@@ -12,6 +12,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"sprucehill/internal/discovery"
 )
 
 // testUpstream is an upstream whose responses a test writes byte by byte.
@@ -103,11 +105,11 @@
 type testDiscovery struct {
 	addr    string
 	calls   chan string // the query of each call
-	answers chan List
+	answers chan discovery.List
 }
 
 func newTestDiscovery(t testing.TB) *testDiscovery {
-	g := &testDiscovery{calls: make(chan string, 1000), answers: make(chan List)}
+	g := &testDiscovery{calls: make(chan string, 1000), answers: make(chan discovery.List)}
 	stop := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		g.calls <- r.URL.RawQuery
@@ -129,16 +131,16 @@
 
 // watchQuery is the query of a watch call from a revision on.
 func watchQuery(since int) string {
-	return fmt.Sprintf("since=%d&timeout_ms=%d", since, WatchTimeout.Milliseconds())
+	return fmt.Sprintf("since=%d&timeout_ms=%d", since, discovery.WatchTimeout.Milliseconds())
 }
 
 // activeMember is an endpoint that takes requests.
-func activeMember(id string, s *testUpstream) Entry {
-	return Entry{ID: id, HostPort: s.addr, Locality: "z1", Phase: "up", Size: 1}
+func activeMember(id string, s *testUpstream) discovery.Entry {
+	return discovery.Entry{ID: id, HostPort: s.addr, Locality: "z1", Phase: "up", Size: 1}
 }
 
 // drainingMember is m while it drains.
-func drainingMember(m Entry) Entry { m.Phase = "draining"; return m }
+func drainingMember(m discovery.Entry) discovery.Entry { m.Phase = "draining"; return m }
 
 // dialGate holds connections to upstreams back until the test lets each of them open.
 type dialGate struct {
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -15,6 +15,7 @@
 	"testing"
 	"time"
 
+	"sprucehill/internal/discovery"
 	"sprucehill/internal/wire"
 )
 
@@ -48,28 +49,28 @@
 }
 
 // newBalancer starts a balancer with a discovery service of its own.
-func newBalancer(t testing.TB, members ...Entry) *testBalancer {
+func newBalancer(t testing.TB, members ...discovery.Entry) *testBalancer {
 	t.Helper()
 	return newBalancerAt(t, 0, members...)
 }
 
 // newBalancerAt starts a balancer on an inherited listener, or on one of its own if fd is 0.
-func newBalancerAt(t testing.TB, fd int, members ...Entry) *testBalancer {
+func newBalancerAt(t testing.TB, fd int, members ...discovery.Entry) *testBalancer {
 	t.Helper()
 	return newBalancerWith(t, newTestDiscovery(t), func(c *Config) { c.ListenFD = fd }, members...)
 }
 
 // newBalancerWith starts a balancer that uses the given discovery service and a changed configuration.
-func newBalancerWith(t testing.TB, g *testDiscovery, change func(*Config), members ...Entry) *testBalancer {
+func newBalancerWith(t testing.TB, g *testDiscovery, change func(*Config), members ...discovery.Entry) *testBalancer {
 	t.Helper()
 	return newBalancerOn(t, g, func(l net.Listener) net.Listener { return l }, change, members...)
 }
 
 // newBalancerOn starts a balancer whose clients come through what listen makes of its listener.
-func newBalancerOn(t testing.TB, g *testDiscovery, listen func(net.Listener) net.Listener, change func(*Config), members ...Entry) *testBalancer {
+func newBalancerOn(t testing.TB, g *testDiscovery, listen func(net.Listener) net.Listener, change func(*Config), members ...discovery.Entry) *testBalancer {
 	t.Helper()
 	f := configFile{Name: "n0", Listen: "127.0.0.1:0", Discovery: g.addr, Seed: "8c1f30d27a5be964",
-		Known: List{Revision: 10, Complete: true, Members: members}, Settings: json.RawMessage(settingsText)}
+		Known: discovery.List{Revision: 10, Complete: true, Members: members}, Settings: json.RawMessage(settingsText)}
 	f.Limits.MemoryMB, f.Limits.Sockets = 192, 1024
 	c, err := f.toConfig()
 	if err != nil {
@@ -134,9 +135,9 @@
 	for limit := time.Now().Add(failureTimeout); ; time.Sleep(time.Millisecond) {
 		left := ""
 		for stack := range strings.SplitSeq(string(text[:runtime.Stack(text, true)]), "\n\n") {
-			for _, of := range []string{"(*loop)", "(*frontend)", "(*framingConn)", "(*client)", "(*Watcher)",
-				"(*connPool)", "(*logWriter)", "(*stateSaver)", "dialer"} {
-				if strings.Contains(stack, "sprucehill/internal/proxy."+of) && !strings.Contains(stack, "proxy.assertNothingRuns") {
+			for _, of := range []string{"proxy.(*loop)", "proxy.(*frontend)", "proxy.(*framingConn)", "discovery.(*client)",
+				"discovery.(*Watcher)", "proxy.(*connPool)", "proxy.(*logWriter)", "proxy.(*stateSaver)", "proxy.dialer"} {
+				if strings.Contains(stack, "sprucehill/internal/"+of) && !strings.Contains(stack, "proxy.assertNothingRuns") {
 					left = stack
 				}
 			}
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/discovery"
 	"sprucehill/internal/metrics"
 )
 
@@ -42,7 +43,7 @@
 
 	ids        *endpointIDs
 	localities map[string]string // zones without a region, to region/zone
-	discovery  *Watcher
+	discovery  *discovery.Watcher
 	saver      *stateSaver
 
 	metrics   *proxyMetrics
@@ -76,7 +77,7 @@
 		now:         l.now,
 	}
 	l.saver = newStateSaver(c, l.log)
-	l.discovery = NewWatcher(ctx, c.Discovery, l.saver.initial.Revision)
+	l.discovery = discovery.NewWatcher(ctx, c.Discovery, l.saver.initial.Revision)
 	if l.saver.restored {
 		seeded := rand.New(rand.NewPCG(c.Seed, 1))
 		l.discovery.DelayFirstCall(time.Duration(seeded.Int64N(int64(maxStartDelay(c.Settings)) + 1)))
--- a/internal/proxy/loopstall_test.go
+++ b/internal/proxy/loopstall_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"sprucehill/internal/discovery"
 	"sprucehill/internal/durable"
 )
 
@@ -40,7 +41,7 @@
 func BenchmarkLoopStall(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		b.Run(fmt.Sprintf("state=%v", on), func(b *testing.B) {
-			var members []Entry
+			var members []discovery.Entry
 			for i := range 12 {
 				members = append(members, activeMember(fmt.Sprintf("s-%08x", i+1), newTestUpstream(b, respondOK)))
 			}
--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -6,6 +6,8 @@
 	"net/http"
 	"strings"
 	"testing"
+
+	"sprucehill/internal/discovery"
 )
 
 // metric returns the value of a metric as an operator reads it.
@@ -97,7 +99,7 @@
 		assertEqual(t, id, b.metric(t, id), n)
 	}
 
-	b.discovery.answers <- List{Revision: 11, Complete: true, Members: []Entry{stays}}
+	b.discovery.answers <- discovery.List{Revision: 11, Complete: true, Members: []discovery.Entry{stays}}
 	<-b.discovery.calls // the list has been applied: the next call names its revision
 	status, _ = b.do(t, b.newRequest("read", ""))
 	assertEqual(t, "status", status, 200)
--- a/internal/proxy/savedstate.go
+++ b/internal/proxy/savedstate.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/discovery"
 	"sprucehill/internal/durable"
 )
 
@@ -44,8 +45,8 @@
 
 // savedList is the list of upstreams, with the address of the discovery service that it is from.
 type savedList struct {
-	Discovery string `json:"discovery"`
-	List      List   `json:"list"`
+	Discovery string         `json:"discovery"`
+	List      discovery.List `json:"list"`
 }
 
 // savedSnapshot is what the decision module had learnt. Names holds discovery's IDs of Snapshot.Endpoints, in their
--- a/internal/proxy/statesaver.go
+++ b/internal/proxy/statesaver.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/discovery"
 	"sprucehill/internal/durable"
 )
 
@@ -44,10 +45,10 @@
 	log       *logWriter
 	discovery string // the address of the service that is followed
 
-	initial  List // to begin with
-	restored bool // initial is from before this process
+	initial  discovery.List // to begin with
+	restored bool           // initial is from before this process
 
-	members      map[string]Entry               // the list as it is now
+	members      map[string]discovery.Entry     // the list as it is now
 	names        map[balancer.EndpointID]string // discovery's IDs of members
 	nextSnapshot time.Duration                  // on the loop's clock
 
@@ -62,7 +63,7 @@
 		log:       log,
 		discovery: c.Discovery,
 		initial:   c.Known,
-		members:   map[string]Entry{},
+		members:   map[string]discovery.Entry{},
 		names:     map[balancer.EndpointID]string{},
 	}
 	if s.writer == nil {
@@ -161,7 +162,7 @@
 }
 
 // saveList takes a list that has been applied, and saves what the complete one is now.
-func (s *stateSaver) saveList(ids *endpointIDs, mode balancer.UpdateMode, list List) {
+func (s *stateSaver) saveList(ids *endpointIDs, mode balancer.UpdateMode, list discovery.List) {
 	if s.writer == nil {
 		return
 	}
@@ -179,8 +180,8 @@
 		s.members[m.ID] = m
 		s.names[id] = m.ID
 	}
-	byID := func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) }
-	complete := List{
+	byID := func(a, b discovery.Entry) int { return cmp.Compare(a.ID, b.ID) }
+	complete := discovery.List{
 		Revision: list.Revision,
 		Complete: true,
 		Members:  slices.SortedFunc(maps.Values(s.members), byID),
--- a/internal/proxy/statesaver_test.go
+++ b/internal/proxy/statesaver_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"sprucehill/internal/discovery"
 	"sprucehill/internal/durable"
 )
 
@@ -68,7 +69,7 @@
 	withWriter := func(c *Config) { c.StateWriter = writer }
 	b := newBalancerWith(t, g, withWriter, activeMember("s-00000009", newTestUpstream(t, respondOK)))
 	select { // discovery has another list than the configuration
-	case g.answers <- List{Revision: 12, Complete: true, Members: []Entry{activeMember("s-00000001", s)}}:
+	case g.answers <- discovery.List{Revision: 12, Complete: true, Members: []discovery.Entry{activeMember("s-00000001", s)}}:
 	case <-time.After(30 * time.Second):
 		t.Fatal("discovery was not asked")
 	}
@@ -144,8 +145,8 @@
 // counts as notified at once; the delay was once up to 250 ms whatever the grace.
 func TestFirstDiscoveryCallIsWithinTheDrainGrace(t *testing.T) {
 	const grace = 100 * time.Millisecond
-	list, err := json.Marshal(savedList{Discovery: "127.0.0.1:1", List: List{Revision: 12, Complete: true,
-		Members: []Entry{{ID: "s-00000001", HostPort: "127.0.0.1:1", Phase: "up"}}}})
+	list, err := json.Marshal(savedList{Discovery: "127.0.0.1:1", List: discovery.List{Revision: 12, Complete: true,
+		Members: []discovery.Entry{{ID: "s-00000001", HostPort: "127.0.0.1:1", Phase: "up"}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -185,7 +186,7 @@
 	}{
 		{
 			"list",
-			savedList{Discovery: "127.0.0.1:1", List: List{Revision: 12, Complete: true, Members: []Entry{{ID: "s-1", HostPort: "127.0.0.1:2",
+			savedList{Discovery: "127.0.0.1:1", List: discovery.List{Revision: 12, Complete: true, Members: []discovery.Entry{{ID: "s-1", HostPort: "127.0.0.1:2",
 				Locality: "r/z", Cell: 3, Phase: "up", Size: 1.5, UpSinceMS: 4}}}},
 			`{"discovery":"127.0.0.1:1","list":{"revision":12,"complete":true,"members":[{"id":"s-1","host_port":"127.0.0.1:2",` +
 				`"locality":"r/z","cell":3,"phase":"up","size":1.5,"up_since_ms":4}]}}`,
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/discovery"
 )
 
 // An agent on the balancer's own machine answers a watch call at once, with or without changes. That must not keep the core
@@ -15,10 +16,10 @@
 	<-b.discovery.calls
 	start := time.Now()
 	for range 4 {
-		b.discovery.answers <- List{Revision: 10}
+		b.discovery.answers <- discovery.List{Revision: 10}
 		<-b.discovery.calls
 	}
-	if d := time.Since(start); d < 2*WatchInterval {
+	if d := time.Since(start); d < 2*discovery.WatchInterval {
 		t.Errorf("4 calls in %v", d)
 	}
 }
@@ -29,9 +30,9 @@
 	m1, m2 := activeMember("s-00000001", one), activeMember("s-00000002", two)
 	b := newBalancer(t, m1, m2)
 	assertEqual(t, "first call", <-b.discovery.calls, watchQuery(10))
-	b.discovery.answers <- List{Revision: 12, Members: []Entry{drainingMember(m1)}}
+	b.discovery.answers <- discovery.List{Revision: 12, Members: []discovery.Entry{drainingMember(m1)}}
 	assertEqual(t, "next call", <-b.discovery.calls, watchQuery(12))
-	b.discovery.answers <- List{Revision: 11, Complete: true, Members: []Entry{m1, m2}}
+	b.discovery.answers <- discovery.List{Revision: 11, Complete: true, Members: []discovery.Entry{m1, m2}}
 	assertEqual(t, "call after an older answer", <-b.discovery.calls, watchQuery(12))
 	for range 10 {
 		status, _ := b.do(t, b.newRequest("checkin", ""))
@@ -50,7 +51,7 @@
 	next := newTestDiscovery(t)
 	b.moves <- next.addr
 	assertEqual(t, "first call", <-next.calls, watchQuery(0))
-	next.answers <- List{Revision: 3, Complete: true, Members: []Entry{activeMember("s-00000002", two)}}
+	next.answers <- discovery.List{Revision: 3, Complete: true, Members: []discovery.Entry{activeMember("s-00000002", two)}}
 	assertEqual(t, "next call", <-next.calls, watchQuery(3))
 	status, _ := b.do(t, b.newRequest("checkin", ""))
 	assertEqual(t, "status", status, 200)
@@ -67,18 +68,18 @@
 	next := newTestDiscovery(t)
 	b.moves <- next.addr
 	assertEqual(t, "first call", <-next.calls, watchQuery(0)) // it waits
-	b.discovery.answers <- List{Revision: 12, Members: []Entry{drainingMember(m1)}}
+	b.discovery.answers <- discovery.List{Revision: 12, Members: []discovery.Entry{drainingMember(m1)}}
 	state := func(is balancer.EndpointState) func(l *loop) bool {
 		return func(l *loop) bool { return l.endpoints[1].state == is }
 	}
 	b.await(t, "the old one's drain is taken", state(balancer.Draining))
 	<-b.discovery.calls // it goes on
-	next.answers <- List{Revision: 3, Complete: true, Members: []Entry{m1, m2}}
+	next.answers <- discovery.List{Revision: 3, Complete: true, Members: []discovery.Entry{m1, m2}}
 	assertEqual(t, "next call", <-next.calls, watchQuery(3))
 	b.await(t, "the new one's list is taken", state(balancer.Active))
 	select { // its watch has ended, or else its list is ignored
-	case b.discovery.answers <- List{Revision: 13, Members: []Entry{drainingMember(m1)}}:
-	case <-time.After(10 * WatchInterval):
+	case b.discovery.answers <- discovery.List{Revision: 13, Members: []discovery.Entry{drainingMember(m1)}}:
+	case <-time.After(10 * discovery.WatchInterval):
 	}
 	b.runInLoop(t, func(l *loop) { assertEqual(t, "state at the end", l.endpoints[1].state, balancer.Active) })
 }
@@ -92,9 +93,9 @@
 			m1, m2 := activeMember("s-00000001", one), activeMember("s-00000002", two)
 			b := newBalancer(t, m1, m2)
 			<-b.discovery.calls
-			b.discovery.answers <- List{Revision: 12, Complete: true, Members: []Entry{m1, m2}}
+			b.discovery.answers <- discovery.List{Revision: 12, Complete: true, Members: []discovery.Entry{m1, m2}}
 			assertEqual(t, "second call", <-b.discovery.calls, watchQuery(12))
-			anew := List{Revision: 3, Complete: complete, Members: []Entry{drainingMember(m1), m2}}
+			anew := discovery.List{Revision: 3, Complete: complete, Members: []discovery.Entry{drainingMember(m1), m2}}
 			b.discovery.answers <- anew
 			assertEqual(t, "third call", <-b.discovery.calls, watchQuery(12))
 			b.discovery.answers <- anew
@@ -111,8 +112,8 @@
 // What an agent has to announce counts as announced 2 s after the wait of a call, even if the agent is unresponsive. That
 // used to be noticed a second later: until then a draining upstream would have got requests.
 func TestUnresponsiveDiscoveryIsPolledAgain(t *testing.T) {
-	if AnswerTimeout >= 2*time.Second {
-		t.Errorf("an answer may come %v after its wait", AnswerTimeout)
+	if discovery.AnswerTimeout >= 2*time.Second {
+		t.Errorf("an answer may come %v after its wait", discovery.AnswerTimeout)
 	}
 	b := newBalancer(t)
 	<-b.discovery.calls
@@ -124,9 +125,9 @@
 	s := newTestUpstream(t, respondOK)
 	b := newBalancer(t)
 	<-b.discovery.calls
-	b.discovery.answers <- List{} // 503
+	b.discovery.answers <- discovery.List{} // 503
 	<-b.discovery.calls
-	b.discovery.answers <- List{Revision: 20, Complete: true, Members: []Entry{activeMember("s-00000001", s)}}
+	b.discovery.answers <- discovery.List{Revision: 20, Complete: true, Members: []discovery.Entry{activeMember("s-00000001", s)}}
 	<-b.discovery.calls // the list has been posted
 	status, _ := b.do(t, b.newRequest("checkin", ""))
 	assertEqual(t, "status", status, 200)
--- a/internal/proxy/zonemetrics_test.go
+++ b/internal/proxy/zonemetrics_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/discovery"
 )
 
 // answeredBy sends n requests one after the other and counts them by the body of the answer.
@@ -62,7 +63,7 @@
 	if by := answeredBy(t, b, 20); by["a"] > 0 {
 		t.Errorf("drained: served by %v", by)
 	}
-	list := List{Revision: 12, Complete: true, Members: []Entry{home, away}}
+	list := discovery.List{Revision: 12, Complete: true, Members: []discovery.Entry{home, away}}
 	select {
 	case b.discovery.answers <- list:
 	case <-time.After(30 * time.Second):
