--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -129,7 +129,7 @@
 // stateVersions returns the kinds of records that are read from the state folder, with the version of each: those of the
 // proxy and of the membership.
 func stateVersions() map[string]uint16 {
-	versions := maps.Clone(proxy.StateKinds)
+	versions := maps.Clone(proxy.Kinds)
 	versions[kindMembers] = versionMembers
 	return versions
 }
--- a/cmd/balancer/members.go
+++ b/cmd/balancer/members.go
@@ -32,7 +32,7 @@
 }
 
 // membershipStore persists the membershipRecord. Without a writer it persists nothing.
-type membershipStore struct{ writer proxy.StateWriter }
+type membershipStore struct{ writer proxy.Writer }
 
 // nextRecord returns the record to start with: the next incarnation, which is on disk when this returns unless that
 // failed, and the size of the fleet before.
--- a/internal/proxy/endpointupdate.go
+++ b/internal/proxy/endpointupdate.go
@@ -63,7 +63,7 @@
 	endpoints := l.updateEndpoints(mode, list)
 	l.balancer.OnEndpointUpdate(l.now(), mode, endpoints)
 	l.deliverOutcomes()
-	l.saver.saveList(l.ids, mode, list)
+	l.saver.SaveList(mode, list)
 	l.publish(l.now())
 	l.endpoints.forgetRemoved()
 }
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -136,6 +136,6 @@
 
 func (e discoveryMoved) apply(l *loop) {
 	l.log.info("discovery moved", "address", e.address)
-	l.saver.discovery = e.address
+	l.saver.SetDiscovery(e.address)
 	l.discovery.MoveTo(e.address)
 }
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -44,7 +44,7 @@
 	ids        *endpointIDs
 	localities map[string]string // zones without a region, to region/zone
 	discovery  *discovery.Watcher
-	saver      *stateSaver
+	saver      *Saver
 
 	metrics   *proxyMetrics
 	zones     zoneMetrics
@@ -76,9 +76,15 @@
 		idleTimeout: idleTimeout(c.Links.KeepAlive),
 		now:         l.now,
 	}
-	l.saver = newStateSaver(c, l.log)
-	l.discovery = discovery.NewWatcher(ctx, c.Discovery, l.saver.initial.Revision)
-	if l.saver.restored {
+	l.saver = NewSaver(Options{
+		Writer:    c.StateWriter,
+		Discovery: c.Discovery,
+		Known:     c.Known,
+		IDOf:      l.ids.idOf,
+		Log:       l.log.info,
+	})
+	l.discovery = discovery.NewWatcher(ctx, c.Discovery, l.saver.Initial().Revision)
+	if l.saver.IsRestored() {
 		seeded := rand.New(rand.NewPCG(c.Seed, 1))
 		l.discovery.DelayFirstCall(time.Duration(seeded.Int64N(int64(maxStartDelay(c.Settings)) + 1)))
 	}
@@ -113,8 +119,8 @@
 		return err
 	}
 	l.balancer = module
-	l.applyEndpointList(balancer.UpdateCached, l.saver.initial)
-	l.saver.restore(l.balancer, l.ids, l.now)
+	l.applyEndpointList(balancer.UpdateCached, l.saver.Initial())
+	l.saver.Restore(l.balancer, l.now)
 	if !c.Settings.PollDiscovery { // lists that are pushed come without the module's asking
 		l.WatchEndpoints(true)
 	}
@@ -165,6 +171,6 @@
 	known, skipped := l.balancer.EndpointCounts(now)
 	l.metrics.knownEndpoints.Set(known)
 	l.metrics.skippedEndpoints.Set(skipped)
-	l.saver.saveSnapshot(l.balancer, now)
+	l.saver.SaveSnapshot(l.balancer, now)
 	l.zones.update(now, l.balancer.ZoneStatuses(now), l.settings.Zone, l.log.info)
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -29,7 +29,7 @@
 	p := &Proxy{config: c, end: end}
 	p.loop = newLoop(life, &p.config)
 	p.front = newFrontend(&p.config, listener, p.loop)
-	if p.loop.saver.currentOrders().Drain {
+	if p.loop.saver.CurrentOrders().Drain {
 		p.front.setDraining(true) // before operators can order otherwise
 	}
 	return p
@@ -66,7 +66,7 @@
 // saveLastSnapshot saves what the decision module has learnt up to the end.
 func (p *Proxy) saveLastSnapshot() {
 	// A loop that is too busy for it has saved most of that shortly before.
-	_ = p.callLoop(func(l *loop) { l.saver.saveLastSnapshot(l.balancer, l.now()) })
+	_ = p.callLoop(func(l *loop) { l.saver.SaveLastSnapshot(l.balancer, l.now()) })
 }
 
 // Ready reports whether clients are accepted. A balancer that drains still serves those that come.
@@ -88,7 +88,7 @@
 	p.front.setDraining(on)
 	_, state = p.Ready()
 	// Of orders at the same moment, the one that is saved last saves the state that all of them have led to.
-	err := p.loop.saver.updateOrders(func(o *savedOrders) { o.Drain = p.front.draining.Load() })
+	err := p.loop.saver.UpdateOrders(func(o *Orders) { o.Drain = p.front.draining.Load() })
 	if err != nil {
 		return false, state + ", " + err.Error()
 	}
@@ -137,7 +137,7 @@
 	if !drained {
 		return false, "it is not known, or the last that is not left"
 	}
-	return p.saveZoneOrder(name, true, "left")
+	return p.saveZoneOrder(func(o *Orders) { o.DrainZone(name) }, "left")
 }
 
 // reinstateZone takes a drained zone back step by step.
@@ -150,12 +150,12 @@
 	if !reinstated {
 		return false, "it was not left"
 	}
-	return p.saveZoneOrder(name, false, "returning")
+	return p.saveZoneOrder(func(o *Orders) { o.ReinstateZone(name) }, "returning")
 }
 
 // saveZoneOrder saves what was ordered of a zone, which is in a state now.
-func (p *Proxy) saveZoneOrder(name string, drained bool, state string) (done bool, text string) {
-	err := p.loop.saver.updateOrders(func(o *savedOrders) { o.setZoneDrained(name, drained) })
+func (p *Proxy) saveZoneOrder(change func(*Orders), state string) (done bool, text string) {
+	err := p.loop.saver.UpdateOrders(change)
 	if err != nil {
 		return false, state + ", " + err.Error()
 	}
--- a/internal/proxy/savedstate.go
+++ b/internal/proxy/savedstate.go
@@ -12,27 +12,27 @@
 // The kinds of state that a balancer saves, and the version of the form of each. Operators' orders are a kind of their
 // own, since they are saved before the operators have their answer.
 const (
-	kindList     = "list"
-	kindSnapshot = "learnt"
-	kindOrders   = "orders"
+	KindList     = "list"
+	KindSnapshot = "learnt"
+	KindOrders   = "orders"
 
 	versionList     = 1
 	versionSnapshot = 1
 	versionOrders   = 1
 )
 
-// StateKinds is what a StateWriter has to load: the kinds and the versions of their forms.
-var StateKinds = map[string]uint16{
-	kindList:     versionList,
-	kindSnapshot: versionSnapshot,
-	kindOrders:   versionOrders,
+// Kinds is what a Writer has to load: the kinds and the versions of their forms. It is not changed.
+var Kinds = map[string]uint16{
+	KindList:     versionList,
+	KindSnapshot: versionSnapshot,
+	KindOrders:   versionOrders,
 }
 
-// OrderKinds is which of them hold operators' orders.
-var OrderKinds = []string{kindOrders}
+// OrderKinds is which of Kinds are of operators' orders. It is not changed.
+var OrderKinds = []string{KindOrders}
 
-// StateWriter saves state to a disk. Only SaveSync waits for the disk.
-type StateWriter interface {
+// Writer saves state to a disk. Only SaveSync waits for the disk. Its methods may be called from any goroutine.
+type Writer interface {
 	// Load returns the last state of a kind from before this process.
 	Load(kind string) (durable.Record, bool)
 	// Save saves a state some time later, unless a newer one of its kind comes before that. encode is called then.
@@ -43,30 +43,33 @@
 	MarkRecovered()
 }
 
-// savedList is the list of upstreams, with the address of the discovery service that it is from.
-type savedList struct {
+// listRecord is the list of upstreams, with the address of the discovery service that it is from.
+type listRecord struct {
 	Discovery string         `json:"discovery"`
 	List      discovery.List `json:"list"`
 }
 
-// savedSnapshot is what the decision module had learnt. Names holds discovery's IDs of Snapshot.Endpoints, in their
-// order: the module's IDs hold for one process only.
-type savedSnapshot struct {
+// snapshotRecord is what the decision module knew. Names has discovery's IDs of Snapshot.Endpoints, in their order: the
+// module's IDs are valid in one process only.
+type snapshotRecord struct {
 	Names    []string          `json:"names"`
 	Snapshot balancer.Snapshot `json:"knowledge"`
 }
 
-// savedOrders is what operators have ordered.
-type savedOrders struct {
+// Orders is what operators have ordered and not revoked.
+type Orders struct {
 	Serial       uint64   `json:"serial"` // counts orders
-	Drain        bool     `json:"drain"`
-	DrainedZones []string `json:"left"`
+	Drain        bool     `json:"drain"`  // clients are sent away
+	DrainedZones []string `json:"left"`   // zones whose upstreams get nothing new
 }
 
-// setZoneDrained adds a zone to the drained ones, or takes it out.
-func (o *savedOrders) setZoneDrained(name string, drained bool) {
+// DrainZone adds a zone to the drained ones.
+func (o *Orders) DrainZone(name string) {
+	o.ReinstateZone(name) // no zone is in the list twice
+	o.DrainedZones = append(o.DrainedZones, name)
+}
+
+// ReinstateZone removes a zone from the drained ones.
+func (o *Orders) ReinstateZone(name string) {
 	o.DrainedZones = slices.DeleteFunc(o.DrainedZones, func(zone string) bool { return zone == name })
-	if drained {
-		o.DrainedZones = append(o.DrainedZones, name)
-	}
 }
--- a/internal/proxy/statesaver.go
+++ b/internal/proxy/statesaver.go
@@ -16,33 +16,33 @@
 	"sprucehill/internal/durable"
 )
 
-const (
-	// snapshotEvery is the least time between two snapshots of what the decision module has learnt. The writer's own
-	// rate limit comes on top.
-	snapshotEvery = time.Second
-	// longestStartDelay is how long, at most, a balancer that knows its upstreams from before waits before its first call
-	// to discovery: of many that start at once each waits for a time of its own.
-	longestStartDelay = 250 * time.Millisecond
-)
+// snapshotEvery is the least time between two snapshots of the decision module. The writer's own rate limit comes on top.
+const snapshotEvery = time.Second
 
 // errSnapshotMismatch says that a saved snapshot does not have one name for each endpoint.
 var errSnapshotMismatch = errors.New("names and figures differ in number")
 
-// maxStartDelay bounds the wait before the first call to discovery. Where lists are pushed, a drain that the agent knows
-// of counts as notified from the first moment, so the call has to be answered within the grace for draining endpoints.
-func maxStartDelay(s balancer.Settings) time.Duration {
-	if s.PollDiscovery {
-		return longestStartDelay
-	}
-	return min(longestStartDelay, s.Obligations.DrainGrace/2)
+// Options are what a Saver begins with.
+type Options struct {
+	// Writer saves to the disk, and has what an earlier process has saved. It may be nil: then nothing is saved or restored.
+	Writer Writer
+	// Discovery is the address (host:port) of the discovery service that is followed.
+	Discovery string
+	// Known is the list of upstreams that the configuration has.
+	Known discovery.List
+	// IDOf returns the decision module's ID of one of discovery's. It is called by SaveList and Restore only.
+	IDOf func(id string) balancer.EndpointID
+	// Log writes a line: a message, and keys with their values as in slog.Info. It must not block.
+	Log func(message string, keysAndValues ...any)
 }
 
-// stateSaver saves what has to outlive the process and restores what an earlier process has saved. Its writer is nil
-// where nothing is saved: its methods do nothing then. It belongs to the loop and is used on the loop's goroutine only,
-// but for the operators' orders, which have a lock: updateOrders and currentOrders may be called from any goroutine.
-type stateSaver struct {
-	writer    StateWriter
-	log       *logWriter
+// Saver saves what has to outlive the process and restores what an earlier process has saved. Without a writer its methods
+// do nothing. It belongs to one goroutine, but for the operators' orders: UpdateOrders and CurrentOrders may be called from
+// any goroutine.
+type Saver struct {
+	writer    Writer
+	idOf      func(id string) balancer.EndpointID
+	log       func(message string, keysAndValues ...any)
 	discovery string // the address of the service that is followed
 
 	initial  discovery.List // to begin with
@@ -50,32 +50,42 @@
 
 	members      map[string]discovery.Entry     // the list as it is now
 	names        map[balancer.EndpointID]string // discovery's IDs of members
-	nextSnapshot time.Duration                  // on the loop's clock
+	nextSnapshot time.Duration                  // on the caller's clock
 
-	mu     sync.Mutex // guards orders; held while they are being saved
-	orders savedOrders
+	mu     sync.Mutex // guards orders; locked while they are being saved
+	orders Orders
 }
 
-// newStateSaver loads the saved state, and chooses the list of endpoints to begin with.
-func newStateSaver(c *Config, log *logWriter) *stateSaver {
-	s := &stateSaver{
-		writer:    c.StateWriter,
-		log:       log,
-		discovery: c.Discovery,
-		initial:   c.Known,
+// NewSaver loads the saved state, and chooses the list of upstreams to begin with.
+func NewSaver(options Options) *Saver {
+	s := &Saver{
+		writer:    options.Writer,
+		idOf:      options.IDOf,
+		log:       options.Log,
+		discovery: options.Discovery,
+		initial:   options.Known,
 		members:   map[string]discovery.Entry{},
 		names:     map[balancer.EndpointID]string{},
 	}
 	if s.writer == nil {
 		return s
 	}
-	s.load(kindOrders, &s.orders)
-	s.chooseList(c)
+	s.load(KindOrders, &s.orders)
+	s.chooseList(options)
 	return s
 }
 
+// Initial returns the list of upstreams to begin with.
+func (s *Saver) Initial() discovery.List { return s.initial }
+
+// IsRestored reports whether the list to begin with is from an earlier process.
+func (s *Saver) IsRestored() bool { return s.restored }
+
+// SetDiscovery sets the address (host:port) of the discovery service that the lists from now on are of.
+func (s *Saver) SetDiscovery(address string) { s.discovery = address }
+
 // load reads the saved state of a kind into a value. ok is false where there is none, or it does not have the form.
-func (s *stateSaver) load(kind string, into any) (r durable.Record, ok bool) {
+func (s *Saver) load(kind string, into any) (r durable.Record, ok bool) {
 	r, ok = s.writer.Load(kind)
 	if !ok {
 		return r, false
@@ -88,27 +98,27 @@
 }
 
 // logIgnored logs that a saved state is not used, and why.
-func (s *stateSaver) logIgnored(r durable.Record, kind string, why error) {
-	s.log.info("state passed over", "kind", kind, "generation", r.Generation, "err", why)
+func (s *Saver) logIgnored(r durable.Record, kind string, why error) {
+	s.log("state passed over", "kind", kind, "generation", r.Generation, "err", why)
 }
 
 // chooseList begins with the saved list instead of the configuration's if it is newer and of the same discovery service,
 // or if the configuration has none.
-func (s *stateSaver) chooseList(c *Config) {
-	var saved savedList
-	r, ok := s.load(kindList, &saved)
+func (s *Saver) chooseList(options Options) {
+	var saved listRecord
+	r, ok := s.load(KindList, &saved)
 	if !ok || len(saved.List.Members) == 0 {
 		return
 	}
 	for i := range saved.List.Members {
 		if err := saved.List.Members[i].Validate(); err != nil {
-			s.logIgnored(r, kindList, err)
+			s.logIgnored(r, KindList, err)
 			return
 		}
 	}
-	sameService := saved.Discovery == c.Discovery
-	isNewer := sameService && saved.List.Revision > c.Known.Revision
-	if !isNewer && len(c.Known.Members) > 0 {
+	sameService := saved.Discovery == options.Discovery
+	isNewer := sameService && saved.List.Revision > options.Known.Revision
+	if !isNewer && len(options.Known.Members) > 0 {
 		return
 	}
 	s.initial = saved.List
@@ -116,53 +126,53 @@
 	if !sameService {
 		s.initial.Revision = 0 // revisions of another service mean nothing: this one has to give the complete list
 	}
-	s.log.info("upstreams known from before", "upstreams", len(saved.List.Members), "revision", s.initial.Revision,
+	s.log("upstreams known from before", "upstreams", len(saved.List.Members), "revision", s.initial.Revision,
 		"age", time.Since(r.SavedAt).Round(time.Millisecond).String())
 }
 
-// restore gives the decision module what an earlier process had learnt and what operators had ordered. The initial list
-// must have been applied.
-func (s *stateSaver) restore(module *balancer.Balancer, ids *endpointIDs, now func() time.Duration) {
+// Restore gives the decision module what an earlier process knew and what operators had ordered. The initial list must have
+// been applied. now is the loop's clock.
+func (s *Saver) Restore(module *balancer.Balancer, now func() time.Duration) {
 	if s.writer == nil {
 		return
 	}
 	defer s.writer.MarkRecovered()
-	snapshot, ok := s.loadSnapshot(ids)
-	orders := s.currentOrders()
+	snapshot, ok := s.loadSnapshot()
+	orders := s.CurrentOrders()
 	snapshot.DrainedZones = orders.DrainedZones
 	if ok || len(snapshot.DrainedZones) > 0 {
 		module.Restore(now(), snapshot)
 	}
 	if ok {
-		s.log.info("knowledge from before", "upstreams", len(snapshot.Endpoints),
+		s.log("knowledge from before", "upstreams", len(snapshot.Endpoints),
 			"age", (now() - snapshot.TakenAt).Round(time.Millisecond).String())
 	}
 	if orders.Drain || len(orders.DrainedZones) > 0 {
-		s.log.info("orders from before", "serial", orders.Serial, "drain", orders.Drain,
+		s.log("orders from before", "serial", orders.Serial, "drain", orders.Drain,
 			"left", strings.Join(orders.DrainedZones, " "))
 	}
 }
 
 // loadSnapshot reads the saved snapshot, its endpoints under this process's IDs. Without a usable one it is empty, and
 // ok false.
-func (s *stateSaver) loadSnapshot(ids *endpointIDs) (snapshot balancer.Snapshot, ok bool) {
-	var saved savedSnapshot
-	r, ok := s.load(kindSnapshot, &saved)
+func (s *Saver) loadSnapshot() (snapshot balancer.Snapshot, ok bool) {
+	var saved snapshotRecord
+	r, ok := s.load(KindSnapshot, &saved)
 	if !ok {
 		return balancer.Snapshot{}, false
 	}
 	if len(saved.Names) != len(saved.Snapshot.Endpoints) {
-		s.logIgnored(r, kindSnapshot, errSnapshotMismatch)
+		s.logIgnored(r, KindSnapshot, errSnapshotMismatch)
 		return balancer.Snapshot{}, false
 	}
 	for i := range saved.Snapshot.Endpoints {
-		saved.Snapshot.Endpoints[i].ID = ids.idOf(saved.Names[i])
+		saved.Snapshot.Endpoints[i].ID = s.idOf(saved.Names[i])
 	}
 	return saved.Snapshot, true
 }
 
-// saveList takes a list that has been applied, and saves what the complete one is now.
-func (s *stateSaver) saveList(ids *endpointIDs, mode balancer.UpdateMode, list discovery.List) {
+// SaveList takes a list that has been applied, and saves what the complete one is now.
+func (s *Saver) SaveList(mode balancer.UpdateMode, list discovery.List) {
 	if s.writer == nil {
 		return
 	}
@@ -171,7 +181,7 @@
 		clear(s.names)
 	}
 	for _, m := range list.Members {
-		id := ids.idOf(m.ID)
+		id := s.idOf(m.ID)
 		if m.IsRemoved() {
 			delete(s.members, m.ID)
 			delete(s.names, id)
@@ -186,32 +196,33 @@
 		Complete: true,
 		Members:  slices.SortedFunc(maps.Values(s.members), byID),
 	}
-	saved := savedList{Discovery: s.discovery, List: complete}
-	s.writer.Save(kindList, versionList, time.Now(), func() ([]byte, error) { return json.Marshal(saved) })
+	saved := listRecord{Discovery: s.discovery, List: complete}
+	s.writer.Save(KindList, versionList, time.Now(), func() ([]byte, error) { return json.Marshal(saved) })
 }
 
-// saveSnapshot saves what the decision module has learnt, if that is due.
-func (s *stateSaver) saveSnapshot(module *balancer.Balancer, now time.Duration) {
+// SaveSnapshot saves a snapshot of the decision module, if one is due at now, a time on the loop's clock.
+func (s *Saver) SaveSnapshot(module *balancer.Balancer, now time.Duration) {
 	if s.writer == nil || now < s.nextSnapshot {
 		return
 	}
 	s.nextSnapshot = now + snapshotEvery
-	saved := savedSnapshot{Snapshot: module.TakeSnapshot(now)}
+	saved := snapshotRecord{Snapshot: module.TakeSnapshot(now)}
 	for _, endpoint := range saved.Snapshot.Endpoints {
 		saved.Names = append(saved.Names, s.names[endpoint.ID])
 	}
-	s.writer.Save(kindSnapshot, versionSnapshot, time.Now(), func() ([]byte, error) { return json.Marshal(saved) })
+	s.writer.Save(KindSnapshot, versionSnapshot, time.Now(), func() ([]byte, error) { return json.Marshal(saved) })
 }
 
-// saveLastSnapshot saves what the decision module has learnt, whenever it was saved last.
-func (s *stateSaver) saveLastSnapshot(module *balancer.Balancer, now time.Duration) {
+// SaveLastSnapshot saves a snapshot of the decision module, whenever the one before was saved.
+func (s *Saver) SaveLastSnapshot(module *balancer.Balancer, now time.Duration) {
 	s.nextSnapshot = 0
-	s.saveSnapshot(module, now)
+	s.SaveSnapshot(module, now)
 }
 
-// updateOrders changes what operators have ordered and returns once that is saved, or with an error that says why it may
-// not be. Orders are saved one after the other.
-func (s *stateSaver) updateOrders(change func(*savedOrders)) error {
+// UpdateOrders changes what operators have ordered and returns once that is saved, or with an error that says why it may
+// not be: it wraps durable.ErrTimeout where the disk is slow and may still save it. On any other error the orders are unchanged.
+// Orders are saved one after the other.
+func (s *Saver) UpdateOrders(change func(*Orders)) error {
 	if s.writer == nil {
 		return nil
 	}
@@ -223,7 +234,7 @@
 	change(&next)
 	text, err := json.Marshal(next)
 	if err == nil {
-		err = s.writer.SaveSync(kindOrders, versionOrders, time.Now(), text)
+		err = s.writer.SaveSync(KindOrders, versionOrders, time.Now(), text)
 	}
 	if err != nil && !errors.Is(err, durable.ErrTimeout) {
 		return fmt.Errorf("but not kept: %w", err)
@@ -235,8 +246,8 @@
 	return nil
 }
 
-// currentOrders is what operators have ordered and not taken back.
-func (s *stateSaver) currentOrders() savedOrders {
+// CurrentOrders returns what operators have ordered and not revoked.
+func (s *Saver) CurrentOrders() Orders {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	current := s.orders
