--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -22,6 +22,7 @@
 	"sprucehill/internal/fleet"
 	"sprucehill/internal/management"
 	"sprucehill/internal/proxy"
+	"sprucehill/internal/savedstate"
 )
 
 const (
@@ -115,7 +116,7 @@
 		Path:        file.State.Folder,
 		Owner:       config.Name + "@" + file.State.Site,
 		MinInterval: file.State.SaveInterval(),
-		OrderKinds:  proxy.OrderKinds,
+		OrderKinds:  savedstate.OrderKinds,
 		Log:         slog.Info,
 	}
 	writer, err := durable.StartWriter(options, stateVersions())
@@ -129,7 +130,7 @@
 // stateVersions returns the kinds of records that are read from the state folder, with the version of each: those of the
 // proxy and of the membership.
 func stateVersions() map[string]uint16 {
-	versions := maps.Clone(proxy.Kinds)
+	versions := maps.Clone(savedstate.Kinds)
 	versions[kindMembers] = versionMembers
 	return versions
 }
--- a/cmd/balancer/members.go
+++ b/cmd/balancer/members.go
@@ -15,6 +15,7 @@
 	"sprucehill/internal/fleet"
 	"sprucehill/internal/membership"
 	"sprucehill/internal/proxy"
+	"sprucehill/internal/savedstate"
 )
 
 const (
@@ -32,7 +33,7 @@
 }
 
 // membershipStore persists the membershipRecord. Without a writer it persists nothing.
-type membershipStore struct{ writer proxy.Writer }
+type membershipStore struct{ writer savedstate.Writer }
 
 // nextRecord returns the record to start with: the next incarnation, which is on disk when this returns unless that
 // failed, and the size of the fleet before.
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -24,6 +24,7 @@
 
 	"sprucehill/balancer"
 	"sprucehill/internal/discovery"
+	"sprucehill/internal/savedstate"
 	"sprucehill/internal/wire"
 )
 
@@ -59,7 +60,7 @@
 	// Links are the settings of connections to upstreams.
 	Links wire.ConnectionTimeouts
 	// StateWriter saves the state that has to outlive the process. It may be nil: nothing is saved.
-	StateWriter Writer
+	StateWriter savedstate.Writer
 	// UnusedKeys are the keys of the configuration file's top level that this program does not know, sorted. They are no mistake,
 	// but a misspelt one shows there.
 	UnusedKeys []string
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -136,7 +136,7 @@
 		left := ""
 		for stack := range strings.SplitSeq(string(text[:runtime.Stack(text, true)]), "\n\n") {
 			for _, of := range []string{"proxy.(*loop)", "proxy.(*frontend)", "proxy.(*framingConn)", "discovery.(*client)",
-				"discovery.(*Watcher)", "proxy.(*connPool)", "proxy.(*logWriter)", "proxy.(*Saver)", "proxy.dialer"} {
+				"discovery.(*Watcher)", "proxy.(*connPool)", "proxy.(*logWriter)", "savedstate.(*Saver)", "proxy.dialer"} {
 				if strings.Contains(stack, "sprucehill/internal/"+of) && !strings.Contains(stack, "proxy.assertNothingRuns") {
 					left = stack
 				}
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -9,6 +9,7 @@
 	"sprucehill/balancer"
 	"sprucehill/internal/discovery"
 	"sprucehill/internal/metrics"
+	"sprucehill/internal/savedstate"
 )
 
 // eventQueueLength is how many events may wait for the loop before those who post them wait too.
@@ -44,7 +45,7 @@
 	ids        *endpointIDs
 	localities map[string]string // zones without a region, to region/zone
 	discovery  *discovery.Watcher
-	saver      *Saver
+	saver      *savedstate.Saver
 
 	metrics   *proxyMetrics
 	zones     zoneMetrics
@@ -76,7 +77,7 @@
 		idleTimeout: idleTimeout(c.Links.KeepAlive),
 		now:         l.now,
 	}
-	l.saver = NewSaver(Options{
+	l.saver = savedstate.NewSaver(savedstate.Options{
 		Writer:    c.StateWriter,
 		Discovery: c.Discovery,
 		Known:     c.Known,
--- a/internal/proxy/loopstall_test.go
+++ b/internal/proxy/loopstall_test.go
@@ -8,6 +8,7 @@
 
 	"sprucehill/internal/discovery"
 	"sprucehill/internal/durable"
+	"sprucehill/internal/savedstate"
 )
 
 // slowDisk is a folder whose syncs take long.
@@ -54,7 +55,7 @@
 					b.Fatal(err)
 				}
 				k := durable.StartWriterOn(slowDisk{folder, 50 * time.Millisecond}, durable.Options{Owner: "b", MinInterval: 200 * time.Millisecond,
-					Log: func(string, ...any) {}}, Kinds)
+					Log: func(string, ...any) {}}, savedstate.Kinds)
 				b.Cleanup(k.Close)
 				c.StateWriter = k
 			}, members...)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/savedstate"
 )
 
 // Proxy is one balancer with its clients, upstreams and discovery. Its methods may be called from any goroutine.
@@ -88,7 +89,7 @@
 	p.front.setDraining(on)
 	_, state = p.Ready()
 	// Of orders at the same moment, the one that is saved last saves the state that all of them have led to.
-	err := p.loop.saver.UpdateOrders(func(o *Orders) { o.Drain = p.front.draining.Load() })
+	err := p.loop.saver.UpdateOrders(func(o *savedstate.Orders) { o.Drain = p.front.draining.Load() })
 	if err != nil {
 		return false, state + ", " + err.Error()
 	}
@@ -137,7 +138,7 @@
 	if !drained {
 		return false, "it is not known, or the last that is not left"
 	}
-	return p.saveZoneOrder(func(o *Orders) { o.DrainZone(name) }, "left")
+	return p.saveZoneOrder(func(o *savedstate.Orders) { o.DrainZone(name) }, "left")
 }
 
 // reinstateZone takes a drained zone back step by step.
@@ -150,11 +151,11 @@
 	if !reinstated {
 		return false, "it was not left"
 	}
-	return p.saveZoneOrder(func(o *Orders) { o.ReinstateZone(name) }, "returning")
+	return p.saveZoneOrder(func(o *savedstate.Orders) { o.ReinstateZone(name) }, "returning")
 }
 
 // saveZoneOrder saves what was ordered of a zone, which is in a state now.
-func (p *Proxy) saveZoneOrder(change func(*Orders), state string) (done bool, text string) {
+func (p *Proxy) saveZoneOrder(change func(*savedstate.Orders), state string) (done bool, text string) {
 	err := p.loop.saver.UpdateOrders(change)
 	if err != nil {
 		return false, state + ", " + err.Error()
--- a/internal/proxy/statesaver_test.go
+++ b/internal/proxy/savedstate_test.go
@@ -9,9 +9,10 @@
 
 	"sprucehill/internal/discovery"
 	"sprucehill/internal/durable"
+	"sprucehill/internal/savedstate"
 )
 
-// memoryWriter is a Writer in memory. When it is full, saving fails.
+// memoryWriter is a savedstate.Writer in memory. When it is full, saving fails.
 type memoryWriter struct {
 	mu      sync.Mutex
 	records map[string]durable.Record
@@ -76,7 +77,7 @@
 		b.do(t, b.newRequest("checkin", ""))
 	}
 	eventually(t, "the list is saved", func() bool {
-		r, ok := writer.Load(KindList)
+		r, ok := writer.Load(savedstate.KindList)
 		return ok && strings.Contains(string(r.Payload), "s-00000001")
 	})
 	if done, state := b.proxy.Drain(true); !done || state != "draining" {
@@ -125,7 +126,7 @@
 // Saved state that can't be decoded is ignored, and the configuration counts.
 func TestUndecodableStateIsIgnored(t *testing.T) {
 	writer := newMemoryWriter()
-	for kind, text := range map[string]string{KindList: `{"discovery":1}`, KindSnapshot: `{"names":["a"],"knowledge":{}}`, KindOrders: "[]"} {
+	for kind, text := range map[string]string{savedstate.KindList: `{"discovery":1}`, savedstate.KindSnapshot: `{"names":["a"],"knowledge":{}}`, savedstate.KindOrders: "[]"} {
 		if err := writer.SaveSync(kind, 1, time.Now(), []byte(text)); err != nil {
 			t.Fatal(err)
 		}
@@ -156,7 +157,7 @@
 	for _, test := range tests {
 		for seed := range uint64(50) {
 			writer := newMemoryWriter()
-			if err := writer.SaveSync(KindList, Kinds[KindList], time.Now(), []byte(list)); err != nil {
+			if err := writer.SaveSync(savedstate.KindList, savedstate.Kinds[savedstate.KindList], time.Now(), []byte(list)); err != nil {
 				t.Fatal(err)
 			}
 			c := testConfig(t)
--- a/internal/proxy/savedstate.go
+++ b/internal/savedstate/records.go
@@ -1,4 +1,4 @@
-package proxy
+package savedstate
 
 import (
 	"slices"
--- a/internal/proxy/records_test.go
+++ b/internal/savedstate/records_test.go
@@ -1,4 +1,4 @@
-package proxy
+package savedstate
 
 import (
 	"encoding/json"
