--- a/internal/proxy/framinglistener.go
+++ b/internal/framing/listener.go
@@ -1,4 +1,4 @@
-package proxy
+package framing
 
 import (
 	"errors"
@@ -25,21 +25,28 @@
 // expiredDeadline is a deadline that ends whatever waits.
 var expiredDeadline = time.Unix(0, 1)
 
-// framingListener accepts client connections whose requests are checked for framing errors.
-type framingListener struct {
+// Listener accepts client connections whose requests are checked for framing errors. One goroutine calls Accept at a time;
+// all other methods may be called from any goroutine.
+type Listener struct {
 	net.Listener
-	now    func() time.Duration // the loop's clock
-	ending atomic.Bool          // closeWhenDrained has been called
+	now         func() time.Duration // the caller's clock
+	headTimeout time.Duration        // see NewConn
+	ending      atomic.Bool          // CloseWhenDrained has been called
 	// failing tells that the last accept call failed; it belongs to the caller of Accept.
 	failing bool
 }
 
+// NewListener returns a listener that takes l's connections, with the clock and the time limit of NewConn.
+func NewListener(l net.Listener, now func() time.Duration, headTimeout time.Duration) *Listener {
+	return &Listener{Listener: l, now: now, headTimeout: headTimeout}
+}
+
 // deadlineListener is a listener whose waiting Accept can be ended without closing it.
 type deadlineListener interface{ SetDeadline(t time.Time) error }
 
-// closeWhenDrained closes the listener once Accept has taken all connections that wait in its queue: those still there at
+// CloseWhenDrained closes the listener once Accept has taken all connections that wait in its queue: those still there at
 // the close are reset.
-func (l *framingListener) closeWhenDrained() {
+func (l *Listener) CloseWhenDrained() {
 	d, ok := l.Listener.(deadlineListener)
 	if !ok {
 		l.Close()
@@ -49,9 +56,9 @@
 	_ = d.SetDeadline(expiredDeadline) // wakes Accept for its last look; fails only if the listener is closed already
 }
 
-// Accept returns the next connection, or net.ErrClosed once the listener has been closed by closeWhenDrained. It tries again
-// after an error that does not concern the listener itself.
-func (l *framingListener) Accept() (net.Conn, error) {
+// Accept returns the next connection, a *Conn, or net.ErrClosed once the listener has been closed by CloseWhenDrained. It
+// tries again after an error that does not concern the listener itself.
+func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		last := l.ending.Load()
 		until := time.Now().Add(lastAcceptWait)
@@ -64,7 +71,7 @@
 		switch {
 		case err == nil:
 			l.failing = false
-			return &framingConn{Conn: c, now: l.now, headAt: l.now()}, nil
+			return NewConn(c, l.now, l.headTimeout), nil
 		case isListenerBroken(err):
 			return nil, err
 		case last && !time.Now().Before(until): // the queue has been empty for lastAcceptWait
@@ -77,7 +84,7 @@
 }
 
 // retryAfter waits before the next accept call, and logs the first error of a series.
-func (l *framingListener) retryAfter(err error) {
+func (l *Listener) retryAfter(err error) {
 	if !l.failing {
 		slog.Warn("a connection could not be accepted", "err", err)
 	}
--- a/internal/proxy/readahead.go
+++ b/internal/framing/readahead.go
@@ -1,22 +1,28 @@
-package proxy
+package framing
 
 import (
 	"errors"
+	"sync"
 	"time"
 )
 
 // net/http notices that a client disconnects by reading one byte behind the request, and stops looking once it has got
 // one. A client that sends more behind its request and then disconnects would be waited for, and its request forwarded.
-// Instead, a framingConn reads ahead while the request waits for its response.
+// Instead, a Conn reads ahead while the request waits for its response.
 
 const (
-	// readAheadBuffer is how many bytes are buffered of what comes behind a request that is not answered. Clients send one
+	// ReadAheadBuffer is how many bytes are buffered of what comes behind a request that is not answered. Clients send one
 	// request at a time, so more is malformed: it is discarded, and the connection ends after what has been buffered.
-	readAheadBuffer = 4 << 10
+	ReadAheadBuffer = 4 << 10
 	// maxReadAhead is how many bytes are read behind one request at most.
 	maxReadAhead = 16 << 20
+	// readBufferSize is how many bytes one read ahead takes at most.
+	readBufferSize = 16 << 10
 )
 
+// readBuffers are *[readBufferSize]byte for reading ahead.
+var readBuffers = sync.Pool{New: func() any { return new([readBufferSize]byte) }}
+
 // errReadAhead ends a connection whose client has sent too much behind a request.
 var errReadAhead = errors.New("too much behind a request that is not answered")
 
@@ -26,7 +32,7 @@
 	disconnected   chan struct{} // closed when the client is seen to disconnect; nil: nobody waits for that
 	done           chan struct{} // closed once reading ahead has ended; nil: it is not running
 	buffered       []byte
-	bufferedAt     time.Duration // when the last buffered byte came, on the loop's clock
+	bufferedAt     time.Duration // when the last buffered byte came, on the caller's clock
 	overflowed     bool          // more came than is buffered
 	readErr        error         // what ended reading ahead
 }
@@ -49,9 +55,9 @@
 	return 0, false, nil
 }
 
-// watchDisconnect returns a channel that is closed as soon as the client is seen to disconnect behind bytes that nobody
-// reads. A disconnect that net/http notices by itself is not reported. stopWatchingDisconnect ends it.
-func (c *framingConn) watchDisconnect() <-chan struct{} {
+// WatchDisconnect returns a channel that is closed as soon as the client is seen to disconnect behind bytes that nobody
+// reads. A disconnect that net/http notices by itself is not reported. StopWatchingDisconnect ends it.
+func (c *Conn) WatchDisconnect() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.disconnected = make(chan struct{})
@@ -61,8 +67,8 @@
 	return c.disconnected
 }
 
-// stopWatchingDisconnect returns once reading ahead has ended.
-func (c *framingConn) stopWatchingDisconnect() {
+// StopWatchingDisconnect returns once reading ahead has ended.
+func (c *Conn) StopWatchingDisconnect() {
 	c.mu.Lock()
 	done := c.done
 	c.disconnected = nil
@@ -76,7 +82,7 @@
 }
 
 // startReadAhead begins to read ahead where somebody waits for the client's disconnect. The lock is held.
-func (c *framingConn) startReadAhead() {
+func (c *Conn) startReadAhead() {
 	if c.disconnected == nil || c.done != nil {
 		return
 	}
@@ -84,17 +90,17 @@
 	go c.runReadAhead(c.done)
 }
 
-// runReadAhead reads until the client disconnects, stopWatchingDisconnect ends it, or maxReadAhead is reached.
-func (c *framingConn) runReadAhead(done chan<- struct{}) {
+// runReadAhead reads until the client disconnects, StopWatchingDisconnect ends it, or maxReadAhead is reached.
+func (c *Conn) runReadAhead(done chan<- struct{}) {
 	defer close(done)
-	buf := copyBuffers.Get().(*[copyBufferSize]byte)
-	defer copyBuffers.Put(buf)
+	buf := readBuffers.Get().(*[readBufferSize]byte)
+	defer readBuffers.Put(buf)
 	for remaining := maxReadAhead; remaining > 0; {
 		n, err := c.Conn.Read(buf[:])
 		remaining -= n
 		c.mu.Lock()
 		c.bufferReadAhead(buf[:n])
-		if err != nil && c.disconnected != nil { // otherwise stopWatchingDisconnect has ended the read
+		if err != nil && c.disconnected != nil { // otherwise StopWatchingDisconnect has ended the read
 			c.readErr = err
 			close(c.disconnected)
 		}
@@ -106,8 +112,8 @@
 }
 
 // bufferReadAhead buffers what has been read ahead. The lock is held.
-func (c *framingConn) bufferReadAhead(p []byte) {
-	c.overflowed = c.overflowed || len(c.buffered)+len(p) > readAheadBuffer
+func (c *Conn) bufferReadAhead(p []byte) {
+	c.overflowed = c.overflowed || len(c.buffered)+len(p) > ReadAheadBuffer
 	if len(p) == 0 || c.overflowed {
 		return
 	}
--- a/internal/proxy/framing.go
+++ b/internal/framing/scanner.go
@@ -1,4 +1,4 @@
-package proxy
+package framing
 
 import (
 	"bytes"
@@ -8,10 +8,6 @@
 	"strings"
 )
 
-// net/http drops the Content-Length of a request that also has a Transfer-Encoding, and does not show that both were there.
-// Where the end of a request is in doubt, one reader's body is another reader's next request (request smuggling), so each
-// head is checked as it stands on the wire, before net/http reads its end.
-
 // Framing errors: the end of the request that shows one is in doubt.
 var (
 	errBothLengths = errors.New("a Content-Length beside a Transfer-Encoding")
--- a/internal/proxy/framing_test.go
+++ b/internal/framing/scanner_test.go
@@ -1,8 +1,7 @@
-package proxy
+package framing
 
 import (
 	"errors"
-	"fmt"
 	"strings"
 	"testing"
 )
@@ -77,10 +76,3 @@
 		}
 	}
 }
-
-func TestOriginForm(t *testing.T) {
-	for in, out := range map[string]string{"/read/x?u=http://y/z": "/read/x?u=http://y/z", "http://h:1/read/%2F?q": "/read/%2F?q",
-		"http://h": "http://h", "*": "*"} {
-		assertEqual(t, fmt.Sprintf("of %s", in), originForm(in), out)
-	}
-}
--- a/internal/proxy/clientconns.go
+++ b/internal/proxy/clientconns.go
@@ -6,6 +6,8 @@
 	"net"
 	"net/http"
 	"time"
+
+	"sprucehill/internal/framing"
 )
 
 // evictionMinIdle is how long a connection must have been idle before it may be closed to make room for a new one.
@@ -23,7 +25,7 @@
 // trackConn records a connection's change of state; it is the server's ConnState hook. A connection over the limit makes
 // room by closing the one that has been idle for longest, or is closed itself: file descriptors must not run out.
 func (f *frontend) trackConn(netConn net.Conn, state http.ConnState) {
-	conn := netConn.(*framingConn) // all come from a framingListener
+	conn := netConn.(*framing.Conn) // all come from a framing.Listener
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if state == http.StateClosed || state == http.StateHijacked {
@@ -34,7 +36,7 @@
 	f.metrics.conns.added(state)
 	f.conns[conn] = connStatus{state: state, since: f.now()}
 	if state == http.StateIdle {
-		conn.onAnswered()
+		conn.OnAnswered()
 		f.closeAfterDrainedResponse(conn)
 	}
 	if state == http.StateNew && len(f.conns) > f.maxConns {
@@ -44,25 +46,25 @@
 
 // closeAfterDrainedResponse closes a connection that has become idle where clients are sent away: its response began too
 // early to say so. Waiting for the next sweep would let its client send another request.
-func (f *frontend) closeAfterDrainedResponse(conn *framingConn) {
+func (f *frontend) closeAfterDrainedResponse(conn *framing.Conn) {
 	cause, away := f.awayCause()
 	switch {
 	case away:
 		f.closeIfIdle(conn, cause)
-	case conn.isShut(): // a drain has ended meanwhile
+	case conn.IsShut(): // a drain has ended meanwhile
 		f.closeIfIdle(conn, closedByDrain)
 	}
 }
 
 // closeIfIdle closes a connection if it is between two requests, and counts that.
-func (f *frontend) closeIfIdle(conn *framingConn, cause closeCause) {
-	if conn.closeIfIdle() {
+func (f *frontend) closeIfIdle(conn *framing.Conn, cause closeCause) {
+	if conn.CloseIfIdle() {
 		f.metrics.conns.countClose(cause)
 	}
 }
 
 // forget removes a connection from the open ones, if it is one of them. The lock is held.
-func (f *frontend) forget(conn *framingConn) {
+func (f *frontend) forget(conn *framing.Conn) {
 	status, tracked := f.conns[conn]
 	if !tracked {
 		return
@@ -72,16 +74,16 @@
 }
 
 // evict closes the connection that has been idle for longest, or newcomer if there is none. The lock is held.
-func (f *frontend) evict(newcomer *framingConn) {
+func (f *frontend) evict(newcomer *framing.Conn) {
 	victim := newcomer
 	since := f.now() - evictionMinIdle
 	for conn, status := range f.conns {
-		if status.since <= since && conn.isIdle() {
+		if status.since <= since && conn.IsIdle() {
 			victim = conn
 			since = status.since
 		}
 	}
-	if !victim.closeIfIdle() && !victim.isClosed() { // a request has just begun on it
+	if !victim.CloseIfIdle() && !victim.IsClosed() { // a request has just begun on it
 		victim = newcomer
 		newcomer.Close()
 	}
@@ -120,7 +122,7 @@
 		}
 		logged++
 		slog.Info("client connection open", "client", conn.RemoteAddr(), "state", status.state,
-			"for", (f.now() - status.since).Round(time.Millisecond), "idle", conn.isIdle(), "answered", conn.answeredCount())
+			"for", (f.now() - status.since).Round(time.Millisecond), "idle", conn.IsIdle(), "answered", conn.AnsweredCount())
 	}
 }
 
@@ -139,7 +141,7 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// connOf returns the connection of a request; all come from a framingListener.
-func connOf(r *http.Request) *framingConn {
-	return r.Context().Value(connKey{}).(*framingConn)
+// connOf returns the connection of a request; all come from a framing.Listener.
+func connOf(r *http.Request) *framing.Conn {
+	return r.Context().Value(connKey{}).(*framing.Conn)
 }
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -12,6 +12,7 @@
 	"testing"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/framing"
 )
 
 // cancelSettings are the settings with and without cancelling attempts that have been sent.
@@ -178,7 +179,7 @@
 			}
 			return all.String()
 		}, 4},
-		{"too much", func(b *testBalancer) string { return strings.Repeat("x", 2*readAheadBuffer) }, 1},
+		{"too much", func(b *testBalancer) string { return strings.Repeat("x", 2*framing.ReadAheadBuffer) }, 1},
 		{"a length and chunks", func(b *testBalancer) string {
 			return "POST /pay/x HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"
 		}, 1},
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -4,6 +4,8 @@
 	"log/slog"
 	"net/http"
 	"time"
+
+	"sprucehill/internal/framing"
 )
 
 // requestEnd is how a request ended for its client.
@@ -31,7 +33,7 @@
 func (x *exchange) serve() {
 	conn := connOf(x.httpRequest)
 	defer x.logEnd(time.Now())
-	if conn.closedByClient() {
+	if conn.ClosedByClient() {
 		x.abort(endDisconnected)
 		return
 	}
@@ -44,15 +46,15 @@
 			inProgress.Add(-1)
 		}
 	}()
-	disconnected := conn.watchDisconnect()
-	defer conn.stopWatchingDisconnect()
+	disconnected := conn.WatchDisconnect()
+	defer conn.StopWatchingDisconnect()
 	x.frontend.post(requestArrived{x.request})
 	x.awaitResponse(conn, disconnected)
 }
 
 // awaitResponse waits for the loop's response and writes it, or abandons the request if its client disconnects or its body
 // breaks off. disconnected tells of a disconnect that net/http can't see.
-func (x *exchange) awaitResponse(conn *framingConn, disconnected <-chan struct{}) {
+func (x *exchange) awaitResponse(conn *framing.Conn, disconnected <-chan struct{}) {
 	contextDone := x.httpRequest.Context().Done() // also where the body breaks off
 	for {
 		select {
@@ -60,7 +62,7 @@
 			x.reply(a)
 			return
 		case <-contextDone:
-			if !conn.hasFramingError() {
+			if !conn.HasFramingError() {
 				x.abandon(endDisconnected)
 				return
 			}
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/framing"
 )
 
 const (
@@ -50,7 +51,7 @@
 	maxConns   int                  // bound on client connections
 	now        func() time.Duration // the loop's clock
 	server     http.Server
-	listener   *framingListener
+	listener   *framing.Listener
 	// longestDeadline is the longest deadline of all classes.
 	longestDeadline time.Duration
 
@@ -61,7 +62,7 @@
 	drainAt      atomic.Int64  // when the last drain began, a time.Duration on the loop's clock
 
 	mu          sync.Mutex // guards the fields below
-	conns       map[*framingConn]connStatus
+	conns       map[*framing.Conn]connStatus
 	cancelDrain context.CancelFunc // ends closeIdleWhileDraining; nil: not draining
 }
 
@@ -75,10 +76,10 @@
 		inherited:       c.inheritsListener(),
 		maxConns:        c.maxClientConns(),
 		now:             to.now,
-		listener:        &framingListener{Listener: l, now: to.now},
+		listener:        framing.NewListener(l, to.now, clientReadTimeout),
 		longestDeadline: c.longestDeadline(),
 		acceptEnded:     make(chan struct{}),
-		conns:           map[*framingConn]connStatus{},
+		conns:           map[*framing.Conn]connStatus{},
 	}
 	for _, class := range c.Settings.Classes {
 		f.classes[class.Name] = class
@@ -169,7 +170,7 @@
 	w.Header().Set("Connection", "close")
 }
 
-// checkFraming rejects what leaves the end of a request in doubt and framingConn does not check.
+// checkFraming rejects what leaves the end of a request in doubt and framing.Conn does not check.
 func checkFraming(r *http.Request) error {
 	if !r.ProtoAtLeast(1, 1) {
 		return errors.New("HTTP/1.1 is wanted")
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -6,6 +6,8 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"sprucehill/internal/framing"
 )
 
 // A client that is silent, or stops in the middle of a request, has to get an error or a close within 3 s of connecting. It
@@ -49,7 +51,7 @@
 	open := func(s http.ConnState) net.Conn {
 		c, peer := net.Pipe()
 		t.Cleanup(func() { c.Close(); peer.Close() })
-		framed := &framingConn{Conn: c, now: f.now}
+		framed := framing.NewConn(c, f.now, clientReadTimeout)
 		f.trackConn(framed, http.StateNew)
 		if s == http.StateNew {
 			return c
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -135,7 +135,7 @@
 	for limit := time.Now().Add(failureTimeout); ; time.Sleep(time.Millisecond) {
 		left := ""
 		for stack := range strings.SplitSeq(string(text[:runtime.Stack(text, true)]), "\n\n") {
-			for _, of := range []string{"proxy.(*loop)", "proxy.(*frontend)", "proxy.(*framingConn)", "discovery.(*client)",
+			for _, of := range []string{"proxy.(*loop)", "proxy.(*frontend)", "framing.(*Conn)", "discovery.(*client)",
 				"discovery.(*Watcher)", "proxy.(*connPool)", "proxy.(*logWriter)", "savedstate.(*Saver)", "proxy.dialer"} {
 				if strings.Contains(stack, "sprucehill/internal/"+of) && !strings.Contains(stack, "proxy.assertNothingRuns") {
 					left = stack
--- a/internal/proxy/idleclose_test.go
+++ b/internal/proxy/idleclose_test.go
@@ -9,6 +9,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"sprucehill/internal/framing"
 )
 
 // heldReadListener accepts connections of which one read can be held back after its bytes have been taken from the network.
@@ -44,7 +46,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
-		if !c.isIdle() {
+		if !c.IsIdle() {
 			return false
 		}
 	}
@@ -102,45 +104,19 @@
 	}
 }
 
-// A response that is to be its connection's last ends reading: what comes behind it is given to nobody, and the connection
-// closes as soon as it is idle. Where a part of the next request has been read before, that request is answered.
-func TestEndAfterResponse(t *testing.T) {
-	const head = "GET /read/x HTTP/1.1\r\nHost: x\r\n\r\n"
-	for _, behind := range []string{"", head[:1], head} {
-		client, conn := net.Pipe()
-		defer client.Close()
-		c := &framingConn{Conn: conn, now: func() time.Duration { return 0 }}
-		read := func(text string) error {
-			go func() { _, _ = io.WriteString(client, text) }()
-			_, err := io.ReadFull(c, make([]byte, len(text)))
-			return err
-		}
-		if err := read(head + behind); err != nil {
-			t.Fatal(err)
-		}
-		c.endAfterResponse()
-		err := read("more")
-		assertEqual(t, "reading has ended", errors.Is(err, net.ErrClosed), behind == "")
-		assertEqual(t, "closes during the response", c.closeIfIdle(), false)
-		c.onAnswered()
-		assertEqual(t, "closes after it", c.closeIfIdle(), behind == "")
-		assertEqual(t, "closes twice", c.closeIfIdle(), false)
-	}
-}
-
 // A drain that ends between the end of a streamed response and its connection's next request does not leave a connection on
 // which nothing is read.
 func TestEndedConnectionClosesAfterDrain(t *testing.T) {
 	b := newBalancer(t)
 	client, conn := net.Pipe()
 	defer client.Close()
-	c := &framingConn{Conn: conn, now: b.proxy.front.now}
+	c := framing.NewConn(conn, b.proxy.front.now, clientReadTimeout)
 	const head = "GET /read/x HTTP/1.1\r\nHost: x\r\n\r\n"
 	go func() { _, _ = io.WriteString(client, head) }()
 	if _, err := io.ReadFull(c, make([]byte, len(head))); err != nil {
 		t.Fatal(err)
 	}
-	c.endAfterResponse() // in a drain, which is over when the response is
+	c.EndAfterResponse() // in a drain, which is over when the response is
 	b.proxy.front.trackConn(c, http.StateActive)
 	b.proxy.front.trackConn(c, http.StateIdle)
 	client.SetReadDeadline(time.Now().Add(time.Second))
--- a/internal/proxy/requestparse.go
+++ b/internal/proxy/requestparse.go
@@ -30,7 +30,7 @@
 // except beside an error.
 func (f *frontend) parseRequest(w http.ResponseWriter, r *http.Request) (*request, *requestBody, error) {
 	conn := connOf(r)
-	arrivedAt := conn.arrivedAt()
+	arrivedAt := conn.ArrivedAt()
 	class, err := f.classOf(r)
 	if err != nil {
 		return nil, nil, err
@@ -39,13 +39,13 @@
 	var buffered []byte
 	complete := true
 	if r.ContentLength != 0 {
-		body.allowFirstByte(arrivedAt - conn.headAt)
+		body.allowFirstByte(arrivedAt - conn.HeadAt())
 		buffered, complete, err = f.bodyBudget.readBody(body, r.ContentLength, func() bool { return false })
 		if err != nil {
 			f.bodyBudget.release(cap(buffered))
 			return nil, nil, fmt.Errorf("body: %w", err)
 		}
-		arrivedAt = conn.arrivedAt() // the deadline counts from the last byte
+		arrivedAt = conn.ArrivedAt() // the deadline counts from the last byte
 	}
 	if class.Idempotency == balancer.Idempotent && len(buffered) > 0 {
 		f.bodyBudget.release(cap(buffered))
--- a/internal/proxy/requestparse_test.go
+++ b/internal/proxy/requestparse_test.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -177,3 +178,10 @@
 	resp.Body.Close()
 	assertEqual(t, "status", resp.StatusCode, 200)
 }
+
+func TestOriginForm(t *testing.T) {
+	for in, out := range map[string]string{"/read/x?u=http://y/z": "/read/x?u=http://y/z", "http://h:1/read/%2F?q": "/read/%2F?q",
+		"http://h": "http://h", "*": "*"} {
+		assertEqual(t, fmt.Sprintf("of %s", in), originForm(in), out)
+	}
+}
--- a/internal/proxy/responsewriter.go
+++ b/internal/proxy/responsewriter.go
@@ -48,7 +48,7 @@
 func (x *exchange) writeStream(control *http.ResponseController, a response) (result delivery) {
 	upstream := a.stream
 	stopWatching := context.AfterFunc(x.httpRequest.Context(), func() {
-		if !connOf(x.httpRequest).hasFramingError() {
+		if !connOf(x.httpRequest).HasFramingError() {
 			upstream.conn.SetReadDeadline(expiredDeadline)
 		}
 	})
@@ -82,7 +82,7 @@
 		switch {
 		case errors.Is(err, io.EOF):
 			if x.frontend.sendsClientsAway() {
-				connOf(x.httpRequest).endAfterResponse()
+				connOf(x.httpRequest).EndAfterResponse()
 			}
 			if _, err := x.writer.Write(part); err != nil {
 				return clientGone
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -35,7 +35,7 @@
 	}
 	time.Sleep(shutdownAcceptPeriod)
 	if !f.inherited {
-		f.listener.closeWhenDrained()
+		f.listener.CloseWhenDrained()
 	}
 	<-f.acceptEnded // from here on the last accepted connection counts among the open ones
 	f.awaitClients()
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -10,6 +10,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"sprucehill/internal/framing"
 )
 
 // partialRequest is a client connection on which one request has been answered and a part of the next one's head has come.
@@ -43,7 +45,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c, is := range f.conns {
-		if is.state == http.StateIdle && !c.isIdle() {
+		if is.state == http.StateIdle && !c.IsIdle() {
 			return true
 		}
 	}
@@ -181,7 +183,7 @@
 	other, peer := net.Pipe()
 	defer other.Close()
 	defer peer.Close()
-	f.trackConn(&framingConn{Conn: other, now: f.now}, http.StateNew) // over the limit: it is closed itself
+	f.trackConn(framing.NewConn(other, f.now, clientReadTimeout), http.StateNew) // over the limit: it is closed itself
 	if _, err := peer.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the new connection: %v, want its end", err)
 	}
--- a/internal/proxy/upstreamconn.go
+++ b/internal/proxy/upstreamconn.go
@@ -7,6 +7,8 @@
 	"net"
 	"syscall"
 	"time"
+
+	"sprucehill/internal/socket"
 )
 
 const (
@@ -17,6 +19,12 @@
 	responseReaderSize = 2 << 10
 )
 
+// expiredDeadline is a deadline that ends whatever waits.
+var expiredDeadline = time.Unix(0, 1)
+
+// halfCloser is a connection whose sending side can be closed alone.
+type halfCloser interface{ CloseWrite() error }
+
 // upstreamConn is a connection to an upstream. It belongs to one attempt or, while idle, to the loop; nobody else uses it.
 type upstreamConn struct {
 	net.Conn
@@ -37,11 +45,11 @@
 
 // checkIdle looks, without waiting, whether an idle connection can still be used.
 func (c *upstreamConn) checkIdle() error {
-	state, err := peekSocket(c.Conn.(syscall.Conn))
+	state, err := socket.Peek(c.Conn.(syscall.Conn))
 	if err != nil {
 		return err
 	}
-	if state != socketQuiet || c.reader.Buffered() > 0 {
+	if state != socket.Quiet || c.reader.Buffered() > 0 {
 		return errStale
 	}
 	return nil
--- a/internal/proxy/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,5 @@
-package proxy
+// Package socket looks at the state of a socket without waiting and without reading from it.
+package socket
 
 import (
 	"errors"
@@ -7,28 +8,29 @@
 	"syscall"
 )
 
-// errPeekFailed says that a look at a socket has failed and tells nothing of the other side.
-var errPeekFailed = errors.New("looking at a socket")
+// ErrPeekFailed says that a look at a socket has failed and tells nothing of the other side.
+var ErrPeekFailed = errors.New("looking at a socket")
 
 // disconnectErrors are the errors by which a socket tells that the connection is over.
 var disconnectErrors = []syscall.Errno{syscall.ECONNRESET, syscall.ECONNABORTED, syscall.ECONNREFUSED, syscall.EPIPE,
 	syscall.ENOTCONN, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ENETDOWN}
 
-// socketState is what can be seen of a connection without waiting and without reading from it.
-type socketState uint8
+// State is what can be seen of a connection without waiting and without reading from it.
+type State uint8
 
+// The states of a connection.
 const (
-	socketQuiet    socketState = iota // open, with nothing to read
-	socketReadable                    // bytes wait to be read
-	socketClosed                      // the other side has closed or reset it
+	Quiet    State = iota // open, with nothing to read
+	Readable              // bytes wait to be read
+	Closed                // the other side has closed or reset it
 )
 
-// peekSocket returns a connection's state. It fails where the connection has been closed on this side, and with errPeekFailed
-// where the look itself has failed.
-func peekSocket(c syscall.Conn) (socketState, error) {
+// Peek returns a connection's state. It fails where the connection has been closed on this side, and with ErrPeekFailed where
+// the look itself has failed. Any goroutine may call it, also while another one reads the connection.
+func Peek(c syscall.Conn) (State, error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
-		return socketClosed, err
+		return Closed, err
 	}
 	var n int
 	var peekErr error
@@ -43,15 +45,15 @@
 	})
 	switch {
 	case err != nil:
-		return socketClosed, err
+		return Closed, err
 	case n > 0:
-		return socketReadable, nil
+		return Readable, nil
 	case errors.Is(peekErr, syscall.EAGAIN):
-		return socketQuiet, nil
+		return Quiet, nil
 	case peekErr == nil || isDisconnect(peekErr):
-		return socketClosed, nil
+		return Closed, nil
 	default:
-		return socketQuiet, fmt.Errorf("%w: %w", errPeekFailed, peekErr)
+		return Quiet, fmt.Errorf("%w: %w", ErrPeekFailed, peekErr)
 	}
 }
 
--- a/internal/proxy/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -1,24 +1,26 @@
-package proxy
+package socket
 
 import (
 	"net"
-	"os"
-	"syscall"
 	"testing"
+	"time"
 )
 
+// failureTimeout is how long a test waits for what has to come. Only a failure takes that long.
+const failureTimeout = 30 * time.Second
+
 // A look at a socket shows its state, and takes nothing out of it.
 func TestPeekSocket(t *testing.T) {
 	for _, x := range []struct {
 		name  string
 		act   func(other *net.TCPConn) error
-		state socketState
+		state State
 	}{
-		{"open", func(*net.TCPConn) error { return nil }, socketQuiet},
-		{"bytes wait", func(other *net.TCPConn) error { _, err := other.Write([]byte("x")); return err }, socketReadable},
-		{"sending side closed", func(other *net.TCPConn) error { return other.CloseWrite() }, socketClosed},
-		{"closed", func(other *net.TCPConn) error { return other.Close() }, socketClosed},
-		{"reset", func(other *net.TCPConn) error { other.SetLinger(0); return other.Close() }, socketClosed},
+		{"open", func(*net.TCPConn) error { return nil }, Quiet},
+		{"bytes wait", func(other *net.TCPConn) error { _, err := other.Write([]byte("x")); return err }, Readable},
+		{"sending side closed", func(other *net.TCPConn) error { return other.CloseWrite() }, Closed},
+		{"closed", func(other *net.TCPConn) error { return other.Close() }, Closed},
+		{"reset", func(other *net.TCPConn) error { other.SetLinger(0); return other.Close() }, Closed},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c, other := tcpPair(t)
@@ -26,10 +28,10 @@
 				t.Fatal(err)
 			}
 			eventually(t, "the state is seen", func() bool {
-				state, err := peekSocket(c)
+				state, err := Peek(c)
 				return err == nil && state == x.state
 			})
-			state, err := peekSocket(c)
+			state, err := Peek(c)
 			assertEqual(t, "state at a second look", state, x.state)
 			assertEqual(t, "error", err, nil)
 		})
@@ -37,7 +39,7 @@
 	t.Run("closed on this side", func(t *testing.T) {
 		c, _ := tcpPair(t)
 		c.Close()
-		if _, err := peekSocket(c); err == nil {
+		if _, err := Peek(c); err == nil {
 			t.Error("no error")
 		}
 	})
@@ -66,24 +68,20 @@
 	return dialed, accepted
 }
 
-// pipeConn is a connection whose descriptor is no socket: a look at it fails for a reason that says nothing of the peer.
-type pipeConn struct {
-	net.Conn
-	file *os.File
+// assertEqual fails the test if got is not want.
+func assertEqual(t *testing.T, what string, got, want any) {
+	t.Helper()
+	if got != want {
+		t.Errorf("%s: got %v, want %v", what, got, want)
+	}
 }
 
-func (c pipeConn) SyscallConn() (syscall.RawConn, error) { return c.file.SyscallConn() }
-
-// A look that fails, for lack of memory as well, is not taken for a client that has left: its request would be dropped.
-func TestFailedPeekIsNoDisconnect(t *testing.T) {
-	read, write, err := os.Pipe()
-	if err != nil {
-		t.Fatal(err)
+// eventually waits until a condition holds. Only a failure takes long.
+func eventually(t *testing.T, what string, is func() bool) {
+	t.Helper()
+	for limit := time.Now().Add(failureTimeout); !is(); time.Sleep(time.Millisecond) {
+		if time.Now().After(limit) {
+			t.Fatalf("never came true: %s", what)
+		}
 	}
-	defer read.Close()
-	defer write.Close()
-	c := &framingConn{Conn: pipeConn{file: read}}
-	assertEqual(t, "left", c.closedByClient(), false)
-	read.Close()
-	assertEqual(t, "left, where this side has closed", c.closedByClient(), true)
 }
