--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -13,14 +13,13 @@
 )
 
 const (
-	// WatchTimeout is how long discovery may hold a watch call open until there is a newer list.
+	// WatchTimeout is how long discovery may leave a watch call open until there is a newer list.
 	WatchTimeout = 2 * time.Second
-	// AnswerTimeout is how much later than WatchTimeout the answer may come, and how long that of a fetch may take. What
-	// discovery has to tell counts as notified 2 s after WatchTimeout, and an agent that does not respond must have been
-	// noticed before: a longer wait would delay that.
+	// AnswerTimeout is how much later than WatchTimeout the answer may come, and how long that of a fetch may take. A change
+	// of the list counts as notified 2 s after WatchTimeout. An agent that does not respond must be noticed before that.
 	AnswerTimeout = 1 * time.Second
-	// WatchInterval is the least time from one watch call to the next: an agent that answers at once must not keep the
-	// core busy. Discovery takes a call 200 ms after the last answer for a new watch.
+	// WatchInterval is the least time from one watch call to the next, for an agent that answers at once. Discovery takes a
+	// call 200 ms after the last answer for a new watch.
 	WatchInterval = 100 * time.Millisecond
 	// maxListBytes bounds an answer.
 	maxListBytes = 4 << 20
@@ -82,11 +81,11 @@
 			if ctx.Err() != nil {
 				return
 			}
-			<-nextCall // on a failure the module may ask for a new watch at once
+			<-nextCall // the owner may start a new watch at once
 			c.deliver(update)
 			return
 		}
-		c.deliver(update) // what has been notified counts, also where the watch was ended just then
+		c.deliver(update) // also where the watch was stopped just then: the list has been notified
 		<-nextCall
 	}
 }
@@ -96,7 +95,7 @@
 	return fmt.Sprintf("%s?since=%d&timeout_ms=%d", c.url, c.revision.Load(), WatchTimeout.Milliseconds())
 }
 
-// fetch asks for the complete list once.
+// fetch requests the complete list once.
 func (c *client) fetch(ctx context.Context) {
 	update := c.call(ctx, c.url, AnswerTimeout)
 	if update.Err == nil || ctx.Err() == nil {
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,8 +1,8 @@
-// Package discovery follows the service that lists the upstreams, its agent on the balancer's machine.
+// Package discovery follows the service that lists the upstreams, by its agent on the balancer's machine.
 //
 // A Watcher makes the calls and queues each answer as an Update for its owner, the event loop of package proxy. The owner
-// decides when to watch and when to fetch: after a failed call nothing is called again without being asked for. It asks the
-// Watcher whether an answer is stale, applies the list, and has the next call continue from it.
+// decides when to watch and when to fetch: a failed call is not retried by the Watcher. The owner checks with IsStale whether
+// an answer is out of date, applies the list, and has the next call continue from it.
 //
 // Each watch and each fetch runs on a goroutine of its own. Such a goroutine ends with its call, when the watch is stopped,
 // or when the Watcher's context ends. Everything else belongs to the owner's goroutine.
--- a/internal/framing/conn.go
+++ b/internal/framing/conn.go
@@ -11,7 +11,7 @@
 )
 
 // Conn is a client connection whose requests are checked for framing errors: a head in doubt is not passed on
-// completely, its reader gets an error instead. It also knows what net/http does not tell: when each request came, and
+// completely, its reader gets an error instead. It also knows what net/http does not report: when each request came, and
 // whether a request has begun on a connection that net/http takes for idle.
 //
 // One goroutine reads it at a time, and only that one calls HeadAt; all other methods may be called from any goroutine.
@@ -172,7 +172,7 @@
 }
 
 // scanRead scans what was read at a time on the caller's clock, and returns how much of it comes before a framing error. The
-// lock is held.
+// caller has the lock.
 func (c *Conn) scanRead(p []byte, readAt time.Duration) (good int, framingErr error) {
 	atStart := c.scan.atRequestStart()
 	complete := c.scan.requestCount
@@ -205,7 +205,7 @@
 }
 
 // inLaterHead reports whether a part of a head other than the first has come, and no request waits for its response. The
-// lock is held.
+// caller has the lock.
 func (c *Conn) inLaterHead() bool {
 	complete := c.scan.requestCount
 	return complete > 0 && complete == c.answered && complete == c.scan.headCount && !c.scan.atRequestStart()
@@ -220,7 +220,7 @@
 	}
 	state, err := socket.Peek(inner)
 	if errors.Is(err, socket.ErrPeekFailed) {
-		return false // the next read will tell
+		return false // the next read will show it
 	}
 	return err != nil || state == socket.Closed
 }
--- a/internal/framing/doc.go
+++ b/internal/framing/doc.go
@@ -4,7 +4,7 @@
 // Where the end of a request is in doubt, one reader's body is another reader's next request (request smuggling). So a Conn
 // scans each byte before net/http reads it, and gives a head in doubt to nobody completely: the reader gets an error.
 //
-// A Conn also knows what net/http does not tell: when each request came, whether a request has begun on a connection that
+// A Conn also knows what net/http does not report: when each request came, whether a request has begun on a connection that
 // net/http takes for idle, and, by reading ahead, that a client disconnects behind bytes that nobody reads.
 //
 // A Listener accepts such connections, and can be closed without resetting those that wait in its queue.
--- a/internal/framing/listener.go
+++ b/internal/framing/listener.go
@@ -32,7 +32,7 @@
 	now         func() time.Duration // the caller's clock
 	headTimeout time.Duration        // see NewConn
 	ending      atomic.Bool          // CloseWhenDrained has been called
-	// failing tells that the last accept call failed; it belongs to the caller of Accept.
+	// failing reports that the last accept call failed. It belongs to the caller of Accept.
 	failing bool
 }
 
--- a/internal/framing/readahead.go
+++ b/internal/framing/readahead.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// startReadAhead begins to read ahead where somebody waits for the client's disconnect. The lock is held.
+// startReadAhead begins to read ahead where somebody waits for the client's disconnect. The caller has the lock.
 func (c *Conn) startReadAhead() {
 	if c.disconnected == nil || c.done != nil {
 		return
@@ -111,7 +111,7 @@
 	}
 }
 
-// bufferReadAhead buffers what has been read ahead. The lock is held.
+// bufferReadAhead buffers what has been read ahead. The caller has the lock.
 func (c *Conn) bufferReadAhead(p []byte) {
 	c.overflowed = c.overflowed || len(c.buffered)+len(p) > ReadAheadBuffer
 	if len(p) == 0 || c.overflowed {
--- a/internal/framing/scanner.go
+++ b/internal/framing/scanner.go
@@ -17,7 +17,7 @@
 	errBadChunk    = errors.New("a malformed chunk")
 )
 
-// maxScannedLine is how many bytes of a line the scanner keeps: more than any line has that gives a valid length.
+// maxScannedLine is how many bytes of a line the scanner buffers: more than any line has that gives a valid length.
 const maxScannedLine = 256
 
 // scanState is the part of a request that a scanner reads next.
@@ -37,7 +37,7 @@
 type requestScanner struct {
 	state         scanState
 	line          []byte   // the present line so far, up to maxScannedLine bytes
-	lineTruncated bool     // the line is longer than what is kept of it
+	lineTruncated bool     // the line is longer than maxScannedLine
 	headLines     int      // complete lines of the present head
 	lengths       []string // Content-Length fields of the present head
 	encodings     []string // Transfer-Encoding fields of the present head
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -8,10 +8,10 @@
 	"syscall"
 )
 
-// ErrPeekFailed says that a look at a socket has failed and tells nothing of the other side.
+// ErrPeekFailed says that a look at a socket has failed, which says nothing of the other side.
 var ErrPeekFailed = errors.New("looking at a socket")
 
-// disconnectErrors are the errors by which a socket tells that the connection is over.
+// disconnectErrors are the errors by which a socket shows that the connection is over.
 var disconnectErrors = []syscall.Errno{syscall.ECONNRESET, syscall.ECONNABORTED, syscall.ECONNREFUSED, syscall.EPIPE,
 	syscall.ENOTCONN, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ENETDOWN}
 
@@ -57,7 +57,7 @@
 	}
 }
 
-// isDisconnect reports whether an error of a socket tells that the connection is over.
+// isDisconnect reports whether an error of a socket shows that the connection is over.
 func isDisconnect(err error) bool {
 	var number syscall.Errno
 	return errors.As(err, &number) && slices.Contains(disconnectErrors, number)
