--- a/internal/proxy/framing.go
+++ b/internal/framing/scanner.go
@@ -1,4 +1,4 @@
-package proxy
+package framing
 
 import (
 	"bytes"
@@ -8,10 +8,6 @@
 	"strings"
 )
 
-// net/http drops the Content-Length of a request that also has a Transfer-Encoding, and does not show that both were there.
-// Where the end of a request is in doubt, one reader's body is another reader's next request (request smuggling), so each
-// head is checked as it stands on the wire, before net/http reads its end.
-
 // Framing errors: the end of the request that shows one is in doubt.
 var (
 	errBothLengths = errors.New("a Content-Length beside a Transfer-Encoding")
@@ -21,7 +17,7 @@
 	errBadChunk    = errors.New("a malformed chunk")
 )
 
-// maxScannedLine is how many bytes of a line the scanner keeps: more than any line has that gives a valid length.
+// maxScannedLine is how many bytes of a line the scanner buffers: more than any line has that gives a valid length.
 const maxScannedLine = 256
 
 // scanState is the part of a request that a scanner reads next.
@@ -41,7 +37,7 @@
 type requestScanner struct {
 	state         scanState
 	line          []byte   // the present line so far, up to maxScannedLine bytes
-	lineTruncated bool     // the line is longer than what is kept of it
+	lineTruncated bool     // the line is longer than maxScannedLine
 	headLines     int      // complete lines of the present head
 	lengths       []string // Content-Length fields of the present head
 	encodings     []string // Transfer-Encoding fields of the present head
--- a/internal/proxy/clientconns.go
+++ b/internal/proxy/clientconns.go
@@ -8,6 +8,7 @@
 	"sync"
 	"time"
 
+	"sprucehill/internal/framing"
 	"sprucehill/internal/timelimit"
 )
 
@@ -28,13 +29,13 @@
 
 	mu   sync.Mutex // guards the fields below
 	max  int        // bound on the number of connections
-	open map[*framingConn]connStatus
+	open map[*framing.Conn]connStatus
 }
 
 // track records a connection's change of state; it is the server's ConnState hook. A connection over the limit replaces the
 // one that has been idle for longest, or is closed itself: file descriptors must not run out.
 func (c *clientConns) track(netConn net.Conn, state http.ConnState) {
-	conn := netConn.(*framingConn) // all come from a framingListener
+	conn := netConn.(*framing.Conn) // all come from a framing.Listener
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state == http.StateClosed || state == http.StateHijacked {
@@ -45,7 +46,7 @@
 	c.metrics.added(state)
 	c.open[conn] = connStatus{state: state, since: c.now()}
 	if state == http.StateIdle {
-		conn.onAnswered()
+		conn.OnAnswered()
 		c.closeAfterDrainedResponse(conn)
 	}
 	if state == http.StateNew && len(c.open) > c.max {
@@ -55,25 +56,25 @@
 
 // closeAfterDrainedResponse closes a connection that has become idle where clients are sent away: its response began too
 // early to say so. Waiting for the next sweep would let its client send another request.
-func (c *clientConns) closeAfterDrainedResponse(conn *framingConn) {
+func (c *clientConns) closeAfterDrainedResponse(conn *framing.Conn) {
 	cause, ending := c.lifecycle.closeCause()
 	switch {
 	case ending:
 		c.closeIfIdle(conn, cause)
-	case conn.isShut(): // a drain has ended meanwhile
+	case conn.IsShut(): // a drain has ended meanwhile
 		c.closeIfIdle(conn, closedByDrain)
 	}
 }
 
 // closeIfIdle closes a connection if it is between two requests, and counts that.
-func (c *clientConns) closeIfIdle(conn *framingConn, cause closeCause) {
-	if conn.closeIfIdle() {
+func (c *clientConns) closeIfIdle(conn *framing.Conn, cause closeCause) {
+	if conn.CloseIfIdle() {
 		c.metrics.countClose(cause)
 	}
 }
 
 // forget removes a connection from the open ones, if it is one of them. The caller has the lock.
-func (c *clientConns) forget(conn *framingConn) {
+func (c *clientConns) forget(conn *framing.Conn) {
 	status, tracked := c.open[conn]
 	if !tracked {
 		return
@@ -83,16 +84,16 @@
 }
 
 // evict closes the connection that has been idle for longest, or newcomer if there is none. The caller has the lock.
-func (c *clientConns) evict(newcomer *framingConn) {
+func (c *clientConns) evict(newcomer *framing.Conn) {
 	victim := newcomer
 	since := c.now() - timelimit.EvictionMinIdle
 	for conn, status := range c.open {
-		if status.since <= since && conn.isIdle() {
+		if status.since <= since && conn.IsIdle() {
 			victim = conn
 			since = status.since
 		}
 	}
-	if !victim.closeIfIdle() && !victim.isClosed() { // a request has just begun on it
+	if !victim.CloseIfIdle() && !victim.IsClosed() { // a request has just begun on it
 		victim = newcomer
 		newcomer.Close()
 	}
@@ -131,7 +132,7 @@
 		}
 		logged++
 		slog.Info("client connection open", "client", conn.RemoteAddr(), "state", status.state,
-			"elapsed", (c.now() - status.since).Round(time.Millisecond), "idle", conn.isIdle(), "answered", conn.answeredCount())
+			"elapsed", (c.now() - status.since).Round(time.Millisecond), "idle", conn.IsIdle(), "answered", conn.AnsweredCount())
 	}
 }
 
@@ -150,7 +151,7 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// connOf returns the connection of a request; all come from a framingListener.
-func connOf(r *http.Request) *framingConn {
-	return r.Context().Value(connKey{}).(*framingConn)
+// connOf returns the connection of a request; all come from a framing.Listener.
+func connOf(r *http.Request) *framing.Conn {
+	return r.Context().Value(connKey{}).(*framing.Conn)
 }
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -25,6 +25,8 @@
 	"time"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/discovery"
+	"sprucehill/internal/savedstate"
 	"sprucehill/internal/wire"
 )
 
@@ -54,13 +56,13 @@
 	// Sockets is the limit on open sockets of the process.
 	Sockets int
 	// Known is the endpoint list as last known, maybe stale.
-	Known endpointList
+	Known discovery.List
 	// Settings are for the decision module.
 	Settings balancer.Settings
 	// Links are the settings of connections to upstreams.
 	Links wire.ConnectionTimeouts
 	// StateWriter saves the state that has to outlive the process. It may be nil: nothing is saved.
-	StateWriter StateWriter
+	StateWriter savedstate.Writer
 	// UnusedKeys are the keys of the configuration file's top level that this program does not know, sorted. They are no mistake,
 	// but a misspelt one shows there.
 	UnusedKeys []string
@@ -101,7 +103,7 @@
 	Management string          `json:"management"`
 	Seed       string          `json:"seed"` // hexadecimal
 	Limits     fileLimits      `json:"limits"`
-	Known      endpointList    `json:"known"`
+	Known      discovery.List  `json:"known"`
 	Settings   json.RawMessage `json:"settings"`
 
 	text []byte // the complete file
@@ -233,7 +235,7 @@
 		return c, err
 	}
 	for _, m := range c.Known.Members {
-		if err := m.validate(); err != nil {
+		if err := m.Validate(); err != nil {
 			return c, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"log/slog"
 	"net/http"
 	"time"
 
@@ -16,7 +17,7 @@
 	r := l.requests[id]
 	endpoint := l.endpoints[up]
 	if r == nil || endpoint == nil { // the module knows both from the loop
-		l.log.info("attempt skipped: request or endpoint unknown", "request_id", id, "endpoint", up)
+		slog.Info("attempt skipped: request or endpoint unknown", "request_id", id, "endpoint", up)
 		return
 	}
 	now := l.now()
@@ -126,15 +127,15 @@
 
 // WatchEndpoints starts a watch of discovery, in place of one that runs.
 func (l *loop) WatchEndpoints() {
-	l.discovery.stopWatch()
-	l.discovery.startWatch()
+	l.discovery.StopWatch()
+	l.discovery.StartWatch()
 }
 
 // UnwatchEndpoints stops the watch of discovery.
-func (l *loop) UnwatchEndpoints() { l.discovery.stopWatch() }
+func (l *loop) UnwatchEndpoints() { l.discovery.StopWatch() }
 
 // FetchEndpoints polls discovery once for the complete list.
-func (l *loop) FetchEndpoints() { l.discovery.fetch() }
+func (l *loop) FetchEndpoints() { l.discovery.Fetch() }
 
 // SetTimer has the module's OnTimer called with the token.
 func (l *loop) SetTimer(after time.Duration, token uint64) {
--- a/internal/proxy/endpointupdate.go
+++ b/internal/proxy/endpointupdate.go
@@ -4,20 +4,21 @@
 	"log/slog"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/discovery"
 )
 
 // onEndpointUpdate handles an answer of discovery, or the failure of a call.
-func (l *loop) onEndpointUpdate(update endpointUpdate) {
-	defer close(update.applied)
+func (l *loop) onEndpointUpdate(update discovery.Update) {
+	defer update.MarkApplied()
 	switch {
-	case update.from != l.discovery.client:
+	case l.discovery.IsFromPrevious(update):
 		l.applyFromPreviousDiscovery(update)
-	case update.err != nil:
-		slog.Info("endpoint update failed", "err", update.err)
+	case update.Err != nil:
+		slog.Info("endpoint update failed", "err", update.Err)
 		l.balancer.OnEndpointUpdate(l.now(), balancer.UpdateFailed, nil)
-	case l.discovery.isStale(update):
-		slog.Info("stale endpoint list ignored", "revision", update.list.Revision, "current_revision", l.discovery.revision)
-		l.discovery.ignore(update)
+	case l.discovery.IsStale(update):
+		slog.Info("stale endpoint list ignored", "revision", update.List.Revision, "current_revision", l.discovery.Revision())
+		l.discovery.Ignore(update)
 	default:
 		l.acceptEndpointUpdate(update)
 	}
@@ -26,31 +27,31 @@
 
 // applyFromPreviousDiscovery applies an answer of the service before the last move. It counts until the present service
 // has answered; the revisions of the two have nothing to do with each other.
-func (l *loop) applyFromPreviousDiscovery(update endpointUpdate) {
-	if update.err != nil || l.discovery.lastAccepted != 0 {
+func (l *loop) applyFromPreviousDiscovery(update discovery.Update) {
+	if update.Err != nil || l.discovery.HasAccepted() {
 		return
 	}
-	list := update.list
+	list := update.List
 	list.Revision = 0
 	l.applyEndpointList(updateMode(list), list)
 }
 
 // acceptEndpointUpdate applies an answer of the present service.
-func (l *loop) acceptEndpointUpdate(update endpointUpdate) {
-	list := update.list
-	if list.Revision < l.discovery.revision {
-		slog.Info("discovery revisions restarted", "revision", list.Revision, "current_revision", l.discovery.revision)
+func (l *loop) acceptEndpointUpdate(update discovery.Update) {
+	list := update.List
+	if list.Revision < l.discovery.Revision() {
+		slog.Info("discovery revisions restarted", "revision", list.Revision, "current_revision", l.discovery.Revision())
 		if !list.Complete { // these are changes of a list that the loop does not have: the next call gets the complete list
 			list.Revision = 0
 		}
 	}
-	l.discovery.accept(update)
+	l.discovery.Accept(update)
 	l.applyEndpointList(updateMode(list), list)
-	l.discovery.client.revision.Store(l.discovery.revision)
+	l.discovery.ContinueFromRevision()
 }
 
 // updateMode is how the decision module takes an answer of discovery.
-func updateMode(list endpointList) balancer.UpdateMode {
+func updateMode(list discovery.List) balancer.UpdateMode {
 	if list.Complete {
 		return balancer.UpdateComplete
 	}
@@ -59,23 +60,23 @@
 
 // applyEndpointList applies a list: first to the endpoint table, so that nothing goes to an endpoint that drains, then
 // to the decision module, which may send at once.
-func (l *loop) applyEndpointList(mode balancer.UpdateMode, list endpointList) {
-	l.discovery.revision = list.Revision
+func (l *loop) applyEndpointList(mode balancer.UpdateMode, list discovery.List) {
+	l.discovery.SetRevision(list.Revision)
 	endpoints := l.updateEndpoints(mode, list)
 	l.balancer.OnEndpointUpdate(l.now(), mode, endpoints)
 	l.deliverOutcomes()
-	l.saver.saveList(l.ids, mode, list)
+	l.saver.SaveList(mode, list)
 	l.publish(l.now())
 	l.endpoints.forgetRemoved()
 }
 
 // updateEndpoints applies a list to the endpoint table and returns its entries as the decision module takes them.
-func (l *loop) updateEndpoints(mode balancer.UpdateMode, list endpointList) []balancer.Endpoint {
+func (l *loop) updateEndpoints(mode balancer.UpdateMode, list discovery.List) []balancer.Endpoint {
 	endpoints := make([]balancer.Endpoint, 0, len(list.Members))
 	listed := make(map[balancer.EndpointID]bool, len(list.Members))
 	for i := range list.Members {
 		entry := &list.Members[i]
-		endpoint := entry.toEndpoint(l.ids.idOf(entry.ID))
+		endpoint := entry.ToEndpoint(l.ids.idOf(entry.ID))
 		endpoint.Zone = qualifyZone(l.localities, endpoint.Zone)
 		endpoints = append(endpoints, endpoint)
 		listed[endpoint.ID] = true
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -138,6 +138,6 @@
 
 func (e discoveryMoved) apply(l *loop) {
 	slog.Info("discovery address changed", "address", e.address)
-	l.saver.discovery = e.address
-	l.discovery.moveTo(e.address)
+	l.saver.SetDiscovery(e.address)
+	l.discovery.MoveTo(e.address)
 }
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/framing"
 	"sprucehill/internal/timelimit"
 )
 
@@ -46,7 +47,7 @@
 
 // acceptor is where client connections come from.
 type acceptor struct {
-	listener  *framingListener
+	listener  *framing.Listener
 	inherited bool          // the listener was handed down by the platform
 	ended     chan struct{} // closed once no more connections are accepted
 }
@@ -61,7 +62,7 @@
 		now:        to.now,
 		lifecycle:  lifecycle{longestDeadline: c.longestDeadline()},
 		acceptor: acceptor{
-			listener:  &framingListener{Listener: l, now: to.now},
+			listener:  framing.NewListener(l, to.now, timelimit.ClientRead),
 			inherited: c.inheritsListener(),
 			ended:     make(chan struct{}),
 		},
@@ -71,7 +72,7 @@
 		lifecycle: &f.lifecycle,
 		now:       to.now,
 		max:       c.maxClientConns(),
-		open:      map[*framingConn]connStatus{},
+		open:      map[*framing.Conn]connStatus{},
 	}
 	for _, class := range c.Settings.Classes {
 		f.classes[class.Name] = class
@@ -145,7 +146,7 @@
 	w.Header().Set("Connection", "close")
 }
 
-// checkFraming rejects what leaves the end of a request in doubt and framingConn does not check.
+// checkFraming rejects what leaves the end of a request in doubt and framing.Conn does not check.
 func checkFraming(r *http.Request) error {
 	if !r.ProtoAtLeast(1, 1) {
 		return errors.New("HTTP/1.1 is wanted")
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"sprucehill/internal/framing"
 	"sprucehill/internal/timelimit"
 )
 
@@ -52,7 +53,7 @@
 	open := func(s http.ConnState) net.Conn {
 		c, peer := net.Pipe()
 		t.Cleanup(func() { c.Close(); peer.Close() })
-		framed := &framingConn{Conn: c, now: f.now}
+		framed := framing.NewConn(c, f.now, timelimit.ClientRead)
 		f.conns.track(framed, http.StateNew)
 		if s == http.StateNew {
 			return c
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -15,6 +15,7 @@
 	"testing"
 	"time"
 
+	"sprucehill/internal/discovery"
 	"sprucehill/internal/wire"
 )
 
@@ -48,28 +49,28 @@
 }
 
 // newBalancer starts a balancer with a discovery service of its own.
-func newBalancer(tb testing.TB, members ...endpointEntry) *testBalancer {
+func newBalancer(tb testing.TB, members ...discovery.Entry) *testBalancer {
 	tb.Helper()
 	return newBalancerAt(tb, 0, members...)
 }
 
 // newBalancerAt starts a balancer on an inherited listener, or on one of its own if fd is 0.
-func newBalancerAt(tb testing.TB, fd int, members ...endpointEntry) *testBalancer {
+func newBalancerAt(tb testing.TB, fd int, members ...discovery.Entry) *testBalancer {
 	tb.Helper()
 	return newBalancerWith(tb, newTestDiscovery(tb), func(c *Config) { c.ListenFD = fd }, members...)
 }
 
 // newBalancerWith starts a balancer that uses the given discovery service and a changed configuration.
-func newBalancerWith(tb testing.TB, g *testDiscovery, change func(*Config), members ...endpointEntry) *testBalancer {
+func newBalancerWith(tb testing.TB, g *testDiscovery, change func(*Config), members ...discovery.Entry) *testBalancer {
 	tb.Helper()
 	return newBalancerOn(tb, g, func(l net.Listener) net.Listener { return l }, change, members...)
 }
 
 // newBalancerOn starts a balancer whose clients come through what listen makes of its listener.
-func newBalancerOn(tb testing.TB, g *testDiscovery, listen func(net.Listener) net.Listener, change func(*Config), members ...endpointEntry) *testBalancer {
+func newBalancerOn(tb testing.TB, g *testDiscovery, listen func(net.Listener) net.Listener, change func(*Config), members ...discovery.Entry) *testBalancer {
 	tb.Helper()
 	f := configFile{Name: "n0", Listen: "127.0.0.1:0", Discovery: g.addr, Seed: "8c1f30d27a5be964",
-		Known: endpointList{Revision: 10, Complete: true, Members: members}, Settings: json.RawMessage(settingsText)}
+		Known: discovery.List{Revision: 10, Complete: true, Members: members}, Settings: json.RawMessage(settingsText)}
 	f.Limits.MemoryMB, f.Limits.Sockets = 192, 1024
 	c, err := f.toConfig()
 	if err != nil {
@@ -134,9 +135,9 @@
 	for limit := time.Now().Add(failureTimeout); ; time.Sleep(time.Millisecond) {
 		left := ""
 		for stack := range strings.SplitSeq(string(text[:runtime.Stack(text, true)]), "\n\n") {
-			for _, of := range []string{"(*loop)", "(*frontend)", "(*framingConn)", "(*discoveryClient)", "(*discoveryWatcher)",
-				"(*connPool)", "(*clientConns)", "(*logWriter)", "(*stateSaver)", "dialer"} {
-				if strings.Contains(stack, "sprucehill/internal/proxy."+of) && !strings.Contains(stack, "proxy.assertNothingRuns") {
+			for _, of := range []string{"proxy.(*loop)", "proxy.(*frontend)", "framing.(*Conn)", "discovery.(*client)", "discovery.(*Watcher)",
+				"proxy.(*connPool)", "proxy.(*clientConns)", "savedstate.(*Saver)", "proxy.dialer"} {
+				if strings.Contains(stack, "sprucehill/internal/"+of) && !strings.Contains(stack, "proxy.assertNothingRuns") {
 					left = stack
 				}
 			}
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -8,16 +8,14 @@
 	"time"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/discovery"
 	"sprucehill/internal/metrics"
+	"sprucehill/internal/savedstate"
 	"sprucehill/internal/timelimit"
 )
 
-const (
-	// eventQueueLength is how many events may wait for the loop before those who post them wait too.
-	eventQueueLength = 1024
-	// updateQueueLength is how many answers of discovery may wait for the loop.
-	updateQueueLength = 4
-)
+// eventQueueLength is how many events may wait for the loop before those who post them wait too.
+const eventQueueLength = 1024
 
 // event is something that happened outside of the loop. apply is called on the loop's goroutine.
 type event interface{ apply(l *loop) }
@@ -31,7 +29,6 @@
 	balancer *balancer.Balancer
 	settings balancer.Settings
 	events   chan event
-	log      *logWriter
 
 	clock clock
 
@@ -47,8 +44,8 @@
 
 	ids        *endpointIDs
 	localities map[string]string // zones without a region, to region/zone
-	discovery  *discoveryWatcher
-	saver      *stateSaver
+	discovery  *discovery.Watcher
+	saver      *savedstate.Saver
 
 	metrics *proxyMetrics
 	report  loopReport
@@ -61,7 +58,6 @@
 		ctx:        ctx,
 		settings:   c.Settings,
 		events:     make(chan event, eventQueueLength),
-		log:        &logWriter{},
 		clock:      newClock(),
 		requests:   map[balancer.RequestID]*request{},
 		endpoints:  endpointTable{},
@@ -76,11 +72,17 @@
 		idleTimeout: timelimit.UpstreamIdle(c.Links.KeepAlive),
 		now:         l.now,
 	}
-	l.saver = newStateSaver(c, l.log)
-	l.discovery = newDiscoveryWatcher(ctx, c.Discovery, l.saver.initial.Revision)
-	if l.saver.restored {
+	l.saver = savedstate.NewSaver(savedstate.Options{
+		Writer:    c.StateWriter,
+		Discovery: c.Discovery,
+		Known:     c.Known,
+		IDOf:      l.ids.idOf,
+		Log:       slog.Info,
+	})
+	l.discovery = discovery.NewWatcher(ctx, c.Discovery, l.saver.Initial().Revision)
+	if l.saver.IsRestored() {
 		seeded := rand.New(rand.NewPCG(c.Seed, 1))
-		l.discovery.client.delayFirstCall(time.Duration(seeded.Int64N(int64(maxStartDelay(c.Settings)) + 1)))
+		l.discovery.DelayFirstCall(time.Duration(seeded.Int64N(int64(maxStartDelay(c.Settings)) + 1)))
 	}
 	return l
 }
@@ -113,8 +115,8 @@
 		return err
 	}
 	l.balancer = module
-	l.applyEndpointList(balancer.UpdateCached, l.saver.initial)
-	l.saver.restore(l.balancer, l.ids, l.now)
+	l.applyEndpointList(balancer.UpdateCached, l.saver.Initial())
+	l.saver.Restore(l.balancer, l.now)
 	if !c.Settings.PollDiscovery { // lists that are pushed come without the module's asking
 		l.WatchEndpoints()
 	}
@@ -127,7 +129,7 @@
 	wake := time.NewTimer(0)
 	for {
 		select {
-		case update := <-l.discovery.updates:
+		case update := <-l.discovery.Updates():
 			l.onEndpointUpdate(update)
 			continue
 		default:
@@ -137,7 +139,7 @@
 			wake.Reset(max(0, at-l.now()))
 		}
 		select {
-		case update := <-l.discovery.updates:
+		case update := <-l.discovery.Updates():
 			l.onEndpointUpdate(update)
 		case e := <-l.events:
 			l.dispatch(e)
@@ -150,8 +152,8 @@
 
 // dispatch applies an event, after an update from discovery that came meanwhile.
 func (l *loop) dispatch(e event) {
-	if len(l.discovery.updates) > 0 {
-		l.onEndpointUpdate(<-l.discovery.updates)
+	if len(l.discovery.Updates()) > 0 {
+		l.onEndpointUpdate(<-l.discovery.Updates())
 	}
 	e.apply(l)
 	l.deliverOutcomes()
@@ -163,7 +165,7 @@
 	known, skipped := l.balancer.EndpointCounts(now)
 	l.metrics.knownEndpoints.Set(known)
 	l.metrics.skippedEndpoints.Set(skipped)
-	l.saver.saveSnapshot(l.balancer, now)
+	l.saver.SaveSnapshot(l.balancer, now)
 	l.report.zones.update(now, l.balancer.ZoneStatuses(now), l.settings.Zone, slog.Info)
 	l.report.nextAt = now + publishEvery
 }
--- a/internal/proxy/loopstall_test.go
+++ b/internal/proxy/loopstall_test.go
@@ -6,7 +6,9 @@
 	"testing"
 	"time"
 
+	"sprucehill/internal/discovery"
 	"sprucehill/internal/durable"
+	"sprucehill/internal/savedstate"
 )
 
 // slowDisk is a folder whose syncs take long.
@@ -40,7 +42,7 @@
 func BenchmarkLoopStall(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		b.Run(fmt.Sprintf("state=%v", on), func(b *testing.B) {
-			var members []endpointEntry
+			var members []discovery.Entry
 			for i := range 12 {
 				members = append(members, activeMember(fmt.Sprintf("s-%08x", i+1), newTestUpstream(b, respondOK)))
 			}
@@ -53,7 +55,7 @@
 					b.Fatal(err)
 				}
 				k := durable.StartWriterOn(slowDisk{folder, 50 * time.Millisecond}, durable.Options{Owner: "b", MinInterval: 200 * time.Millisecond,
-					Log: func(string, ...any) {}}, StateKinds)
+					Log: func(string, ...any) {}}, savedstate.Kinds)
 				b.Cleanup(k.Close)
 				c.StateWriter = k
 			}, members...)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"sprucehill/balancer"
+	"sprucehill/internal/savedstate"
 	"sprucehill/internal/timelimit"
 )
 
@@ -30,7 +31,7 @@
 	p := &Proxy{config: c, end: end}
 	p.loop = newLoop(life, &p.config)
 	p.front = newFrontend(&p.config, listener, p.loop)
-	if p.loop.saver.currentOrders().Drain {
+	if p.loop.saver.CurrentOrders().Drain {
 		p.front.startDrain() // before operators can order otherwise
 	}
 	return p
@@ -67,7 +68,7 @@
 // saveLastSnapshot saves a snapshot of the decision module at the end.
 func (p *Proxy) saveLastSnapshot() {
 	// A loop that is too busy for it has saved most of that shortly before.
-	_ = p.callLoop(func(l *loop) { l.saver.saveLastSnapshot(l.balancer, l.now()) })
+	_ = p.callLoop(func(l *loop) { l.saver.SaveLastSnapshot(l.balancer, l.now()) })
 }
 
 // Ready reports whether clients are accepted. A balancer that drains still serves those that come.
@@ -99,7 +100,7 @@
 func (p *Proxy) saveDrainOrder() (done bool, state string) {
 	_, state = p.Ready()
 	// Of orders at the same moment, the one that is saved last saves the state that all of them have led to.
-	err := p.loop.saver.updateOrders(func(o *savedOrders) { o.Drain = p.front.lifecycle.drain.isActive() })
+	err := p.loop.saver.UpdateOrders(func(o *savedstate.Orders) { o.Drain = p.front.lifecycle.drain.isActive() })
 	if err != nil {
 		return false, state + ", " + err.Error()
 	}
@@ -137,7 +138,7 @@
 	if !drained {
 		return false, "it is not known, or the last that is not left"
 	}
-	return p.saveZoneOrder("left", func(o *savedOrders) { o.setZoneDrained(name, true) })
+	return p.saveZoneOrder("left", func(o *savedstate.Orders) { o.DrainZone(name) })
 }
 
 // RestoreZone returns a drained zone to service step by step. Its results are as those of DrainZone.
@@ -150,12 +151,12 @@
 	if !reinstated {
 		return false, "it was not left"
 	}
-	return p.saveZoneOrder("returning", func(o *savedOrders) { o.setZoneDrained(name, false) })
+	return p.saveZoneOrder("returning", func(o *savedstate.Orders) { o.ReinstateZone(name) })
 }
 
 // saveZoneOrder saves what an order for a zone changes. The zone is in the given state now.
-func (p *Proxy) saveZoneOrder(state string, change func(*savedOrders)) (done bool, text string) {
-	err := p.loop.saver.updateOrders(change)
+func (p *Proxy) saveZoneOrder(state string, change func(*savedstate.Orders)) (done bool, text string) {
+	err := p.loop.saver.UpdateOrders(change)
 	if err != nil {
 		return false, state + ", " + err.Error()
 	}
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -22,7 +22,7 @@
 	}
 	time.Sleep(timelimit.ShutdownAccept)
 	if !f.acceptor.inherited {
-		f.acceptor.listener.closeWhenDrained()
+		f.acceptor.listener.CloseWhenDrained()
 	}
 	<-f.acceptor.ended // from here on the last accepted connection counts among the open ones
 	f.awaitClients()
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"sprucehill/internal/framing"
 	"sprucehill/internal/timelimit"
 )
 
@@ -45,7 +46,7 @@
 	f.conns.mu.Lock()
 	defer f.conns.mu.Unlock()
 	for c, is := range f.conns.open {
-		if is.state == http.StateIdle && !c.isIdle() {
+		if is.state == http.StateIdle && !c.IsIdle() {
 			return true
 		}
 	}
@@ -183,7 +184,7 @@
 	other, peer := net.Pipe()
 	defer other.Close()
 	defer peer.Close()
-	f.conns.track(&framingConn{Conn: other, now: f.now}, http.StateNew) // over the limit: it is closed itself
+	f.conns.track(framing.NewConn(other, f.now, timelimit.ClientRead), http.StateNew) // over the limit: it is closed itself
 	if _, err := peer.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the new connection: %v, want its end", err)
 	}
