--- a/cmd/balancer/drainsoak_test.go
+++ b/cmd/balancer/drainsoak_test.go
@@ -103,14 +103,15 @@
 
 // soakRequest is a request that a client of the soak sends.
 type soakRequest struct {
-	id       string
-	text     string
-	deadline time.Duration
-	pieces   int           // in which it is sent
-	sendTime time.Duration // that all pieces take together
-	sized    bool          // its response comes in one piece
-	breaks   bool          // its upstream breaks the connection
-	patience time.Duration // after which its client leaves; 0: it stays
+	id        string
+	text      string
+	deadline  time.Duration
+	pieces    int           // in which it is sent
+	sendTime  time.Duration // that all pieces take together
+	sized     bool          // its response comes in one piece
+	breaks    bool          // its upstream breaks the connection
+	patience  time.Duration // after which its client leaves; 0: it stays
+	opensConn bool          // it is the first of its connection, which has not been silent before
 }
 
 // draw draws a request: answered at once, late or never, in one piece or several, sent at once or slowly.
@@ -210,7 +211,8 @@
 		if request.patience > 0 {
 			conn.SetReadDeadline(time.Now().Add(request.patience))
 		}
-		again := c.await(in, request, sent, first)
+		request.opensConn = first
+		again := c.await(in, request, sent)
 		if !again {
 			c.leave(conn, request)
 		}
@@ -239,7 +241,7 @@
 }
 
 // await reads the response to a request, and reports whether the connection can be used again.
-func (c *soakClient) await(in *bufio.Reader, r soakRequest, sent error, first bool) (again bool) {
+func (c *soakClient) await(in *bufio.Reader, r soakRequest, sent error) (again bool) {
 	sentAt := time.Now()
 	response, err := http.ReadResponse(in, nil)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -249,7 +251,7 @@
 		// A request that crosses the end of a connection between two requests is sent again; none else may be closed on.
 		if n := c.timesForwarded(r.id); n > 0 {
 			c.violation("request %s was forwarded and its connection closed without a response: %v", r.id, err)
-		} else if first && sent == nil {
+		} else if r.opensConn && sent == nil {
 			c.violation("request %s, the first of its connection, got no response: %v", r.id, err)
 		}
 		return false
