--- a/docs_test.go
+++ b/docs_test.go
@@ -7,6 +7,7 @@
 	"go/parser"
 	"go/token"
 	"io/fs"
+	"maps"
 	"os"
 	"path"
 	"path/filepath"
@@ -402,9 +403,9 @@
 // Every path, file, function, type, method and test that a page names exists.
 func TestDocsNameExistingCode(t *testing.T) {
 	index := indexTree(t)
-	for name, project := range namesOfOthers {
+	for _, name := range slices.Sorted(maps.Keys(namesOfOthers)) {
 		if index.names[name] {
-			t.Errorf("docs_test.go: %s is a name of this tree now: take it off the names of %s", name, project)
+			t.Errorf("docs_test.go: %s is a name of this tree now: take it off the names of %s", name, namesOfOthers[name])
 		}
 	}
 	for _, p := range readPages(t) {
