--- a/docs_test.go
+++ b/docs_test.go
@@ -115,7 +115,7 @@
 	places   map[string][]string        // where the last part of a name is declared
 	bases    map[string][]string        // paths by the base name of all files
 	tests    []string                   // functions of test files that go test runs
-	literals bytes.Buffer               // all strings and struct tags
+	literals bytes.Buffer               // all strings and struct tags, tests aside
 }
 
 func indexTree(t *testing.T) *codeIndex {
@@ -174,7 +174,7 @@
 				index.names[x.Name+"."+node.Sel.Name] = true
 			}
 		case *ast.BasicLit:
-			if node.Kind == token.STRING {
+			if node.Kind == token.STRING && !strings.HasSuffix(file, "_test.go") {
 				index.literals.WriteString(node.Value + "\n")
 			}
 		}
@@ -415,6 +415,34 @@
 	}
 }
 
+// Each log message in a table whose first column is named "line" is a string of the program; … stands for what is left out.
+func TestDocsQuoteLogMessages(t *testing.T) {
+	index := indexTree(t)
+	quoted := 0
+	for _, p := range readPages(t) {
+		number, isLogTable := 0, false
+		for line := range strings.Lines(p.text) {
+			number++
+			first, _, isRow := strings.Cut(strings.TrimPrefix(line, "| "), " |")
+			isLogTable = isRow && (isLogTable || first == "line")
+			if !isLogTable {
+				continue
+			}
+			for _, message := range codeSpan.FindAllStringSubmatch(first, -1) {
+				quoted++
+				for part := range strings.SplitSeq(message[1], "…") {
+					if !bytes.Contains(index.literals.Bytes(), []byte(strings.TrimSpace(part))) {
+						t.Errorf("%s:%d: `%s`: no string of the program has it", p.path, number, strings.TrimSpace(part))
+					}
+				}
+			}
+		}
+	}
+	if quoted == 0 {
+		t.Error("no page has a table of log messages")
+	}
+}
+
 // Each row of the glossary has four cells: the word, the field's term, identifiers, a sentence. Identifiers are qualified by their
 // package, or "-" stands where the code has none; words in backquotes are strings of the program.
 func TestGlossaryIdentifiersExist(t *testing.T) {
