--- a/docs_test.go
+++ b/docs_test.go
@@ -415,6 +415,20 @@
 	}
 }
 
+// Each package has a row in the table of packages.
+func TestArchitectureListsEachPackage(t *testing.T) {
+	text, err := os.ReadFile("docs/ARCHITECTURE.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	firstCells := regexp.MustCompile("(?m)^\\| (`[^|]*) \\|").FindAllString(string(text), -1)
+	for _, pkg := range slices.Sorted(maps.Keys(imports)) {
+		if !strings.Contains(strings.Join(firstCells, "\n"), "`"+pkg+"`") {
+			t.Errorf("docs/ARCHITECTURE.md: `%s` has no row in the table of packages", pkg)
+		}
+	}
+}
+
 // Each log message in a table whose first column is named "line" is a string of the program; … stands for what is left out.
 func TestDocsQuoteLogMessages(t *testing.T) {
 	index := indexTree(t)
