--- a/cmd/balancerctl/text.go
+++ b/cmd/balancerctl/text.go
@@ -217,13 +217,13 @@
 	for _, r := range all {
 		to := "the end"
 		back := "not within the day"
-		if r.End >= 0 {
-			to = fmt.Sprintf("%.1f s", r.End)
+		if r.EndSeconds >= 0 {
+			to = fmt.Sprintf("%.1f s", r.EndSeconds)
 		}
-		if r.Back != nil {
-			back = fmt.Sprintf("%.1f s", *r.Back)
+		if r.RecoverySeconds != nil {
+			back = fmt.Sprintf("%.1f s", *r.RecoverySeconds)
 		}
-		rows = append(rows, []any{"", r.Fault, fmt.Sprintf("%.1f s", r.At), to, percent(r.Before), percent(r.Least), back})
+		rows = append(rows, []any{"", r.Fault, fmt.Sprintf("%.1f s", r.StartSeconds), to, percent(r.ServedRatioBefore), percent(r.LowestServedRatio), back})
 	}
 	fmt.Fprintln(w)
 	writeTable(w, rows...)
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -48,13 +48,13 @@
 	{"cross-zone share", "", func(s *measure.Summary) float64 { return s.CrossZone }, false},
 	{"recovery", "s", recovery, false},
 	{"10 s from a fault", "", func(s *measure.Summary) float64 {
-		return worstOf(s, func(r measure.Recovery) float64 { return r.Ten })
+		return worstOf(s, func(r measure.Recovery) float64 { return r.ServedRatioFirst10s })
 	}, true},
 	{"5 s after a fault", "", func(s *measure.Summary) float64 {
-		return worstOf(s, func(r measure.Recovery) float64 { return r.Five })
+		return worstOf(s, func(r measure.Recovery) float64 { return r.ServedRatioNext5s })
 	}, true},
 	{"after it was back", "", func(s *measure.Summary) float64 {
-		return worstOf(s, func(r measure.Recovery) float64 { return r.Again })
+		return worstOf(s, func(r measure.Recovery) float64 { return r.SecondDipRatio })
 	}, true},
 	{"fullest zone", "", fullestZone, false},
 	{"swing of zones", "", zoneSwing, false},
@@ -100,10 +100,10 @@
 	var sum float64
 	for _, r := range s.Recoveries {
 		switch {
-		case r.Back != nil:
-			sum += *r.Back
-		case r.End >= 0:
-			sum += max(0, s.Seconds-r.End)
+		case r.RecoverySeconds != nil:
+			sum += *r.RecoverySeconds
+		case r.EndSeconds >= 0:
+			sum += max(0, s.Seconds-r.EndSeconds)
 		}
 	}
 	return sum
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -2,8 +2,8 @@
 // service took to recover from each fault. Latency counts from the moment at which a request was to be sent, not from
 // when it was, so that a day on which the lab or a balancer falls behind does not look fast.
 //
-// The exported fields of a Summary and its parts are the keys of the JSON form, which stored results have: they keep
-// their names.
+// Stored results are the JSON form of a Summary. Its keys never change: a json tag keeps the key of a field that was
+// renamed.
 package measure
 
 import (
--- a/internal/lab/measure/measure_test.go
+++ b/internal/lab/measure/measure_test.go
@@ -105,11 +105,11 @@
 	// The worst 10 s hold all 40 that failed, and six late ones.
 	near("worst 10 s", s.Worst, (24.0*1+30*3)/(50*1+50*3))
 	r := s.Recoveries[0]
-	if r.Back == nil {
+	if r.RecoverySeconds == nil {
 		t.Fatal("never back")
 	}
-	near("least", r.Least, 0)
-	near("back", *r.Back, 1) // the fault ends at 13 s, service is back at 14
+	near("least", r.LowestServedRatio, 0)
+	near("back", *r.RecoverySeconds, 1) // the fault ends at 13 s, service is back at 14
 }
 
 // A request that is answered twice counts once, and a client's retry counts for its first request.
@@ -173,13 +173,13 @@
 		return 50 * time.Millisecond, 0
 	})
 	s := Summarize(d, d.Fleet(), "model", arrivals, events, nil)
-	if r := s.Recoveries[0]; r.Back == nil || *r.Back != 0 || math.Abs(r.Again-0.75) > 0.01 {
-		t.Errorf("back %v, then down to %v of the level before, want 0.75", r.Back, r.Again)
+	if r := s.Recoveries[0]; r.RecoverySeconds == nil || *r.RecoverySeconds != 0 || math.Abs(r.SecondDipRatio-0.75) > 0.01 {
+		t.Errorf("back %v, then down to %v of the level before, want 0.75", r.RecoverySeconds, r.SecondDipRatio)
 	}
 	d.Faults = append(d.Faults, d.Faults[0])
 	d.Faults[1].At = day.Duration(15 * time.Second)
-	if r := Summarize(d, d.Fleet(), "model", arrivals, events, nil).Recoveries[0]; r.Again < 0.99 {
-		t.Errorf("the next fault's dip counts as the first one's: %v", r.Again)
+	if r := Summarize(d, d.Fleet(), "model", arrivals, events, nil).Recoveries[0]; r.SecondDipRatio < 0.99 {
+		t.Errorf("the next fault's dip counts as the first one's: %v", r.SecondDipRatio)
 	}
 }
 
--- a/internal/lab/measure/recovery.go
+++ b/internal/lab/measure/recovery.go
@@ -8,31 +8,39 @@
 )
 
 const (
-	// recoveredWithin is how close to the level before a fault a window has to come for service to have recovered.
-	recoveredWithin = 0.05
-	// levelWindows is how many windows before a fault make the level. The last one before it is left out: what came in
-	// it was still in flight when the fault began.
+	// recoveredMarginRatio is how far below the level before a fault a window may be to count as recovered, as a part of
+	// that level.
+	recoveredMarginRatio = 0.05
+	// levelWindows is how many windows before a fault make the level. The last one before it is left out: requests that
+	// arrived in it were still in flight when the fault began.
 	levelWindows = 5
-	// afterEnd is how long after a fault's end, in seconds, service is measured apart.
-	afterEnd = 5
-	// dipWindows is how many windows make a second dip: one alone may be chance.
+	// afterEndSeconds is the length of the stretch after a fault's end that ServedRatioNext5s covers.
+	afterEndSeconds = 5
+	// dipWindows is how many windows make a second dip. A single one may be chance.
 	dipWindows = 3
 )
 
-// Recovery is how service took one fault.
+// Recovery is how service fell and recovered around one fault. Ratios are of served weight, as in Part.ServedRatio.
 type Recovery struct {
-	Fault  string
-	At     float64  // seconds
-	End    float64  // seconds; -1: it never ended
-	Before float64  // level of served worth before
-	Least  float64  // of any window from its begin to its recovery
-	Back   *float64 // seconds from its end to the begin of the first window back within 5%; absent: never
-	Ten    float64  // worth served of what came in the 10 s from its begin
-	Five   float64  // worth served of what came in the 5 s from its end
-	Again  float64  // level of the worst 3 s after it was back and before the next fault, over Before; 1: none lay there
+	Fault        string
+	StartSeconds float64 `json:"At"`
+	EndSeconds   float64 `json:"End"` // -1: the fault never ended
+	// ServedRatioBefore is the level before the fault.
+	ServedRatioBefore float64 `json:"Before"`
+	// LowestServedRatio is that of the worst window from the fault's start to the recovery.
+	LowestServedRatio float64 `json:"Least"`
+	// RecoverySeconds is the time from the fault's end to the first window within 5% of ServedRatioBefore; nil: there was none.
+	RecoverySeconds *float64 `json:"Back"`
+	// ServedRatioFirst10s is that of the requests which arrived in the 10 s after the fault's start.
+	ServedRatioFirst10s float64 `json:"Ten"`
+	// ServedRatioNext5s is that of the requests which arrived in the 5 s after the fault's end; 1: there were none.
+	ServedRatioNext5s float64 `json:"Five"`
+	// SecondDipRatio is the level of the worst 3 windows between the recovery and the next fault, over ServedRatioBefore; 1: there
+	// were none.
+	SecondDipRatio float64 `json:"Again"`
 }
 
-// recoveries tells of each fault how far service fell, and when it had recovered.
+// recoveries computes the recovery from each fault.
 func recoveries(d *day.Day, windows []Window) []Recovery {
 	var all []Recovery
 	for _, fault := range d.Faults {
@@ -41,35 +49,44 @@
 	return all
 }
 
+// recoveryOf computes the recovery from one fault of the day.
 func recoveryOf(d *day.Day, fault day.Fault, windows []Window) Recovery {
 	width := d.Window.D().Seconds()
 	end := faultEnd(fault)
-	r := Recovery{Fault: string(fault.Kind), At: fault.At.D().Seconds(), End: -1, Least: 1, Five: 1, Again: 1}
-	first := int(r.At / width)
-	r.Before = servedIn(windows[max(0, first-1-levelWindows):max(0, first-1)])
-	r.Ten = servedIn(windows[first:min(len(windows), first+int(stretch.Seconds()/width))])
+	r := Recovery{
+		Fault:             string(fault.Kind),
+		StartSeconds:      fault.At.D().Seconds(),
+		EndSeconds:        -1,
+		LowestServedRatio: 1,
+		ServedRatioNext5s: 1,
+		SecondDipRatio:    1,
+	}
+	first := int(r.StartSeconds / width)
+	r.ServedRatioBefore = servedIn(windows[max(0, first-1-levelWindows):max(0, first-1)])
+	r.ServedRatioFirst10s = servedIn(windows[first:min(len(windows), first+int(stretch.Seconds()/width))])
 	if !math.IsInf(end, 1) {
-		r.End = end
+		r.EndSeconds = end
 		if from := int(math.Ceil(end / width)); from < len(windows) {
-			r.Five = servedIn(windows[from:min(len(windows), from+int(afterEnd/width))])
+			r.ServedRatioNext5s = servedIn(windows[from:min(len(windows), from+int(afterEndSeconds/width))])
 		}
 	}
 	for i, w := range windows[first:] {
 		if w.Share < 0 {
 			continue
 		}
-		if w.At >= end && w.Share >= r.Before*(1-recoveredWithin) {
-			back := w.At - end
-			r.Back = &back
-			r.Again = secondDip(d, windows[first+i:], r.Before)
+		if w.At >= end && w.Share >= r.ServedRatioBefore*(1-recoveredMarginRatio) {
+			seconds := w.At - end
+			r.RecoverySeconds = &seconds
+			r.SecondDipRatio = secondDip(d, windows[first+i:], r.ServedRatioBefore)
 			break
 		}
-		r.Least = min(r.Least, w.Share)
+		r.LowestServedRatio = min(r.LowestServedRatio, w.Share)
 	}
 	return r
 }
 
-// faultEnd is when a fault ends, in seconds; positive infinity: it lasts. A reset or a restart is over at once.
+// faultEnd is when a fault ends, in seconds. It is positive infinity if the fault lasts. A reset or a restart ends at
+// once.
 func faultEnd(fault day.Fault) float64 {
 	at := fault.At.D().Seconds()
 	switch {
@@ -81,7 +98,7 @@
 	return math.Inf(1)
 }
 
-// secondDip is the level of the worst few windows up to the next fault, over the level before.
+// secondDip is the level of the worst dipWindows up to the next fault, over the level before.
 func secondDip(d *day.Day, windows []Window, before float64) float64 {
 	lowest := 1.0
 	for i := 0; i+dipWindows <= len(windows); i++ {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -194,17 +194,17 @@
 func newRecoveryRow(r measure.Recovery) recoveryRow {
 	row := recoveryRow{
 		Fault:  r.Fault,
-		At:     fmt.Sprintf("%.1f s", r.At),
+		At:     fmt.Sprintf("%.1f s", r.StartSeconds),
 		End:    "the end",
-		Before: percent(r.Before),
-		Least:  percent(r.Least),
+		Before: percent(r.ServedRatioBefore),
+		Least:  percent(r.LowestServedRatio),
 		Back:   "not within the day",
 	}
-	if r.End >= 0 {
-		row.End = fmt.Sprintf("%.1f s", r.End)
+	if r.EndSeconds >= 0 {
+		row.End = fmt.Sprintf("%.1f s", r.EndSeconds)
 	}
-	if r.Back != nil {
-		row.Back = fmt.Sprintf("%.1f s", *r.Back)
+	if r.RecoverySeconds != nil {
+		row.Back = fmt.Sprintf("%.1f s", *r.RecoverySeconds)
 	}
 	return row
 }
