--- a/cmd/balancerctl/lab.go
+++ b/cmd/balancerctl/lab.go
@@ -89,8 +89,8 @@
 		return err
 	}
 	switch {
-	case r.Summary.Lab != nil && r.Summary.Lab.Void != "":
-		return fmt.Errorf("the run is void: %s", r.Summary.Lab.Void)
+	case r.Summary.Lab != nil && r.Summary.Lab.VoidReason != "":
+		return fmt.Errorf("the run is void: %s", r.Summary.Lab.VoidReason)
 	case len(r.Violations) > 0:
 		return fmt.Errorf("%w: %d violations", errCheckFailed, len(r.Violations))
 	}
--- a/cmd/balancerctl/main_test.go
+++ b/cmd/balancerctl/main_test.go
@@ -128,7 +128,7 @@
 	if err := json.Unmarshal([]byte(out), &s); err != nil || code != exitOK {
 		t.Fatalf("exit %d: %v", code, err)
 	}
-	if s.Main.Requests < 1000 || s.Main.Served < 0.99 || len(s.Series) != 20 || s.Main.Latency.P99 <= s.Main.Latency.P50 {
+	if s.Main.Requests < 1000 || s.Main.ServedRatio < 0.99 || len(s.Series) != 20 || s.Main.Latency.P99 <= s.Main.Latency.P50 {
 		t.Errorf("%+v", s.Main)
 	}
 }
--- a/cmd/balancerctl/text.go
+++ b/cmd/balancerctl/text.go
@@ -134,13 +134,13 @@
 func showSummary(w io.Writer, r *lab.Result) {
 	s := r.Summary
 	requests := s.Settling.Requests + s.Main.Requests
-	fmt.Fprintf(w, "%s, %s engine, seed %d: %d requests in %.0f s\n\n", s.Day, s.Engine, s.Seed, requests, s.Seconds)
+	fmt.Fprintf(w, "%s, %s engine, seed %d: %d requests in %.0f s\n\n", s.Day, s.Engine, s.Seed, requests, s.LengthSeconds)
 	writeTable(w, partRows(s)...)
-	fmt.Fprintf(w, "\nscore %.3f: worst 10 s %s", s.Score, percent(s.Worst))
-	showShares(w, "class", s.Class)
-	showShares(w, "tenant", s.Tenant)
+	fmt.Fprintf(w, "\nscore %.3f: worst 10 s %s", s.Score, percent(s.WorstStretchRatio))
+	showShares(w, "class", s.ServedRatioByClass)
+	showShares(w, "tenant", s.ServedRatioByTenant)
 	fmt.Fprintf(w, "\n%.3f attempts a request; %s of them cross a zone, %s a region\n",
-		s.Attempts, percent(s.CrossZone), percent(s.CrossRegion))
+		s.AttemptsPerRequest, percent(s.CrossZoneRatio), percent(s.CrossRegionRatio))
 	showZones(w, s.Zones)
 	showStarts(w, s.Starts)
 	showRecoveries(w, s.Recoveries)
@@ -154,7 +154,7 @@
 		return
 	}
 	fmt.Fprintf(w, "%d balancers started: ready after %.3f s at p50, %.3f s at p99; first answer served after %.3f s, %.3f s; %d served nobody\n",
-		s.Count, s.ReadyP50, s.ReadyP99, s.ServedP50, s.ServedP99, s.Never)
+		s.Count, s.ReadyP50Seconds, s.ReadyP99Seconds, s.ServedP50Seconds, s.ServedP99Seconds, s.NeverServed)
 }
 
 // partRows has a row on the time of settling and one on the rest of the day.
@@ -163,10 +163,10 @@
 	for _, p := range []struct {
 		name string
 		measure.Part
-	}{{fmt.Sprintf("first %.0f s", s.Settle), s.Settling}, {"after that", s.Main}} {
-		row := []any{p.name, p.Requests, percent(p.Served)}
-		for _, e := range []measure.End{measure.InTime, measure.Late, measure.Refused, measure.Failed, measure.Unreached} {
-			row = append(row, percent(p.Share[e.String()]))
+	}{{fmt.Sprintf("first %.0f s", s.SettleSeconds), s.Settling}, {"after that", s.Main}} {
+		row := []any{p.name, p.Requests, percent(p.ServedRatio)}
+		for _, e := range []measure.Outcome{measure.ServedInTime, measure.ServedLate, measure.Rejected, measure.Failed, measure.NotConnected} {
+			row = append(row, percent(p.ShareByOutcome[e.String()]))
 		}
 		for _, ms := range []float64{p.Latency.P50, p.Latency.P99, p.Latency.P999} {
 			row = append(row, fmt.Sprintf("%.1f", ms))
@@ -189,9 +189,9 @@
 		return
 	}
 	fmt.Fprintf(w, "the lab: arrivals late by %.2f ms at p50, %.2f at p99, %.1f at most; %.2f cores for it, %.2f for all balancers; %d requests met a closed connection and went again\n",
-		l.LateP50, l.LateP99, l.LateMax, l.LabCores, l.NodeCores, l.Crossed)
-	if l.Void != "" {
-		fmt.Fprintf(w, "VOID: %s\n", l.Void)
+		l.LateP50Milliseconds, l.LateP99Milliseconds, l.LateMaxMilliseconds, l.LabCores, l.BalancerCores, l.RetriesOnClosed)
+	if l.VoidReason != "" {
+		fmt.Fprintf(w, "VOID: %s\n", l.VoidReason)
 	}
 }
 
@@ -201,10 +201,10 @@
 		return
 	}
 	fmt.Fprintf(w, "zones: the fullest has %.2f times the fleet's use; parts of the traffic swing by %s; %s of upstreams wrongly doubted\n",
-		z.Fullest, percent(z.Swing), percent(z.Wrongly))
-	if l := z.Leave; l != nil {
+		z.PeakUtilizationRatio, percent(z.AttemptShareSwing), percent(z.WronglyDoubtedRatio))
+	if l := z.LeaveTimes; l != nil {
 		fmt.Fprintf(w, "a zone that is lost was left after %.2f s at p50, %.2f s at p99, by %d balancers; %d did not before the fault's end\n",
-			l.P50, l.P99, l.Count, l.Never)
+			l.P50Seconds, l.P99Seconds, l.Count, l.NeverLeft)
 	}
 }
 
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -37,15 +37,15 @@
 // Measures is what sides are compared by.
 var Measures = []Measure{
 	{"score", "", func(s *measure.Summary) float64 { return s.Score }, true},
-	{"worth served", "", func(s *measure.Summary) float64 { return s.Main.Served }, true},
-	{"worst 10 s", "", func(s *measure.Summary) float64 { return s.Worst }, true},
-	{"refused", "", func(s *measure.Summary) float64 { return s.Main.Share[measure.Refused.String()] }, false},
-	{"failed", "", func(s *measure.Summary) float64 { return s.Main.Share[measure.Failed.String()] }, false},
-	{"late", "", func(s *measure.Summary) float64 { return s.Main.Share[measure.Late.String()] }, false},
+	{"worth served", "", func(s *measure.Summary) float64 { return s.Main.ServedRatio }, true},
+	{"worst 10 s", "", func(s *measure.Summary) float64 { return s.WorstStretchRatio }, true},
+	{"refused", "", func(s *measure.Summary) float64 { return s.Main.ShareByOutcome[measure.Rejected.String()] }, false},
+	{"failed", "", func(s *measure.Summary) float64 { return s.Main.ShareByOutcome[measure.Failed.String()] }, false},
+	{"late", "", func(s *measure.Summary) float64 { return s.Main.ShareByOutcome[measure.ServedLate.String()] }, false},
 	{"p50", "ms", func(s *measure.Summary) float64 { return s.Main.Latency.P50 }, false},
 	{"p99", "ms", func(s *measure.Summary) float64 { return s.Main.Latency.P99 }, false},
-	{"attempts a request", "", func(s *measure.Summary) float64 { return s.Attempts }, false},
-	{"cross-zone share", "", func(s *measure.Summary) float64 { return s.CrossZone }, false},
+	{"attempts a request", "", func(s *measure.Summary) float64 { return s.AttemptsPerRequest }, false},
+	{"cross-zone share", "", func(s *measure.Summary) float64 { return s.CrossZoneRatio }, false},
 	{"recovery", "s", recovery, false},
 	{"10 s from a fault", "", func(s *measure.Summary) float64 {
 		return worstOf(s, func(r measure.Recovery) float64 { return r.ServedRatioFirst10s })
@@ -66,7 +66,7 @@
 	if s.Zones == nil {
 		return 0
 	}
-	return s.Zones.Fullest
+	return s.Zones.PeakUtilizationRatio
 }
 
 // zoneSwing is how far a zone's share of the attempts moves; 0: it is not known.
@@ -74,7 +74,7 @@
 	if s.Zones == nil {
 		return 0
 	}
-	return s.Zones.Swing
+	return s.Zones.AttemptShareSwing
 }
 
 // rulesBroken is how many violations there were.
@@ -103,7 +103,7 @@
 		case r.RecoverySeconds != nil:
 			sum += *r.RecoverySeconds
 		case r.EndSeconds >= 0:
-			sum += max(0, s.Seconds-r.EndSeconds)
+			sum += max(0, s.LengthSeconds-r.EndSeconds)
 		}
 	}
 	return sum
@@ -156,8 +156,8 @@
 				return nil, fmt.Errorf("%s, seed %d: %w", side.Name(), playSeed, err)
 			}
 			progress(play, side.Name(), summary)
-			if summary.Lab != nil && summary.Lab.Void != "" {
-				return nil, fmt.Errorf("%s, seed %d: void: %s", side.Name(), playSeed, summary.Lab.Void)
+			if summary.Lab != nil && summary.Lab.VoidReason != "" {
+				return nil, fmt.Errorf("%s, seed %d: void: %s", side.Name(), playSeed, summary.Lab.VoidReason)
 			}
 			summaries[which] = append(summaries[which], summary)
 		}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -25,7 +25,7 @@
 
 // Good reports whether no rule was broken and the day counts.
 func (r *Result) Good() bool {
-	return len(r.Violations) == 0 && (r.Summary.Lab == nil || r.Summary.Lab.Void == "")
+	return len(r.Violations) == 0 && (r.Summary.Lab == nil || r.Summary.Lab.VoidReason == "")
 }
 
 // Live plays a day with real processes.
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -123,8 +123,8 @@
 			if c.rule != "" && !caught {
 				t.Errorf("not caught: %s", c.rule)
 			}
-			if r.Summary.Main.Share["served in time"] < 0.5 && c.mode != "flood" && c.mode != "crasher" {
-				t.Errorf("a day that tells nothing: %v", r.Summary.Main.Share)
+			if r.Summary.Main.ShareByOutcome["served in time"] < 0.5 && c.mode != "flood" && c.mode != "crasher" {
+				t.Errorf("a day that tells nothing: %v", r.Summary.Main.ShareByOutcome)
 			}
 		})
 	}
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -14,52 +14,63 @@
 	"sprucehill/internal/lab/history"
 )
 
-// Summary is all figures of a day.
+// Summary is all figures of a day. A served ratio is the priority weight of the requests that were served in time over
+// that of all requests; see Part.ServedRatio.
 type Summary struct {
-	Day, Engine string
-	Seed        uint64
-	Seconds     float64 // the day's length
-	Settle      float64 // seconds of the first stretch, which the score leaves out
-	Settling    Part    // the first stretch
-	Main        Part    // all after it
-	Score       float64
-	Worst       float64            // worth served in the worst 10 s
-	Class       map[string]float64 // worth served, by class
-	Tenant      map[string]float64 // worth served within the quota, by tenant
-	Attempts    float64            // a request
-	CrossZone   float64            // share of attempts
-	CrossRegion float64            // share of attempts
-	Zones       *Zones             `json:",omitempty"`
-	Starts      *Starts            `json:",omitempty"`
-	Recoveries  []Recovery
-	Broken      map[check.Rule]int // violations by rule
-	Series      []Window           `json:",omitempty"`
+	Run
+	Settling Part // the first stretch of the day, which the score leaves out
+	Main     Part // the rest of the day
+	// Score is a weighted mean of served ratios after the first stretch, from 0 to 1.
+	Score float64
+	WorstRatios
+	AttemptFigures
+	Zones      *Zones  `json:",omitempty"`
+	Starts     *Starts `json:",omitempty"` // nil: no balancer was started within the day
+	Recoveries []Recovery
+	Broken     map[check.Rule]int // violations by rule
+	Series     []Window           `json:",omitempty"`
 
-	Lab *Lab `json:",omitempty"` // of a live day
+	Lab *Lab `json:",omitempty"` // nil: the day was not live
 
 	WorstRequests []Request `json:"-"`
 }
 
-// Part is a stretch of the day with the figures that make a score.
+// Run is which day was played, and how.
+type Run struct {
+	Day           string
+	Engine        string // live or model
+	Seed          uint64
+	LengthSeconds float64 `json:"Seconds"`
+	SettleSeconds float64 `json:"Settle"` // length of the first stretch
+}
+
+// WorstRatios are the served ratios after the first stretch of which the worst count in the score.
+type WorstRatios struct {
+	WorstStretchRatio   float64            `json:"Worst"` // of the worst 10 s
+	ServedRatioByClass  map[string]float64 `json:"Class"`
+	ServedRatioByTenant map[string]float64 `json:"Tenant"` // of requests within the tenant's quota
+}
+
+// AttemptFigures are of all attempts of the day.
+type AttemptFigures struct {
+	AttemptsPerRequest float64 `json:"Attempts"`
+	CrossZoneRatio     float64 `json:"CrossZone"`   // of the attempts
+	CrossRegionRatio   float64 `json:"CrossRegion"` // of the attempts
+}
+
+// Part is the figures of a stretch of the day.
 type Part struct {
-	Requests int
-	Share    map[string]float64 // of requests, by how they ended
-	Served   float64            // worth served in time over the worth asked for
-	Latency  Latency
+	Requests       int
+	ShareByOutcome map[string]float64 `json:"Share"` // of the requests, by Outcome.String
+	// ServedRatio is the priority weight of the requests that were served in time over that of all requests; 1: there were
+	// none.
+	ServedRatio float64 `json:"Served"`
+	Latency     Latency
 }
 
 // Summarize computes the figures of a day.
 func Summarize(d *day.Day, f *day.Fleet, engine string, arrivals []day.Arrival, events []history.Event, violations []check.Violation) *Summary {
-	s := &Summary{
-		Day:     d.Name,
-		Engine:  engine,
-		Seed:    d.Seed,
-		Seconds: d.Length.D().Seconds(),
-		Settle:  d.Settle.D().Seconds(),
-		Class:   map[string]float64{},
-		Tenant:  map[string]float64{},
-		Broken:  map[check.Rule]int{},
-	}
+	s := &Summary{Run: newRun(d, engine), Broken: map[check.Rule]int{}}
 	for _, v := range violations {
 		s.Broken[v.Rule]++
 	}
@@ -80,40 +91,50 @@
 	return s
 }
 
-// newPart computes the figures of a stretch.
+func newRun(d *day.Day, engine string) Run {
+	return Run{
+		Day:           d.Name,
+		Engine:        engine,
+		Seed:          d.Seed,
+		LengthSeconds: d.Length.D().Seconds(),
+		SettleSeconds: d.Settle.D().Seconds(),
+	}
+}
+
+// newPart computes the figures of the requests of a stretch.
 func newPart(requests []Request) Part {
-	p := Part{Requests: len(requests), Share: map[string]float64{}}
-	var worth tally
+	p := Part{Requests: len(requests), ShareByOutcome: map[string]float64{}}
+	var weight weightTally
 	latency := newHistogram()
 	for _, r := range requests {
-		worth.add(r)
-		p.Share[r.End.String()] += 1 / float64(len(requests))
-		if r.End <= Late {
+		weight.add(r)
+		p.ShareByOutcome[r.Outcome.String()] += 1 / float64(len(requests))
+		if r.Outcome <= ServedLate {
 			latency.record(r.Latency)
 		}
 	}
-	p.Served = worth.share()
+	p.ServedRatio = weight.servedRatio()
 	p.Latency = latency.latency()
 	return p
 }
 
 // setAttempts sums up the attempts of the windows.
 func (s *Summary) setAttempts() {
-	var attempts, crossZone, crossRegion, asked int
+	var attempts, crossZone, crossRegion, requests int
 	for _, w := range s.Series {
 		attempts += w.Attempts
 		crossZone += w.CrossZone
 		crossRegion += w.CrossRegion
-		asked += w.Asked
+		requests += w.Requests
 	}
-	s.Attempts = ratio(float64(attempts), float64(asked))
+	s.AttemptsPerRequest = ratio(float64(attempts), float64(requests))
 	if attempts > 0 {
-		s.CrossZone = float64(crossZone) / float64(attempts)
-		s.CrossRegion = float64(crossRegion) / float64(attempts)
+		s.CrossZoneRatio = float64(crossZone) / float64(attempts)
+		s.CrossRegionRatio = float64(crossRegion) / float64(attempts)
 	}
 }
 
-// ratio is a over b; 1 where nothing was asked for.
+// ratio is a over b. It is 1 if b is 0: nothing was missed.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 1
--- a/internal/lab/measure/measure_test.go
+++ b/internal/lab/measure/measure_test.go
@@ -95,15 +95,15 @@
 		}
 	}
 	// After the first 2 s: 180 requests, 40 fail and 14 are late, all of the late of the cheap class.
-	near("in time", s.Main.Share[InTime.String()], 126.0/180)
-	near("late", s.Main.Share[Late.String()], 14.0/180)
-	near("worth", s.Main.Served, (56.0*1+70*3)/(90*1+90*3))
-	near("cheap", s.Class["cheap"], 56.0/90)
-	near("crossing", s.CrossZone, 0.25)
-	near("attempts", s.Attempts, 1)
+	near("in time", s.Main.ShareByOutcome[ServedInTime.String()], 126.0/180)
+	near("late", s.Main.ShareByOutcome[ServedLate.String()], 14.0/180)
+	near("worth", s.Main.ServedRatio, (56.0*1+70*3)/(90*1+90*3))
+	near("cheap", s.ServedRatioByClass["cheap"], 56.0/90)
+	near("crossing", s.CrossZoneRatio, 0.25)
+	near("attempts", s.AttemptsPerRequest, 1)
 	near("p50", s.Main.Latency.P50, 100)
 	// The worst 10 s hold all 40 that failed, and six late ones.
-	near("worst 10 s", s.Worst, (24.0*1+30*3)/(50*1+50*3))
+	near("worst 10 s", s.WorstStretchRatio, (24.0*1+30*3)/(50*1+50*3))
 	r := s.Recoveries[0]
 	if r.RecoverySeconds == nil {
 		t.Fatal("never back")
@@ -120,7 +120,7 @@
 	}
 	r := Requests(d, arrivals[:1], []history.Event{at(0, history.Sent, 0, 0), at(5, history.Answered, 0, client.Rejected),
 		at(9, history.Sent, 1, 0), at(500, history.Answered, 1, client.Served), at(600, history.Answered, 1, client.Failed)})[0]
-	if r.End != InTime || r.Tries != 2 || r.Latency != 500*time.Millisecond {
+	if r.Outcome != ServedInTime || r.Tries != 2 || r.Latency != 500*time.Millisecond {
 		t.Errorf("got %+v", r)
 	}
 }
@@ -128,11 +128,11 @@
 // A lab that was late voids its run.
 func TestLateLabIsVoid(t *testing.T) {
 	late := make([]time.Duration, 1000)
-	if l := LabOf(late, 1, 0, 0, 0); l.Void != "" {
-		t.Errorf("a lab on time: %s", l.Void)
+	if l := LabOf(late, 1, 0, 0, 0); l.VoidReason != "" {
+		t.Errorf("a lab on time: %s", l.VoidReason)
 	}
 	late[7] = time.Second
-	if l := LabOf(late, 1, 0, 0, 0); l.Void == "" {
+	if l := LabOf(late, 1, 0, 0, 0); l.VoidReason == "" {
 		t.Error("an arrival a second late does not void the run")
 	}
 }
@@ -141,25 +141,25 @@
 func TestZones(t *testing.T) {
 	d, arrivals, events := playByHand(t, func(i int, _ day.Arrival) (time.Duration, int32) { return 50 * time.Millisecond, int32(i / 150) })
 	d.Faults[0].Target = []string{"zone:b"}
-	told := func(at time.Duration, balancer int32, zone int16, state string) {
+	recordZoneState := func(at time.Duration, balancer int32, zone int16, state string) {
 		events = append(events, history.Event{At: at, Kind: history.ZoneState, Balancer: balancer, Zone: zone, Upstream: history.None,
 			Arrival: history.None, Text: state})
 	}
-	told(10*time.Second+400*time.Millisecond, 0, 1, "failed")
-	told(11*time.Second, 1, 0, "doubtful")
+	recordZoneState(10*time.Second+400*time.Millisecond, 0, 1, "failed")
+	recordZoneState(11*time.Second, 1, 0, "doubtful")
 	slices.SortStableFunc(events, func(a, b history.Event) int { return cmp.Compare(a.At, b.At) })
 	z := Summarize(d, d.Fleet(), "model", arrivals, events, nil).Zones
-	if z.Leave == nil || z.Leave.Count != 1 || z.Leave.Never != 1 || math.Abs(z.Leave.Max-0.4) > 0.01 {
-		t.Errorf("leave %+v: one balancer of two left zone b after 0.4 s", z.Leave)
+	if z.LeaveTimes == nil || z.LeaveTimes.Count != 1 || z.LeaveTimes.NeverLeft != 1 || math.Abs(z.LeaveTimes.MaxSeconds-0.4) > 0.01 {
+		t.Errorf("leave %+v: one balancer of two left zone b after 0.4 s", z.LeaveTimes)
 	}
-	if z.Wrongly != 0.25 { // one of two upstreams at one of two balancers
-		t.Errorf("wrongly %v, want 0.25", z.Wrongly)
+	if z.WronglyDoubtedRatio != 0.25 { // one of two upstreams at one of two balancers
+		t.Errorf("wrongly %v, want 0.25", z.WronglyDoubtedRatio)
 	}
-	if want := 2 * 130.0 / 180; math.Abs(z.All[0].Part-want/2) > 0.02 || math.Abs(z.Fullest-want) > 0.04 {
-		t.Errorf("zone a has %v of attempts and the fullest %v of the fleet's use; want %v and %v", z.All[0].Part, z.Fullest, want/2, want)
+	if want := 2 * 130.0 / 180; math.Abs(z.All[0].AttemptShare-want/2) > 0.02 || math.Abs(z.PeakUtilizationRatio-want) > 0.04 {
+		t.Errorf("zone a has %v of attempts and the fullest %v of the fleet's use; want %v and %v", z.All[0].AttemptShare, z.PeakUtilizationRatio, want/2, want)
 	}
-	if math.Abs(z.Swing-0.4) > 0.001 { // of the stretch from 12 to 17 s two fifths went to zone b, of those before none
-		t.Errorf("swing %v, want 0.4", z.Swing)
+	if math.Abs(z.AttemptShareSwing-0.4) > 0.001 { // of the stretch from 12 to 17 s two fifths went to zone b, of those before none
+		t.Errorf("swing %v, want 0.4", z.AttemptShareSwing)
 	}
 }
 
@@ -192,7 +192,7 @@
 		of(1000, history.Started, 0, 0), of(1000, history.Started, 1, 0), of(1020, history.Ready, 0, 0), of(1030, history.Ready, 0, 0),
 		of(1100, history.Answered, 0, client.Rejected), of(1250, history.Answered, 0, client.Served), of(1300, history.Answered, 0, client.Served),
 		of(1400, history.Exited, 1, 0), of(2000, history.Exited, 0, 0)})
-	if s == nil || s.Count != 2 || s.Never != 1 || math.Abs(s.ReadyP99-0.02) > 1e-3 || math.Abs(s.ServedP99-0.25) > 1e-3 {
+	if s == nil || s.Count != 2 || s.NeverServed != 1 || math.Abs(s.ReadyP99Seconds-0.02) > 1e-3 || math.Abs(s.ServedP99Seconds-0.25) > 1e-3 {
 		t.Errorf("%+v, want 2 starts, one of which served nobody, ready after 0.02 s, served after 0.25", s)
 	}
 	if startsOf([]history.Event{of(0, history.Started, 0, 0)}) != nil {
--- a/internal/lab/measure/recovery.go
+++ b/internal/lab/measure/recovery.go
@@ -62,25 +62,25 @@
 		SecondDipRatio:    1,
 	}
 	first := int(r.StartSeconds / width)
-	r.ServedRatioBefore = servedIn(windows[max(0, first-1-levelWindows):max(0, first-1)])
-	r.ServedRatioFirst10s = servedIn(windows[first:min(len(windows), first+int(stretch.Seconds()/width))])
+	r.ServedRatioBefore = servedRatioOf(windows[max(0, first-1-levelWindows):max(0, first-1)])
+	r.ServedRatioFirst10s = servedRatioOf(windows[first:min(len(windows), first+int(worstStretchLength.Seconds()/width))])
 	if !math.IsInf(end, 1) {
 		r.EndSeconds = end
 		if from := int(math.Ceil(end / width)); from < len(windows) {
-			r.ServedRatioNext5s = servedIn(windows[from:min(len(windows), from+int(afterEndSeconds/width))])
+			r.ServedRatioNext5s = servedRatioOf(windows[from:min(len(windows), from+int(afterEndSeconds/width))])
 		}
 	}
 	for i, w := range windows[first:] {
-		if w.Share < 0 {
+		if w.ServedRatio < 0 {
 			continue
 		}
-		if w.At >= end && w.Share >= r.ServedRatioBefore*(1-recoveredMarginRatio) {
-			seconds := w.At - end
+		if w.StartSeconds >= end && w.ServedRatio >= r.ServedRatioBefore*(1-recoveredMarginRatio) {
+			seconds := w.StartSeconds - end
 			r.RecoverySeconds = &seconds
 			r.SecondDipRatio = secondDip(d, windows[first+i:], r.ServedRatioBefore)
 			break
 		}
-		r.LowestServedRatio = min(r.LowestServedRatio, w.Share)
+		r.LowestServedRatio = min(r.LowestServedRatio, w.ServedRatio)
 	}
 	return r
 }
@@ -103,11 +103,11 @@
 	lowest := 1.0
 	for i := 0; i+dipWindows <= len(windows); i++ {
 		last := windows[i+dipWindows-1]
-		if faultBetween(d, windows[0].At, last.At+d.Window.D().Seconds()) {
+		if faultBetween(d, windows[0].StartSeconds, last.StartSeconds+d.Window.D().Seconds()) {
 			break
 		}
 		if before > 0 {
-			lowest = min(lowest, servedIn(windows[i:i+dipWindows])/before)
+			lowest = min(lowest, servedRatioOf(windows[i:i+dipWindows])/before)
 		}
 	}
 	return lowest
--- a/internal/lab/measure/requests.go
+++ b/internal/lab/measure/requests.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	// overQuotaWorth is what a request over its tenant's quota is worth, as a part of its class's worth.
-	overQuotaWorth = 0.05
-	// worstRequestsKept is how many of the slowest and failed requests the report has.
-	worstRequestsKept = 20
+	// overQuotaWeightRatio is the priority weight of a request over its tenant's quota, as a part of its class's.
+	overQuotaWeightRatio = 0.05
+	// maxWorstRequests is how many of the slowest and failed requests the report has.
+	maxWorstRequests = 20
 )
 
-// End is how a client's request ended, over all its tries. The best are the lowest.
-type End uint8
+// Outcome is how a client's request ended, over all its tries. A better one is lower.
+type Outcome uint8
 
-// The ends.
+// The outcomes. In time is within the latency objective of the request's class.
 const (
-	InTime End = iota
-	Late
-	Refused
+	ServedInTime Outcome = iota
+	ServedLate
+	Rejected
 	Failed
-	Unreached
-	Left
-	endCount
+	NotConnected
+	ClientLeft
+	outcomeCount
 )
 
-var endNames = [endCount]string{"served in time", "served late", "refused", "failed", "not connected", "left early"}
+var outcomeNames = [outcomeCount]string{"served in time", "served late", "refused", "failed", "not connected", "left early"}
 
-func (e End) String() string { return endNames[e] }
+func (e Outcome) String() string { return outcomeNames[e] }
 
 // Request is a client's request with what became of it.
 type Request struct {
 	Arrival     int
-	End         End
+	Outcome     Outcome
 	Latency     time.Duration // to its last answer; 0: none
 	Tries       int           // by the client
 	Attempts    int           // that came to upstreams
-	worth       float64
+	weight      float64
 	withinQuota bool
 }
 
@@ -51,11 +51,11 @@
 	requests := make([]Request, len(arrivals))
 	quotas := make([]quotaBucket, len(d.Tenants))
 	for i, a := range arrivals {
-		r := Request{Arrival: i, End: Unreached, worth: d.Classes[a.Class].Worth, withinQuota: true}
+		r := Request{Arrival: i, Outcome: NotConnected, weight: d.Classes[a.Class].Worth, withinQuota: true}
 		if a.Tenant >= 0 && d.Tenants[a.Tenant].Quota > 0 {
 			r.withinQuota = quotas[a.Tenant].take(d.Tenants[a.Tenant].Quota, a.At)
 			if !r.withinQuota {
-				r.worth *= overQuotaWorth
+				r.weight *= overQuotaWeightRatio
 			}
 		}
 		requests[i] = r
@@ -76,44 +76,44 @@
 	case history.Sent:
 		r.Tries = max(r.Tries, int(e.Retry)+1)
 		if !r.served() {
-			r.End = Failed
+			r.Outcome = Failed
 		}
 	case history.NotConnected:
 		r.Tries = max(r.Tries, int(e.Retry)+1)
 		if !r.served() {
-			r.End = Unreached
+			r.Outcome = NotConnected
 		}
 	case history.Arrived, history.Rejected:
 		r.Attempts++
 	case history.ClientLeft:
-		r.End = Left
+		r.Outcome = ClientLeft
 	case history.Answered:
 		if r.served() { // the first good answer counts
 			return
 		}
 		r.Latency = e.At - arrivedAt
-		r.End = endOf(e.Result, r.Latency, objective)
+		r.Outcome = outcomeOf(e.Result, r.Latency, objective)
 	}
 }
 
 // served reports whether the request has had a good answer.
-func (r *Request) served() bool { return r.End <= Late }
+func (r *Request) served() bool { return r.Outcome <= ServedLate }
 
 // endOf is how an answered request ended.
-func endOf(result client.Result, latency, objective time.Duration) End {
+func outcomeOf(result client.Result, latency, objective time.Duration) Outcome {
 	switch {
 	case result == client.Rejected:
-		return Refused
+		return Rejected
 	case result != client.Served:
 		return Failed
 	case latency <= objective:
-		return InTime
+		return ServedInTime
 	}
-	return Late
+	return ServedLate
 }
 
-// quotaBucket is a leaky bucket of a tenant's requests: its level is what came over the quota lately. It takes a
-// second's worth of the quota at once.
+// quotaBucket is a leaky bucket of a tenant's requests: its level rises with each request and falls at the rate of the
+// quota. It takes the quota of one second at once.
 type quotaBucket struct {
 	level float64
 	at    time.Duration
@@ -130,11 +130,11 @@
 	return true
 }
 
-// worstRequests returns the requests that ended worst: the most worth first, then the slowest.
+// worstRequests returns the requests that ended worst: the highest priority weight first, then the slowest.
 func worstRequests(requests []Request) []Request {
-	worst := slices.DeleteFunc(slices.Clone(requests), func(r Request) bool { return r.End == InTime || r.End == Left })
+	worst := slices.DeleteFunc(slices.Clone(requests), func(r Request) bool { return r.Outcome == ServedInTime || r.Outcome == ClientLeft })
 	slices.SortStableFunc(worst, func(a, b Request) int {
-		return cmp.Or(cmp.Compare(b.worth, a.worth), cmp.Compare(b.Latency, a.Latency), cmp.Compare(a.Arrival, b.Arrival))
+		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(b.Latency, a.Latency), cmp.Compare(a.Arrival, b.Arrival))
 	})
-	return worst[:min(len(worst), worstRequestsKept)]
+	return worst[:min(len(worst), maxWorstRequests)]
 }
--- a/internal/lab/measure/score.go
+++ b/internal/lab/measure/score.go
@@ -6,89 +6,94 @@
 	"sprucehill/internal/lab/day"
 )
 
-// The weights of the score's parts. They sum to 1.
+// The shares of the score's parts. Their sum is 1.
 const (
-	weightWhole   = 0.35 // the whole day
-	weightStretch = 0.45 // its worst stretch
-	weightClass   = 0.10 // the class served worst
-	weightTenant  = 0.10 // the tenant served worst
+	scoreShareOverall      = 0.35
+	scoreShareWorstStretch = 0.45
+	scoreShareWorstClass   = 0.10
+	scoreShareWorstTenant  = 0.10
 )
 
-// stretch is the length of the worst stretch.
-const stretch = 10 * time.Second
+// worstStretchLength is the length of the stretches of which the worst counts.
+const worstStretchLength = 10 * time.Second
 
-// tally sums up worth.
-type tally struct{ asked, served float64 }
+// weightTally sums up the priority weight of requests, and of those of them that were served in time.
+type weightTally struct{ offered, served float64 }
 
-// add counts a request. One whose client left early could not have been served by anybody.
-func (t *tally) add(r Request) {
-	if r.End == Left {
+// add counts a request. One whose client left early is left out: no balancer could have served it.
+func (t *weightTally) add(r Request) {
+	if r.Outcome == ClientLeft {
 		return
 	}
-	t.asked += r.worth
-	if r.End == InTime {
-		t.served += r.worth
+	t.offered += r.weight
+	if r.Outcome == ServedInTime {
+		t.served += r.weight
 	}
 }
 
-// merge counts what another tally has counted.
-func (t *tally) merge(other tally) {
-	t.asked += other.asked
+// merge adds the sums of another tally.
+func (t *weightTally) merge(other weightTally) {
+	t.offered += other.offered
 	t.served += other.served
 }
 
-// share is the worth served over the worth asked for.
-func (t *tally) share() float64 { return ratio(t.served, t.asked) }
+// servedRatio is the served weight over the offered one. It is 1 if none was offered.
+func (t *weightTally) servedRatio() float64 { return ratio(t.served, t.offered) }
 
-// setScore computes the score from the whole and from what was served worst.
+// setScore computes the score from all requests and from the stretch, class and tenant that were served worst.
 func (s *Summary) setScore(d *day.Day, arrivals []day.Arrival, requests []Request) {
-	var whole tally
-	classes := make([]tally, len(d.Classes))
-	tenants := make([]tally, len(d.Tenants))
+	var overall weightTally
+	classes := make([]weightTally, len(d.Classes))
+	tenants := make([]weightTally, len(d.Tenants))
 	for i, r := range requests {
-		whole.add(r)
+		overall.add(r)
 		classes[arrivals[i].Class].add(r)
 		if t := arrivals[i].Tenant; t >= 0 && r.withinQuota {
 			tenants[t].add(r)
 		}
 	}
+	s.ServedRatioByClass = map[string]float64{}
 	worstClass := 1.0
 	for i, t := range classes {
-		s.Class[d.Classes[i].Name] = t.share()
-		worstClass = min(worstClass, t.share())
+		s.ServedRatioByClass[d.Classes[i].Name] = t.servedRatio()
+		worstClass = min(worstClass, t.servedRatio())
 	}
+	s.ServedRatioByTenant = map[string]float64{}
 	worstTenant := 1.0
 	for i, t := range tenants {
-		s.Tenant[d.Tenants[i].Name] = t.share()
-		worstTenant = min(worstTenant, t.share())
+		s.ServedRatioByTenant[d.Tenants[i].Name] = t.servedRatio()
+		worstTenant = min(worstTenant, t.servedRatio())
 	}
-	s.Worst = worstStretch(arrivals, requests)
-	s.Score = weightWhole*whole.share() + weightStretch*s.Worst + weightClass*worstClass + weightTenant*worstTenant
+	s.WorstStretchRatio = worstStretch(arrivals, requests)
+	s.Score = scoreShareOverall*overall.servedRatio() +
+		scoreShareWorstStretch*s.WorstStretchRatio +
+		scoreShareWorstClass*worstClass +
+		scoreShareWorstTenant*worstTenant
 }
 
-// worstStretch is the share of worth served in the stretch that was served worst, of those that begin at a full second.
-// A day that is shorter is one stretch.
+// worstStretch is the lowest served ratio of all stretches that begin a whole number of seconds after the first arrival. A
+// shorter day is one stretch.
 func worstStretch(arrivals []day.Arrival, requests []Request) float64 {
 	if len(arrivals) == 0 {
 		return 1
 	}
-	var seconds []tally
+	var seconds []weightTally
 	from := arrivals[0].At
 	for i, r := range requests {
 		second := int((arrivals[i].At - from) / time.Second)
 		for len(seconds) <= second {
-			seconds = append(seconds, tally{})
+			seconds = append(seconds, weightTally{})
 		}
 		seconds[second].add(r)
 	}
-	width := min(int(stretch/time.Second), len(seconds))
+	width := min(int(worstStretchLength/time.Second), len(seconds))
 	worst := 1.0
 	for i := 0; i+width <= len(seconds); i++ {
-		var sum tally
+		var sum weightTally
 		for _, second := range seconds[i : i+width] {
 			sum.merge(second)
 		}
-		worst = min(worst, sum.share())
+		worst = min(worst, sum.servedRatio())
 	}
 	return worst
 }
--- a/internal/lab/measure/series.go
+++ b/internal/lab/measure/series.go
@@ -7,30 +7,33 @@
 	"sprucehill/internal/lab/history"
 )
 
-// Window is a short stretch of the day. Requests count in the window in which they came, attempts in that in which
-// they arrived at an upstream.
+// Window is the figures of a short stretch of the day. A request counts in the window in which it arrived, an attempt in
+// that in which it reached an upstream.
 type Window struct {
-	At                               float64       // seconds, its begin
-	Asked                            int           // requests that came in it
-	Ends                             [endCount]int // how they ended
-	Share                            float64       // of the worth that came in it, served in time; -1: none came
-	Attempts, CrossZone, CrossRegion int
-	P50, P99                         float64 // ms, of what came in it and was served
-	Upstream                         []int   // attempts by upstream
-	Zones                            [][]int // attempts from zone to zone
-	worth                            tally
-	latency                          *histogram // nil once P50 and P99 are set
+	StartSeconds       float64           `json:"At"`
+	Requests           int               `json:"Asked"`
+	Outcomes           [outcomeCount]int `json:"Ends"`  // requests by Outcome
+	ServedRatio        float64           `json:"Share"` // as Part.ServedRatio; -1: there were none
+	Attempts           int
+	CrossZone          int     // attempts to another zone
+	CrossRegion        int     // attempts to another region
+	P50Milliseconds    float64 `json:"P50"`      // latency of the requests that were served
+	P99Milliseconds    float64 `json:"P99"`      // likewise
+	AttemptsByUpstream []int   `json:"Upstream"` // by index
+	AttemptsByZone     [][]int `json:"Zones"`    // by the balancer's and the upstream's zone
+	weight             weightTally
+	latency            *histogram // nil once the percentiles are computed
 }
 
 func newWindow(at time.Duration, f *day.Fleet) Window {
 	w := Window{
-		At:       at.Seconds(),
-		Upstream: make([]int, len(f.Upstreams)),
-		Zones:    make([][]int, len(f.Zones)),
-		latency:  newHistogram(),
+		StartSeconds:       at.Seconds(),
+		AttemptsByUpstream: make([]int, len(f.Upstreams)),
+		AttemptsByZone:     make([][]int, len(f.Zones)),
+		latency:            newHistogram(),
 	}
-	for z := range w.Zones {
-		w.Zones[z] = make([]int, len(f.Zones))
+	for z := range w.AttemptsByZone {
+		w.AttemptsByZone[z] = make([]int, len(f.Zones))
 	}
 	return w
 }
@@ -58,10 +61,10 @@
 }
 
 func (w *Window) addRequest(r Request) {
-	w.Asked++
-	w.Ends[r.End]++
-	w.worth.add(r)
-	if r.End <= Late {
+	w.Requests++
+	w.Outcomes[r.Outcome]++
+	w.weight.add(r)
+	if r.Outcome <= ServedLate {
 		w.latency.record(r.Latency)
 	}
 }
@@ -70,8 +73,8 @@
 	from := f.Balancers[e.Balancer].Zone
 	to := f.Upstreams[e.Upstream].Zone
 	w.Attempts++
-	w.Upstream[e.Upstream]++
-	w.Zones[from][to]++
+	w.AttemptsByUpstream[e.Upstream]++
+	w.AttemptsByZone[from][to]++
 	if from != to {
 		w.CrossZone++
 	}
@@ -82,20 +85,20 @@
 
 // finish computes what needs all requests of the window.
 func (w *Window) finish() {
-	w.Share = -1
-	if w.worth.asked > 0 {
-		w.Share = w.worth.share()
+	w.ServedRatio = -1
+	if w.weight.offered > 0 {
+		w.ServedRatio = w.weight.servedRatio()
 	}
-	w.P50 = w.latency.percentile(50)
-	w.P99 = w.latency.percentile(99)
+	w.P50Milliseconds = w.latency.percentile(50)
+	w.P99Milliseconds = w.latency.percentile(99)
 	w.latency = nil
 }
 
-// servedIn is the share of worth served of what came in some windows.
-func servedIn(windows []Window) float64 {
-	var sum tally
+// servedRatioOf is the served ratio of the requests of some windows.
+func servedRatioOf(windows []Window) float64 {
+	var sum weightTally
 	for _, w := range windows {
-		sum.merge(w.worth)
+		sum.merge(w.weight)
 	}
-	return sum.share()
+	return sum.servedRatio()
 }
--- a/internal/lab/measure/starts.go
+++ b/internal/lab/measure/starts.go
@@ -7,12 +7,14 @@
 	"sprucehill/internal/lab/history"
 )
 
-// Starts is how soon balancers that were started within the day did something, in seconds from the begin of the process.
+// Starts is how soon balancers that were started within the day became ready and served, from the start of the process.
 type Starts struct {
-	Count                int
-	ReadyP50, ReadyP99   float64 // its front sent clients to it
-	ServedP50, ServedP99 float64 // its first answer that served a client was there
-	Never                int     // of the starts: they served nobody before their end or the day's
+	Count            int
+	ReadyP50Seconds  float64 `json:"ReadyP50"` // until the front sent clients to it
+	ReadyP99Seconds  float64 `json:"ReadyP99"`
+	ServedP50Seconds float64 `json:"ServedP50"` // until its first answer that served a client
+	ServedP99Seconds float64 `json:"ServedP99"`
+	NeverServed      int     `json:"Never"` // starts that served no client before the process or the day ended
 }
 
 // openStart is a start whose process has not served anybody yet.
@@ -33,7 +35,7 @@
 		case e.Kind == history.Started:
 			delete(open, e.Balancer)
 			if start != nil {
-				s.Never++
+				s.NeverServed++
 			}
 			if e.At > 0 {
 				s.Count++
@@ -42,7 +44,7 @@
 		case start == nil:
 		case e.Kind == history.Exited:
 			delete(open, e.Balancer)
-			s.Never++
+			s.NeverServed++
 		case e.Kind == history.Ready && !start.ready:
 			start.ready = true
 			ready.record(max(e.At-start.at, time.Microsecond))
@@ -51,13 +53,13 @@
 			served.record(max(e.At-start.at, time.Microsecond))
 		}
 	}
-	s.Never += len(open)
+	s.NeverServed += len(open)
 	if s.Count == 0 {
 		return nil
 	}
-	s.ReadyP50 = ready.percentile(50) / 1000
-	s.ReadyP99 = ready.percentile(99) / 1000
-	s.ServedP50 = served.percentile(50) / 1000
-	s.ServedP99 = served.percentile(99) / 1000
+	s.ReadyP50Seconds = ready.percentile(50) / 1000
+	s.ReadyP99Seconds = ready.percentile(99) / 1000
+	s.ServedP50Seconds = served.percentile(50) / 1000
+	s.ServedP99Seconds = served.percentile(99) / 1000
 	return s
 }
--- a/internal/lab/measure/zones.go
+++ b/internal/lab/measure/zones.go
@@ -10,39 +10,48 @@
 )
 
 const (
-	// zoneLost is the share of a zone's upstreams that a fault has to hit for a balancer to be right to leave the zone.
-	zoneLost = 0.75
-	// zoneDoubtful is the share from which on it is no mistake to doubt it.
-	zoneDoubtful = 0.5
-	// evidenceLag is how long after a fault's end a balancer may still leave a zone for it: reports and answers lag.
+	// zoneLostRatio is the share of a zone's upstreams that a fault has to hit for a balancer to be right to leave the zone.
+	zoneLostRatio = 0.75
+	// zoneDoubtfulRatio is the share of a zone's upstreams that a fault has to hit for a balancer to be right to doubt it.
+	zoneDoubtfulRatio = 0.5
+	// evidenceLag is how long after a fault's end a balancer may still leave a zone for it. Load reports and answers arrive
+	// late.
 	evidenceLag = 5 * time.Second
-	// swingWidth is the least stretch over which a zone's share of the attempts is taken: less is chance.
+	// swingWidth is the length of the stretches of which zoneSwing compares a zone's share of the attempts. In shorter ones
+	// it varies by chance.
 	swingWidth = 5 * time.Second
 )
 
-// Zone is what a zone carried after the first stretch.
+// Zone is the traffic of a zone after the first stretch.
 type Zone struct {
-	Name string
-	Use  float64 // work that arrived over what all its cores do in that time
-	Part float64 // of all attempts
+	Name         string
+	Utilization  float64 `json:"Use"`  // arrived work over what all the zone's cores can do
+	AttemptShare float64 `json:"Part"` // of all attempts
 }
 
-// Zones is how the balancers dealt with zones.
+// Zones is how the balancers spread traffic over zones.
 type Zones struct {
-	All     []Zone
-	Fullest float64 // use of the fullest zone over the fleet's
-	Swing   float64 // peak to peak of a zone's part of all attempts, the greatest; over stretches of 5 s
-	Same    float64 // part of attempts that stay in their zone
-	Leave   *Leave  `json:",omitempty"` // where a fault hit most of a zone and zone states are known
-	// Wrongly is the share of pairs of a balancer and an upstream that no fault had hit, in whose zone that balancer lost
-	// confidence for a time. It needs zone states, too.
-	Wrongly float64
+	All                  []Zone
+	PeakUtilizationRatio float64 `json:"Fullest"` // highest utilization of a zone over the fleet's
+	// AttemptShareSwing is the greatest difference between the highest and the lowest share of all attempts that a zone had
+	// in stretches of 5 s.
+	AttemptShareSwing float64 `json:"Swing"`
+	SameZoneRatio     float64 `json:"Same"` // of attempts whose balancer is in the upstream's zone
+	// LeaveTimes is nil if no fault hit most of a zone, or if the history has no zone states.
+	LeaveTimes *LeaveTimes `json:"Leave,omitempty"`
+	// WronglyDoubtedRatio is the share of pairs of a balancer and an upstream where the balancer doubted the upstream's zone
+	// although no fault had hit it. It is 0 if the history has no zone states.
+	WronglyDoubtedRatio float64 `json:"Wrongly"`
 }
 
-// Leave is how long balancers took to leave zones that faults had hit, in seconds, over all balancers and such faults.
-type Leave struct {
-	P50, P99, Max float64
-	Count, Never  int // those who left; those who did not before the fault's end
+// LeaveTimes is how long balancers took to leave zones that faults had hit. Each pair of a balancer and such a fault
+// counts.
+type LeaveTimes struct {
+	P50Seconds float64 `json:"P50"`
+	P99Seconds float64 `json:"P99"`
+	MaxSeconds float64 `json:"Max"`
+	Count      int     // balancers that left before the fault's end
+	NeverLeft  int     `json:"Never"` // balancers that did not
 }
 
 // zoneLoad is what came to a zone after the first stretch.
@@ -79,18 +88,26 @@
 			total.work += float64(e.Work)
 		}
 	}
-	z := &Zones{All: make([]Zone, len(f.Zones)), Same: ratio(withinZone, total.attempts), Swing: zoneSwing(d, f, series)}
+	z := &Zones{
+		All:               make([]Zone, len(f.Zones)),
+		SameZoneRatio:     ratio(withinZone, total.attempts),
+		AttemptShareSwing: zoneSwing(d, f, series),
+	}
 	for i, load := range loads {
-		z.All[i] = Zone{Name: f.Locality(i), Use: ratio(load.work, load.capacity), Part: ratio(load.attempts, total.attempts)}
+		z.All[i] = Zone{
+			Name:         f.Locality(i),
+			Utilization:  ratio(load.work, load.capacity),
+			AttemptShare: ratio(load.attempts, total.attempts),
+		}
 		if total.work > 0 && load.capacity > 0 {
-			z.Fullest = max(z.Fullest, z.All[i].Use/(total.work/total.capacity))
+			z.PeakUtilizationRatio = max(z.PeakUtilizationRatio, z.All[i].Utilization/(total.work/total.capacity))
 		}
 	}
 	if slices.ContainsFunc(events, func(e history.Event) bool { return e.Kind == history.ZoneState }) {
 		_, hits := d.Timetable()
 		t := faultTruth{d, f, d.NewPaths(f), hits}
-		z.Leave = t.leaveTimes(events)
-		z.Wrongly = t.wronglyDoubted(events)
+		z.LeaveTimes = t.leaveTimes(events)
+		z.WronglyDoubtedRatio = t.wronglyDoubted(events)
 	}
 	return z
 }
@@ -121,7 +138,7 @@
 	shares := make([]float64, zones)
 	all := 0.0
 	for _, w := range windows {
-		for _, row := range w.Zones {
+		for _, row := range w.AttemptsByZone {
 			for to, n := range row {
 				shares[to] += float64(n)
 				all += float64(n)
@@ -184,7 +201,7 @@
 
 // leaveTimes takes, for each fault and each balancer from which it takes most of a zone, the time until that balancer has
 // left the zone, or was notified by discovery that all of it is gone. nil: there were none.
-func (t faultTruth) leaveTimes(events []history.Event) *Leave {
+func (t faultTruth) leaveTimes(events []history.Event) *LeaveTimes {
 	byBalancer := make([][]history.Event, len(t.fleet.Balancers))
 	for _, e := range events {
 		if e.Kind == history.ZoneState || e.Kind == history.Notified {
@@ -192,16 +209,16 @@
 		}
 	}
 	times := newHistogram()
-	leave := &Leave{}
+	leave := &LeaveTimes{}
 	for i, fault := range t.day.Faults {
 		for b := range t.fleet.Balancers {
 			for z := range t.fleet.Zones {
-				if t.hitShare(i, b, z) < zoneLost {
+				if t.hitShare(i, b, z) < zoneLostRatio {
 					continue
 				}
 				at, left := t.leftAt(byBalancer[b], z, fault.At.D(), t.faultEnd(i))
 				if !left {
-					leave.Never++
+					leave.NeverLeft++
 					continue
 				}
 				leave.Count++
@@ -209,13 +226,13 @@
 			}
 		}
 	}
-	if leave.Count+leave.Never == 0 {
+	if leave.Count+leave.NeverLeft == 0 {
 		return nil
 	}
 	latency := times.latency()
-	leave.P50 = latency.P50 / 1000
-	leave.P99 = latency.P99 / 1000
-	leave.Max = latency.Max / 1000
+	leave.P50Seconds = latency.P50 / 1000
+	leave.P99Seconds = latency.P99 / 1000
+	leave.MaxSeconds = latency.Max / 1000
 	return leave
 }
 
@@ -280,7 +297,7 @@
 func (t faultTruth) hasReason(view zoneView, at time.Duration) bool {
 	for i, fault := range t.day.Faults {
 		within := at >= fault.At.D() && at < t.faultEnd(i)+evidenceLag
-		if within && t.hitShare(i, view.balancer, view.zone) >= zoneDoubtful {
+		if within && t.hitShare(i, view.balancer, view.zone) >= zoneDoubtfulRatio {
 			return true
 		}
 	}
--- a/internal/lab/report/layout.go
+++ b/internal/lab/report/layout.go
@@ -15,15 +15,15 @@
 @media print { body { max-width: none; margin: 0; } svg, table { break-inside: avoid; } }
 </style></head><body>
 <h1>{{.Summary.Day}}</h1>
-<p>{{.Day.About}} {{.Summary.Engine}} engine, seed {{.Summary.Seed}}, {{printf "%.0f" .Summary.Seconds}} s: {{len .Fleet.Balancers}} balancers,
+<p>{{.Day.About}} {{.Summary.Engine}} engine, seed {{.Summary.Seed}}, {{printf "%.0f" .Summary.LengthSeconds}} s: {{len .Fleet.Balancers}} balancers,
 {{len .Fleet.Upstreams}} upstreams, {{len .Fleet.Zones}} zones.</p>
-{{with .Summary.Lab}}{{if .Void}}<p class="bad"><strong>Void: {{.Void}}.</strong></p>{{end}}{{end}}
+{{with .Summary.Lab}}{{if .VoidReason}}<p class="bad"><strong>Void: {{.VoidReason}}.</strong></p>{{end}}{{end}}
 <table><tr><th></th><th>requests</th><th>worth served</th><th>in time</th><th>late</th><th>refused</th><th>failed</th><th>not connected</th><th>left early</th><th>p50 ms</th><th>p99 ms</th><th>p99.9 ms</th></tr>
-{{range .Parts}}<tr><td>{{.Name}}</td><td class="n">{{.Requests}}</td><td class="n">{{percent .Served}}</td>{{range .Ends}}<td class="n">{{.}}</td>{{end}}<td class="n">{{printf "%.1f" .Latency.P50}}</td><td class="n">{{printf "%.1f" .Latency.P99}}</td><td class="n">{{printf "%.1f" .Latency.P999}}</td></tr>
+{{range .Parts}}<tr><td>{{.Name}}</td><td class="n">{{.Requests}}</td><td class="n">{{percent .ServedRatio}}</td>{{range .Ends}}<td class="n">{{.}}</td>{{end}}<td class="n">{{printf "%.1f" .Latency.P50}}</td><td class="n">{{printf "%.1f" .Latency.P99}}</td><td class="n">{{printf "%.1f" .Latency.P999}}</td></tr>
 {{end}}</table>
-<p>Score {{printf "%.3f" .Summary.Score}}; worst 10 s {{percent .Summary.Worst}}{{range .Classes}}; {{.Name}} {{percent .Share}}{{end}}{{range .Tenants}}; {{.Name}} {{percent .Share}} inside its share{{end}}.
-{{printf "%.3f" .Summary.Attempts}} attempts a request, {{percent .Summary.CrossZone}} of them to another zone, {{percent .Summary.CrossRegion}} to another region.</p>
-{{with .Summary.Lab}}<p>The lab: arrivals late by {{printf "%.2f" .LateP50}} ms at p50, {{printf "%.2f" .LateP99}} at p99, {{printf "%.1f" .LateMax}} at most; {{printf "%.2f" .LabCores}} cores for it, {{printf "%.2f" .NodeCores}} for all balancers.</p>{{end}}
+<p>Score {{printf "%.3f" .Summary.Score}}; worst 10 s {{percent .Summary.WorstStretchRatio}}{{range .Classes}}; {{.Name}} {{percent .Share}}{{end}}{{range .Tenants}}; {{.Name}} {{percent .Share}} inside its share{{end}}.
+{{printf "%.3f" .Summary.AttemptsPerRequest}} attempts a request, {{percent .Summary.CrossZoneRatio}} of them to another zone, {{percent .Summary.CrossRegionRatio}} to another region.</p>
+{{with .Summary.Lab}}<p>The lab: arrivals late by {{printf "%.2f" .LateP50Milliseconds}} ms at p50, {{printf "%.2f" .LateP99Milliseconds}} at p99, {{printf "%.1f" .LateMaxMilliseconds}} at most; {{printf "%.2f" .LabCores}} cores for it, {{printf "%.2f" .BalancerCores}} for all balancers.</p>{{end}}
 <h2>Rules</h2>
 <table>{{range .Rules}}<tr><td>{{.Name}}</td><td>{{if .Broken}}<span class="bad">broken {{.Broken}} times</span>{{else}}<span class="good">kept</span>{{end}}</td></tr>{{end}}</table>
 {{range .Breaches}}<details open><summary>{{.Title}}</summary><pre>{{range .Lines}}{{.}}
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -78,7 +78,7 @@
 	var points plotter.XYs
 	for _, w := range series {
 		if y, ok := of(w); ok {
-			points = append(points, plotter.XY{X: w.At, Y: y})
+			points = append(points, plotter.XY{X: w.StartSeconds, Y: y})
 		}
 	}
 	return points
@@ -111,7 +111,7 @@
 // servedPlot has the share of worth served, with the timetable of faults above it.
 func servedPlot(r *lab.Result) (*plot.Plot, error) {
 	s := r.Summary
-	p := newPlot(fmt.Sprintf("%s, %s engine: worth served in time", s.Day, s.Engine), "share of the worth that came", s.Seconds)
+	p := newPlot(fmt.Sprintf("%s, %s engine: worth served in time", s.Day, s.Engine), "share of the worth that came", s.LengthSeconds)
 	top := 1.02
 	for i, f := range r.Day.Faults {
 		from, to := faultSpan(r.Day, f)
@@ -123,7 +123,7 @@
 		if err := addBox(p, from, to, 0, 1, shade); err != nil {
 			return nil, err
 		}
-		labels, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: to + s.Seconds*0.005, Y: y + stripRow*0.1}}, Labels: []string{string(f.Kind)}})
+		labels, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: to + s.LengthSeconds*0.005, Y: y + stripRow*0.1}}, Labels: []string{string(f.Kind)}})
 		if err != nil {
 			return nil, err
 		}
@@ -134,7 +134,7 @@
 	p.Y.Tick.Marker = plot.ConstantTicks([]plot.Tick{{Value: 0, Label: "0%"}, {Value: 0.25, Label: "25%"}, {Value: 0.5, Label: "50%"},
 		{Value: 0.75, Label: "75%"}, {Value: 1, Label: "100%"}})
 	p.Legend.Top, p.Legend.YOffs = false, vg.Points(12)
-	return p, addLine(p, "served in time", 0, points(s.Series, func(w measure.Window) (float64, bool) { return w.Share, w.Share >= 0 }))
+	return p, addLine(p, "served in time", 0, points(s.Series, func(w measure.Window) (float64, bool) { return w.ServedRatio, w.ServedRatio >= 0 }))
 }
 
 // shadeFaults marks when faults are active in a plot whose y axis ends at top.
@@ -151,7 +151,7 @@
 
 // linesPlot has some figures of each window as lines.
 func linesPlot(r *lab.Result, title, y string, names []string, of func(w measure.Window, i int) float64) (*plot.Plot, error) {
-	p := newPlot(title, y, r.Summary.Seconds)
+	p := newPlot(title, y, r.Summary.LengthSeconds)
 	top := 0.0
 	for i := range names {
 		for _, w := range r.Summary.Series {
@@ -180,7 +180,7 @@
 		for to := range r.Fleet.Zones {
 			n := 0
 			for _, w := range r.Summary.Series {
-				n += w.Zones[from][to]
+				n += w.AttemptsByZone[from][to]
 			}
 			pairs = append(pairs, pair{from, to, n})
 		}
@@ -192,7 +192,7 @@
 		names[i] = r.Fleet.Zones[p.from].Name + " to " + r.Fleet.Zones[p.to].Name
 	}
 	return linesPlot(r, "Traffic from zone to zone", "attempts a second", names, func(w measure.Window, i int) float64 {
-		return perSecond(r, w.Zones[pairs[i].from][pairs[i].to])
+		return perSecond(r, w.AttemptsByZone[pairs[i].from][pairs[i].to])
 	})
 }
 
@@ -207,7 +207,7 @@
 	w := g.series[c]
 	n := 0
 	for _, u := range g.rows[r] {
-		n += w.Upstream[u]
+		n += w.AttemptsByUpstream[u]
 	}
 	if w.Attempts == 0 {
 		return 0
@@ -216,9 +216,9 @@
 }
 func (g shares) X(c int) float64 {
 	if len(g.series) > 1 {
-		return g.series[c].At + (g.series[1].At-g.series[0].At)/2
+		return g.series[c].StartSeconds + (g.series[1].StartSeconds-g.series[0].StartSeconds)/2
 	}
-	return g.series[c].At
+	return g.series[c].StartSeconds
 }
 func (g shares) Y(r int) float64 { return float64(r) }
 
@@ -256,9 +256,9 @@
 	if h.Max <= h.Min {
 		h.Max = h.Min + 1
 	}
-	p := newPlot(fmt.Sprintf("%s: dark none, bright %.2f%%", title, h.Max), "upstream", r.Summary.Seconds)
+	p := newPlot(fmt.Sprintf("%s: dark none, bright %.2f%%", title, h.Max), "upstream", r.Summary.LengthSeconds)
 	p.Add(h)
-	p.X.Max = r.Summary.Seconds // it has no legend
+	p.X.Max = r.Summary.LengthSeconds // it has no legend
 	p.Y.Tick.Marker = plot.ConstantTicks(ticks)
 	p.Y.Tick.Label.Font.Size = vg.Points(max(4, min(8, 200/float64(len(g.rows)))))
 	p.Y.Min, p.Y.Max = -0.5, float64(len(g.rows))-0.5
@@ -307,17 +307,17 @@
 
 func latencyPlot(r *lab.Result) (*plot.Plot, error) {
 	return linesPlot(r, "Latency of what was served, from when it was to be sent", "milliseconds", []string{"p99", "p50"},
-		func(w measure.Window, i int) float64 { return []float64{w.P99, w.P50}[i] })
+		func(w measure.Window, i int) float64 { return []float64{w.P99Milliseconds, w.P50Milliseconds}[i] })
 }
 
 func endsPlot(r *lab.Result) (*plot.Plot, error) {
-	ends := []measure.End{measure.InTime, measure.Late, measure.Refused, measure.Failed, measure.Unreached}
+	ends := []measure.Outcome{measure.ServedInTime, measure.ServedLate, measure.Rejected, measure.Failed, measure.NotConnected}
 	names := make([]string, len(ends))
 	for i, e := range ends {
 		names[i] = e.String()
 	}
 	return linesPlot(r, "How requests ended", "requests a second", names,
-		func(w measure.Window, i int) float64 { return perSecond(r, w.Ends[ends[i]]) })
+		func(w measure.Window, i int) float64 { return perSecond(r, w.Outcomes[ends[i]]) })
 }
 
 func crossPlot(r *lab.Result) (*plot.Plot, error) {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return "", err
 	}
-	page := page{Result: r, Classes: shareRows(r.Summary.Class), Tenants: shareRows(r.Summary.Tenant)}
+	page := page{Result: r, Classes: shareRows(r.Summary.ServedRatioByClass), Tenants: shareRows(r.Summary.ServedRatioByTenant)}
 	for _, f := range all {
 		svg := vgsvg.New(plotWidth, f.height)
 		drawFigure(f, svg)
@@ -115,7 +115,7 @@
 type recoveryRow struct{ Fault, At, End, Before, Least, Back string }
 
 // endsShown is how requests end, in the order of the tables.
-var endsShown = []measure.End{measure.InTime, measure.Late, measure.Refused, measure.Failed, measure.Unreached, measure.Left}
+var endsShown = []measure.Outcome{measure.ServedInTime, measure.ServedLate, measure.Rejected, measure.Failed, measure.NotConnected, measure.ClientLeft}
 
 func shareRows(m map[string]float64) []shareRow {
 	var rows []shareRow
@@ -144,9 +144,9 @@
 
 func (p *page) fillParts() {
 	s := p.Summary
-	for _, part := range []partRow{{Name: fmt.Sprintf("first %.0f s", s.Settle), Part: s.Settling}, {Name: "after that", Part: s.Main}} {
+	for _, part := range []partRow{{Name: fmt.Sprintf("first %.0f s", s.SettleSeconds), Part: s.Settling}, {Name: "after that", Part: s.Main}} {
 		for _, e := range endsShown {
-			part.Ends = append(part.Ends, percent(part.Share[e.String()]))
+			part.Ends = append(part.Ends, percent(part.ShareByOutcome[e.String()]))
 		}
 		p.Parts = append(p.Parts, part)
 	}
@@ -166,7 +166,7 @@
 	for _, r := range p.Summary.WorstRequests {
 		a := p.Arrivals[r.Arrival]
 		title := fmt.Sprintf("%s from %s at %.3f s: %s after %d tries and %d attempts", p.Day.Classes[a.Class].Name,
-			p.Fleet.Zones[a.Zone].Name, a.At.Seconds(), r.End, r.Tries, r.Attempts)
+			p.Fleet.Zones[a.Zone].Name, a.At.Seconds(), r.Outcome, r.Tries, r.Attempts)
 		if r.Latency > 0 {
 			title += fmt.Sprintf(", %.0f ms", r.Latency.Seconds()*1000)
 		}
--- a/internal/lab/zones_test.go
+++ b/internal/lab/zones_test.go
@@ -85,8 +85,8 @@
 			for _, v := range r.Violations {
 				t.Errorf("%s at %v: %s", v.Rule, v.At, v.What)
 			}
-			if r.Summary.Main.Served < 0.6 {
-				t.Errorf("%.2f of the worth was served: %v", r.Summary.Main.Served, r.Summary.Main.Share)
+			if r.Summary.Main.ServedRatio < 0.6 {
+				t.Errorf("%.2f of the worth was served: %v", r.Summary.Main.ServedRatio, r.Summary.Main.ShareByOutcome)
 			}
 			left := slices.ContainsFunc(r.Events, func(e history.Event) bool {
 				return e.Kind == history.ZoneState && e.Zone == 1 && e.Balancer == 1 && e.Text == "failed"
