--- /dev/null
+++ b/cmd/balancerctl/comparetext.go
@@ -0,0 +1,50 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"strings"
+
+	"sprucehill/internal/lab/compare"
+)
+
+// showComparison writes the table of measures with their ratios.
+func showComparison(w io.Writer, r *compare.Result, file, engine string) {
+	fmt.Fprintf(w, "A %s against B %s: %s, %s engine, %d plays each, seeds %d to %d\n\n", r.A, r.B, file, engine, r.Plays,
+		r.Seeds[0], r.Seeds[len(r.Seeds)-1])
+	rows := [][]any{{"", "A", "B", "B/A", "over plays", "B-A", "beyond noise"}}
+	for _, row := range r.Rows {
+		rows = append(rows, comparisonRow(row))
+	}
+	writeTable(w, rows...)
+}
+
+// comparisonRow has the cells of one measure.
+func comparisonRow(row compare.Row) []any {
+	ratio := "-"
+	spread := "-"
+	if row.Ratio != 0 {
+		ratio = fmt.Sprintf("%.3f", row.Ratio)
+		spread = fmt.Sprintf("%.3f to %.3f", row.Low, row.High)
+	}
+	return []any{
+		strings.TrimSpace(row.Measure + " " + row.Unit),
+		fmt.Sprintf("%.4g", row.A),
+		fmt.Sprintf("%.4g", row.B),
+		ratio,
+		spread,
+		fmt.Sprintf("%+.4g ± %.2g", row.Diff, row.Half),
+		verdict(row),
+	}
+}
+
+// verdict returns the words for whether a difference is beyond noise, and which way.
+func verdict(row compare.Row) string {
+	switch {
+	case !row.Beyond:
+		return "no"
+	case row.Better:
+		return "yes, B is better"
+	}
+	return "yes, B is worse"
+}
--- /dev/null
+++ b/cmd/balancerctl/table.go
@@ -0,0 +1,24 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"text/tabwriter"
+)
+
+// writeTable writes rows in columns.
+func writeTable(w io.Writer, rows ...[]any) {
+	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	for _, row := range rows {
+		texts := make([]string, len(row))
+		for i, x := range row {
+			texts[i] = fmt.Sprint(x)
+		}
+		fmt.Fprintln(t, strings.Join(texts, "\t"))
+	}
+	t.Flush() // w is standard output or a buffer
+}
+
+// percent formats a ratio as a percentage.
+func percent(x float64) string { return fmt.Sprintf("%.1f%%", 100*x) }
