--- a/internal/lab/server/jobs.go
+++ b/internal/lab/server/jobs.go
@@ -60,28 +60,45 @@
 	return j
 }
 
+// jobTable is the requests that a server has accepted and not ended.
+type jobTable struct {
+	byID       map[JobID]*job
+	waiting    jobHeap // with a slot; they wait on other services
+	working    jobHeap // with a slot; they run
+	queue      []*job
+	nextSerial uint64
+}
+
+func newJobTable() jobTable {
+	return jobTable{
+		byID:    map[JobID]*job{},
+		waiting: jobHeap{key: func(j *job) float64 { return float64(j.readyAt) }},
+		working: jobHeap{key: func(j *job) float64 { return j.finish }},
+	}
+}
+
 // slotsUsed is how many requests have a slot.
-func (s *Server) slotsUsed() int { return len(s.waiting.jobs) + len(s.working.jobs) }
+func (t *jobTable) slotsUsed() int { return len(t.waiting.jobs) + len(t.working.jobs) }
 
 // startJob gives a request a slot.
 func (s *Server) startJob(j *job) {
 	j.readyAt = s.now + j.wait
-	heap.Push(&s.waiting, j)
+	heap.Push(&s.jobs.waiting, j)
 }
 
 // startQueued gives free slots to the queue.
 func (s *Server) startQueued() {
-	for len(s.queue) > 0 && s.slotsUsed() < s.model.Slots {
-		j := s.queue[0]
-		s.queue[0] = nil
-		s.queue = s.queue[1:]
+	for len(s.jobs.queue) > 0 && s.jobs.slotsUsed() < s.model.Slots {
+		j := s.jobs.queue[0]
+		s.jobs.queue[0] = nil
+		s.jobs.queue = s.jobs.queue[1:]
 		s.startJob(j)
 	}
 }
 
 // finishJob ends a request that has run, and gives its slot to the queue.
 func (s *Server) finishJob(j *job) {
-	delete(s.jobs, j.id)
+	delete(s.jobs.byID, j.id)
 	if j.failed {
 		s.reports.errors++
 	}
@@ -91,15 +108,15 @@
 
 // Cancel drops a request that its balancer has given up, whether it works, waits or is queued.
 func (s *Server) Cancel(id JobID) {
-	j := s.jobs[id]
+	j := s.jobs.byID[id]
 	if j == nil {
 		return
 	}
-	delete(s.jobs, id)
+	delete(s.jobs.byID, id)
 	if j.heap != nil {
 		heap.Remove(j.heap, j.heapIndex)
-	} else if i := slices.Index(s.queue, j); i >= 0 {
-		s.queue = slices.Concat(s.queue[:i], s.queue[i+1:])
+	} else if i := slices.Index(s.jobs.queue, j); i >= 0 {
+		s.jobs.queue = slices.Concat(s.jobs.queue[:i], s.jobs.queue[i+1:])
 	}
 	if !s.collapsed {
 		s.startQueued()
@@ -107,4 +124,4 @@
 }
 
 // JobCount is how many requests it has.
-func (s *Server) JobCount() int { return len(s.jobs) }
+func (s *Server) JobCount() int { return len(s.jobs.byID) }
--- a/internal/lab/server/report.go
+++ b/internal/lab/server/report.go
@@ -34,12 +34,12 @@
 	report := Report{
 		Util:   min(1, r.busySeconds/(span*float64(s.model.Cores)*s.model.Speed*s.warmth())),
 		Errors: r.errors / span,
-		Queue:  float64(len(s.queue)),
+		Queue:  float64(len(s.jobs.queue)),
 	}
 	r.busySeconds = 0
 	r.errors = 0
 	r.lastAt = s.now.Seconds()
-	r.reports = append(r.reports, datedReport{report, s.now + s.model.ReportDelay.D() + s.reportLag})
+	r.reports = append(r.reports, datedReport{report, s.now + s.model.ReportDelay.D() + s.faults.reportDelay})
 	r.nextAt = s.now + s.model.ReportEvery.D()
 }
 
--- a/internal/lab/server/server.go
+++ b/internal/lab/server/server.go
@@ -43,50 +43,55 @@
 
 // Server is one upstream while its process runs.
 type Server struct {
-	model          day.Model
-	balancers      day.Balancers // has the budget of a server that warms up
-	rng            *rand.Rand
-	startedAt      time.Duration // it warms up from then on
-	alwaysWarm     bool          // it started long before the day
-	now            time.Duration
-	attained       float64 // service of each request in work, seconds of a core of speed 1
-	waiting        jobHeap // requests with a slot that wait on other services
-	working        jobHeap
-	queue          []*job
-	jobs           map[JobID]*job
-	serial         uint64        // of the next job
-	pauseAt        time.Duration // next pause; math.MaxInt64: none
-	pauseEnd       time.Duration
-	warmupArrivals []warmupArrival // within the last TipAfter
-	collapsed      bool            // it got too much while it warmed up, and does nothing more
+	model     day.Model
+	balancers day.Balancers // has the budget of a server that warms up
+	rng       *rand.Rand
+	now       time.Duration
+	attained  float64 // service of each running request so far, seconds of a core of speed 1
+	jobs      jobTable
+	pause     pauseTimes
+	warmup    warmup
+	collapsed bool // it got too much while it warmed up, and does nothing more
+	faults    faultEffects
+	reports   reporter
+	finished  []Done // since the last Advance
+	returned  []Done // by the last Advance; its memory is used again
+}
 
-	// Faults.
-	errorShare       float64       // of requests that fail at once
-	foreignLoadShare float64       // of the machine, by other programs
-	reportLag        time.Duration // of load reports, on top of the model's
+// pauseTimes is when a server pauses.
+type pauseTimes struct {
+	nextAt time.Duration // math.MaxInt64: never
+	endAt  time.Duration // of the latest pause
+}
 
-	reports  reporter
-	finished []Done // since the last Advance
-	returned []Done // by the last Advance; its memory is used again
+// warmup is the state of a server that may warm up.
+type warmup struct {
+	startedAt time.Duration
+	done      bool            // it started long before the day
+	arrivals  []warmupArrival // within the last TipAfter
+}
+
+// faultEffects is what faults do to a server.
+type faultEffects struct {
+	errorShare       float64       // of requests that fail at once
+	foreignLoadShare float64       // of the machine that other programs use
+	reportDelay      time.Duration // of load reports, on top of the model's
 }
 
 // New returns a server that starts at now. It warms up, or is warm from the start.
 func New(m day.Model, balancers day.Balancers, seed uint64, now time.Duration, warmsUp bool) *Server {
 	s := &Server{
-		model:      m,
-		balancers:  balancers,
-		rng:        rand.New(rand.NewPCG(seed, uint64(now))),
-		startedAt:  now,
-		alwaysWarm: !warmsUp,
-		now:        now,
-		jobs:       map[JobID]*job{},
-		pauseAt:    math.MaxInt64,
-		reports:    reporter{lastAt: now.Seconds()},
+		model:     m,
+		balancers: balancers,
+		rng:       rand.New(rand.NewPCG(seed, uint64(now))),
+		now:       now,
+		jobs:      newJobTable(),
+		pause:     pauseTimes{nextAt: math.MaxInt64},
+		warmup:    warmup{startedAt: now, done: !warmsUp},
+		reports:   reporter{lastAt: now.Seconds()},
 	}
-	s.waiting.key = func(j *job) float64 { return float64(j.readyAt) }
-	s.working.key = func(j *job) float64 { return j.finish }
 	if m.PauseEvery > 0 {
-		s.pauseAt = now + s.drawPauseGap()
+		s.pause.nextAt = now + s.drawPauseGap()
 	}
 	// The load reports of several servers must not coincide.
 	s.reports.nextAt = now + time.Duration(s.rng.Float64()*float64(m.ReportEvery))
@@ -105,25 +110,27 @@
 
 // warmth is the share of its capacity that the server has now, from 0 to 1.
 func (s *Server) warmth() float64 {
-	if s.alwaysWarm {
+	if s.warmup.done {
 		return 1
 	}
-	return Warmth(s.model, s.now-s.startedAt)
+	return Warmth(s.model, s.now-s.warmup.startedAt)
 }
 
 // fullCapacity is that of a warm server that has its machine to itself, in cores of speed 1.
 func (s *Server) fullCapacity() float64 { return float64(s.model.Cores) * s.model.Speed }
 
 // capacity is that of now, in cores of speed 1.
-func (s *Server) capacity() float64 { return s.fullCapacity() * s.warmth() * (1 - s.foreignLoadShare) }
+func (s *Server) capacity() float64 {
+	return s.fullCapacity() * s.warmth() * (1 - s.faults.foreignLoadShare)
+}
 
 // rate is how fast each request in work gets service, in cores of speed 1.
 func (s *Server) rate() float64 {
-	n := float64(len(s.working.jobs))
-	if n == 0 || s.collapsed || s.now < s.pauseEnd {
+	n := float64(len(s.jobs.working.jobs))
+	if n == 0 || s.collapsed || s.now < s.pause.endAt {
 		return 0
 	}
-	return min(s.model.Speed*s.warmth()*(1-s.foreignLoadShare), s.capacity()/n)
+	return min(s.model.Speed*s.warmth()*(1-s.faults.foreignLoadShare), s.capacity()/n)
 }
 
 // Next is when the owner has to call Advance, if nothing arrives before.
@@ -131,15 +138,15 @@
 	if len(s.finished) > 0 {
 		return s.now
 	}
-	next := min(s.reports.nextAt, s.pauseAt)
-	if s.now < s.pauseEnd {
-		next = min(next, s.pauseEnd)
+	next := min(s.reports.nextAt, s.pause.nextAt)
+	if s.now < s.pause.endAt {
+		next = min(next, s.pause.endAt)
 	}
-	if len(s.waiting.jobs) > 0 && !s.collapsed {
-		next = min(next, s.waiting.jobs[0].readyAt)
+	if len(s.jobs.waiting.jobs) > 0 && !s.collapsed {
+		next = min(next, s.jobs.waiting.jobs[0].readyAt)
 	}
 	if rate := s.rate(); rate > 0 {
-		left := (s.working.jobs[0].finish - s.attained) / rate
+		left := (s.jobs.working.jobs[0].finish - s.attained) / rate
 		next = min(next, s.now+max(1, time.Duration(math.Ceil(left*float64(time.Second)))))
 		if s.warmth() < 1 {
 			next = min(next, s.now+warmupStep)
@@ -174,19 +181,19 @@
 	rate := s.rate()
 	seconds := (to - s.now).Seconds()
 	s.attained += rate * seconds
-	if full := s.fullCapacity(); s.now < s.pauseEnd && len(s.working.jobs) > 0 {
+	if full := s.fullCapacity(); s.now < s.pause.endAt && len(s.jobs.working.jobs) > 0 {
 		s.reports.busySeconds += full * seconds // from outside, cores look busy in a pause
 	} else {
-		s.reports.busySeconds += (rate*float64(len(s.working.jobs)) + s.foreignLoadShare*full) * seconds
+		s.reports.busySeconds += (rate*float64(len(s.jobs.working.jobs)) + s.faults.foreignLoadShare*full) * seconds
 	}
 	s.now = to
 }
 
 // handleDue does what is due now.
 func (s *Server) handleDue() {
-	if s.now >= s.pauseAt {
-		s.pauseEnd = s.now + s.model.Pause.D()
-		s.pauseAt = s.pauseEnd + s.drawPauseGap()
+	if s.now >= s.pause.nextAt {
+		s.pause.endAt = s.now + s.model.Pause.D()
+		s.pause.nextAt = s.pause.endAt + s.drawPauseGap()
 	}
 	if s.now >= s.reports.nextAt {
 		s.renewReport()
@@ -194,13 +201,13 @@
 	if s.collapsed {
 		return
 	}
-	for len(s.waiting.jobs) > 0 && s.waiting.jobs[0].readyAt <= s.now {
-		j := heap.Pop(&s.waiting).(*job)
+	for len(s.jobs.waiting.jobs) > 0 && s.jobs.waiting.jobs[0].readyAt <= s.now {
+		j := heap.Pop(&s.jobs.waiting).(*job)
 		j.finish = s.attained + j.work
-		heap.Push(&s.working, j)
+		heap.Push(&s.jobs.working, j)
 	}
-	for len(s.working.jobs) > 0 && s.working.jobs[0].finish <= s.attained+finishTolerance {
-		s.finishJob(heap.Pop(&s.working).(*job))
+	for len(s.jobs.working.jobs) > 0 && s.jobs.working.jobs[0].finish <= s.attained+finishTolerance {
+		s.finishJob(heap.Pop(&s.jobs.working).(*job))
 	}
 }
 
@@ -214,41 +221,41 @@
 		s.collapsed = true
 		return true, true
 	}
-	if s.rng.Float64() < s.errorShare { // an error at once costs next to nothing
+	if s.rng.Float64() < s.faults.errorShare { // an error at once costs next to nothing
 		j := &job{id: id, failed: true, heapIndex: -1}
-		s.jobs[id] = j
+		s.jobs.byID[id] = j
 		s.finishJob(j)
 		return true, false
 	}
 	failed := s.rng.Float64() < s.model.ErrorRate
-	j := &job{id: id, work: work.Seconds(), wait: wait, failed: failed, serial: s.serial, heapIndex: -1}
-	s.serial++
+	j := &job{id: id, work: work.Seconds(), wait: wait, failed: failed, serial: s.jobs.nextSerial, heapIndex: -1}
+	s.jobs.nextSerial++
 	switch {
-	case s.slotsUsed() < s.model.Slots:
+	case s.jobs.slotsUsed() < s.model.Slots:
 		s.startJob(j)
-	case len(s.queue) < s.model.Queue:
-		s.queue = append(s.queue, j)
+	case len(s.jobs.queue) < s.model.Queue:
+		s.jobs.queue = append(s.jobs.queue, j)
 	default:
 		return false, false
 	}
-	s.jobs[id] = j
+	s.jobs.byID[id] = j
 	return true, false
 }
 
 // exceedsColdBudget counts work that reaches the server while it warms up, also of rejected requests. It reports
 // whether the work within TipAfter is more than the server bears.
 func (s *Server) exceedsWarmupBudget(work float64) bool {
-	if s.alwaysWarm || s.now-s.startedAt >= s.model.Warm.D() {
-		s.warmupArrivals = nil
+	if s.warmup.done || s.now-s.warmup.startedAt >= s.model.Warm.D() {
+		s.warmup.arrivals = nil
 		return false
 	}
 	span := s.balancers.TipAfter.D()
-	s.warmupArrivals = append(s.warmupArrivals, warmupArrival{s.now, work})
-	for len(s.warmupArrivals) > 0 && s.warmupArrivals[0].at <= s.now-span {
-		s.warmupArrivals = s.warmupArrivals[1:]
+	s.warmup.arrivals = append(s.warmup.arrivals, warmupArrival{s.now, work})
+	for len(s.warmup.arrivals) > 0 && s.warmup.arrivals[0].at <= s.now-span {
+		s.warmup.arrivals = s.warmup.arrivals[1:]
 	}
 	var sum float64
-	for _, arrival := range s.warmupArrivals {
+	for _, arrival := range s.warmup.arrivals {
 		sum += arrival.work
 	}
 	budget := s.balancers.TipMultiple * s.capacity() * span.Seconds()
@@ -261,17 +268,15 @@
 // SetFaults sets which faults act. Of several error shares the largest counts. Each program that takes a share of the
 // machine takes it from what the others leave. Delays of load reports add up.
 func (s *Server) SetFaults(faults []day.Fault) {
-	s.errorShare = 0
-	s.foreignLoadShare = 0
-	s.reportLag = 0
+	s.faults = faultEffects{}
 	for _, f := range faults {
 		switch f.Kind {
 		case day.UpstreamErrors:
-			s.errorShare = max(s.errorShare, f.Size)
+			s.faults.errorShare = max(s.faults.errorShare, f.Size)
 		case day.NoisyNeighbour:
-			s.foreignLoadShare = 1 - (1-s.foreignLoadShare)*(1-f.Size)
+			s.faults.foreignLoadShare = 1 - (1-s.faults.foreignLoadShare)*(1-f.Size)
 		case day.LateReports:
-			s.reportLag += f.Delay.D()
+			s.faults.reportDelay += f.Delay.D()
 		}
 	}
 }
