--- a/internal/lab/day/check.go
+++ b/internal/lab/day/check.go
@@ -45,43 +45,68 @@
 }
 
 func (d *Day) checkFleet() error {
-	names := map[string]bool{}
-	balancers, upstreams := 0, 0
+	c := fleetChecker{models: d.Models, regions: map[string]bool{}, zones: map[string]bool{}}
 	for i, r := range d.Regions {
-		key := fmt.Sprintf("region[%d]", i+1)
-		if r.Name == "" || names["region:"+r.Name] {
-			return invalid(key+".name", "%q is empty or stands twice", r.Name)
+		if err := c.checkRegion(fmt.Sprintf("region[%d]", i+1), r); err != nil {
+			return err
 		}
-		names["region:"+r.Name] = true
-		for j, z := range r.Zones {
-			key := fmt.Sprintf("%s.zone[%d]", key, j+1)
-			if z.Name == "" || names["zone:"+z.Name] {
-				return invalid(key+".name", "%q is empty or stands twice", z.Name)
-			}
-			names["zone:"+z.Name] = true
-			if z.Balancers < 0 || z.Share < 0 {
-				return invalid(key, "balancers and share must not be negative")
-			}
-			if z.Share > 0 && z.Balancers == 0 {
-				return invalid(key+".share", "clients come to zone %s, but it has no balancers", z.Name)
-			}
-			balancers += z.Balancers
-			for _, g := range z.Groups {
-				if _, ok := d.Models[g.Model]; !ok {
-					return invalid(key+".upstreams.model", "%q is no [model.%s] of this file", g.Model, g.Model)
-				}
-				if g.Count < 0 {
-					return invalid(key+".upstreams.count", "must not be negative")
-				}
-				upstreams += g.Count
-			}
+	}
+	return c.checkSize()
+}
+
+// fleetChecker checks the regions of a day one by one.
+type fleetChecker struct {
+	models    map[string]Model
+	regions   map[string]bool // names so far
+	zones     map[string]bool // names so far, of all regions
+	balancers int             // so far
+	upstreams int             // so far
+}
+
+func (c *fleetChecker) checkRegion(key string, r Region) error {
+	if r.Name == "" || c.regions[r.Name] {
+		return invalid(key+".name", "%q is empty or stands twice", r.Name)
+	}
+	c.regions[r.Name] = true
+	for i, z := range r.Zones {
+		if err := c.checkZone(fmt.Sprintf("%s.zone[%d]", key, i+1), z); err != nil {
+			return err
 		}
 	}
+	return nil
+}
+
+func (c *fleetChecker) checkZone(key string, z Zone) error {
+	if z.Name == "" || c.zones[z.Name] {
+		return invalid(key+".name", "%q is empty or stands twice", z.Name)
+	}
+	c.zones[z.Name] = true
+	if z.Balancers < 0 || z.Share < 0 {
+		return invalid(key, "balancers and share must not be negative")
+	}
+	if z.Share > 0 && z.Balancers == 0 {
+		return invalid(key+".share", "clients come to zone %s, but it has no balancers", z.Name)
+	}
+	c.balancers += z.Balancers
+	for _, g := range z.Groups {
+		if _, ok := c.models[g.Model]; !ok {
+			return invalid(key+".upstreams.model", "%q is no [model.%s] of this file", g.Model, g.Model)
+		}
+		if g.Count < 0 {
+			return invalid(key+".upstreams.count", "must not be negative")
+		}
+		c.upstreams += g.Count
+	}
+	return nil
+}
+
+// checkSize checks how many balancers and upstreams the regions have in all.
+func (c *fleetChecker) checkSize() error {
 	switch {
-	case balancers == 0 || balancers > maxBalancers:
-		return invalid("region.zone.balancers", "%d in all; 1 to %d are wanted", balancers, maxBalancers)
-	case upstreams == 0 || upstreams > maxUpstreams:
-		return invalid("region.zone.upstreams", "%d in all; 1 to %d are wanted", upstreams, maxUpstreams)
+	case c.balancers == 0 || c.balancers > maxBalancers:
+		return invalid("region.zone.balancers", "%d in all; 1 to %d are wanted", c.balancers, maxBalancers)
+	case c.upstreams == 0 || c.upstreams > maxUpstreams:
+		return invalid("region.zone.upstreams", "%d in all; 1 to %d are wanted", c.upstreams, maxUpstreams)
 	}
 	return nil
 }
--- a/internal/lab/measure/zones.go
+++ b/internal/lab/measure/zones.go
@@ -54,46 +54,36 @@
 	NeverLeft  int     `json:"Never"` // balancers that did not
 }
 
-// zoneLoad is what came to a zone after the first stretch.
+// zoneLoad is what came to a zone, or to all, after the first stretch. Work is in seconds of a core of speed 1.
 type zoneLoad struct {
-	capacity float64 // seconds of a core of speed 1 that all its cores can do
-	work     float64 // likewise, that arrived and was taken
+	capacity float64 // work that all its cores can do
+	work     float64 // work that arrived and was accepted
 	attempts float64
 }
 
+// trafficLoads is the load of each zone and of the fleet.
+type trafficLoads struct {
+	zones            []zoneLoad
+	total            zoneLoad
+	sameZoneAttempts float64
+}
+
 // zonesOf computes the figures of zones.
 func zonesOf(d *day.Day, f *day.Fleet, events []history.Event, series []Window) *Zones {
-	loads := make([]zoneLoad, len(f.Zones))
-	var total zoneLoad
-	seconds := (d.Length - d.Settle).D().Seconds()
-	for _, u := range f.Upstreams {
-		m := d.Models[u.Model]
-		capacity := float64(m.Cores) * m.Speed * seconds
-		loads[u.Zone].capacity += capacity
-		total.capacity += capacity
-	}
-	var withinZone float64 // attempts
+	loads := newTrafficLoads(d, f)
 	for _, e := range events {
-		if e.At < d.Settle.D() || (e.Kind != history.Arrived && e.Kind != history.Rejected) {
-			continue
-		}
-		to := f.Upstreams[e.Upstream].Zone
-		total.attempts++
-		loads[to].attempts++
-		if f.Balancers[e.Balancer].Zone == to {
-			withinZone++
-		}
-		if e.Kind == history.Arrived {
-			loads[to].work += float64(e.Work)
-			total.work += float64(e.Work)
+		isAttempt := e.Kind == history.Arrived || e.Kind == history.Rejected
+		if isAttempt && e.At >= d.Settle.D() {
+			loads.addAttempt(f, e)
 		}
 	}
 	z := &Zones{
 		All:               make([]Zone, len(f.Zones)),
-		SameZoneRatio:     ratio(withinZone, total.attempts),
+		SameZoneRatio:     ratio(loads.sameZoneAttempts, loads.total.attempts),
 		AttemptShareSwing: zoneSwing(d, f, series),
 	}
-	for i, load := range loads {
+	total := loads.total
+	for i, load := range loads.zones {
 		z.All[i] = Zone{
 			Name:         f.Locality(i),
 			Utilization:  ratio(load.work, load.capacity),
@@ -112,6 +102,33 @@
 	return z
 }
 
+// newTrafficLoads returns the capacities of a fleet, without traffic.
+func newTrafficLoads(d *day.Day, f *day.Fleet) *trafficLoads {
+	l := &trafficLoads{zones: make([]zoneLoad, len(f.Zones))}
+	seconds := (d.Length - d.Settle).D().Seconds()
+	for _, u := range f.Upstreams {
+		m := d.Models[u.Model]
+		capacity := float64(m.Cores) * m.Speed * seconds
+		l.zones[u.Zone].capacity += capacity
+		l.total.capacity += capacity
+	}
+	return l
+}
+
+// addAttempt counts an attempt that arrived at an upstream.
+func (l *trafficLoads) addAttempt(f *day.Fleet, e history.Event) {
+	to := f.Upstreams[e.Upstream].Zone
+	l.total.attempts++
+	l.zones[to].attempts++
+	if f.Balancers[e.Balancer].Zone == to {
+		l.sameZoneAttempts++
+	}
+	if e.Kind == history.Arrived {
+		l.zones[to].work += float64(e.Work)
+		l.total.work += float64(e.Work)
+	}
+}
+
 // zoneSwing is how far a zone's share of all attempts moves, peak to peak, after the first stretch; the greatest of all
 // zones.
 func zoneSwing(d *day.Day, f *day.Fleet, series []Window) float64 {
--- a/internal/lab/model/sim.go
+++ b/internal/lab/model/sim.go
@@ -137,13 +137,13 @@
 // run plays the day, a step at a time.
 func (s *sim) run(ctx context.Context, o Options) error {
 	changes, _ := s.day.Timetable()
-	over := s.day.Length.D() + s.day.MaxDeadline() + dayTail
-	reported := time.Duration(0)
+	end := s.day.Length.D() + s.day.MaxDeadline() + dayTail
+	progress := progressReporter{report: o.Progress, length: s.day.Length.D()}
 	workers := newPool(max(1, o.Workers))
 	defer workers.close()
 	var batch []*actor
 	for len(s.queue) > 0 || len(changes) > 0 {
-		at := over
+		at := end
 		if len(s.queue) > 0 {
 			at = s.queue[0].queue[0].at
 		}
@@ -152,32 +152,50 @@
 			changes = changes[1:]
 			continue
 		}
-		if at >= over {
+		if at >= end {
 			return nil
 		}
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		if second := at.Truncate(time.Second); o.Progress != nil && second > reported {
-			reported = second
-			o.Progress(min(reported, s.day.Length.D()))
-		}
+		progress.advanceTo(at)
 		until := at + s.minDelay
 		if len(changes) > 0 {
 			until = min(until, changes[0].At)
 		}
 		batch = s.takeDue(batch[:0], until)
-		workers.each(batch, func(a *actor) { a.handleUntil(until) })
-		for _, a := range batch {
-			s.deliver(a)
-		}
-		for _, a := range batch {
-			s.schedule(a)
-		}
+		s.step(workers, batch, until)
 	}
 	return nil
 }
 
+// step has the actors of a batch handle what is due before a time, and then delivers what they sent.
+func (s *sim) step(workers *pool, batch []*actor, until time.Duration) {
+	workers.each(batch, func(a *actor) { a.handleUntil(until) })
+	for _, a := range batch {
+		s.deliver(a)
+	}
+	for _, a := range batch {
+		s.schedule(a)
+	}
+}
+
+// progressReporter calls Options.Progress once for each second of the day that has passed.
+type progressReporter struct {
+	report   func(at time.Duration) // may be nil
+	length   time.Duration          // of the day
+	reported time.Duration          // whole seconds
+}
+
+func (p *progressReporter) advanceTo(at time.Duration) {
+	second := at.Truncate(time.Second)
+	if p.report == nil || second <= p.reported {
+		return
+	}
+	p.reported = second
+	p.report(min(second, p.length))
+}
+
 // takeDue takes off the queue the actors that have a message due before a time, and appends them to batch.
 func (s *sim) takeDue(batch []*actor, until time.Duration) []*actor {
 	for len(s.queue) > 0 && s.queue[0].queue[0].at < until {
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -225,29 +225,13 @@
 // sharesPlot shows how attempts are shared among upstreams over time.
 func sharesPlot(r *lab.Result) (*plot.Plot, error) {
 	g := shares{series: r.Summary.Series}
-	var ticks []plot.Tick
-	row := func(name string, upstreams []int) {
-		ticks = append(ticks, plot.Tick{Value: float64(len(g.rows)), Label: name})
-		g.rows = append(g.rows, upstreams)
-	}
 	title := "Share of attempts by upstream"
+	var names []string
 	if len(r.Fleet.Upstreams) <= mostUpstreams {
-		for i, u := range r.Fleet.Upstreams {
-			row(u.Name+" "+u.Model, []int{i})
-		}
+		names = g.addUpstreams(r.Fleet)
 	} else {
 		title += ", mean of each zone"
-		for z, zone := range r.Fleet.Zones {
-			var of []int
-			for i, u := range r.Fleet.Upstreams {
-				if u.Zone == z {
-					of = append(of, i)
-				}
-			}
-			if len(of) > 0 {
-				row(zone.Name, of)
-			}
-		}
+		names = g.addZones(r.Fleet)
 	}
 	colors := moreland.ExtendedBlackBody()
 	colors.SetMin(0)
@@ -259,12 +243,49 @@
 	p := newPlot(fmt.Sprintf("%s: dark none, bright %.2f%%", title, h.Max), "upstream", r.Summary.LengthSeconds)
 	p.Add(h)
 	p.X.Max = r.Summary.LengthSeconds // it has no legend
-	p.Y.Tick.Marker = plot.ConstantTicks(ticks)
+	p.Y.Tick.Marker = rowTicks(names)
 	p.Y.Tick.Label.Font.Size = vg.Points(max(4, min(8, 200/float64(len(g.rows)))))
 	p.Y.Min, p.Y.Max = -0.5, float64(len(g.rows))-0.5
 	return p, nil
 }
 
+// addUpstreams adds a row for each upstream and returns the names of the rows.
+func (g *shares) addUpstreams(f *day.Fleet) []string {
+	var names []string
+	for i, u := range f.Upstreams {
+		names = append(names, u.Name+" "+u.Model)
+		g.rows = append(g.rows, []int{i})
+	}
+	return names
+}
+
+// addZones adds a row for each zone that has upstreams and returns the names of the rows.
+func (g *shares) addZones(f *day.Fleet) []string {
+	var names []string
+	for z, zone := range f.Zones {
+		var upstreams []int
+		for i, u := range f.Upstreams {
+			if u.Zone == z {
+				upstreams = append(upstreams, i)
+			}
+		}
+		if len(upstreams) > 0 {
+			names = append(names, zone.Name)
+			g.rows = append(g.rows, upstreams)
+		}
+	}
+	return names
+}
+
+// rowTicks labels the rows of a heat map.
+func rowTicks(names []string) plot.ConstantTicks {
+	ticks := make(plot.ConstantTicks, len(names))
+	for i, name := range names {
+		ticks[i] = plot.Tick{Value: float64(i), Label: name}
+	}
+	return ticks
+}
+
 // figure is a plot with its size.
 type figure struct {
 	name   string
