--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	r := newResult(d, "live", out.Events)
-	r.Summary.Lab = measure.LabOf(out.Lateness, d.Length.D().Seconds(), out.LabCPU, out.NodeCPU, out.Crossed)
+	r.Summary.Lab = measure.LabOf(out.Lateness, d.Length.D().Seconds(), out.LabCPU, out.BalancerCPU, out.RetriesOnClosed)
 	return r, nil
 }
 
--- a/internal/lab/live/agentcalls.go
+++ b/internal/lab/live/agentcalls.go
@@ -144,6 +144,6 @@
 	}
 	_, _ = w.Write(text) // a caller that has disconnected gets nothing
 	for _, e := range notified {
-		g.run.record(e)
+		g.run.recorder.record(e)
 	}
 }
--- a/internal/lab/live/clients.go
+++ b/internal/lab/live/clients.go
@@ -42,13 +42,6 @@
 	}
 }
 
-// requestByID is the request with an id; nil: no client has sent it.
-func (r *run) requestByID(id uint64) *clientRequest {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.requests[id]
-}
-
 // zoneClients is the clients of a zone. They share a retry budget.
 type zoneClients struct {
 	mu   sync.Mutex
@@ -151,8 +144,6 @@
 	if a.Tenant >= 0 {
 		q.tenant = r.day.Tenants[a.Tenant].Name
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.requests[q.id] = q
+	r.recorder.addRequest(q)
 	return q
 }
--- a/internal/lab/live/exchange.go
+++ b/internal/lab/live/exchange.go
@@ -39,16 +39,14 @@
 		q.balancer = b
 		c, err := f.connect(ctx, b, newConn, q.deadline)
 		if err != nil {
-			r.record(q.event(history.NotConnected))
+			r.recorder.record(q.event(history.NotConnected))
 			return requestEnd{result: client.NotConnected}
 		}
 		end := r.exchange(q, c, f)
 		if !end.staleConn || newConn {
 			return end
 		}
-		r.mu.Lock()
-		r.staleConns++
-		r.mu.Unlock()
+		r.recorder.countStaleConn()
 	}
 }
 
@@ -63,12 +61,12 @@
 		if reused {
 			return requestEnd{result: client.NotConnected, staleConn: true}
 		}
-		r.record(q.event(history.NotConnected)) // the request was not sent in full
+		r.recorder.record(q.event(history.NotConnected)) // the request was not sent in full
 		return requestEnd{result: client.NotConnected}
 	}
 	q.wroteAt = r.now()
 	asked.At = q.wroteAt
-	r.record(asked)
+	r.recorder.record(asked)
 	until := q.deadline + check.Grace
 	if q.leavesAt > 0 {
 		until = q.leavesAt
@@ -112,17 +110,17 @@
 func (r *run) endWithoutAnswer(q *clientRequest, reused bool, err error) requestEnd {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		if q.leavesAt > 0 {
-			r.record(q.event(history.ClientLeft))
+			r.recorder.record(q.event(history.ClientLeft))
 			return requestEnd{result: client.Disconnected}
 		}
-		r.record(q.event(history.TimedOut))
+		r.recorder.record(q.event(history.TimedOut))
 		return requestEnd{result: client.Failed}
 	}
 	stale := reused && r.now()-q.wroteAt < staleConnWindow && !q.seenUpstream.Load() && !r.nodes[q.balancer].wasKilled()
 	if stale {
 		return requestEnd{result: client.NotConnected, staleConn: true}
 	}
-	r.record(q.event(history.Broken))
+	r.recorder.record(q.event(history.Broken))
 	return requestEnd{result: client.Failed}
 }
 
@@ -137,7 +135,7 @@
 	}
 	if err != nil {
 		c.Close()
-		r.record(q.event(history.Broken))
+		r.recorder.record(q.event(history.Broken))
 		return requestEnd{result: client.Failed}
 	}
 	var retryAfter time.Duration
@@ -152,7 +150,7 @@
 	default:
 		answered.Result = client.Failed
 	}
-	r.record(answered)
+	r.recorder.record(answered)
 	c.lastAnswer = answered
 	if resp.Close || !f.putIdle(q.balancer, c) {
 		c.Close()
--- a/internal/lab/live/front.go
+++ b/internal/lab/live/front.go
@@ -118,7 +118,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.healthy[b] {
-		f.run.record(history.Event{Kind: history.Ready, Balancer: int32(b), Upstream: history.None, Arrival: history.None})
+		f.run.recorder.record(history.Event{Kind: history.Ready, Balancer: int32(b), Upstream: history.None, Arrival: history.None})
 	}
 	f.healthy[b] = true
 	f.wasReady[b] = true
@@ -230,7 +230,7 @@
 	if waiting {
 		again := c.lastAnswer
 		again.At = f.run.now()
-		f.run.record(again)
+		f.run.recorder.record(again)
 	}
 	if waiting || ended {
 		c.Close()
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -85,7 +85,7 @@
 
 // record records an event of the process.
 func (n *node) record(kind history.Kind, status int, text string) {
-	n.run.record(history.Event{
+	n.run.recorder.record(history.Event{
 		Kind:     kind,
 		Balancer: int32(n.index),
 		Upstream: history.None,
--- a/internal/lab/live/registry.go
+++ b/internal/lab/live/registry.go
@@ -113,7 +113,7 @@
 	defer g.mu.Unlock()
 	for b, a := range g.agents {
 		if a.deliveredRevision < e.revision && a.silenced == 0 && a.errorRate == 0 {
-			g.run.record(phaseEvent(b, u, e.phase))
+			g.run.recorder.record(phaseEvent(b, u, e.phase))
 		}
 	}
 }
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -4,12 +4,10 @@
 package live
 
 import (
-	"cmp"
 	"context"
 	"fmt"
 	"os"
 	"path/filepath"
-	"slices"
 	"sync"
 	"syscall"
 	"time"
@@ -45,11 +43,11 @@
 
 // Outcome is what a live day leaves.
 type Outcome struct {
-	Events   []history.Event
-	Lateness []time.Duration // of arrivals: how much after its time each was begun
-	LabCPU   time.Duration   // of this process
-	NodeCPU  time.Duration   // of all balancers together
-	Crossed  int             // requests that met a connection which had just been closed, and were sent once more
+	Events          []history.Event
+	Lateness        []time.Duration // of arrivals: how much after its time each was begun
+	LabCPU          time.Duration   // of this process
+	BalancerCPU     time.Duration   // of all balancers together
+	RetriesOnClosed int             // requests that met a connection which had just been closed, and were sent once more
 }
 
 // run is a day being played.
@@ -60,27 +58,21 @@
 	net          *link.Network
 	base         int // second byte of all addresses
 	arrivals     []day.Arrival
-	serverOrigin time.Time // of the upstreams' own time
-	origin       time.Time // of the day's time: when clients begin to come
-	begun        bool
+	serverOrigin time.Time       // of the upstreams' own time
+	origin       time.Time       // of the day's time: when clients begin to come
+	lateness     []time.Duration // by arrival
+	recorder     *recorder
 
 	registry  *registry
 	upstreams []*upstream
 	nodes     []*node
 	fronts    []*front
-
-	mu         sync.Mutex
-	events     []history.Event
-	serial     int32 // of attempts at upstreams
-	staleConns int
-	lateness   []time.Duration
-	requests   map[uint64]*clientRequest // that clients have sent and upstreams may see
 }
 
 // Play runs a day. It checks what can be known before anything starts. When ctx ends the day is broken off, and nothing
 // is left behind.
 func Play(ctx context.Context, d *day.Day, o Options) (*Outcome, error) {
-	r := &run{day: d, fleet: d.Fleet(), options: o, requests: map[uint64]*clientRequest{}}
+	r := &run{day: d, fleet: d.Fleet(), options: o, recorder: newRecorder()}
 	if err := r.checkLimits(); err != nil {
 		return nil, err
 	}
@@ -110,17 +102,13 @@
 
 // outcome gathers what the day leaves, once its processes have ended.
 func (r *run) outcome(labCPU time.Duration) *Outcome {
-	o := &Outcome{LabCPU: labCPU}
+	o := &Outcome{LabCPU: labCPU, Lateness: r.lateness}
+	var zoneEvents []history.Event
 	for _, n := range r.nodes {
-		o.NodeCPU += n.cpuTime
-		r.events = append(r.events, n.zoneEvents(r.origin)...)
+		o.BalancerCPU += n.cpuTime
+		zoneEvents = append(zoneEvents, n.zoneEvents(r.origin)...)
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	slices.SortStableFunc(r.events, func(a, b history.Event) int { return cmp.Compare(a.At, b.At) })
-	o.Events = r.events
-	o.Lateness = r.lateness
-	o.Crossed = r.staleConns
+	o.Events, o.RetriesOnClosed = r.recorder.finish(zoneEvents)
 	return o
 }
 
@@ -150,24 +138,6 @@
 // now is the day's time.
 func (r *run) now() time.Duration { return time.Since(r.origin) }
 
-// record adds an event to the history, with the time if it has none. What happens before the clients come is at 0.
-func (r *run) record(e history.Event) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if e.At == 0 && r.begun {
-		e.At = r.now()
-	}
-	r.events = append(r.events, e)
-}
-
-// nextSerial numbers the attempts that upstreams receive.
-func (r *run) nextSerial() int32 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.serial++
-	return r.serial
-}
-
 // start brings the fleet up and returns when all balancers are ready.
 func (r *run) start(ctx context.Context, s *starter) error {
 	if err := os.MkdirAll(r.options.Work, 0o755); err != nil {
@@ -232,10 +202,8 @@
 
 // play lets the clients come and the faults happen, until all requests have ended.
 func (r *run) play(ctx context.Context) error {
-	r.mu.Lock()
 	r.origin = time.Now()
-	r.begun = true
-	r.mu.Unlock()
+	r.recorder.begin(r.origin)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var background sync.WaitGroup
--- a/internal/lab/live/timetable.go
+++ b/internal/lab/live/timetable.go
@@ -24,7 +24,7 @@
 		if c.Transition == day.Begin {
 			kind = history.FaultBegan
 		}
-		r.record(history.Event{Kind: kind, Fault: int32(c.Fault), Arrival: history.None, Balancer: history.None, Upstream: history.None})
+		r.recorder.record(history.Event{Kind: kind, Fault: int32(c.Fault), Arrival: history.None, Balancer: history.None, Upstream: history.None})
 		r.applyChange(c, hits[c.Fault])
 	}
 }
--- a/internal/lab/live/upstream.go
+++ b/internal/lab/live/upstream.go
@@ -176,7 +176,7 @@
 		l.Close()
 	}
 	u.run.net.ResetAll(u.party)
-	u.run.record(u.processEvent(history.UpstreamStopped))
+	u.run.recorder.record(u.processEvent(history.UpstreamStopped))
 }
 
 // stopMachine takes the machine off the network. Its connections stay open without an answer.
@@ -185,7 +185,7 @@
 	u.mu.Lock()
 	u.abandonJobs()
 	u.mu.Unlock()
-	u.run.record(u.processEvent(history.UpstreamStopped))
+	u.run.recorder.record(u.processEvent(history.UpstreamStopped))
 }
 
 // abandonJobs ends the server with all that it has in work. u.mu is held.
@@ -193,7 +193,7 @@
 	u.server = nil
 	for job, a := range u.jobs {
 		delete(u.jobs, job)
-		u.run.record(a.event(u, history.Abandoned))
+		u.run.recorder.record(a.event(u, history.Abandoned))
 	}
 }
 
@@ -222,7 +222,7 @@
 
 // announceRestart records the start and lets the loop go on.
 func (u *upstream) announceRestart() {
-	u.run.record(u.processEvent(history.UpstreamStarted))
+	u.run.recorder.record(u.processEvent(history.UpstreamStarted))
 	u.wakeLoop()
 }
 
--- a/internal/lab/live/upstreamconn.go
+++ b/internal/lab/live/upstreamconn.go
@@ -125,7 +125,7 @@
 			_, _ = io.WriteString(c, notFound) // if it fails the next read fails too
 			continue
 		}
-		a := &upstreamAttempt{id: q.id, request: q, balancer: b, serial: u.run.nextSerial(), firstByteAt: firstByteAt, conn: c}
+		a := &upstreamAttempt{id: q.id, request: q, balancer: b, serial: u.run.recorder.nextSerial(), firstByteAt: firstByteAt, conn: c}
 		u.receive(a)
 		if !u.awaitEnd(reader, a) {
 			return
@@ -137,7 +137,7 @@
 func (u *upstream) identify(request *http.Request, body []byte, b int) *clientRequest {
 	stray := func(format string, args ...any) *clientRequest {
 		text := fmt.Sprintf("%s %s ", request.Method, request.RequestURI) + fmt.Sprintf(format, args...)
-		u.run.record(history.Event{Kind: history.Stray, Arrival: history.None, Balancer: int32(b), Upstream: int32(u.index), Text: text})
+		u.run.recorder.record(history.Event{Kind: history.Stray, Arrival: history.None, Balancer: int32(b), Upstream: int32(u.index), Text: text})
 		return nil
 	}
 	header := request.Header.Get("X-Request-Id")
@@ -145,7 +145,7 @@
 	if err != nil {
 		return stray("with X-Request-Id %q", header)
 	}
-	q := u.run.requestByID(id)
+	q := u.run.recorder.requestByID(id)
 	if q == nil {
 		return stray("with the id %016x", id)
 	}
@@ -164,8 +164,8 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.server == nil { // it has died meanwhile
-		u.run.record(u.arrivalEvent(a, history.Arrived))
-		u.run.record(a.event(u, history.Abandoned))
+		u.run.recorder.record(u.arrivalEvent(a, history.Arrived))
+		u.run.recorder.record(a.event(u, history.Abandoned))
 		a.conn.Reset()
 		return
 	}
@@ -174,14 +174,14 @@
 	a.job = u.lastJob
 	taken, toppled := u.server.Arrive(a.job, arrival.Work, arrival.Wait)
 	if !taken {
-		u.run.record(u.arrivalEvent(a, history.Rejected))
+		u.run.recorder.record(u.arrivalEvent(a, history.Rejected))
 		go u.reply(a, http.StatusServiceUnavailable, u.loadReport())
 		return
 	}
 	u.jobs[a.job] = a
-	u.run.record(u.arrivalEvent(a, history.Arrived))
+	u.run.recorder.record(u.arrivalEvent(a, history.Arrived))
 	if toppled {
-		u.run.record(u.processEvent(history.Collapsed))
+		u.run.recorder.record(u.processEvent(history.Collapsed))
 	}
 	u.wakeLoop()
 }
@@ -198,7 +198,7 @@
 			u.advance()
 			u.server.Cancel(a.job)
 		}
-		u.run.record(a.event(u, history.Abandoned))
+		u.run.recorder.record(a.event(u, history.Abandoned))
 	}
 	return err == nil
 }
@@ -219,7 +219,7 @@
 	if !rejected { // a rejection has an event of its own
 		event := a.event(u, history.Replied)
 		event.Status = int16(status)
-		u.run.record(event)
+		u.run.recorder.record(event)
 	}
 	a.conn.SetReadDeadline(time.Now().Add(u.run.day.Balancer.KeepAlive.D()))
 	_, _ = a.conn.Write(message.Bytes()) // if it fails the reader of the connection sees its end
