--- a/cmd/balancerctl/compare.go
+++ b/cmd/balancerctl/compare.go
@@ -74,7 +74,7 @@
 	switch {
 	case c.Expect == "same" && !r.Same():
 		return fmt.Errorf("%w: the sides differ beyond noise", errCheckFailed)
-	case c.Expect == "better" && !r.Rows[0].Better:
+	case c.Expect == "better" && !r.Rows[0].IsBetter:
 		return fmt.Errorf("%w: %s scores no better than %s", errCheckFailed, r.B, r.A)
 	}
 	return nil
--- a/cmd/balancerctl/comparetext.go
+++ b/cmd/balancerctl/comparetext.go
@@ -23,17 +23,17 @@
 func comparisonRow(row compare.Row) []any {
 	ratio := "-"
 	spread := "-"
-	if row.Ratio != 0 {
-		ratio = fmt.Sprintf("%.3f", row.Ratio)
-		spread = fmt.Sprintf("%.3f to %.3f", row.Low, row.High)
+	if row.RatioOfMeans != 0 {
+		ratio = fmt.Sprintf("%.3f", row.RatioOfMeans)
+		spread = fmt.Sprintf("%.3f to %.3f", row.LowestRatio, row.HighestRatio)
 	}
 	return []any{
 		strings.TrimSpace(row.Measure + " " + row.Unit),
-		fmt.Sprintf("%.4g", row.A),
-		fmt.Sprintf("%.4g", row.B),
+		fmt.Sprintf("%.4g", row.MeanA),
+		fmt.Sprintf("%.4g", row.MeanB),
 		ratio,
 		spread,
-		fmt.Sprintf("%+.4g ± %.2g", row.Diff, row.Half),
+		fmt.Sprintf("%+.4g ± %.2g", row.MeanDiff, row.DiffHalfInterval),
 		verdict(row),
 	}
 }
@@ -41,9 +41,9 @@
 // verdict returns the words for whether a difference is beyond noise, and which way.
 func verdict(row compare.Row) string {
 	switch {
-	case !row.Beyond:
+	case !row.IsBeyondNoise:
 		return "no"
-	case row.Better:
+	case row.IsBetter:
 		return "yes, B is better"
 	}
 	return "yes, B is worse"
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -1,9 +1,10 @@
-// Package compare plays the same days and seeds on two sides in alternation, and tells which differences are beyond
+// Package compare plays the same days and seeds on two sides in alternation, and reports which differences are beyond
 // noise.
 //
-// Each play gives one pair, so what a seed does to both sides falls out. A difference is beyond noise if Student's
-// interval of the mean of the pairs' differences leaves zero out, at a level that holds for all measures together
-// (Bonferroni): with ten measures each alone has one chance in 200 of being called different by accident.
+// Each play gives one pair of figures, so that the effect of a seed on both sides cancels. A difference is beyond noise if
+// Student's confidence interval of the mean of the pairs' differences does not contain zero. The confidence level is for
+// all measures together (Bonferroni correction). With ten measures, each alone has one chance in 200 of being called
+// different by accident.
 package compare
 
 import (
@@ -28,10 +29,10 @@
 
 // Measure is one figure of a day.
 type Measure struct {
-	Name string
-	Unit string
-	Of   func(*measure.Summary) float64
-	More bool // more of it is better
+	Name         string
+	Unit         string
+	Value        func(*measure.Summary) float64
+	MoreIsBetter bool
 }
 
 // Measures is what sides are compared by.
@@ -109,17 +110,19 @@
 	return sum
 }
 
-// Row is one measure on both sides.
+// Row is one measure on both sides. Ratios are of side B to side A.
 type Row struct {
-	Measure   string
-	Unit      string
-	A, B      float64 // means
-	Ratio     float64 // of B's mean to A's; 0: A's is 0
-	Low, High float64 // least and greatest ratio of one play
-	Diff      float64 // mean of B less A
-	Half      float64 // half of the interval of Diff
-	Beyond    bool    // noise
-	Better    bool    // B, if Beyond
+	Measure          string
+	Unit             string
+	MeanA            float64 `json:"A"`
+	MeanB            float64 `json:"B"`
+	RatioOfMeans     float64 `json:"Ratio"` // 0: MeanA is 0
+	LowestRatio      float64 `json:"Low"`   // of one play
+	HighestRatio     float64 `json:"High"`  // of one play
+	MeanDiff         float64 `json:"Diff"`  // of B less A
+	DiffHalfInterval float64 `json:"Half"`  // half of the confidence interval of MeanDiff
+	IsBeyondNoise    bool    `json:"Beyond"`
+	IsBetter         bool    `json:"Better"` // IsBeyondNoise, and B is the better side
 }
 
 // Result is the comparison of two sides.
@@ -133,14 +136,15 @@
 // Same reports whether no measure differs beyond noise.
 func (r *Result) Same() bool {
 	for _, row := range r.Rows {
-		if row.Beyond {
+		if row.IsBeyondNoise {
 			return false
 		}
 	}
 	return true
 }
 
-// Run plays both sides in alternation; which goes first changes with every play. progress is called after each play.
+// Run plays both sides in alternation. Which side goes first changes with every play. progress is called after each play.
+// Run returns an error if a play fails or is void.
 func Run(ctx context.Context, a, b Side, seed uint64, plays int, progress func(play int, side string, s *measure.Summary)) (*Result, error) {
 	r := &Result{A: a.Name(), B: b.Name(), Plays: plays}
 	sides := [2]Side{a, b}
@@ -170,36 +174,36 @@
 
 // compareMeasure compares one measure of the plays of both sides.
 func compareMeasure(m Measure, as, bs []*measure.Summary) Row {
-	row := Row{Measure: m.Name, Unit: m.Unit, Low: math.Inf(1), High: math.Inf(-1)}
+	row := Row{Measure: m.Name, Unit: m.Unit, LowestRatio: math.Inf(1), HighestRatio: math.Inf(-1)}
 	var a, b, diffs []float64
 	for i := range as {
-		x := m.Of(as[i])
-		y := m.Of(bs[i])
+		x := m.Value(as[i])
+		y := m.Value(bs[i])
 		a = append(a, x)
 		b = append(b, y)
 		diffs = append(diffs, y-x)
 		if x != 0 {
-			row.Low = min(row.Low, y/x)
-			row.High = max(row.High, y/x)
+			row.LowestRatio = min(row.LowestRatio, y/x)
+			row.HighestRatio = max(row.HighestRatio, y/x)
 		}
 	}
-	row.A = stat.Mean(a, nil)
-	row.B = stat.Mean(b, nil)
-	if row.A != 0 {
-		row.Ratio = row.B / row.A
+	row.MeanA = stat.Mean(a, nil)
+	row.MeanB = stat.Mean(b, nil)
+	if row.MeanA != 0 {
+		row.RatioOfMeans = row.MeanB / row.MeanA
 	}
-	if math.IsInf(row.Low, 1) { // A had 0 in every play
-		row.Low = 0
-		row.High = 0
+	if math.IsInf(row.LowestRatio, 1) { // A had 0 in every play
+		row.LowestRatio = 0
+		row.HighestRatio = 0
 	}
-	row.Diff, row.Half = interval(diffs, familyError/float64(len(Measures)))
-	row.Beyond = math.Abs(row.Diff) > row.Half
-	row.Better = row.Beyond && (row.Diff > 0) == m.More
+	row.MeanDiff, row.DiffHalfInterval = interval(diffs, familyError/float64(len(Measures)))
+	row.IsBeyondNoise = math.Abs(row.MeanDiff) > row.DiffHalfInterval
+	row.IsBetter = row.IsBeyondNoise && (row.MeanDiff > 0) == m.MoreIsBetter
 	return row
 }
 
-// interval is the mean of some figures and half of Student's interval about it, which holds the true mean but for a
-// chance of alpha. One figure has no interval.
+// interval is the mean of some figures and half of Student's confidence interval about it. The interval does not contain the
+// true mean with a probability of alpha. It is infinite for one figure.
 func interval(xs []float64, alpha float64) (mean, half float64) {
 	if len(xs) < 2 {
 		return stat.Mean(xs, nil), math.Inf(1)
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -48,7 +48,7 @@
 func TestDifferencesBeyondNoise(t *testing.T) {
 	called := 0
 	for salt := range uint64(200) {
-		if r := run(t, 0.5, 0.55, salt); !r.Rows[0].Beyond || !r.Rows[0].Better {
+		if r := run(t, 0.5, 0.55, salt); !r.Rows[0].IsBeyondNoise || !r.Rows[0].IsBetter {
 			t.Errorf("salt %d: a difference of 0.05 was not found: %+v", salt, r.Rows[0])
 		}
 		if !run(t, 0.5, 0.5, salt).Same() {
