--- a/internal/lab/check/answers.go
+++ b/internal/lab/check/answers.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// answerProblem is what is wrong with a request's answer, counted from 1; "": nothing. sent may be nil.
+// answerProblem is what is wrong with a request's answer, counted from 1. It is empty if nothing is. sent may be nil.
 func (c *checker) answerProblem(sent, answer *history.Event, count int) string {
 	switch {
 	case count > 1:
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -40,10 +40,10 @@
 const (
 	// tolerance is added to every limit, for clocks and sockets.
 	tolerance = 50 * time.Millisecond
-	// Grace is how long after its deadline an answer still counts as one, though it earns nothing.
+	// Grace is how long after its deadline an answer still counts as one. It is not served in time.
 	Grace = 500 * time.Millisecond
-	// knewShare is the share of the work sent to an upstream that collapsed which has to come from balancers notified of
-	// its start.
+	// informedShare is the least share of the work sent to a collapsed upstream that came from balancers which had been
+	// notified of its start, for ColdStart to be broken.
 	informedShare = 2.0 / 3
 )
 
@@ -123,7 +123,7 @@
 	c.violations = append(c.violations, Violation{rule, at, what, trace})
 }
 
-// isArrival reports whether an event is an attempt that came to an upstream, taken or not.
+// isArrival reports whether an event is an attempt that reached an upstream, accepted or not.
 func isArrival(e history.Event) bool { return e.Kind == history.Arrived || e.Kind == history.Rejected }
 
 // class is that of the request of an event.
--- a/internal/lab/check/effects.go
+++ b/internal/lab/check/effects.go
@@ -39,13 +39,13 @@
 	}
 }
 
-// retryIsHarmless reports whether a client may retry a request that may have run: any upstream knows that it has.
+// retryIsHarmless reports whether a client may retry a request that may have run, because every upstream recognizes it.
 func (c *checker) retryIsHarmless(e history.Event) bool {
 	class := c.class(e)
 	return class.Repeat != "unsafe" && (class.Repeat != "keyed" || class.Group == "all")
 }
 
-// retryProblem is why an attempt must not follow earlier ones that may have run; "": it may.
+// retryProblem is why an attempt must not follow earlier ones that may have run. It is empty if it may.
 func (c *checker) retryProblem(earlier []history.Event, e history.Event, ends map[int32]time.Duration) string {
 	class := c.class(e)
 	to := c.fleet.Upstreams[e.Upstream]
@@ -67,7 +67,8 @@
 	return ""
 }
 
-// inFlightUntil is when an attempt ended, as its upstream saw it; if it did not, the end of that, or of the day.
+// inFlightUntil is when an attempt ended at its upstream. An attempt that did not end was in flight until the upstream
+// stopped or collapsed, or until the end of the day.
 func (c *checker) inFlightUntil(attempt history.Event, ends map[int32]time.Duration) time.Duration {
 	if at, ok := ends[attempt.Serial]; ok {
 		return at
--- a/internal/lab/check/fleet.go
+++ b/internal/lab/check/fleet.go
@@ -42,7 +42,8 @@
 	return since, draining
 }
 
-// processStart is when the process that made an attempt took over: the end of the one before; 0: there was none.
+// processStart is when the process that made an attempt took over: the end of the process before it. It is 0 if there was
+// none.
 func (c *checker) processStart(attempt history.Event) time.Duration {
 	var start time.Duration
 	for _, e := range c.processes[attempt.Balancer] {
@@ -65,7 +66,7 @@
 		switch fault.Kind {
 		case day.LinkDelay:
 			d += fault.Delay.D()
-		case day.LinkCut, day.LinkSlow, day.LinkLossy: // what was written before may come once the fault has ended
+		case day.LinkCut, day.LinkSlow, day.LinkLossy: // bytes written before may arrive once the fault has ended
 			d += max(fault.For.D(), c.day.Length.D()-fault.At.D())
 		}
 	}
@@ -85,8 +86,8 @@
 	}
 }
 
-// checkCollapse checks the work that came to an upstream before it collapsed, which is the last event of the trace.
-// started is when it started; nil: before the day.
+// checkCollapse checks the work that reached an upstream before it collapsed. The last event of the trace is the collapse.
+// started is the upstream's start, or nil if that was before the day.
 func (c *checker) checkCollapse(trace []history.Event, started *history.Event) {
 	last := len(trace) - 1
 	collapse := trace[last]
@@ -95,24 +96,24 @@
 	for from > 0 && trace[from-1].At > collapse.At-span {
 		from--
 	}
-	var work, fromThoseWhoKnew float64
+	var work, fromInformed float64
 	for _, e := range trace[from:last] {
 		if !isArrival(e) {
 			continue
 		}
 		work += float64(e.Work)
 		if c.wasNotifiedOfStart(e, started) {
-			fromThoseWhoKnew += float64(e.Work)
+			fromInformed += float64(e.Work)
 		}
 	}
-	if work == 0 || fromThoseWhoKnew < informedShare*work {
+	if work == 0 || fromInformed < informedShare*work {
 		return
 	}
 	c.add(ColdStart, collapse.At, fmt.Sprintf("%s was pushed over while cold by %.2f s of work within %v, %.0f%% of it from balancers that knew",
-		c.fleet.Upstreams[collapse.Upstream].Name, work, span, 100*fromThoseWhoKnew/work), trace[from:])
+		c.fleet.Upstreams[collapse.Upstream].Name, work, span, 100*fromInformed/work), trace[from:])
 }
 
-// knewOfStart reports whether the balancer of an attempt had been notified of the upstream's start.
+// wasNotifiedOfStart reports whether the balancer of an attempt had been notified of the upstream's start.
 func (c *checker) wasNotifiedOfStart(attempt history.Event, started *history.Event) bool {
 	if started == nil {
 		return false
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -1,5 +1,5 @@
-// Package client is how clients behave that get no good answer: whether they retry, and when. It has no clock and no
-// sockets; both engines ask it.
+// Package client decides whether and when a client retries a request that was not served. It has no clock and no sockets.
+// Both engines use it.
 package client
 
 import (
@@ -15,9 +15,9 @@
 const (
 	Served       Result = iota
 	Rejected            // 429 or 503: a retry is harmless
-	Failed              // any other answer, or none
-	NotConnected        // no connection, so nothing was taken
-	Disconnected        // the client lost patience
+	Failed              // another answer, or none
+	NotConnected        // no connection, so that nothing was received
+	Disconnected        // the client left
 )
 
 // resultNames stand in reports.
@@ -40,9 +40,9 @@
 // AddRequest counts a first request, which adds to the budget.
 func (z *Zone) AddRequest() { z.tokens = min(maxBudget, z.tokens+z.day.Clients.Budget) }
 
-// Retry reports whether a client retries, and after how long. sent counts its requests so far, remaining is what is left of
-// its deadline, retryAfter is as advised, 0 for none, and draw a draw from 0 to 1. What may have run is retried only
-// where its class permits; what was rejected or never taken always may be.
+// Retry reports whether a client retries, and after which wait. sent counts its requests so far. remaining is the rest of
+// its deadline. retryAfter is the Retry-After of the answer, or 0. draw is a random number from 0 to 1. A request that may
+// have run is retried only if its class permits it. One that was rejected or not connected may always be retried.
 func (z *Zone) Retry(class int, result Result, sent int, remaining, retryAfter time.Duration, draw float64) (wait time.Duration, retries bool) {
 	if result == Served || result == Disconnected || !z.harmless(class, result) {
 		return 0, false
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -62,7 +62,7 @@
 	{"rules broken", "", rulesBroken, false},
 }
 
-// fullestZone is the use of the fullest zone over the fleet's; 0: it is not known.
+// fullestZone is the highest utilization of a zone over the fleet's. It is 0 if it is not known.
 func fullestZone(s *measure.Summary) float64 {
 	if s.Zones == nil {
 		return 0
@@ -70,7 +70,7 @@
 	return s.Zones.PeakUtilizationRatio
 }
 
-// zoneSwing is how far a zone's share of the attempts moves; 0: it is not known.
+// zoneSwing is how far a zone's share of the attempts moves. It is 0 if it is not known.
 func zoneSwing(s *measure.Summary) float64 {
 	if s.Zones == nil {
 		return 0
@@ -87,7 +87,7 @@
 	return float64(violations)
 }
 
-// worstOf is the least of a figure over all faults; 1: there are none.
+// worstOf is the lowest value of a ratio over all faults. It is 1 if there are none.
 func worstOf(s *measure.Summary, of func(measure.Recovery) float64) float64 {
 	worst := 1.0
 	for _, r := range s.Recoveries {
@@ -96,7 +96,8 @@
 	return worst
 }
 
-// recovery is the time that service took to come back, over all faults that end; where it did not, the rest of the day.
+// recovery is the sum of the recovery times of all faults that end, in seconds. A fault without recovery counts the rest
+// of the day.
 func recovery(s *measure.Summary) float64 {
 	var sum float64
 	for _, r := range s.Recoveries {
--- a/internal/lab/day/fault.go
+++ b/internal/lab/day/fault.go
@@ -206,8 +206,8 @@
 	Transition Transition
 }
 
-// Timetable is every begin and end of a fault, in order; of several at one moment ends come first, then by their order
-// in the file. Hits is by the index of the fault.
+// Timetable is every begin and end of a fault, in order of time. Of several at one moment, ends come first, and then the
+// order of the file counts. hits is by the index of the fault.
 func (d *Day) Timetable() (changes []Change, hits []Hit) {
 	f := d.Fleet()
 	for i, fault := range d.Faults {
--- a/internal/lab/day/fleet.go
+++ b/internal/lab/day/fleet.go
@@ -119,7 +119,7 @@
 	return f.Regions[z.Region] + "/" + z.Name
 }
 
-// ZoneByLocality is the index of the zone of a locality; -1: there is none.
+// ZoneByLocality is the index of the zone of a locality, or -1 if there is none.
 func (f *Fleet) ZoneByLocality(locality string) int {
 	for z := range f.Zones {
 		if f.Locality(z) == locality {
--- a/internal/lab/day/paths.go
+++ b/internal/lab/day/paths.go
@@ -18,7 +18,7 @@
 // same message doubles it.
 const minRetransmitTimeout = 200 * time.Millisecond
 
-// Lag is how long a message of size bytes takes where the link is not cut; draw draws from 0 to 1.
+// Lag is how long a message of size bytes takes on a link that is not cut. draw returns random numbers from 0 to 1.
 func (c Condition) Lag(size float64, draw func() float64) time.Duration {
 	d := c.Delay
 	for timeout := minRetransmitTimeout; c.Loss > 0 && draw() < c.Loss; timeout *= 2 {
@@ -30,9 +30,9 @@
 	return d
 }
 
-// Paths is the condition of every link between parties: the network's own, and on it the faults that are active. Faults
-// that overlap add up: delays and losses join, the lowest rate counts, and a link stays cut until the last cut ends.
-// Its owner guards it against concurrent use.
+// Paths is the condition of every link between parties: the network's own, and on it the faults that are active. Delays
+// and losses of overlapping faults add up. The lowest rate counts. A link stays cut until the last cut ends. Paths is not
+// safe for concurrent use.
 type Paths struct {
 	day          *Day
 	fleet        *Fleet
--- a/internal/lab/day/schedule.go
+++ b/internal/lab/day/schedule.go
@@ -28,7 +28,7 @@
 	Leaves time.Duration // an impatient client leaves after it; 0: it stays
 }
 
-// Arrivals draws the day's first requests, in order of time. They come whether or not earlier ones are answered.
+// Arrivals draws the day's first requests, in order of time. They arrive whether or not earlier ones are answered.
 func (d *Day) Arrivals() []Arrival {
 	f := d.Fleet()
 	_, hits := d.Timetable()
@@ -75,7 +75,7 @@
 	}
 }
 
-// rate is how many requests a second would come at a moment if all clients were in one zone, z.
+// rate is how many requests a second would arrive at a moment if all clients were in one zone, z.
 func (d *Day) rate(hits []Hit, z int, at time.Duration) float64 {
 	r := d.Load.Rate
 	if d.Load.Shape == "wave" {
@@ -115,7 +115,7 @@
 	return sums
 }
 
-// drawIndex draws an index by its share; -1: there is none.
+// drawIndex draws an index by its share. It is -1 if there is none.
 func drawIndex(rng *rand.Rand, sums []float64) int {
 	x := rng.Float64()
 	if len(sums) == 0 || sums[len(sums)-1] == 0 {
--- a/internal/lab/day/settings.go
+++ b/internal/lab/day/settings.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// settingsRules tells the longest slow start and the least capacity at a start of all models.
+// settingsRules returns the longest slow start and the lowest capacity at a start of all models.
 func (d *Day) settingsRules() settingsRules {
 	capacity := 1.0
 	slowStart := Duration(0)
--- a/internal/lab/faulty/endpoints.go
+++ b/internal/lab/faulty/endpoints.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// discoveryRetryDelay is how long after a failed call to discovery the next one comes.
+// discoveryRetryDelay is the wait between a failed call to discovery and the next one.
 const discoveryRetryDelay = 100 * time.Millisecond
 
 // watchEndpoints keeps the list as discovery has it, from a revision on. It does not return.
--- a/internal/lab/faulty/main.go
+++ b/internal/lab/faulty/main.go
@@ -1,5 +1,5 @@
-// Command faulty is a plain balancer that breaks one rule, by the mode in the environment variable BAD. The lab's checker
-// is tested with it: each mode has to be caught by its own rule, and any other value, which breaks none, by none.
+// Command faulty is a simple balancer that breaks one rule, by the mode in the environment variable BAD. With any other
+// value it breaks none. Tests of the lab's checker use it: each mode has to be caught by its own rule and by no other.
 package main
 
 import (
--- a/internal/lab/link/conn.go
+++ b/internal/lab/link/conn.go
@@ -80,7 +80,7 @@
 	return n, err
 }
 
-// Write sends p; it returns when p has arrived in the far party's buffers.
+// Write sends p. It returns when p has arrived in the far party's buffers.
 func (c *Conn) Write(p []byte) (int, error) {
 	if err := c.waitInTransit(c.near, c.far, len(p), time.Now()); err != nil {
 		return 0, err
@@ -88,7 +88,7 @@
 	return c.Conn.Write(p)
 }
 
-// Pending looks, without waiting, whether something has come that was not read, or the end of the connection.
+// Pending reports, without waiting, whether there are unread bytes or the end of the connection.
 func (c *Conn) Pending() (waiting, ended bool) {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -106,7 +106,7 @@
 	return n > 0, n <= 0 && !errors.Is(peekErr, syscall.EAGAIN)
 }
 
-// Close closes the connection; the far party learns of it as the link permits.
+// Close closes the connection. The far party notices when the link lets the end through.
 func (c *Conn) Close() error {
 	c.unregister()
 	return c.Conn.Close()
--- a/internal/lab/link/network.go
+++ b/internal/lab/link/network.go
@@ -1,6 +1,6 @@
-// Package link carries the connections of an emulated network. What a connection passes on takes as long as the link
-// between its two parties takes at that moment; where the link is cut it falls silent without being reset, and new
-// connections do not come up. A connection has the kernel's own buffers and order; this package only delays its bytes.
+// Package link carries the connections of an emulated network. Bytes on a connection take as long as the link between its
+// two parties takes at that moment. While the link is cut, the connection is silent without being reset, and new
+// connections are not established. Buffers and order are the kernel's own. This package only delays the bytes.
 package link
 
 import (
@@ -53,7 +53,7 @@
 	n.updateListeners()
 }
 
-// Disconnect takes a machine off the network: nothing reaches it or comes from it.
+// Disconnect takes a machine off the network. No byte reaches it or leaves it.
 func (n *Network) Disconnect(p day.Party) { n.setVanished(p, true) }
 
 // Reconnect brings a machine back that Disconnect has taken off. Connections that others still have open to it are reset
@@ -115,15 +115,15 @@
 	}
 }
 
-// isCut reports whether a connection between two parties can't come up. n.mu is held.
+// isCut reports whether a connection between two parties can't be established. n.mu is held.
 func (n *Network) isCut(a, b day.Party) bool {
 	return n.vanished[a] || n.vanished[b] || n.paths.Condition(a, b).Cut || n.paths.Condition(b, a).Cut
 }
 
-// transit is what becomes of a message that sets out now.
+// transit is what the network does to a message that is sent now.
 type transit struct {
 	delay   time.Duration
-	cut     bool            // it does not pass: look again at a change
+	cut     bool            // it does not pass before a change
 	changed <-chan struct{} // closed at the next change
 }
 
--- a/internal/lab/live/addresses.go
+++ b/internal/lab/live/addresses.go
@@ -10,7 +10,7 @@
 // addressTries is how many nets pickAddresses looks at.
 const addressTries = 40
 
-// daysBegun counts the days that this process has begun: each looks elsewhere for its addresses.
+// daysBegun counts the days that this process has begun. Each day starts to look for free addresses at another place.
 var daysBegun atomic.Int64
 
 // pickAddresses finds a net in 127.0.0.0/8 that nobody on this machine uses.
--- a/internal/lab/live/agentcalls.go
+++ b/internal/lab/live/agentcalls.go
@@ -63,7 +63,7 @@
 	return g.agents[b].answering
 }
 
-// waitFor waits for a channel to be closed; false: the call has ended.
+// waitFor waits for a channel to be closed. It reports false if the call ended before.
 func (g *registry) waitFor(r *http.Request, closed <-chan struct{}) bool {
 	select {
 	case <-closed:
@@ -74,7 +74,7 @@
 	return false
 }
 
-// waitForRevision waits for a revision after since, or for the timeout; false: the call has ended.
+// waitForRevision waits for a revision after since, or for the timeout. It reports false if the call ended before.
 func (g *registry) waitForRevision(r *http.Request, since uint64, timeout time.Duration) bool {
 	limit := time.NewTimer(timeout)
 	defer limit.Stop()
--- a/internal/lab/live/clients.go
+++ b/internal/lab/live/clients.go
@@ -62,7 +62,7 @@
 	return z.zone.Retry(class, result, tries, left, retryAfter, draw)
 }
 
-// sendArrivals begins each arrival at its time, whatever became of those before, and returns when all have ended.
+// sendArrivals begins each arrival at its time, whether or not earlier ones have ended. It returns when all have ended.
 func (r *run) sendArrivals(ctx context.Context) {
 	var inFlight sync.WaitGroup
 	defer inFlight.Wait()
--- a/internal/lab/live/exchange.go
+++ b/internal/lab/live/exchange.go
@@ -27,8 +27,8 @@
 	staleConn  bool          // its connection had been closed before the request came
 }
 
-// sendRequest sends a request through its zone's front and takes what comes back. Where it meets a connection that its
-// balancer has just closed it is sent once more, on a new one.
+// sendRequest sends a request through its zone's front and reads the answer. A request that meets a connection which its
+// balancer has just closed is sent once more, on a new one.
 func (r *run) sendRequest(ctx context.Context, q *clientRequest) requestEnd {
 	f := r.fronts[r.arrivals[q.arrival].Zone]
 	for newConn := false; ; newConn = true {
@@ -106,7 +106,7 @@
 	return message.Bytes()
 }
 
-// endWithoutAnswer is how a request ended whose connection brought no byte; err is of reading.
+// endWithoutAnswer is how a request ended that got no byte of an answer. err is the error of reading.
 func (r *run) endWithoutAnswer(q *clientRequest, reused bool, err error) requestEnd {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		if q.leavesAt > 0 {
@@ -158,7 +158,7 @@
 	return requestEnd{result: answered.Result, retryAfter: retryAfter}
 }
 
-// retryAfterOf is the wait that an answer advises; 0: none, or none that can be read.
+// retryAfterOf is the Retry-After of an answer. It is 0 if there is none or it is malformed.
 func retryAfterOf(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil {
@@ -167,8 +167,8 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// parseBody is the upstream that made a body for a request, with the serial of its attempt; wrong says why it can't be
-// from one.
+// parseBody is the upstream that made a body for a request, with the serial of its attempt. wrong says why no upstream made
+// it, and is empty if one did.
 func parseBody(id uint64, body []byte) (upstream, serial int32, wrong string) {
 	var got uint64
 	if n, err := fmt.Sscanf(string(body), "%x %d %d\n", &got, &upstream, &serial); n != 3 || err != nil || got != id {
--- a/internal/lab/live/front.go
+++ b/internal/lab/live/front.go
@@ -206,7 +206,7 @@
 	return &clientConn{Conn: c, reader: bufio.NewReader(c)}, nil
 }
 
-// takeIdle takes the idle connection to a balancer that was used last; nil: there is none.
+// takeIdle takes the idle connection to a balancer that was used last. It is nil if there is none.
 func (f *front) takeIdle(b int) *clientConn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -215,7 +215,7 @@
 	_ = n.terminate(n.exitTimeout()) // its only error says that the process has ended
 }
 
-// kill ends the process at once, whatever it does.
+// kill ends the process with SIGKILL.
 func (n *node) kill() {
 	p, ended, over := n.processState()
 	if over {
--- a/internal/lab/live/recorder.go
+++ b/internal/lab/live/recorder.go
@@ -12,7 +12,7 @@
 // recorder gathers what happens on a live day. It is safe for concurrent use.
 type recorder struct {
 	mu         sync.Mutex
-	begunAt    time.Time // when clients began to come; zero: not yet
+	begunAt    time.Time // zero: the day has not begun
 	events     []history.Event
 	serial     int32                     // of the latest attempt at an upstream
 	staleConns int                       // requests that met a connection which had just been closed
@@ -21,14 +21,15 @@
 
 func newRecorder() *recorder { return &recorder{requests: map[uint64]*clientRequest{}} }
 
-// begin notes when clients begin to come. Events have their time from then.
+// begin notes the begin of the day, from which the times of events count.
 func (r *recorder) begin(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.begunAt = at
 }
 
-// record adds an event to the history, with the time if it has none. What happens before the clients come is at 0.
+// record adds an event to the history. An event without a time gets the present one. Events before the begin of the day
+// are at 0.
 func (r *recorder) record(e history.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,14 +61,14 @@
 	r.requests[q.id] = q
 }
 
-// requestByID is the request with an id; nil: no client has sent it.
+// requestByID is the request with an id. It is nil if no client has sent it.
 func (r *recorder) requestByID(id uint64) *clientRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.requests[id]
 }
 
-// finish returns all events in order of time, with further ones, and how many requests met a closed connection.
+// finish adds further events. It returns all events in order of time, and how many requests met a closed connection.
 func (r *recorder) finish(further []history.Event) (events []history.Event, staleConns int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/live/registry.go
+++ b/internal/lab/live/registry.go
@@ -136,7 +136,7 @@
 	g.announce(u, phase, startedAt, delay)
 }
 
-// silence makes an agent answer nothing. Silences overlap: each needs an endSilence of its own.
+// silence makes an agent answer no call. Silences overlap, so that each needs an endSilence of its own.
 func (g *registry) silence(b int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -161,7 +161,7 @@
 	}
 }
 
-// setErrorRate makes an agent fail a share of its calls; 0: none.
+// setErrorRate makes an agent fail a share of its calls, from 0 to 1.
 func (g *registry) setErrorRate(b int, share float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -1,6 +1,6 @@
 // Package live plays a day with real processes of the balancer on loopback addresses. Upstreams, discovery's agents,
-// fronts, clients and the network between them are in this process; only the balancers are not. It records what happened
-// and judges nothing.
+// fronts, clients and the network between them are part of this process. The package records what happens. Package check
+// judges it.
 package live
 
 import (
@@ -18,7 +18,7 @@
 )
 
 const (
-	// startTimeout is how long all balancers together may take to be ready before clients come.
+	// startTimeout is how long all balancers together may take to be ready before the day begins.
 	startTimeout = 30 * time.Second
 	// readyPollInterval is how often the lab looks whether they are.
 	readyPollInterval = 20 * time.Millisecond
@@ -41,10 +41,10 @@
 	Progress func(at time.Duration)
 }
 
-// Outcome is what a live day leaves.
+// Outcome is the history of a live day and what it cost.
 type Outcome struct {
 	Events          []history.Event
-	Lateness        []time.Duration // of arrivals: how much after its time each was begun
+	Lateness        []time.Duration // by arrival: how late each was begun
 	LabCPU          time.Duration   // of this process
 	BalancerCPU     time.Duration   // of all balancers together
 	RetriesOnClosed int             // requests that met a connection which had just been closed, and were sent once more
@@ -59,7 +59,7 @@
 	base         int // second byte of all addresses
 	arrivals     []day.Arrival
 	serverOrigin time.Time       // of the upstreams' own time
-	origin       time.Time       // of the day's time: when clients begin to come
+	origin       time.Time       // of the day's time: when the first requests are due
 	lateness     []time.Duration // by arrival
 	recorder     *recorder
 
@@ -100,7 +100,7 @@
 	return r.outcome(labCPU), nil
 }
 
-// outcome gathers what the day leaves, once its processes have ended.
+// outcome gathers the outcome of the day once its processes have ended.
 func (r *run) outcome(labCPU time.Duration) *Outcome {
 	o := &Outcome{LabCPU: labCPU, Lateness: r.lateness}
 	var zoneEvents []history.Event
@@ -200,7 +200,7 @@
 	}
 }
 
-// play lets the clients come and the faults happen, until all requests have ended.
+// play sends the clients' requests and applies the faults, until all requests have ended.
 func (r *run) play(ctx context.Context) error {
 	r.origin = time.Now()
 	r.recorder.begin(r.origin)
@@ -234,7 +234,7 @@
 	}
 }
 
-// stop ends what is still there, whatever happened before.
+// stop ends all processes, connections and listeners that are left.
 func (r *run) stop() {
 	for _, f := range r.fronts {
 		f.close()
--- a/internal/lab/live/upstream.go
+++ b/internal/lab/live/upstream.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// loadReport is the load report as a header's value; empty: there is none. u.mu is held.
+// loadReport is the load report as a header's value, or empty if there is none. u.mu is held.
 func (u *upstream) loadReport() string {
 	if l, ok := u.server.Load(); ok {
 		return fmt.Sprintf("util=%.3f,eps=%.2f,queue=%.0f", l.Util, l.Errors, l.Queue)
@@ -197,7 +197,7 @@
 	}
 }
 
-// restartProcess starts the process again; it warms up.
+// restartProcess starts the process again. It warms up.
 func (u *upstream) restartProcess() {
 	if err := u.start(true); err != nil {
 		return // the address was free a moment ago; discovery's list then leads nowhere
@@ -205,7 +205,7 @@
 	u.announceRestart()
 }
 
-// restartMachine starts the process of a machine that comes back to the network; it warms up.
+// restartMachine reconnects a machine and starts its process again. It warms up.
 func (u *upstream) restartMachine() {
 	if err := u.start(true); err != nil {
 		return // as in restartProcess
--- a/internal/lab/live/upstreamconn.go
+++ b/internal/lab/live/upstreamconn.go
@@ -133,7 +133,8 @@
 	}
 }
 
-// identify is the client's request that a balancer has forwarded; nil: no client sent it like this, which is recorded.
+// identify is the client's request that a balancer has forwarded. It is nil if no client sent it in this form, which is
+// recorded.
 func (u *upstream) identify(request *http.Request, body []byte, b int) *clientRequest {
 	stray := func(format string, args ...any) *clientRequest {
 		text := fmt.Sprintf("%s %s ", request.Method, request.RequestURI) + fmt.Sprintf(format, args...)
--- a/internal/lab/measure/requests.go
+++ b/internal/lab/measure/requests.go
@@ -35,7 +35,7 @@
 
 func (e Outcome) String() string { return outcomeNames[e] }
 
-// Request is a client's request with what became of it.
+// Request is a client's request with its outcome.
 type Request struct {
 	Arrival     int
 	Outcome     Outcome
@@ -70,7 +70,7 @@
 	return requests
 }
 
-// apply takes an event of the request, which came at arrivedAt and has a latency objective.
+// apply takes an event of the request, which arrived at arrivedAt and has a latency objective.
 func (r *Request) apply(e history.Event, arrivedAt, objective time.Duration) {
 	switch e.Kind {
 	case history.Sent:
@@ -99,7 +99,7 @@
 // served reports whether the request has had a good answer.
 func (r *Request) served() bool { return r.Outcome <= ServedLate }
 
-// endOf is how an answered request ended.
+// outcomeOf is how an answered request ended.
 func outcomeOf(result client.Result, latency, objective time.Duration) Outcome {
 	switch {
 	case result == client.Rejected:
--- a/internal/lab/measure/starts.go
+++ b/internal/lab/measure/starts.go
@@ -23,7 +23,7 @@
 	ready bool
 }
 
-// startsOf finds the starts after the day's begin; nil: there were none.
+// startsOf finds the starts after the day's begin. It is nil if there were none.
 func startsOf(events []history.Event) *Starts {
 	ready := newHistogram()
 	served := newHistogram()
--- a/internal/lab/measure/zones.go
+++ b/internal/lab/measure/zones.go
@@ -54,7 +54,7 @@
 	NeverLeft  int     `json:"Never"` // balancers that did not
 }
 
-// zoneLoad is what came to a zone, or to all, after the first stretch. Work is in seconds of a core of speed 1.
+// zoneLoad is the traffic of a zone, or of all zones, after the first stretch. Work is in seconds of a core of speed 1.
 type zoneLoad struct {
 	capacity float64 // work that all its cores can do
 	work     float64 // work that arrived and was accepted
@@ -129,8 +129,8 @@
 	}
 }
 
-// zoneSwing is how far a zone's share of all attempts moves, peak to peak, after the first stretch; the greatest of all
-// zones.
+// zoneSwing is the greatest difference between the highest and the lowest share of all attempts that one zone had after
+// the first stretch.
 func zoneSwing(d *day.Day, f *day.Fleet, series []Window) float64 {
 	lowest := make([]float64, len(f.Zones))
 	highest := make([]float64, len(f.Zones))
--- a/internal/lab/model/front.go
+++ b/internal/lab/model/front.go
@@ -50,7 +50,7 @@
 	}
 	for i, b := range nodes {
 		f.placeOfNode[a.sim.nodes[b].id] = i
-		f.healthy[i] = true // clients come once all balancers are ready
+		f.healthy[i] = true // a day begins once all balancers are ready
 		phase := time.Duration(a.rng.Float64() * float64(healthCheckInterval))
 		a.after(phase, message{kind: msgHealthCheckDue, index: int32(i)})
 	}
@@ -114,7 +114,7 @@
 	f.healthy[place] = answer.healthy
 }
 
-// startRequest begins a client's request for an arrival; number counts its retries.
+// startRequest begins a client's request for an arrival. number counts its retries, from 0.
 func (f *front) startRequest(arrival, number int32) {
 	a := f.sim.arrivals[arrival]
 	class := f.sim.day.Classes[a.Class]
@@ -181,7 +181,7 @@
 	}
 }
 
-// onReset ends a request whose connection broke; requestRead: its balancer had read it.
+// onReset ends a request whose connection broke. requestRead says whether its balancer had read it.
 func (f *front) onReset(r *frontRequest, requestRead bool) {
 	switch {
 	case !r.sent:
@@ -239,7 +239,7 @@
 	f.send(f.node(r.place), message{kind: msgClientGone, id: r.id})
 }
 
-// finish ends a request; its client may retry.
+// finish ends a request. Its client may retry.
 func (f *front) finish(r *frontRequest, result client.Result, retryAfter time.Duration) {
 	delete(f.pending, r.id)
 	a := f.sim.arrivals[r.arrival]
--- a/internal/lab/model/pool.go
+++ b/internal/lab/model/pool.go
@@ -15,7 +15,7 @@
 	workers sync.WaitGroup
 }
 
-// newPool starts a pool of size workers; the caller of each is one of them.
+// newPool starts a pool of size workers. The goroutine that calls each is one of them.
 func newPool(size int) *pool {
 	p := &pool{size: size, jobs: make(chan func())}
 	for range size - 1 {
--- a/internal/lab/model/process.go
+++ b/internal/lab/model/process.go
@@ -151,7 +151,7 @@
 	n.recordProcess(history.Paused)
 }
 
-// resume continues a stopped process: it handles what came meanwhile.
+// resume continues a stopped process, which handles the messages that arrived meanwhile.
 func (n *node) resume() {
 	n.stopped = false
 	n.recordProcess(history.Resumed)
--- a/internal/lab/model/requests.go
+++ b/internal/lab/model/requests.go
@@ -156,8 +156,8 @@
 	n.send(n.sim.servers[a.upstream], message{kind: msgAttempt, id: a.request.client.id, number: a.number, request: a.request.client})
 }
 
-// endAttempt ends an attempt without a reply. If it was never written its status is NotSent, whatever the reason; if it
-// was, its connection is closed.
+// endAttempt ends an attempt without a reply. If it was written, its connection is closed. Otherwise its status is NotSent
+// in place of the given one.
 func (n *node) endAttempt(a *upstreamAttempt, status balancer.Status) {
 	if a.ended {
 		return
--- a/internal/lab/model/sim.go
+++ b/internal/lab/model/sim.go
@@ -1,11 +1,11 @@
-// Package model plays a day in virtual time: the decision module itself for every balancer, the same emulated upstreams
-// and clients as the live engine, and no sockets. It is for fleets that no machine holds.
+// Package model plays a day in virtual time. Each balancer is the decision module itself. Upstreams and clients are those of
+// the live engine. There are no sockets, so that a fleet may be larger than any machine could run.
 //
-// Every party is an actor with a queue of its own. Actors touch nothing of each other's; they send messages, and none
-// takes less than the shortest delay of the day's network. So all that is due within that delay from now can be handled
-// in any order, on any number of workers, and the history is the same to the byte: an actor handles its messages by
-// time, then sender, then the order in which they were sent. Between such steps, on one goroutine, the timetable of
-// faults changes the network.
+// Each party is an actor with its own queue. Actors share no state and only send messages to each other. No message takes
+// less than the shortest delay of the day's network. Therefore messages that are due within that delay from now can't
+// affect each other across actors, and workers handle them in parallel. Each actor handles its messages in order of time,
+// then of sender, then of sending. So the history is the same, byte for byte, with any number of workers. Between such
+// steps, a single goroutine applies the timetable of faults.
 package model
 
 import (
--- a/internal/lab/model/truth.go
+++ b/internal/lab/model/truth.go
@@ -61,7 +61,7 @@
 	return best
 }
 
-// power is what an upstream can do for this balancer now, in cores by their speed; 0: no answer comes from it.
+// power is the capacity of an upstream for this balancer now, in cores of speed 1. It is 0 if no answer would arrive.
 func (p *trueStatePolicy) power(u int) float64 {
 	power := p.node.sim.fleet.Upstreams[u].Size
 	for i := range p.node.sim.day.Faults {
--- a/internal/lab/program/program.go
+++ b/internal/lab/program/program.go
@@ -57,7 +57,7 @@
 	return &Program{Root: root, build: f.Build, run: f.Run}, nil
 }
 
-// Build builds it; what the build prints is in the error if it fails.
+// Build builds it. The error of a failed build contains what the build printed.
 func (p *Program) Build(ctx context.Context) error {
 	cmd := exec.CommandContext(ctx, "/bin/sh", "-c", p.build)
 	cmd.Dir = p.Root
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -30,7 +30,7 @@
 	plotHeight = 3.1 * vg.Inch
 	// stripRow is the height of a fault's bar above the series, in parts of the axis.
 	stripRow = 0.09
-	// mostUpstreams is how many upstreams get a row of their own; more are put together by zone.
+	// mostUpstreams is how many upstreams get a row each. More are combined by zone.
 	mostUpstreams = 60
 	// mostPairs is how many pairs of zones get a line of their own.
 	mostPairs = 9
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// points takes a figure of each window; false: the window has none.
+// points takes a figure of each window. The function reports false for a window without one.
 func points(series []measure.Window, of func(measure.Window) (float64, bool)) plotter.XYs {
 	var points plotter.XYs
 	for _, w := range series {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,4 +1,4 @@
-// Package report writes what came of a day as one HTML file with no outside parts, and its plots as PNG files for
+// Package report writes the result of a day as one HTML file with no outside parts, and its plots as PNG files for
 // letters and print.
 package report
 
--- a/internal/lab/server/server.go
+++ b/internal/lab/server/server.go
@@ -242,7 +242,7 @@
 	return true, false
 }
 
-// exceedsColdBudget counts work that reaches the server while it warms up, also of rejected requests. It reports
+// exceedsWarmupBudget counts work that reaches the server while it warms up, also of rejected requests. It reports
 // whether the work within TipAfter is more than the server bears.
 func (s *Server) exceedsWarmupBudget(work float64) bool {
 	if s.warmup.done || s.now-s.warmup.startedAt >= s.model.Warm.D() {
