--- a/internal/lab/model/connections.go
+++ b/internal/lab/model/connections.go
@@ -10,13 +10,23 @@
 // idleSweepInterval is how often idle connections are looked at.
 const idleSweepInterval = time.Second
 
-// endpointConns is what a node knows of an upstream and its idle connections.
+// upstreamConns is a node's connections to upstreams.
+type upstreamConns struct {
+	maxConns      int           // to all upstreams
+	idleTimeout   time.Duration // an idle connection is closed after it
+	dialTimeout   time.Duration
+	endpoints     []endpointConns // by upstream
+	conns         int             // open or being opened, to all upstreams
+	nextIdleSweep time.Duration
+}
+
+// endpointConns is the state of an upstream at a node, and the idle connections to it.
 type endpointConns struct {
 	state balancer.EndpointState
 	idle  []time.Duration // since when, the longest first
 }
 
-// putIdle keeps a connection for another attempt, or closes it where none is to come.
+// putIdle stores a connection for another attempt. It closes it if the upstream is to get none.
 func (n *node) putIdle(upstream int) {
 	e := &n.endpoints[upstream]
 	if n.draining || e.state != balancer.Active {
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -23,12 +23,9 @@
 // internal/proxy does, without sockets.
 type node struct {
 	*actor
-	index       int // of the balancer in the fleet
-	newModule   newPolicy
-	settings    balancer.Settings
-	maxConns    int           // to all upstreams
-	idleTimeout time.Duration // of connections to upstreams
-	dialTimeout time.Duration
+	index     int // of the balancer in the fleet
+	newModule newPolicy
+	settings  balancer.Settings
 
 	// The process.
 	module       balancer.Events // nil: no process runs
@@ -39,15 +36,8 @@
 	whileStopped []message       // handled when it continues
 	zoneStates   []balancer.ZoneState
 
-	// Its requests and connections.
-	requests      map[balancer.RequestID]*openRequest
-	byClientID    map[uint64]*openRequest
-	lastRequest   balancer.RequestID
-	pending       []pendingOutcome
-	endpoints     []endpointConns // by upstream
-	conns         int             // open or being opened, to all upstreams
-	nextIdleSweep time.Duration
-
+	requestTable
+	upstreamConns
 	disk  disk
 	agent agent
 }
@@ -77,13 +67,15 @@
 		return nil, fmt.Errorf("%w: %w", day.ErrInput, err)
 	}
 	n := &node{
-		actor:       a,
-		index:       index,
-		newModule:   policy,
-		settings:    settings,
-		maxConns:    d.Balancer.Sockets * 3 / 8,
-		idleTimeout: max(links.KeepAlive-idleMargin, links.KeepAlive/2),
-		dialTimeout: links.ConnectTimeout,
+		actor:     a,
+		index:     index,
+		newModule: policy,
+		settings:  settings,
+		upstreamConns: upstreamConns{
+			maxConns:    d.Balancer.Sockets * 3 / 8,
+			idleTimeout: max(links.KeepAlive-idleMargin, links.KeepAlive/2),
+			dialTimeout: links.ConnectTimeout,
+		},
 	}
 	for i, u := range a.sim.fleet.Upstreams {
 		n.agent.endpoints = append(n.agent.endpoints, balancer.Endpoint{
--- a/internal/lab/model/requests.go
+++ b/internal/lab/model/requests.go
@@ -31,7 +31,15 @@
 	ended     bool // the module has its outcome
 }
 
-// pendingOutcome is an outcome that is known but not yet delivered, as it came up inside a call of the module.
+// requestTable is a node's requests that have not ended.
+type requestTable struct {
+	requests    map[balancer.RequestID]*openRequest
+	byClientID  map[uint64]*openRequest
+	lastRequest balancer.RequestID
+	pending     []pendingOutcome // in the order in which they are delivered
+}
+
+// pendingOutcome is an outcome that is known but not yet delivered, because it arose inside a call of the module.
 type pendingOutcome struct {
 	attempt *upstreamAttempt
 	status  balancer.Status
@@ -207,7 +215,7 @@
 	n.module.OnAttemptResult(n.clock(), result)
 }
 
-// deliverOutcomes delivers the outcomes that came up inside calls of the module.
+// deliverOutcomes delivers the outcomes that arose inside calls of the module.
 func (n *node) deliverOutcomes() {
 	for len(n.pending) > 0 {
 		next := n.pending[0]
