--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -20,9 +20,9 @@
 	OneAnswer  Rule = "one-answer" // each request taken gets exactly one final answer, of its own, in time
 	OneEffect  Rule = "one-effect" // what may have run is retried only as its class permits, and nothing is made up
 	Drained    Rule = "drained"    // nothing new to a draining or removed upstream once notified
-	ColdStart  Rule = "cold-start" // no cold upstream is pushed over by balancers that knew of its start
+	ColdStart  Rule = "cold-start" // no upstream that warms up is overloaded by balancers that were notified of its start
 	Limits     Rule = "limits"     // of memory and descriptors
-	NoCrash    Rule = "no-crash"   // a process ends only when it is asked to
+	NoCrash    Rule = "no-crash"   // a process ends only after a signal
 	NoLeftover Rule = "no-orphan"  // no process outlives the day
 )
 
@@ -40,11 +40,11 @@
 const (
 	// tolerance is added to every limit, for clocks and sockets.
 	tolerance = 50 * time.Millisecond
-	// Grace is how long after its deadline an answer still counts as one, though it earns nothing.
+	// Grace is how long after its deadline an answer still counts as one. It is not served in time.
 	Grace = 500 * time.Millisecond
-	// knewShare is the share of the work sent to an upstream that collapsed which has to come from balancers notified of
-	// its start.
-	knewShare = 2.0 / 3
+	// informedShare is the least share of the work sent to a collapsed upstream that came from balancers which had been
+	// notified of its start, for ColdStart to be broken.
+	informedShare = 2.0 / 3
 )
 
 // endpointView is one balancer's view of one upstream.
@@ -123,7 +123,7 @@
 	c.violations = append(c.violations, Violation{rule, at, what, trace})
 }
 
-// isArrival reports whether an event is an attempt that came to an upstream, taken or not.
+// isArrival reports whether an event is an attempt that reached an upstream, accepted or not.
 func isArrival(e history.Event) bool { return e.Kind == history.Arrived || e.Kind == history.Rejected }
 
 // class is that of the request of an event.
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -1,9 +1,10 @@
-// Package compare plays the same days and seeds on two sides in alternation, and tells which differences are beyond
+// Package compare plays the same days and seeds on two sides in alternation, and reports which differences are beyond
 // noise.
 //
-// Each play gives one pair, so what a seed does to both sides falls out. A difference is beyond noise if Student's
-// interval of the mean of the pairs' differences leaves zero out, at a level that holds for all measures together
-// (Bonferroni): with ten measures each alone has one chance in 200 of being called different by accident.
+// Each play gives one pair of figures, so that the effect of a seed on both sides cancels. A difference is beyond noise if
+// Student's confidence interval of the mean of the pairs' differences does not contain zero. The confidence level is for
+// all measures together (Bonferroni correction). With ten measures, each alone has one chance in 200 of being called
+// different by accident.
 package compare
 
 import (
@@ -28,53 +29,53 @@
 
 // Measure is one figure of a day.
 type Measure struct {
-	Name string
-	Unit string
-	Of   func(*measure.Summary) float64
-	More bool // more of it is better
+	Name         string
+	Unit         string
+	Value        func(*measure.Summary) float64
+	MoreIsBetter bool
 }
 
 // Measures is what sides are compared by.
 var Measures = []Measure{
 	{"score", "", func(s *measure.Summary) float64 { return s.Score }, true},
-	{"worth served", "", func(s *measure.Summary) float64 { return s.Main.Served }, true},
-	{"worst 10 s", "", func(s *measure.Summary) float64 { return s.Worst }, true},
-	{"refused", "", func(s *measure.Summary) float64 { return s.Main.Share[measure.Refused.String()] }, false},
-	{"failed", "", func(s *measure.Summary) float64 { return s.Main.Share[measure.Failed.String()] }, false},
-	{"late", "", func(s *measure.Summary) float64 { return s.Main.Share[measure.Late.String()] }, false},
+	{"worth served", "", func(s *measure.Summary) float64 { return s.Main.ServedRatio }, true},
+	{"worst 10 s", "", func(s *measure.Summary) float64 { return s.WorstStretchRatio }, true},
+	{"refused", "", func(s *measure.Summary) float64 { return s.Main.ShareByOutcome[measure.Rejected.String()] }, false},
+	{"failed", "", func(s *measure.Summary) float64 { return s.Main.ShareByOutcome[measure.Failed.String()] }, false},
+	{"late", "", func(s *measure.Summary) float64 { return s.Main.ShareByOutcome[measure.ServedLate.String()] }, false},
 	{"p50", "ms", func(s *measure.Summary) float64 { return s.Main.Latency.P50 }, false},
 	{"p99", "ms", func(s *measure.Summary) float64 { return s.Main.Latency.P99 }, false},
-	{"attempts a request", "", func(s *measure.Summary) float64 { return s.Attempts }, false},
-	{"cross-zone share", "", func(s *measure.Summary) float64 { return s.CrossZone }, false},
+	{"attempts a request", "", func(s *measure.Summary) float64 { return s.AttemptsPerRequest }, false},
+	{"cross-zone share", "", func(s *measure.Summary) float64 { return s.CrossZoneRatio }, false},
 	{"recovery", "s", recovery, false},
 	{"10 s from a fault", "", func(s *measure.Summary) float64 {
-		return worstOf(s, func(r measure.Recovery) float64 { return r.Ten })
+		return worstOf(s, func(r measure.Recovery) float64 { return r.ServedRatioFirst10s })
 	}, true},
 	{"5 s after a fault", "", func(s *measure.Summary) float64 {
-		return worstOf(s, func(r measure.Recovery) float64 { return r.Five })
+		return worstOf(s, func(r measure.Recovery) float64 { return r.ServedRatioNext5s })
 	}, true},
 	{"after it was back", "", func(s *measure.Summary) float64 {
-		return worstOf(s, func(r measure.Recovery) float64 { return r.Again })
+		return worstOf(s, func(r measure.Recovery) float64 { return r.SecondDipRatio })
 	}, true},
 	{"fullest zone", "", fullestZone, false},
 	{"swing of zones", "", zoneSwing, false},
 	{"rules broken", "", rulesBroken, false},
 }
 
-// fullestZone is the use of the fullest zone over the fleet's; 0: it is not known.
+// fullestZone is the highest utilization of a zone over the fleet's. It is 0 if it is not known.
 func fullestZone(s *measure.Summary) float64 {
 	if s.Zones == nil {
 		return 0
 	}
-	return s.Zones.Fullest
+	return s.Zones.PeakUtilizationRatio
 }
 
-// zoneSwing is how far a zone's share of the attempts moves; 0: it is not known.
+// zoneSwing is how far a zone's share of the attempts moves. It is 0 if it is not known.
 func zoneSwing(s *measure.Summary) float64 {
 	if s.Zones == nil {
 		return 0
 	}
-	return s.Zones.Swing
+	return s.Zones.AttemptShareSwing
 }
 
 // rulesBroken is how many violations there were.
@@ -86,7 +87,7 @@
 	return float64(violations)
 }
 
-// worstOf is the least of a figure over all faults; 1: there are none.
+// worstOf is the lowest value of a ratio over all faults. It is 1 if there are none.
 func worstOf(s *measure.Summary, of func(measure.Recovery) float64) float64 {
 	worst := 1.0
 	for _, r := range s.Recoveries {
@@ -95,34 +96,37 @@
 	return worst
 }
 
-// recovery is the time that service took to come back, over all faults that end; where it did not, the rest of the day.
+// recovery is the sum of the recovery times of all faults that end, in seconds. A fault without recovery counts the rest
+// of the day.
 func recovery(s *measure.Summary) float64 {
 	var sum float64
 	for _, r := range s.Recoveries {
 		switch {
-		case r.Back != nil:
-			sum += *r.Back
-		case r.End >= 0:
-			sum += max(0, s.Seconds-r.End)
+		case r.RecoverySeconds != nil:
+			sum += *r.RecoverySeconds
+		case r.EndSeconds >= 0:
+			sum += max(0, s.LengthSeconds-r.EndSeconds)
 		}
 	}
 	return sum
 }
 
-// Row is one measure on both sides.
+// Row is one measure on both sides. Ratios are of side B to side A.
 type Row struct {
-	Measure   string
-	Unit      string
-	A, B      float64 // means
-	Ratio     float64 // of B's mean to A's; 0: A's is 0
-	Low, High float64 // least and greatest ratio of one play
-	Diff      float64 // mean of B less A
-	Half      float64 // half of the interval of Diff
-	Beyond    bool    // noise
-	Better    bool    // B, if Beyond
+	Measure          string
+	Unit             string
+	MeanA            float64 `json:"A"`
+	MeanB            float64 `json:"B"`
+	RatioOfMeans     float64 `json:"Ratio"` // 0: MeanA is 0
+	LowestRatio      float64 `json:"Low"`   // of one play
+	HighestRatio     float64 `json:"High"`  // of one play
+	MeanDiff         float64 `json:"Diff"`  // of B less A
+	DiffHalfInterval float64 `json:"Half"`  // half of the confidence interval of MeanDiff
+	IsBeyondNoise    bool    `json:"Beyond"`
+	IsBetter         bool    `json:"Better"` // IsBeyondNoise, and B is the better side
 }
 
-// Result is a whole comparison.
+// Result is the comparison of two sides.
 type Result struct {
 	A, B  string
 	Plays int
@@ -133,14 +137,15 @@
 // Same reports whether no measure differs beyond noise.
 func (r *Result) Same() bool {
 	for _, row := range r.Rows {
-		if row.Beyond {
+		if row.IsBeyondNoise {
 			return false
 		}
 	}
 	return true
 }
 
-// Run plays both sides in alternation; which goes first changes with every play. progress is called after each play.
+// Run plays both sides in alternation. Which side goes first changes with every play. progress is called after each play.
+// Run returns an error if a play fails or is void.
 func Run(ctx context.Context, a, b Side, seed uint64, plays int, progress func(play int, side string, s *measure.Summary)) (*Result, error) {
 	r := &Result{A: a.Name(), B: b.Name(), Plays: plays}
 	sides := [2]Side{a, b}
@@ -156,8 +161,8 @@
 				return nil, fmt.Errorf("%s, seed %d: %w", side.Name(), playSeed, err)
 			}
 			progress(play, side.Name(), summary)
-			if summary.Lab != nil && summary.Lab.Void != "" {
-				return nil, fmt.Errorf("%s, seed %d: void: %s", side.Name(), playSeed, summary.Lab.Void)
+			if summary.Lab != nil && summary.Lab.VoidReason != "" {
+				return nil, fmt.Errorf("%s, seed %d: void: %s", side.Name(), playSeed, summary.Lab.VoidReason)
 			}
 			summaries[which] = append(summaries[which], summary)
 		}
@@ -170,36 +175,36 @@
 
 // compareMeasure compares one measure of the plays of both sides.
 func compareMeasure(m Measure, as, bs []*measure.Summary) Row {
-	row := Row{Measure: m.Name, Unit: m.Unit, Low: math.Inf(1), High: math.Inf(-1)}
+	row := Row{Measure: m.Name, Unit: m.Unit, LowestRatio: math.Inf(1), HighestRatio: math.Inf(-1)}
 	var a, b, diffs []float64
 	for i := range as {
-		x := m.Of(as[i])
-		y := m.Of(bs[i])
+		x := m.Value(as[i])
+		y := m.Value(bs[i])
 		a = append(a, x)
 		b = append(b, y)
 		diffs = append(diffs, y-x)
 		if x != 0 {
-			row.Low = min(row.Low, y/x)
-			row.High = max(row.High, y/x)
+			row.LowestRatio = min(row.LowestRatio, y/x)
+			row.HighestRatio = max(row.HighestRatio, y/x)
 		}
 	}
-	row.A = stat.Mean(a, nil)
-	row.B = stat.Mean(b, nil)
-	if row.A != 0 {
-		row.Ratio = row.B / row.A
+	row.MeanA = stat.Mean(a, nil)
+	row.MeanB = stat.Mean(b, nil)
+	if row.MeanA != 0 {
+		row.RatioOfMeans = row.MeanB / row.MeanA
 	}
-	if math.IsInf(row.Low, 1) { // A had 0 in every play
-		row.Low = 0
-		row.High = 0
+	if math.IsInf(row.LowestRatio, 1) { // A had 0 in every play
+		row.LowestRatio = 0
+		row.HighestRatio = 0
 	}
-	row.Diff, row.Half = interval(diffs, familyError/float64(len(Measures)))
-	row.Beyond = math.Abs(row.Diff) > row.Half
-	row.Better = row.Beyond && (row.Diff > 0) == m.More
+	row.MeanDiff, row.DiffHalfInterval = interval(diffs, familyError/float64(len(Measures)))
+	row.IsBeyondNoise = math.Abs(row.MeanDiff) > row.DiffHalfInterval
+	row.IsBetter = row.IsBeyondNoise && (row.MeanDiff > 0) == m.MoreIsBetter
 	return row
 }
 
-// interval is the mean of some figures and half of Student's interval about it, which holds the true mean but for a
-// chance of alpha. One figure has no interval.
+// interval is the mean of some figures and half of Student's confidence interval about it. The interval does not contain the
+// true mean with a probability of alpha. It is infinite for one figure.
 func interval(xs []float64, alpha float64) (mean, half float64) {
 	if len(xs) < 2 {
 		return stat.Mean(xs, nil), math.Inf(1)
--- a/internal/lab/day/fault.go
+++ b/internal/lab/day/fault.go
@@ -101,9 +101,9 @@
 const vanishDetectionDelay = 4 * time.Second
 
 // EndpointPhase returns the phase in which discovery lists the upstreams of a fault after a transition, and the delay until
-// its agents have it. An empty phase means that the list does not change: discovery knows only of processes. cold reports
-// that the upstreams have started again and warm up.
-func (d *Day) EndpointPhase(fault Fault, transition Transition) (phase string, delay time.Duration, cold bool) {
+// its agents have it. An empty phase means that the list does not change: discovery knows only of processes. warmsUp
+// reports that the upstreams have started again and warm up.
+func (d *Day) EndpointPhase(fault Fault, transition Transition) (phase string, delay time.Duration, warmsUp bool) {
 	delay = d.Discovery.Delay.D()
 	switch fault.Kind {
 	case UpstreamDrain:
@@ -206,8 +206,8 @@
 	Transition Transition
 }
 
-// Timetable is every begin and end of a fault, in order; of several at one moment ends come first, then by their order
-// in the file. Hits is by the index of the fault.
+// Timetable is every begin and end of a fault, in order of time. Of several at one moment, ends come first, and then the
+// order of the file counts. hits is by the index of the fault.
 func (d *Day) Timetable() (changes []Change, hits []Hit) {
 	f := d.Fleet()
 	for i, fault := range d.Faults {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -25,7 +25,7 @@
 
 // Good reports whether no rule was broken and the day counts.
 func (r *Result) Good() bool {
-	return len(r.Violations) == 0 && (r.Summary.Lab == nil || r.Summary.Lab.Void == "")
+	return len(r.Violations) == 0 && (r.Summary.Lab == nil || r.Summary.Lab.VoidReason == "")
 }
 
 // Live plays a day with real processes.
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	r := newResult(d, "live", out.Events)
-	r.Summary.Lab = measure.LabOf(out.Lateness, d.Length.D().Seconds(), out.LabCPU, out.NodeCPU, out.Crossed)
+	r.Summary.Lab = measure.LabOf(out.Lateness, d.Length.D().Seconds(), out.LabCPU, out.BalancerCPU, out.RetriesOnClosed)
 	return r, nil
 }
 
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -12,7 +12,7 @@
 	"sprucehill/internal/lab/live"
 )
 
-// checkerDay has what each rule needs to be broken: an upstream that returns cold, one that drains, a restart.
+// checkerDay has what each rule needs to be broken: an upstream that starts again, one that drains, a restart.
 const checkerDay = `
 seed = 7
 length = "11s"
@@ -123,8 +123,8 @@
 			if c.rule != "" && !caught {
 				t.Errorf("not caught: %s", c.rule)
 			}
-			if r.Summary.Main.Share["served in time"] < 0.5 && c.mode != "flood" && c.mode != "crasher" {
-				t.Errorf("a day that tells nothing: %v", r.Summary.Main.Share)
+			if r.Summary.Main.ShareByOutcome["served in time"] < 0.5 && c.mode != "flood" && c.mode != "crasher" {
+				t.Errorf("a day that tells nothing: %v", r.Summary.Main.ShareByOutcome)
 			}
 		})
 	}
--- a/internal/lab/live/clients.go
+++ b/internal/lab/live/clients.go
@@ -42,13 +42,6 @@
 	}
 }
 
-// requestByID is the request with an id; nil: no client has sent it.
-func (r *run) requestByID(id uint64) *clientRequest {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.requests[id]
-}
-
 // zoneClients is the clients of a zone. They share a retry budget.
 type zoneClients struct {
 	mu   sync.Mutex
@@ -69,7 +62,7 @@
 	return z.zone.Retry(class, result, tries, left, retryAfter, draw)
 }
 
-// sendArrivals begins each arrival at its time, whatever became of those before, and returns when all have ended.
+// sendArrivals begins each arrival at its time, whether or not earlier ones have ended. It returns when all have ended.
 func (r *run) sendArrivals(ctx context.Context) {
 	var inFlight sync.WaitGroup
 	defer inFlight.Wait()
@@ -151,8 +144,6 @@
 	if a.Tenant >= 0 {
 		q.tenant = r.day.Tenants[a.Tenant].Name
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.requests[q.id] = q
+	r.recorder.addRequest(q)
 	return q
 }
--- a/internal/lab/live/exchange.go
+++ b/internal/lab/live/exchange.go
@@ -27,8 +27,8 @@
 	staleConn  bool          // its connection had been closed before the request came
 }
 
-// sendRequest sends a request through its zone's front and takes what comes back. Where it meets a connection that its
-// balancer has just closed it is sent once more, on a new one.
+// sendRequest sends a request through its zone's front and reads the answer. A request that meets a connection which its
+// balancer has just closed is sent once more, on a new one.
 func (r *run) sendRequest(ctx context.Context, q *clientRequest) requestEnd {
 	f := r.fronts[r.arrivals[q.arrival].Zone]
 	for newConn := false; ; newConn = true {
@@ -39,16 +39,14 @@
 		q.balancer = b
 		c, err := f.connect(ctx, b, newConn, q.deadline)
 		if err != nil {
-			r.record(q.event(history.NotConnected))
+			r.recorder.record(q.event(history.NotConnected))
 			return requestEnd{result: client.NotConnected}
 		}
 		end := r.exchange(q, c, f)
 		if !end.staleConn || newConn {
 			return end
 		}
-		r.mu.Lock()
-		r.staleConns++
-		r.mu.Unlock()
+		r.recorder.countStaleConn()
 	}
 }
 
@@ -63,12 +61,12 @@
 		if reused {
 			return requestEnd{result: client.NotConnected, staleConn: true}
 		}
-		r.record(q.event(history.NotConnected)) // the request was not sent in full
+		r.recorder.record(q.event(history.NotConnected)) // the request was not sent in full
 		return requestEnd{result: client.NotConnected}
 	}
 	q.wroteAt = r.now()
 	asked.At = q.wroteAt
-	r.record(asked)
+	r.recorder.record(asked)
 	until := q.deadline + check.Grace
 	if q.leavesAt > 0 {
 		until = q.leavesAt
@@ -108,21 +106,21 @@
 	return message.Bytes()
 }
 
-// endWithoutAnswer is how a request ended whose connection brought no byte; err is of reading.
+// endWithoutAnswer is how a request ended that got no byte of an answer. err is the error of reading.
 func (r *run) endWithoutAnswer(q *clientRequest, reused bool, err error) requestEnd {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		if q.leavesAt > 0 {
-			r.record(q.event(history.ClientLeft))
+			r.recorder.record(q.event(history.ClientLeft))
 			return requestEnd{result: client.Disconnected}
 		}
-		r.record(q.event(history.TimedOut))
+		r.recorder.record(q.event(history.TimedOut))
 		return requestEnd{result: client.Failed}
 	}
 	stale := reused && r.now()-q.wroteAt < staleConnWindow && !q.seenUpstream.Load() && !r.nodes[q.balancer].wasKilled()
 	if stale {
 		return requestEnd{result: client.NotConnected, staleConn: true}
 	}
-	r.record(q.event(history.Broken))
+	r.recorder.record(q.event(history.Broken))
 	return requestEnd{result: client.Failed}
 }
 
@@ -137,7 +135,7 @@
 	}
 	if err != nil {
 		c.Close()
-		r.record(q.event(history.Broken))
+		r.recorder.record(q.event(history.Broken))
 		return requestEnd{result: client.Failed}
 	}
 	var retryAfter time.Duration
@@ -152,7 +150,7 @@
 	default:
 		answered.Result = client.Failed
 	}
-	r.record(answered)
+	r.recorder.record(answered)
 	c.lastAnswer = answered
 	if resp.Close || !f.putIdle(q.balancer, c) {
 		c.Close()
@@ -160,7 +158,7 @@
 	return requestEnd{result: answered.Result, retryAfter: retryAfter}
 }
 
-// retryAfterOf is the wait that an answer advises; 0: none, or none that can be read.
+// retryAfterOf is the Retry-After of an answer. It is 0 if there is none or it is malformed.
 func retryAfterOf(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil {
@@ -169,8 +167,8 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// parseBody is the upstream that made a body for a request, with the serial of its attempt; wrong says why it can't be
-// from one.
+// parseBody is the upstream that made a body for a request, with the serial of its attempt. wrong says why no upstream made
+// it, and is empty if one did.
 func parseBody(id uint64, body []byte) (upstream, serial int32, wrong string) {
 	var got uint64
 	if n, err := fmt.Sscanf(string(body), "%x %d %d\n", &got, &upstream, &serial); n != 3 || err != nil || got != id {
--- a/internal/lab/live/front.go
+++ b/internal/lab/live/front.go
@@ -118,7 +118,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.healthy[b] {
-		f.run.record(history.Event{Kind: history.Ready, Balancer: int32(b), Upstream: history.None, Arrival: history.None})
+		f.run.recorder.record(history.Event{Kind: history.Ready, Balancer: int32(b), Upstream: history.None, Arrival: history.None})
 	}
 	f.healthy[b] = true
 	f.wasReady[b] = true
@@ -206,7 +206,7 @@
 	return &clientConn{Conn: c, reader: bufio.NewReader(c)}, nil
 }
 
-// takeIdle takes the idle connection to a balancer that was used last; nil: there is none.
+// takeIdle takes the idle connection to a balancer that was used last. It is nil if there is none.
 func (f *front) takeIdle(b int) *clientConn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -230,7 +230,7 @@
 	if waiting {
 		again := c.lastAnswer
 		again.At = f.run.now()
-		f.run.record(again)
+		f.run.recorder.record(again)
 	}
 	if waiting || ended {
 		c.Close()
@@ -239,7 +239,7 @@
 	return true
 }
 
-// putIdle takes back a connection for other requests. false: it is not kept.
+// putIdle takes back a connection for other requests. It reports whether the connection stays open.
 func (f *front) putIdle(b int, c *clientConn) bool {
 	c.reused = true
 	c.SetReadDeadline(time.Time{})
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -85,7 +85,7 @@
 
 // record records an event of the process.
 func (n *node) record(kind history.Kind, status int, text string) {
-	n.run.record(history.Event{
+	n.run.recorder.record(history.Event{
 		Kind:     kind,
 		Balancer: int32(n.index),
 		Upstream: history.None,
@@ -215,7 +215,7 @@
 	_ = n.terminate(n.exitTimeout()) // its only error says that the process has ended
 }
 
-// kill ends the process at once, whatever it does.
+// kill ends the process with SIGKILL.
 func (n *node) kill() {
 	p, ended, over := n.processState()
 	if over {
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -1,15 +1,13 @@
 // Package live plays a day with real processes of the balancer on loopback addresses. Upstreams, discovery's agents,
-// fronts, clients and the network between them are in this process; only the balancers are not. It records what happened
-// and judges nothing.
+// fronts, clients and the network between them are part of this process. The package records what happens. Package check
+// judges it.
 package live
 
 import (
-	"cmp"
 	"context"
 	"fmt"
 	"os"
 	"path/filepath"
-	"slices"
 	"sync"
 	"syscall"
 	"time"
@@ -20,7 +18,7 @@
 )
 
 const (
-	// startTimeout is how long all balancers together may take to be ready before clients come.
+	// startTimeout is how long all balancers together may take to be ready before the day begins.
 	startTimeout = 30 * time.Second
 	// readyPollInterval is how often the lab looks whether they are.
 	readyPollInterval = 20 * time.Millisecond
@@ -38,18 +36,18 @@
 type Options struct {
 	Command []string // starts a balancer
 	Dir     string   // where it is started
-	Work    string   // folder for configurations, state and logs; it is kept
+	Work    string   // folder for configurations, state and logs; the run does not remove it
 	// Progress is called for each second of the day that has passed. It may be nil.
 	Progress func(at time.Duration)
 }
 
-// Outcome is what a live day leaves.
+// Outcome is the history of a live day and what it cost.
 type Outcome struct {
-	Events   []history.Event
-	Lateness []time.Duration // of arrivals: how much after its time each was begun
-	LabCPU   time.Duration   // of this process
-	NodeCPU  time.Duration   // of all balancers together
-	Crossed  int             // requests that met a connection which had just been closed, and were sent once more
+	Events          []history.Event
+	Lateness        []time.Duration // by arrival: how late each was begun
+	LabCPU          time.Duration   // of this process
+	BalancerCPU     time.Duration   // of all balancers together
+	RetriesOnClosed int             // requests that met a connection which had just been closed, and were sent once more
 }
 
 // run is a day being played.
@@ -60,27 +58,21 @@
 	net          *link.Network
 	base         int // second byte of all addresses
 	arrivals     []day.Arrival
-	serverOrigin time.Time // of the upstreams' own time
-	origin       time.Time // of the day's time: when clients begin to come
-	begun        bool
+	serverOrigin time.Time       // of the upstreams' own time
+	origin       time.Time       // of the day's time: when the first requests are due
+	lateness     []time.Duration // by arrival
+	recorder     *recorder
 
 	registry  *registry
 	upstreams []*upstream
 	nodes     []*node
 	fronts    []*front
-
-	mu         sync.Mutex
-	events     []history.Event
-	serial     int32 // of attempts at upstreams
-	staleConns int
-	lateness   []time.Duration
-	requests   map[uint64]*clientRequest // that clients have sent and upstreams may see
 }
 
 // Play runs a day. It checks what can be known before anything starts. When ctx ends the day is broken off, and nothing
 // is left behind.
 func Play(ctx context.Context, d *day.Day, o Options) (*Outcome, error) {
-	r := &run{day: d, fleet: d.Fleet(), options: o, requests: map[uint64]*clientRequest{}}
+	r := &run{day: d, fleet: d.Fleet(), options: o, recorder: newRecorder()}
 	if err := r.checkLimits(); err != nil {
 		return nil, err
 	}
@@ -108,19 +100,15 @@
 	return r.outcome(labCPU), nil
 }
 
-// outcome gathers what the day leaves, once its processes have ended.
+// outcome gathers the outcome of the day once its processes have ended.
 func (r *run) outcome(labCPU time.Duration) *Outcome {
-	o := &Outcome{LabCPU: labCPU}
+	o := &Outcome{LabCPU: labCPU, Lateness: r.lateness}
+	var zoneEvents []history.Event
 	for _, n := range r.nodes {
-		o.NodeCPU += n.cpuTime
-		r.events = append(r.events, n.zoneEvents(r.origin)...)
+		o.BalancerCPU += n.cpuTime
+		zoneEvents = append(zoneEvents, n.zoneEvents(r.origin)...)
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	slices.SortStableFunc(r.events, func(a, b history.Event) int { return cmp.Compare(a.At, b.At) })
-	o.Events = r.events
-	o.Lateness = r.lateness
-	o.Crossed = r.staleConns
+	o.Events, o.RetriesOnClosed = r.recorder.finish(zoneEvents)
 	return o
 }
 
@@ -150,24 +138,6 @@
 // now is the day's time.
 func (r *run) now() time.Duration { return time.Since(r.origin) }
 
-// record adds an event to the history, with the time if it has none. What happens before the clients come is at 0.
-func (r *run) record(e history.Event) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if e.At == 0 && r.begun {
-		e.At = r.now()
-	}
-	r.events = append(r.events, e)
-}
-
-// nextSerial numbers the attempts that upstreams receive.
-func (r *run) nextSerial() int32 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.serial++
-	return r.serial
-}
-
 // start brings the fleet up and returns when all balancers are ready.
 func (r *run) start(ctx context.Context, s *starter) error {
 	if err := os.MkdirAll(r.options.Work, 0o755); err != nil {
@@ -230,12 +200,10 @@
 	}
 }
 
-// play lets the clients come and the faults happen, until all requests have ended.
+// play sends the clients' requests and applies the faults, until all requests have ended.
 func (r *run) play(ctx context.Context) error {
-	r.mu.Lock()
 	r.origin = time.Now()
-	r.begun = true
-	r.mu.Unlock()
+	r.recorder.begin(r.origin)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var background sync.WaitGroup
@@ -266,7 +234,7 @@
 	}
 }
 
-// stop ends what is still there, whatever happened before.
+// stop ends all processes, connections and listeners that are left.
 func (r *run) stop() {
 	for _, f := range r.fronts {
 		f.close()
--- a/internal/lab/live/upstream.go
+++ b/internal/lab/live/upstream.go
@@ -53,12 +53,12 @@
 // clock is the server's time.
 func (u *upstream) clock() time.Duration { return time.Since(u.run.serverOrigin) }
 
-// start starts the upstream's process; cold: it has to warm up.
-func (u *upstream) start(cold bool) error {
+// start starts the upstream's process, which warms up or is warm from the start.
+func (u *upstream) start(warmsUp bool) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	seed := u.run.day.Seed<<16 + uint64(u.index)
-	u.server = server.New(u.model(), u.run.day.Balancer, seed, u.clock(), cold)
+	u.server = server.New(u.model(), u.run.day.Balancer, seed, u.clock(), warmsUp)
 	u.server.SetFaults(u.faults)
 	if u.listeners != nil {
 		return nil
@@ -120,7 +120,7 @@
 	}
 }
 
-// loadReport is the load report as a header's value; empty: there is none. u.mu is held.
+// loadReport is the load report as a header's value, or empty if there is none. u.mu is held.
 func (u *upstream) loadReport() string {
 	if l, ok := u.server.Load(); ok {
 		return fmt.Sprintf("util=%.3f,eps=%.2f,queue=%.0f", l.Util, l.Errors, l.Queue)
@@ -176,7 +176,7 @@
 		l.Close()
 	}
 	u.run.net.ResetAll(u.party)
-	u.run.record(u.processEvent(history.UpstreamStopped))
+	u.run.recorder.record(u.processEvent(history.UpstreamStopped))
 }
 
 // stopMachine takes the machine off the network. Its connections stay open without an answer.
@@ -185,7 +185,7 @@
 	u.mu.Lock()
 	u.abandonJobs()
 	u.mu.Unlock()
-	u.run.record(u.processEvent(history.UpstreamStopped))
+	u.run.recorder.record(u.processEvent(history.UpstreamStopped))
 }
 
 // abandonJobs ends the server with all that it has in work. u.mu is held.
@@ -193,11 +193,11 @@
 	u.server = nil
 	for job, a := range u.jobs {
 		delete(u.jobs, job)
-		u.run.record(a.event(u, history.Abandoned))
+		u.run.recorder.record(a.event(u, history.Abandoned))
 	}
 }
 
-// restartProcess starts the process again; it warms up.
+// restartProcess starts the process again. It warms up.
 func (u *upstream) restartProcess() {
 	if err := u.start(true); err != nil {
 		return // the address was free a moment ago; discovery's list then leads nowhere
@@ -205,7 +205,7 @@
 	u.announceRestart()
 }
 
-// restartMachine starts the process of a machine that comes back to the network; it warms up.
+// restartMachine reconnects a machine and starts its process again. It warms up.
 func (u *upstream) restartMachine() {
 	if err := u.start(true); err != nil {
 		return // as in restartProcess
@@ -222,7 +222,7 @@
 
 // announceRestart records the start and lets the loop go on.
 func (u *upstream) announceRestart() {
-	u.run.record(u.processEvent(history.UpstreamStarted))
+	u.run.recorder.record(u.processEvent(history.UpstreamStarted))
 	u.wakeLoop()
 }
 
--- a/internal/lab/live/upstreamconn.go
+++ b/internal/lab/live/upstreamconn.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// arrivalEvent is the event of an attempt that has come: taken or turned away.
+// arrivalEvent is the event of an attempt that has arrived. kind says whether it was accepted.
 func (u *upstream) arrivalEvent(a *upstreamAttempt, kind history.Kind) history.Event {
 	event := a.event(u, kind)
 	event.FirstByteAt = a.firstByteAt
@@ -125,7 +125,7 @@
 			_, _ = io.WriteString(c, notFound) // if it fails the next read fails too
 			continue
 		}
-		a := &upstreamAttempt{id: q.id, request: q, balancer: b, serial: u.run.nextSerial(), firstByteAt: firstByteAt, conn: c}
+		a := &upstreamAttempt{id: q.id, request: q, balancer: b, serial: u.run.recorder.nextSerial(), firstByteAt: firstByteAt, conn: c}
 		u.receive(a)
 		if !u.awaitEnd(reader, a) {
 			return
@@ -133,11 +133,12 @@
 	}
 }
 
-// identify is the client's request that a balancer has forwarded; nil: no client sent it like this, which is recorded.
+// identify is the client's request that a balancer has forwarded. It is nil if no client sent it in this form, which is
+// recorded.
 func (u *upstream) identify(request *http.Request, body []byte, b int) *clientRequest {
 	stray := func(format string, args ...any) *clientRequest {
 		text := fmt.Sprintf("%s %s ", request.Method, request.RequestURI) + fmt.Sprintf(format, args...)
-		u.run.record(history.Event{Kind: history.Stray, Arrival: history.None, Balancer: int32(b), Upstream: int32(u.index), Text: text})
+		u.run.recorder.record(history.Event{Kind: history.Stray, Arrival: history.None, Balancer: int32(b), Upstream: int32(u.index), Text: text})
 		return nil
 	}
 	header := request.Header.Get("X-Request-Id")
@@ -145,7 +146,7 @@
 	if err != nil {
 		return stray("with X-Request-Id %q", header)
 	}
-	q := u.run.requestByID(id)
+	q := u.run.recorder.requestByID(id)
 	if q == nil {
 		return stray("with the id %016x", id)
 	}
@@ -164,8 +165,8 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.server == nil { // it has died meanwhile
-		u.run.record(u.arrivalEvent(a, history.Arrived))
-		u.run.record(a.event(u, history.Abandoned))
+		u.run.recorder.record(u.arrivalEvent(a, history.Arrived))
+		u.run.recorder.record(a.event(u, history.Abandoned))
 		a.conn.Reset()
 		return
 	}
@@ -174,14 +175,14 @@
 	a.job = u.lastJob
 	taken, toppled := u.server.Arrive(a.job, arrival.Work, arrival.Wait)
 	if !taken {
-		u.run.record(u.arrivalEvent(a, history.Rejected))
+		u.run.recorder.record(u.arrivalEvent(a, history.Rejected))
 		go u.reply(a, http.StatusServiceUnavailable, u.loadReport())
 		return
 	}
 	u.jobs[a.job] = a
-	u.run.record(u.arrivalEvent(a, history.Arrived))
+	u.run.recorder.record(u.arrivalEvent(a, history.Arrived))
 	if toppled {
-		u.run.record(u.processEvent(history.Collapsed))
+		u.run.recorder.record(u.processEvent(history.Collapsed))
 	}
 	u.wakeLoop()
 }
@@ -198,7 +199,7 @@
 			u.advance()
 			u.server.Cancel(a.job)
 		}
-		u.run.record(a.event(u, history.Abandoned))
+		u.run.recorder.record(a.event(u, history.Abandoned))
 	}
 	return err == nil
 }
@@ -216,10 +217,10 @@
 		fmt.Fprintf(&message, "X-Load: %s\r\n", loadReport)
 	}
 	fmt.Fprintf(&message, "Content-Length: %d\r\n\r\n%s", len(body), body)
-	if !rejected { // a rejection is recorded as turned away
+	if !rejected { // a rejection has an event of its own
 		event := a.event(u, history.Replied)
 		event.Status = int16(status)
-		u.run.record(event)
+		u.run.recorder.record(event)
 	}
 	a.conn.SetReadDeadline(time.Now().Add(u.run.day.Balancer.KeepAlive.D()))
 	_, _ = a.conn.Write(message.Bytes()) // if it fails the reader of the connection sees its end
--- a/internal/lab/model/pool.go
+++ b/internal/lab/model/pool.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 )
 
-// parallelThreshold is how many actors must have something to do before it is worth waking other workers.
+// parallelThreshold is how many actors must have something to do before other workers are woken.
 const parallelThreshold = 8
 
 // pool is a number of workers that share the actors of a step.
@@ -15,7 +15,7 @@
 	workers sync.WaitGroup
 }
 
-// newPool starts a pool of size workers; the caller of each is one of them.
+// newPool starts a pool of size workers. The goroutine that calls each is one of them.
 func newPool(size int) *pool {
 	p := &pool{size: size, jobs: make(chan func())}
 	for range size - 1 {
--- a/internal/lab/model/requests.go
+++ b/internal/lab/model/requests.go
@@ -31,7 +31,15 @@
 	ended     bool // the module has its outcome
 }
 
-// pendingOutcome is an outcome that is known but not yet delivered, as it came up inside a call of the module.
+// requestTable is a node's requests that have not ended.
+type requestTable struct {
+	requests    map[balancer.RequestID]*openRequest
+	byClientID  map[uint64]*openRequest
+	lastRequest balancer.RequestID
+	pending     []pendingOutcome // in the order in which they are delivered
+}
+
+// pendingOutcome is an outcome that is known but not yet delivered, because it arose inside a call of the module.
 type pendingOutcome struct {
 	attempt *upstreamAttempt
 	status  balancer.Status
@@ -156,8 +164,8 @@
 	n.send(n.sim.servers[a.upstream], message{kind: msgAttempt, id: a.request.client.id, number: a.number, request: a.request.client})
 }
 
-// endAttempt ends an attempt without a reply. If it was never written its status is NotSent, whatever the reason; if it
-// was, its connection is closed.
+// endAttempt ends an attempt without a reply. If it was written, its connection is closed. Otherwise its status is NotSent
+// in place of the given one.
 func (n *node) endAttempt(a *upstreamAttempt, status balancer.Status) {
 	if a.ended {
 		return
@@ -207,7 +215,7 @@
 	n.module.OnAttemptResult(n.clock(), result)
 }
 
-// deliverOutcomes delivers the outcomes that came up inside calls of the module.
+// deliverOutcomes delivers the outcomes that arose inside calls of the module.
 func (n *node) deliverOutcomes() {
 	for len(n.pending) > 0 {
 		next := n.pending[0]
--- a/internal/lab/model/sim.go
+++ b/internal/lab/model/sim.go
@@ -1,11 +1,11 @@
-// Package model plays a day in virtual time: the decision module itself for every balancer, the same emulated upstreams
-// and clients as the live engine, and no sockets. It is for fleets that no machine holds.
+// Package model plays a day in virtual time. Each balancer is the decision module itself. Upstreams and clients are those of
+// the live engine. There are no sockets, so that a fleet may be larger than any machine could run.
 //
-// Every party is an actor with a queue of its own. Actors touch nothing of each other's; they send messages, and none
-// takes less than the shortest delay of the day's network. So all that is due within that delay from now can be handled
-// in any order, on any number of workers, and the history is the same to the byte: an actor handles its messages by
-// time, then sender, then the order in which they were sent. Between such steps, on one goroutine, the timetable of
-// faults changes the network.
+// Each party is an actor with its own queue. Actors share no state and only send messages to each other. No message takes
+// less than the shortest delay of the day's network. Therefore messages that are due within that delay from now can't
+// affect each other across actors, and workers handle them in parallel. Each actor handles its messages in order of time,
+// then of sender, then of sending. So the history is the same, byte for byte, with any number of workers. Between such
+// steps, a single goroutine applies the timetable of faults.
 package model
 
 import (
@@ -137,13 +137,13 @@
 // run plays the day, a step at a time.
 func (s *sim) run(ctx context.Context, o Options) error {
 	changes, _ := s.day.Timetable()
-	over := s.day.Length.D() + s.day.MaxDeadline() + dayTail
-	reported := time.Duration(0)
+	end := s.day.Length.D() + s.day.MaxDeadline() + dayTail
+	progress := progressReporter{report: o.Progress, length: s.day.Length.D()}
 	workers := newPool(max(1, o.Workers))
 	defer workers.close()
 	var batch []*actor
 	for len(s.queue) > 0 || len(changes) > 0 {
-		at := over
+		at := end
 		if len(s.queue) > 0 {
 			at = s.queue[0].queue[0].at
 		}
@@ -152,32 +152,50 @@
 			changes = changes[1:]
 			continue
 		}
-		if at >= over {
+		if at >= end {
 			return nil
 		}
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		if second := at.Truncate(time.Second); o.Progress != nil && second > reported {
-			reported = second
-			o.Progress(min(reported, s.day.Length.D()))
-		}
+		progress.advanceTo(at)
 		until := at + s.minDelay
 		if len(changes) > 0 {
 			until = min(until, changes[0].At)
 		}
 		batch = s.takeDue(batch[:0], until)
-		workers.each(batch, func(a *actor) { a.handleUntil(until) })
-		for _, a := range batch {
-			s.deliver(a)
-		}
-		for _, a := range batch {
-			s.schedule(a)
-		}
+		s.step(workers, batch, until)
 	}
 	return nil
 }
 
+// step has the actors of a batch handle what is due before a time, and then delivers what they sent.
+func (s *sim) step(workers *pool, batch []*actor, until time.Duration) {
+	workers.each(batch, func(a *actor) { a.handleUntil(until) })
+	for _, a := range batch {
+		s.deliver(a)
+	}
+	for _, a := range batch {
+		s.schedule(a)
+	}
+}
+
+// progressReporter calls Options.Progress once for each second of the day that has passed.
+type progressReporter struct {
+	report   func(at time.Duration) // may be nil
+	length   time.Duration          // of the day
+	reported time.Duration          // whole seconds
+}
+
+func (p *progressReporter) advanceTo(at time.Duration) {
+	second := at.Truncate(time.Second)
+	if p.report == nil || second <= p.reported {
+		return
+	}
+	p.reported = second
+	p.report(min(second, p.length))
+}
+
 // takeDue takes off the queue the actors that have a message due before a time, and appends them to batch.
 func (s *sim) takeDue(batch []*actor, until time.Duration) []*actor {
 	for len(s.queue) > 0 && s.queue[0].queue[0].at < until {
@@ -227,7 +245,7 @@
 		if fault.Kind == day.LinkReset {
 			targets = s.nodes
 		}
-		s.releaseHeld(c.At)
+		s.releaseBlocked(c.At)
 	case day.OnUpstreams:
 		targets = pickActors(s.servers, hit.Targets)
 		s.announceUpdate(c, fault, hit)
@@ -251,14 +269,14 @@
 	return picked
 }
 
-// announceUpdate sends every balancer's agent the effect of a fault on the endpoint list, when discovery learns of it.
+// announceUpdate sends every balancer's agent the effect of a fault on the endpoint list, when discovery notices it.
 func (s *sim) announceUpdate(c day.Change, fault day.Fault, hit day.Hit) {
-	phase, delay, cold := s.day.EndpointPhase(fault, c.Transition)
+	phase, delay, warmsUp := s.day.EndpointPhase(fault, c.Transition)
 	if phase == "" {
 		return
 	}
 	update := &endpointUpdate{upstreams: hit.Targets, phase: phase}
-	if cold {
+	if warmsUp {
 		update.startedAt = c.At
 	}
 	for _, a := range s.nodes {
@@ -268,17 +286,17 @@
 	}
 }
 
-// releaseHeld sends the messages that were held on links which are up again.
-func (s *sim) releaseHeld(now time.Duration) {
+// releaseBlocked sends the messages that waited for links which are up again.
+func (s *sim) releaseBlocked(now time.Duration) {
 	for _, a := range s.actors {
-		held := a.held
-		a.held = nil
-		if len(held) == 0 {
+		blocked := a.blocked
+		a.blocked = nil
+		if len(blocked) == 0 {
 			continue
 		}
 		a.now = max(a.now, now)
-		for _, h := range held {
-			a.send(h.to, h.m)
+		for _, b := range blocked {
+			a.send(b.to, b.m)
 		}
 		s.deliver(a)
 	}
