--- a/balancer/request.go
+++ b/balancer/request.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// mayAttempt reports whether r may have an attempt, first or retry, at e. No other code decides this.
+// mayAttempt reports whether r may have an attempt, first or retry, at e. No other code of this package decides this.
 func (b *Balancer) mayAttempt(r *request, e *endpoint, now time.Duration) bool {
 	if r.finished || now >= r.deadline || e.State != Active {
 		return false
@@ -41,8 +41,8 @@
 	return true
 }
 
-// mayReject reports whether a rejection, which promises that a retry is harmless, may be the answer. No other code decides
-// this.
+// mayReject reports whether a rejection, which promises that a retry is harmless, may be the answer. No other code of this
+// package decides this.
 func (b *Balancer) mayReject(r *request) bool {
 	if r.class.Idempotency == Idempotent {
 		return true
