--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -125,7 +125,7 @@
 	if now-b.periodStartedAt >= bandPeriod {
 		b.closePeriod(now)
 	}
-	for _, e := range b.fleet.subset {
+	for _, e := range b.fleet.tracked {
 		b.detectUnresponsive(e, now)
 		b.requestHealthCheck(e, now)
 	}
@@ -135,7 +135,7 @@
 
 // closePeriod ends a band period: it adjusts traffic shares and recomputes everything that is computed once a period.
 func (b *Balancer) closePeriod(now time.Duration) {
-	for _, e := range b.fleet.subset {
+	for _, e := range b.fleet.tracked {
 		b.integrateBand(e, now)
 		e.work.closePeriod()
 	}
--- a/balancer/bands.go
+++ b/balancer/bands.go
@@ -56,7 +56,7 @@
 func (f *fleetState) adjustShares() {
 	median := f.valueAbove(2, func(e *endpoint) float64 { return e.utilization.area })
 	threshold := max(minAreaThreshold, areaThresholdRatio*median)
-	for _, e := range f.subset {
+	for _, e := range f.tracked {
 		if e.utilization.readings >= bandWindowReadings/2 && e.utilization.area > threshold {
 			e.shareFactor = max(minShareFactor, e.shareFactor*max(minCutFactor, threshold/e.utilization.area))
 		} else {
@@ -77,8 +77,8 @@
 // warming endpoints must not jump with it.
 func (f *fleetState) estimateWorkPerWeight() {
 	var work, weight, most float64
-	for _, e := range f.subset {
-		if !e.inSubset || !e.isUsable() || e.slowStart.active || e.work.mean == 0 {
+	for e := range f.inUse() {
+		if !e.isUsable() || e.slowStart.active || e.work.mean == 0 {
 			continue
 		}
 		capable := e.work.mean / min(max(cmp.Or(e.utilization.mean, 1), minExcessUtilization), 1)
--- a/balancer/fleet.go
+++ b/balancer/fleet.go
@@ -1,6 +1,7 @@
 package balancer
 
 import (
+	"iter"
 	"slices"
 
 	"sprucehill/internal/stats"
@@ -11,7 +12,7 @@
 	size         FleetSize // of the balancers
 	byID         map[EndpointID]*endpoint
 	endpoints    []*endpoint // in order of arrival
-	subset       []*endpoint // those in use, and what has left the subset with attempts in flight
+	tracked      []*endpoint // those in use, and others that still have attempts in flight
 	zones        []*zone     // in order of arrival
 	stats        fleetStats
 	initialLimit float64 // an endpoint's concurrency limit before anything is known of it, attempts
@@ -25,6 +26,17 @@
 	baselineLatency  float64 // the lower quartile of the endpoints', ns
 }
 
+// inUse yields the endpoints that get traffic: those of the subset, in order of arrival.
+func (f *fleetState) inUse() iter.Seq[*endpoint] {
+	return func(yield func(*endpoint) bool) {
+		for _, e := range f.tracked {
+			if e.inSubset && !yield(e) {
+				return
+			}
+		}
+	}
+}
+
 // forgetRemoved drops endpoints that are removed and have no attempt in flight.
 func (f *fleetState) forgetRemoved() {
 	f.endpoints = slices.DeleteFunc(f.endpoints, func(e *endpoint) bool {
@@ -38,9 +50,9 @@
 
 // valueAbove is the value over one in n of the endpoints that have readings: the median for n = 2.
 func (f *fleetState) valueAbove(n int, value func(*endpoint) float64) float64 {
-	samples := make([]float64, 0, len(f.subset)+1)
-	for _, e := range f.subset {
-		if e.inSubset && e.utilization.readings > 0 {
+	samples := make([]float64, 0, len(f.tracked)+1)
+	for e := range f.inUse() {
+		if e.utilization.readings > 0 {
 			samples = append(samples, value(e))
 		}
 	}
--- a/balancer/limit.go
+++ b/balancer/limit.go
@@ -93,7 +93,7 @@
 // raiseLimitCeilings sets how far each limit may grow in the next period: to twice its present value. Load reports show
 // the effect of a higher limit only after a period.
 func (f *fleetState) raiseLimitCeilings() {
-	for _, e := range f.subset {
+	for _, e := range f.tracked {
 		e.limit.ceiling = max(2*e.limit.current, initialFleetLimitAttempts)
 	}
 }
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -125,8 +125,8 @@
 		return
 	}
 	missed := false
-	for _, e := range b.fleet.subset {
-		if e.inSubset && e.Zone == b.settings.Zone && e.nextTurn < best.nextTurn {
+	for e := range b.fleet.inUse() {
+		if e.Zone == b.settings.Zone && e.nextTurn < best.nextTurn {
 			e.limit.missedTurnAt = now
 			missed = true
 		}
--- a/balancer/locality_test.go
+++ b/balancer/locality_test.go
@@ -139,15 +139,15 @@
 		}
 		b, _ := newTestBalancer(t, settings, list)
 		local := 0
-		for _, e := range b.fleet.subset {
+		for _, e := range b.fleet.tracked {
 			if e.Zone == "a" {
 				local++
 			}
 		}
 		locality := b.locality.localShare > 0
-		if locality != test.wantLocality || len(b.fleet.subset) == 0 {
+		if locality != test.wantLocality || len(b.fleet.tracked) == 0 {
 			t.Errorf("%+v: %d endpoints in use, %d of them local, local share %.2f",
-				test, len(b.fleet.subset), local, b.locality.localShare)
+				test, len(b.fleet.tracked), local, b.locality.localShare)
 		}
 	}
 }
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -31,10 +31,7 @@
 
 // selectEndpoint is the eligible endpoint whose turn is due first, and the sum of all traffic shares.
 func (b *Balancer) selectEndpoint(r *request, now time.Duration) (best *endpoint, shares float64, permitted bool) {
-	for _, e := range b.fleet.subset {
-		if !e.inSubset {
-			continue
-		}
+	for e := range b.fleet.inUse() {
 		shares += b.trafficShare(e, now)
 		if !b.mayAttempt(r, e, now) {
 			continue
@@ -86,8 +83,8 @@
 	if blocked < wait {
 		return nil
 	}
-	for _, e := range b.fleet.subset {
-		if !e.inSubset || !e.zone.inUse() || !b.mayAttempt(r, e, now) || !b.canAnswerInTime(e, r, now) {
+	for e := range b.fleet.inUse() {
+		if !e.zone.inUse() || !b.mayAttempt(r, e, now) || !b.canAnswerInTime(e, r, now) {
 			continue
 		}
 		if (best == nil || e.outlier.nextTrialAt < best.outlier.nextTrialAt) && b.fitsSlowStart(e, r, now) {
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -57,13 +57,13 @@
 		RegionShare:      b.locality.regionShare,
 		WorkPerWeight:    b.fleet.stats.workPerWeight,
 		MaxWorkPerWeight: b.fleet.stats.maxWorkPerWeight,
-		Endpoints:        make([]EndpointStats, 0, len(b.fleet.subset)),
+		Endpoints:        make([]EndpointStats, 0, len(b.fleet.tracked)),
 	}
 	for name, c := range b.clients.classes {
 		snapshot.ClassLatency[name] = c.latency
 	}
-	for _, e := range b.fleet.subset {
-		if e.State != Removed && e.inSubset {
+	for e := range b.fleet.inUse() {
+		if e.State != Removed {
 			snapshot.Endpoints = append(snapshot.Endpoints, e.stats())
 		}
 	}
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -35,8 +35,8 @@
 // known.
 func (b *Balancer) ZoneStatuses(now time.Duration) []ZoneStatus {
 	shares, total := map[*zone]float64{}, 0.0
-	for _, e := range b.fleet.subset {
-		if e.inSubset && e.zone.inUse() {
+	for e := range b.fleet.inUse() {
+		if e.zone.inUse() {
 			share := b.trafficShare(e, now)
 			shares[e.zone] += share
 			total += share
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -26,14 +26,14 @@
 	b.fleet.initialLimit = initialFleetLimitAttempts * max(count, 1) / wanted / float64(b.fleet.size.MaxBalancers)
 	_, place := math.Modf(float64(b.fleet.size.Rank) * math.Phi)
 	chosen := chooseStretch(b.localFirst(active, place, wanted), wanted)
-	b.fleet.subset = b.fleet.subset[:0]
+	b.fleet.tracked = b.fleet.tracked[:0]
 	for _, e := range b.fleet.endpoints {
 		if chosen[e] && !e.inSubset {
 			b.joinSubset(e, wanted, now)
 		}
 		e.inSubset = chosen[e]
 		if e.inSubset || len(e.attempts) > 0 {
-			b.fleet.subset = append(b.fleet.subset, e)
+			b.fleet.tracked = append(b.fleet.tracked, e)
 		}
 	}
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -24,11 +24,11 @@
 			settings.Rank = rank
 			settings.Zone = []string{"near", "far"}[rank%2]
 			b, _ := newTestBalancer(t, settings, fleet(test.endpoints))
-			size := len(b.fleet.subset)
+			size := len(b.fleet.tracked)
 			if size < test.least || size > test.most {
 				t.Fatalf("%+v: a balancer uses %d endpoints", test, size)
 			}
-			for _, e := range b.fleet.subset {
+			for _, e := range b.fleet.tracked {
 				users[e.ID]++
 			}
 		}
@@ -83,24 +83,24 @@
 	settings := testSettings()
 	settings.Balancers = 40
 	b, _ := newTestBalancer(t, settings, fleet(40))
-	before := slices.Clone(b.fleet.subset)
+	before := slices.Clone(b.fleet.tracked)
 	before[0].outlier.unresponsive = true
 	before[1].slowStart.active = true
 	before[1].slowStart.since = time.Hour
 	b.rebuildSubset(time.Hour)
-	if len(b.fleet.subset) != len(before)+2 {
-		t.Errorf("%d endpoints in use, then %d with one unresponsive and one warming up", len(before), len(b.fleet.subset))
+	if len(b.fleet.tracked) != len(before)+2 {
+		t.Errorf("%d endpoints in use, then %d with one unresponsive and one warming up", len(before), len(b.fleet.tracked))
 	}
 	draining := before[2].Endpoint
 	draining.State = Draining
 	b.OnEndpointUpdate(time.Hour, UpdateDelta, []Endpoint{draining})
-	if before[2].inSubset || len(b.fleet.subset) != len(before)+2 {
-		t.Errorf("a draining endpoint was not replaced: %d in use", len(b.fleet.subset))
+	if before[2].inSubset || len(b.fleet.tracked) != len(before)+2 {
+		t.Errorf("a draining endpoint was not replaced: %d in use", len(b.fleet.tracked))
 	}
 	before[0].outlier.unresponsive = false
 	before[1].slowStart.active = false
 	b.rebuildSubset(time.Hour)
-	if len(b.fleet.subset) != len(before) {
-		t.Errorf("%d in use after the others recovered, %d at first", len(b.fleet.subset), len(before))
+	if len(b.fleet.tracked) != len(before) {
+		t.Errorf("%d in use after the others recovered, %d at first", len(b.fleet.tracked), len(before))
 	}
 }
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -99,8 +99,8 @@
 		e.zone.listed++
 	}
 	b.fleet.zones = slices.DeleteFunc(b.fleet.zones, func(z *zone) bool { return z.listed == 0 && z.name != b.settings.Zone && !z.drained })
-	for _, e := range b.fleet.subset {
-		if !e.inSubset || !e.isUsable() {
+	for e := range b.fleet.inUse() {
+		if !e.isUsable() {
 			continue
 		}
 		capacity := b.trafficShare(e, now) / e.zone.localityWeight
@@ -152,20 +152,18 @@
 	for _, z := range b.fleet.zones {
 		z.health.resetEvidence()
 	}
-	for _, e := range b.fleet.subset {
-		if e.inSubset {
-			members++
-			weight += e.weight
-			b.countEndpoint(e, now)
-		}
+	for e := range b.fleet.inUse() {
+		members++
+		weight += e.weight
+		b.countEndpoint(e, now)
 	}
 	return members, weight
 }
 
 // weightOutside is the weight of all usable endpoints outside a zone.
 func (f *fleetState) weightOutside(z *zone) (weight float64) {
-	for _, e := range f.subset {
-		if e.inSubset && e.zone != z && e.isUsable() {
+	for e := range f.inUse() {
+		if e.zone != z && e.isUsable() {
 			weight += e.weight
 		}
 	}
--- a/balancer/zonehealth.go
+++ b/balancer/zonehealth.go
@@ -93,7 +93,7 @@
 
 // ejectOverdue marks the overdue endpoints of a zone as unresponsive.
 func (b *Balancer) ejectOverdue(z *zone, now time.Duration) {
-	for _, e := range slices.Clone(b.fleet.subset) {
+	for _, e := range slices.Clone(b.fleet.tracked) {
 		if e.zone == z && !e.outlier.unresponsive && b.isOverdue(e, now) {
 			z.health.unhealthy++
 			z.health.overdue--
