--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -9,7 +9,7 @@
 // Regression: the queue is looked at once a tick, so a request with a short timeout was queued past its deadline.
 func TestShortTimeoutIsRejectedImmediately(t *testing.T) {
 	b, effects := newTestBalancer(t, testSettings(), fleet(1))
-	b.fleet.endpoints[0].limit.pausedUntil = 2 * time.Hour
+	b.endpoints.known[0].limit.pausedUntil = 2 * time.Hour
 	b.OnRequest(time.Hour, Request{ID: 1, Class: "write", Timeout: 10 * ms})
 	if effects.count("refuse id=1") != 1 {
 		t.Errorf("not rejected immediately: %v", effects.calls)
@@ -76,7 +76,7 @@
 		serve("write", 40*ms)
 	}
 	now = 2 * time.Hour
-	b.fleet.endpoints[0].limit.pausedUntil = now + time.Minute
+	b.endpoints.known[0].limit.pausedUntil = now + time.Minute
 	b.OnRequest(now, Request{ID: 1000, Class: "write", Timeout: time.Second})
 	r := b.requests[1000]
 	if r == nil || !r.queued || r.workUnits > 0.5 {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -18,7 +18,8 @@
 	requests  map[RequestID]*request
 	queue     requestQueue
 	blocking  blockingTimes
-	fleet     fleetState
+	endpoints endpointSet
+	balancers FleetSize // how many balancers there are, and which of them this one is
 	turns     turnOrder
 	means     trafficMeans
 	locality  locality
@@ -69,7 +70,7 @@
 		clients:         newClientTable(settings, now),
 		requests:        map[RequestID]*request{},
 		blocking:        blockingTimes{saturatedAt: now, lastAttemptAt: now},
-		fleet:           fleetState{byID: map[EndpointID]*endpoint{}},
+		endpoints:       endpointSet{byID: map[EndpointID]*endpoint{}},
 	}
 	b.OnFleetSizeChanged(now, FleetSize{settings.Balancers, settings.Rank, settings.Balancers})
 	b.setTiming(settings.shortestObjective())
@@ -104,13 +105,13 @@
 
 // OnFleetSizeChanged sets the number of balancers from now on. Counters and measurements stay.
 func (b *Balancer) OnFleetSizeChanged(now time.Duration, size FleetSize) {
-	b.fleet.size = FleetSize{
+	b.balancers = FleetSize{
 		Balancers:    max(size.Balancers, 1),
 		Rank:         max(size.Rank, 0),
 		MaxBalancers: max(size.MaxBalancers, size.Balancers, 1),
 	}
 	for _, t := range b.settings.Tenants {
-		b.clients.tenants[t.Name].rate = t.Quota / float64(b.fleet.size.MaxBalancers)
+		b.clients.tenants[t.Name].rate = t.Quota / float64(b.balancers.MaxBalancers)
 	}
 	b.rebuildSubset(now)
 }
@@ -125,7 +126,7 @@
 	if now-b.periodStartedAt >= bandPeriod {
 		b.closePeriod(now)
 	}
-	for _, e := range b.fleet.tracked {
+	for _, e := range b.endpoints.tracked {
 		b.detectUnresponsive(e, now)
 		b.requestHealthCheck(e, now)
 	}
@@ -135,19 +136,19 @@
 
 // closePeriod ends a band period: it adjusts traffic shares and recomputes everything that is computed once a period.
 func (b *Balancer) closePeriod(now time.Duration) {
-	for _, e := range b.fleet.tracked {
+	for _, e := range b.endpoints.tracked {
 		b.integrateBand(e, now)
 		e.work.closePeriod()
 	}
-	b.fleet.adjustShares()
-	b.fleet.raiseLimitCeilings()
+	b.endpoints.adjustShares()
+	b.endpoints.raiseLimitCeilings()
 	b.periodStartedAt = now
-	b.fleet.updateStats()
-	b.fleet.forgetRemoved()
+	b.endpoints.updateStats()
+	b.endpoints.forgetRemoved()
 	b.rebuildSubset(now)
 	b.updateLocality(now)
 	b.advanceRecovery()
-	b.fleet.estimateWorkPerWeight()
+	b.endpoints.estimateWorkPerWeight()
 }
 
 // requestHealthCheck asks for an endpoint's load report once a period, where reports come with health checks.
@@ -162,7 +163,7 @@
 // OnHealthCheckResult takes a health check's result: a reading only, since a process that answers it may serve nothing
 // else.
 func (b *Balancer) OnHealthCheckResult(now time.Duration, result HealthCheckResult) {
-	e := b.fleet.byID[result.Endpoint]
+	e := b.endpoints.byID[result.Endpoint]
 	if e != nil && result.Status == OK {
 		b.recordUtilization(e, result.Load.clean(), 0, now)
 	}
@@ -180,7 +181,7 @@
 		listed[entry.ID] = true
 		b.applyEndpoint(entry.clean(), now)
 	}
-	for _, e := range b.fleet.endpoints {
+	for _, e := range b.endpoints.known {
 		if mode != UpdateDelta && !listed[e.ID] {
 			e.State = Removed
 		}
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -72,7 +72,7 @@
 		b.OnTimer(now, tickToken)
 		b.OnTimer(now, unknownToken)
 	}
-	for _, e := range b.fleet.endpoints {
+	for _, e := range b.endpoints.known {
 		for name, value := range map[string]float64{
 			"mean utilization":      e.utilization.mean,
 			"utilization deviation": e.utilization.deviation,
@@ -144,8 +144,8 @@
 		}
 	}
 	b.OnTimer(now+2*time.Second, tickToken)
-	if len(b.requests)+len(b.queue) > 0 || len(b.fleet.endpoints) != 4 || len(b.fleet.byID) != 4 {
-		t.Errorf("%d requests, %d of them queued, and %d endpoints remain", len(b.requests), len(b.queue), len(b.fleet.endpoints))
+	if len(b.requests)+len(b.queue) > 0 || len(b.endpoints.known) != 4 || len(b.endpoints.byID) != 4 {
+		t.Errorf("%d requests, %d of them queued, and %d endpoints remain", len(b.requests), len(b.queue), len(b.endpoints.known))
 	}
 }
 
--- a/balancer/bands.go
+++ b/balancer/bands.go
@@ -45,7 +45,7 @@
 // with their mean over the fleet's utilization. The mean counts because readings at constant full load do not deviate.
 func (b *Balancer) integrateBand(e *endpoint, now time.Duration) {
 	u := &e.utilization
-	excess := max(0, u.mean-max(minExcessUtilization, b.fleet.stats.utilization))
+	excess := max(0, u.mean-max(minExcessUtilization, b.endpoints.stats.utilization))
 	gap := 2 * bandWidthDeviations * (u.deviation + excess)
 	u.area += gap * (now - u.integratedAt).Seconds() / bandPeriod.Seconds()
 	u.integratedAt = now
@@ -53,10 +53,10 @@
 
 // adjustShares cuts the traffic shares of saturated endpoints and lets the others grow back, both in steps. The threshold
 // follows the fleet's median: a rise on all endpoints cuts none.
-func (f *fleetState) adjustShares() {
-	median := f.valueAbove(2, func(e *endpoint) float64 { return e.utilization.area })
+func (s *endpointSet) adjustShares() {
+	median := s.valueAbove(2, func(e *endpoint) float64 { return e.utilization.area })
 	threshold := max(minAreaThreshold, areaThresholdRatio*median)
-	for _, e := range f.tracked {
+	for _, e := range s.tracked {
 		if e.utilization.readings >= bandWindowReadings/2 && e.utilization.area > threshold {
 			e.shareFactor = max(minShareFactor, e.shareFactor*max(minCutFactor, threshold/e.utilization.area))
 		} else {
@@ -67,17 +67,17 @@
 }
 
 // updateStats computes the statistics of the subset at the end of a period.
-func (f *fleetState) updateStats() {
-	f.stats.utilization = f.valueAbove(2, func(e *endpoint) float64 { return e.utilization.mean })
-	f.stats.baselineLatency = f.valueAbove(4, func(e *endpoint) float64 { return e.latency.baseline })
+func (s *endpointSet) updateStats() {
+	s.stats.utilization = s.valueAbove(2, func(e *endpoint) float64 { return e.utilization.mean })
+	s.stats.baselineLatency = s.valueAbove(4, func(e *endpoint) float64 { return e.latency.baseline })
 }
 
 // estimateWorkPerWeight estimates the work that warm endpoints could do for a unit of weight at full utilization. Budgets of
 // slow start are derived from it. It goes by the present zone weights: when a zone's weight jumps, the budgets of its
 // warming endpoints must not jump with it.
-func (f *fleetState) estimateWorkPerWeight() {
+func (s *endpointSet) estimateWorkPerWeight() {
 	var work, weight, most float64
-	for e := range f.inUse() {
+	for e := range s.inUse() {
 		if !e.isUsable() || e.slowStart.active || e.work.mean == 0 {
 			continue
 		}
@@ -86,6 +86,6 @@
 		most = max(most, capable/e.weight)
 		weight += e.weight * e.zone.shareFactor()
 	}
-	f.stats.workPerWeight = cmp.Or(work/max(weight, math.SmallestNonzeroFloat32), f.stats.workPerWeight)
-	f.stats.maxWorkPerWeight = cmp.Or(most, f.stats.maxWorkPerWeight)
+	s.stats.workPerWeight = cmp.Or(work/max(weight, math.SmallestNonzeroFloat32), s.stats.workPerWeight)
+	s.stats.maxWorkPerWeight = cmp.Or(most, s.stats.maxWorkPerWeight)
 }
--- a/balancer/bands_test.go
+++ b/balancer/bands_test.go
@@ -19,7 +19,7 @@
 // The area counts the time between readings, not their number.
 func TestBandAreaIsIntegratedOverTime(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(1))
-	e := b.fleet.endpoints[0]
+	e := b.endpoints.known[0]
 	e.utilization.deviation = 0.1
 	e.utilization.mean = 0.3
 	e.utilization.integratedAt = time.Hour
@@ -34,10 +34,10 @@
 // An endpoint that is pinned at full load has a flat band: its level alone cuts its share.
 func TestShareOfPinnedEndpointIsCutGraduallyAndRegrows(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(3))
-	pinned, other := b.fleet.endpoints[0], b.fleet.endpoints[1]
+	pinned, other := b.endpoints.known[0], b.endpoints.known[1]
 	runPinned := func(periods int) {
 		for range periods {
-			for _, e := range b.fleet.endpoints {
+			for _, e := range b.endpoints.known {
 				setUtilization(e, bandWindowReadings, 0.3)
 			}
 			pinned.utilization.mean = 1
@@ -66,13 +66,13 @@
 func TestFleetWideUtilizationRiseCutsNoShare(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(4))
 	for range 10 {
-		for _, e := range b.fleet.endpoints {
+		for _, e := range b.endpoints.known {
 			setUtilization(e, bandWindowReadings, 0.95)
 			e.utilization.deviation = 0.2
 		}
 		b.closePeriod(b.periodStartedAt + bandPeriod)
 	}
-	for _, e := range b.fleet.endpoints {
+	for _, e := range b.endpoints.known {
 		if e.shareFactor != 1 {
 			t.Errorf("endpoint %d has share factor %v, want 1", e.ID, e.shareFactor)
 		}
@@ -81,7 +81,7 @@
 
 func TestRepeatedLoadReportIsNotCountedAsReading(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(1))
-	e := b.fleet.endpoints[0]
+	e := b.endpoints.known[0]
 	for i, utilization := range []float64{0.5, 0.5, 0.6, 0.6, 0.5} {
 		report := LoadReport{Fields: HasUtilization, Utilization: utilization}
 		b.recordUtilization(e, report, 0, time.Hour+time.Duration(i)*ms)
@@ -109,7 +109,7 @@
 			settings := testSettings()
 			settings.Reports = test.source
 			b, _ := newTestBalancer(t, settings, fleet(1))
-			e := b.fleet.endpoints[0]
+			e := b.endpoints.known[0]
 			b.recordUtilization(e, test.report, test.objectiveShare, time.Hour)
 			if !approximately(e.utilization.mean, test.want) {
 				t.Errorf("reading %v, want %v", e.utilization.mean, test.want)
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -36,7 +36,7 @@
 
 // applyEndpoint applies one entry of a list.
 func (b *Balancer) applyEndpoint(entry Endpoint, now time.Duration) {
-	e := b.fleet.byID[entry.ID]
+	e := b.endpoints.byID[entry.ID]
 	if e == nil {
 		if entry.State == Removed {
 			return
@@ -52,7 +52,7 @@
 		}
 	}
 	e.Endpoint = entry
-	e.zone = b.fleet.zoneNamed(entry.Zone)
+	e.zone = b.endpoints.zoneNamed(entry.Zone)
 	weight := entry.Weight
 	if b.settings.Weights == WeightLive { // late, and the same for all balancers: following it at once would oscillate
 		weight = e.weight + smoothingFactor*(entry.Weight-e.weight)
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -30,8 +30,8 @@
 	if effects.count("watch") != 2 {
 		t.Error("did not subscribe again")
 	}
-	if len(b.fleet.endpoints) != 1 {
-		t.Errorf("%d endpoints after failed calls, want 1", len(b.fleet.endpoints))
+	if len(b.endpoints.known) != 1 {
+		t.Errorf("%d endpoints after failed calls, want 1", len(b.endpoints.known))
 	}
 }
 
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -119,8 +119,8 @@
 	e.slowStart.budget.At = now
 	e.outlier.backoff = b.tick
 	e.outlier.respondedAt = now
-	b.fleet.byID[entry.ID] = e
-	b.fleet.endpoints = append(b.fleet.endpoints, e)
+	b.endpoints.byID[entry.ID] = e
+	b.endpoints.known = append(b.endpoints.known, e)
 	return e
 }
 
@@ -145,7 +145,7 @@
 // joinSubset prepares an endpoint that comes into use. Its first turn is drawn, so that balancers do not act in step.
 func (b *Balancer) joinSubset(e *endpoint, wanted float64, now time.Duration) {
 	first := b.rng.Float64()
-	e.limit.current = cmp.Or(e.limit.current, b.fleet.initialLimit)
+	e.limit.current = cmp.Or(e.limit.current, b.endpoints.initialLimit)
 	e.utilization.integratedAt = now
 	e.nextTurn = b.turns.virtualTime + first*wanted
 	e.limit.pausedUntil = max(e.limit.pausedUntil, now+time.Duration(first*float64(b.attemptInterval(e))))
--- a/balancer/fleet.go
+++ b/balancer/endpointset.go
@@ -7,11 +7,10 @@
 	"sprucehill/internal/stats"
 )
 
-// fleetState is what this balancer knows of all endpoints, and which of them it uses.
-type fleetState struct {
-	size         FleetSize // of the balancers
+// endpointSet is what this balancer knows of all endpoints and their zones, and which endpoints it uses.
+type endpointSet struct {
 	byID         map[EndpointID]*endpoint
-	endpoints    []*endpoint // in order of arrival
+	known        []*endpoint // in order of arrival
 	tracked      []*endpoint // those in use, and others that still have attempts in flight
 	zones        []*zone     // in order of arrival
 	stats        fleetStats
@@ -27,9 +26,9 @@
 }
 
 // inUse yields the endpoints that get traffic: those of the subset, in order of arrival.
-func (f *fleetState) inUse() iter.Seq[*endpoint] {
+func (s *endpointSet) inUse() iter.Seq[*endpoint] {
 	return func(yield func(*endpoint) bool) {
-		for _, e := range f.tracked {
+		for _, e := range s.tracked {
 			if e.inSubset && !yield(e) {
 				return
 			}
@@ -38,20 +37,20 @@
 }
 
 // forgetRemoved drops endpoints that are removed and have no attempt in flight.
-func (f *fleetState) forgetRemoved() {
-	f.endpoints = slices.DeleteFunc(f.endpoints, func(e *endpoint) bool {
+func (s *endpointSet) forgetRemoved() {
+	s.known = slices.DeleteFunc(s.known, func(e *endpoint) bool {
 		forgotten := e.State == Removed && len(e.attempts) == 0
 		if forgotten {
-			delete(f.byID, e.ID)
+			delete(s.byID, e.ID)
 		}
 		return forgotten
 	})
 }
 
 // valueAbove is the value over one in n of the endpoints that have readings: the median for n = 2.
-func (f *fleetState) valueAbove(n int, value func(*endpoint) float64) float64 {
-	samples := make([]float64, 0, len(f.tracked)+1)
-	for e := range f.inUse() {
+func (s *endpointSet) valueAbove(n int, value func(*endpoint) float64) float64 {
+	samples := make([]float64, 0, len(s.tracked)+1)
+	for e := range s.inUse() {
 		if e.utilization.readings > 0 {
 			samples = append(samples, value(e))
 		}
--- a/balancer/fixtures_test.go
+++ b/balancer/fixtures_test.go
@@ -188,7 +188,7 @@
 func runPeriods(b *Balancer, now time.Duration, n int, utilization map[string]float64) time.Duration {
 	for range n {
 		now += bandPeriod
-		for _, e := range b.fleet.endpoints {
+		for _, e := range b.endpoints.known {
 			for i := range bandWindowReadings { // a full window, with a rate that differs so that no report counts as repeated
 				report := LoadReport{
 					Fields:      HasUtilization | HasRate,
--- a/balancer/lastresort_test.go
+++ b/balancer/lastresort_test.go
@@ -94,7 +94,7 @@
 
 // takeAttempts prepares the results of attempts that have started, and reports whether there are any.
 func (f *failingFleet) takeAttempts() (found bool) {
-	for _, e := range f.balancer.fleet.endpoints {
+	for _, e := range f.balancer.endpoints.known {
 		for _, a := range e.attempts {
 			if f.started[a] {
 				continue
--- a/balancer/limit.go
+++ b/balancer/limit.go
@@ -46,14 +46,14 @@
 // from the first has no lower one of its own.
 func (b *Balancer) adjustLimitByLatency(a *attempt, now time.Duration) {
 	e := a.endpoint
-	baseline := min(e.latency.baseline, cmp.Or(b.fleet.stats.baselineLatency, e.latency.baseline))
+	baseline := min(e.latency.baseline, cmp.Or(b.endpoints.stats.baselineLatency, e.latency.baseline))
 	objective := float64(a.request.class.LatencyObjective)
 	saturated := e.latency.perUnit() > max(saturatedLatencyRatio*baseline, saturatedObjectiveRatio*objective)
 	switch {
 	case saturated && !e.hasHeadroom():
 		b.reduceLimit(e, now, limitReductionFactor)
-	case e.limit.current < b.fleet.initialLimit: // recovered
-		e.limit.current = b.fleet.initialLimit
+	case e.limit.current < b.endpoints.initialLimit: // recovered
+		e.limit.current = b.endpoints.initialLimit
 	case e.hasHeadroom() && b.needsHigherLimit(e, now):
 		e.limit.current = max(e.limit.current, min(e.limit.current+limitGrowthAttempts, e.limit.ceiling))
 	}
@@ -81,19 +81,19 @@
 		return
 	}
 	used := float64(len(e.attempts) + 1)
-	e.limit.current = max(b.fleet.minLimit(), min(e.limit.current, used)*factor)
+	e.limit.current = max(b.endpoints.minLimit(), min(e.limit.current, used)*factor)
 	e.limit.reducedAt = now
 }
 
 // minLimit is the least limit of an endpoint.
-func (f *fleetState) minLimit() float64 {
-	return f.initialLimit * minFleetLimitAttempts / initialFleetLimitAttempts
+func (s *endpointSet) minLimit() float64 {
+	return s.initialLimit * minFleetLimitAttempts / initialFleetLimitAttempts
 }
 
 // raiseLimitCeilings sets how far each limit may grow in the next period: to twice its present value. Load reports show
 // the effect of a higher limit only after a period.
-func (f *fleetState) raiseLimitCeilings() {
-	for _, e := range f.tracked {
+func (s *endpointSet) raiseLimitCeilings() {
+	for _, e := range s.tracked {
 		e.limit.ceiling = max(2*e.limit.current, initialFleetLimitAttempts)
 	}
 }
--- a/balancer/limit_test.go
+++ b/balancer/limit_test.go
@@ -7,7 +7,7 @@
 
 func TestLimitOfSaturatedEndpointIsReducedAndRecovers(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(1))
-	e := b.fleet.endpoints[0]
+	e := b.endpoints.known[0]
 	now := time.Hour
 	serve := func(id RequestID, latency time.Duration) {
 		now += time.Second
@@ -30,8 +30,8 @@
 	}
 	e.limit.pausedUntil = now
 	serve(500, 80*ms)
-	if e.limit.current < b.fleet.initialLimit {
-		t.Errorf("limit %v after a fast response, want %v at least", e.limit.current, b.fleet.initialLimit)
+	if e.limit.current < b.endpoints.initialLimit {
+		t.Errorf("limit %v after a fast response, want %v at least", e.limit.current, b.endpoints.initialLimit)
 	}
 }
 
@@ -41,7 +41,7 @@
 		settings := testSettings()
 		settings.Balancers = balancers
 		b, _ := newTestBalancer(t, settings, fleet(1))
-		e := b.fleet.endpoints[0]
+		e := b.endpoints.known[0]
 		for i := range 60 {
 			b.reduceLimit(e, time.Hour+time.Duration(i)*time.Second, limitReductionFactor)
 		}
@@ -55,15 +55,15 @@
 // Regression: a balancer that started while an endpoint was saturated took its slow responses for the baseline.
 func TestEndpointSaturatedFromTheStartIsJudgedByFleetBaseline(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(8))
-	for _, e := range b.fleet.endpoints {
+	for _, e := range b.endpoints.known {
 		setUtilization(e, 1, 0.9)
 		e.latency.baseline = float64(60 * ms)
 	}
-	e := b.fleet.endpoints[3]
+	e := b.endpoints.known[3]
 	e.latency.baseline = 0
 	b.closePeriod(time.Hour + bandPeriod)
 	observeWrite(b, e, OK, 200*ms, time.Hour+2*bandPeriod)
-	if e.limit.current >= b.fleet.initialLimit {
+	if e.limit.current >= b.endpoints.initialLimit {
 		t.Errorf("limit %v after a response three times as slow as the fleet's baseline", e.limit.current)
 	}
 }
@@ -84,7 +84,7 @@
 			for i := range 200 { // more than its limits allow
 				b.OnRequest(time.Hour, Request{ID: RequestID(i + 1), Class: "write", Timeout: time.Second})
 			}
-			for _, e := range b.fleet.endpoints {
+			for _, e := range b.endpoints.known {
 				attempts[e.ID] += len(e.attempts)
 			}
 		}
@@ -107,7 +107,7 @@
 	}{{0.5, true}, {0.97, false}} {
 		b, _ := newTestBalancer(t, testSettings(), fleet(1))
 		b.blocking.saturatedAt = time.Hour
-		e := b.fleet.endpoints[0]
+		e := b.endpoints.known[0]
 		setUtilization(e, bandWindowReadings, test.utilization)
 		before := e.limit.current
 		observeWrite(b, e, OK, 50*ms, time.Hour)
@@ -121,14 +121,14 @@
 // One balancer of four rejected most of its requests for ten seconds beside idle endpoints.
 func TestIdleEndpointOfHighWeightIsNotTakenForSaturated(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(4))
-	for _, e := range b.fleet.endpoints {
+	for _, e := range b.endpoints.known {
 		setUtilization(e, bandWindowReadings, 0.2)
 		e.latency.workUnits = 1
 		e.latency.mean = float64(50 * ms)
 	}
 	b.closePeriod(time.Hour)
 	b.blocking.saturatedAt = time.Hour
-	e := b.fleet.endpoints[0]
+	e := b.endpoints.known[0]
 	e.weight = 3
 	e.limit.current = 2
 	observeWrite(b, e, OK, 55*ms, time.Hour)
@@ -143,12 +143,12 @@
 	settings := testSettings()
 	settings.Balancers = 8
 	b, _ := newTestBalancer(t, settings, fleet(4))
-	e := b.fleet.endpoints[0]
+	e := b.endpoints.known[0]
 	for i := range 30 {
 		latency := []time.Duration{190, 60, 60, 60}[i%4] * ms
 		observeWrite(b, e, OK, latency, 2*time.Hour+time.Duration(i)*time.Second)
-		if i > 8 && e.limit.current < b.fleet.initialLimit {
-			t.Fatalf("response %d after %v: limit %v, want %v", i, latency, e.limit.current, b.fleet.initialLimit)
+		if i > 8 && e.limit.current < b.endpoints.initialLimit {
+			t.Fatalf("response %d after %v: limit %v, want %v", i, latency, e.limit.current, b.endpoints.initialLimit)
 		}
 	}
 }
@@ -157,7 +157,7 @@
 // utilization.
 func TestLimitAtMostDoublesInAPeriod(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(1))
-	e := b.fleet.endpoints[0]
+	e := b.endpoints.known[0]
 	setUtilization(e, 1, 0.5)
 	respond := func(now time.Duration) {
 		for range 50 {
@@ -190,14 +190,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b, _ := newTestBalancer(t, testSettings(), fleet(1))
-			e := b.fleet.endpoints[0]
+			e := b.endpoints.known[0]
 			e.latency.mean = float64(test.latency)
 			e.latency.workUnits = 1
 			e.latency.smoothed = float64(test.baseline)
 			e.latency.baseline = float64(test.baseline)
 			observeWrite(b, e, OK, test.latency, 2*time.Hour)
-			if (e.limit.current < b.fleet.initialLimit) != test.wantReduced {
-				t.Errorf("limit %v, initially %v", e.limit.current, b.fleet.initialLimit)
+			if (e.limit.current < b.endpoints.initialLimit) != test.wantReduced {
+				t.Errorf("limit %v, initially %v", e.limit.current, b.endpoints.initialLimit)
 			}
 		})
 	}
@@ -221,7 +221,7 @@
 		settings := testSettings()
 		settings.Balancers = test.balancers
 		b, _ := newTestBalancer(t, settings, fleet(1))
-		e := b.fleet.endpoints[0]
+		e := b.endpoints.known[0]
 		now := 2 * time.Hour
 		for i := range 20 {
 			now += time.Second
@@ -231,9 +231,9 @@
 			latency := []time.Duration{90, 250}[i%2] * ms
 			observeWrite(b, e, OK, latency, now)
 		}
-		grown := e.limit.current >= min(2*b.fleet.initialLimit, e.limit.ceiling)
+		grown := e.limit.current >= min(2*b.endpoints.initialLimit, e.limit.ceiling)
 		if grown != test.wantGrowth {
-			t.Errorf("%+v: limit %v, initially %v", test, e.limit.current, b.fleet.initialLimit)
+			t.Errorf("%+v: limit %v, initially %v", test, e.limit.current, b.endpoints.initialLimit)
 		}
 	}
 }
@@ -242,7 +242,7 @@
 // some times and were rejected at others.
 func TestIdleEndpointMayTakeOneAttemptBeforePausing(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(1))
-	e := b.fleet.endpoints[0]
+	e := b.endpoints.known[0]
 	e.latency.mean = float64(100 * ms)
 	endAttempt := func(sentAt time.Duration) {
 		e.limit.current = 0.2
@@ -269,7 +269,7 @@
 		wantReduced bool
 	}{{bandWindowReadings, 0.2, false}, {bandWindowReadings, 0.95, true}, {0, 0, true}} {
 		b, _ := newTestBalancer(t, testSettings(), fleet(1))
-		e := b.fleet.endpoints[0]
+		e := b.endpoints.known[0]
 		setUtilization(e, test.readings, test.utilization)
 		e.limit.current = 8
 		observeWrite(b, e, Timeout, time.Second, 2*time.Hour)
@@ -286,7 +286,7 @@
 	settings := testSettings()
 	settings.Balancers = 8 // each may have one attempt in flight
 	b, effects := newTestBalancer(t, settings, fleet(1))
-	e := b.fleet.endpoints[0]
+	e := b.endpoints.known[0]
 	now := 2 * time.Hour
 	b.clients.classes["read"].latency = float64(200 * ms)
 	e.limit.pausedUntil = 0
@@ -298,7 +298,7 @@
 	}
 	setUtilization(e, 1, 0.3)
 	b.OnAttemptResult(now+50*ms, AttemptResult{ID: 1, Endpoint: e.ID, Latency: 50 * ms, Status: OK, RequestClosed: true})
-	want := b.fleet.initialLimit + limitGrowthAttempts
+	want := b.endpoints.initialLimit + limitGrowthAttempts
 	if e.limit.current != want {
 		t.Errorf("limit %v after a response and a rejection, want %v", e.limit.current, want)
 	}
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -18,11 +18,11 @@
 // updateLocality adjusts how much of the traffic stays in the zone and in the region, by the utilization there and
 // elsewhere. All balancers of a zone adjust alike, by the same late reports, so each step is small.
 func (b *Balancer) updateLocality(now time.Duration) {
-	home := b.fleet.zoneNamed(b.settings.Zone)
+	home := b.endpoints.zoneNamed(b.settings.Zone)
 	b.locality.home = home
 	b.summarizeZones(now)
-	all := b.fleet.summarize(func(*zone) bool { return true })
-	region := b.fleet.summarize(func(z *zone) bool { return z.region == home.region })
+	all := b.endpoints.summarize(func(*zone) bool { return true })
+	region := b.endpoints.summarize(func(z *zone) bool { return z.region == home.region })
 	if home.capacity == 0 || home.capacity == all.capacity || b.locality.disabled {
 		b.endLocality()
 		return
@@ -34,7 +34,7 @@
 // endLocality leaves the distribution between zones to the traffic shares alone.
 func (b *Balancer) endLocality() {
 	b.locality.localShare = 0
-	for _, z := range b.fleet.zones {
+	for _, z := range b.endpoints.zones {
 		z.localityWeight = 1
 	}
 }
@@ -44,10 +44,10 @@
 func (b *Balancer) adjustLocalShares(region, all zoneGroup) {
 	locality := &b.locality
 	if locality.localShare == 0 {
-		locality.localShare = min(maxLocalShare, b.fleet.usableZones()*locality.home.capacity/all.capacity)
+		locality.localShare = min(maxLocalShare, b.endpoints.usableZones()*locality.home.capacity/all.capacity)
 		locality.regionShare = maxLocalShare
 	}
-	local := b.fleet.summarize(func(z *zone) bool { return z == locality.home })
+	local := b.endpoints.summarize(func(z *zone) bool { return z == locality.home })
 	if all.measured && local.measured {
 		locality.localShare = adjustShare(locality.localShare, local, all)
 	}
@@ -85,8 +85,8 @@
 		toFar = 1 - b.locality.localShare
 		toNear = 0
 	}
-	others := b.fleet.summarize(func(z *zone) bool { return z != home })
-	for _, z := range b.fleet.zones {
+	others := b.endpoints.summarize(func(z *zone) bool { return z != home })
+	for _, z := range b.endpoints.zones {
 		part, capacity := toNear, near
 		if z.region != home.region {
 			part, capacity = toFar, far
@@ -125,7 +125,7 @@
 		return
 	}
 	missed := false
-	for e := range b.fleet.inUse() {
+	for e := range b.endpoints.inUse() {
 		if e.Zone == b.settings.Zone && e.nextTurn < best.nextTurn {
 			e.limit.missedTurnAt = now
 			missed = true
--- a/balancer/locality_test.go
+++ b/balancer/locality_test.go
@@ -85,14 +85,14 @@
 	settings.Zone = "west/1"
 	list := endpointsInZones(map[string]int{"west/1": 1, "west/2": 1, "east/1": 1}, "west/1", "west/2", "east/1")
 	b, _ := newTestBalancer(t, settings, list)
-	for _, e := range b.fleet.endpoints {
+	for _, e := range b.endpoints.known {
 		e.latency.mean = float64(200 * ms)
 		e.latency.workUnits = 1
 	}
 	deadline := time.Hour + 150*ms
 	wholeRequest := &request{class: b.clients.classes["read"], workUnits: 1, deadline: deadline}
 	halfRequest := &request{class: b.clients.classes["read"], workUnits: 0.5, deadline: deadline}
-	for _, e := range b.fleet.endpoints {
+	for _, e := range b.endpoints.known {
 		got, want := b.isEligible(e, wholeRequest, time.Hour), e.Zone != "east/1"
 		if got != want {
 			t.Errorf("%s, with 150 ms left of the usual 200: eligible %v, want %v", e.Zone, got, want)
@@ -114,7 +114,7 @@
 		}
 		b, _ := newTestBalancer(t, settings, list)
 		runPeriods(b, time.Hour, 10, map[string]float64{test.endpointZone: 0.4})
-		for _, z := range b.fleet.zones {
+		for _, z := range b.endpoints.zones {
 			if z.localityWeight != 1 {
 				t.Errorf("%+v: zone %q has locality weight %v, want 1", test, z.name, z.localityWeight)
 			}
@@ -139,15 +139,15 @@
 		}
 		b, _ := newTestBalancer(t, settings, list)
 		local := 0
-		for _, e := range b.fleet.tracked {
+		for _, e := range b.endpoints.tracked {
 			if e.Zone == "a" {
 				local++
 			}
 		}
 		locality := b.locality.localShare > 0
-		if locality != test.wantLocality || len(b.fleet.tracked) == 0 {
+		if locality != test.wantLocality || len(b.endpoints.tracked) == 0 {
 			t.Errorf("%+v: %d endpoints in use, %d of them local, local share %.2f",
-				test, len(b.fleet.tracked), local, b.locality.localShare)
+				test, len(b.endpoints.tracked), local, b.locality.localShare)
 		}
 	}
 }
@@ -183,10 +183,10 @@
 func checkLocality(rt *rapid.T, b *Balancer) {
 	rt.Helper()
 	listed := map[string]bool{b.settings.Zone: true}
-	for _, e := range b.fleet.endpoints {
+	for _, e := range b.endpoints.known {
 		listed[e.Zone] = true
 	}
-	for _, z := range b.fleet.zones {
+	for _, z := range b.endpoints.zones {
 		if !(z.localityWeight > 0) || math.IsInf(z.localityWeight, 1) {
 			rt.Fatalf("zone %s has locality weight %v", z.name, z.localityWeight)
 		}
--- a/balancer/operators.go
+++ b/balancer/operators.go
@@ -8,8 +8,8 @@
 // DrainZone sends nothing new to a zone until ReinstateZone, whatever discovery says meanwhile. It returns false for a
 // zone that is not known, and for the last one with endpoints that is not drained: then nobody could be served.
 func (b *Balancer) DrainZone(now time.Duration, name string) bool {
-	z := b.fleet.findZone(name)
-	othersServe := slices.ContainsFunc(b.fleet.endpoints, func(e *endpoint) bool {
+	z := b.endpoints.findZone(name)
+	othersServe := slices.ContainsFunc(b.endpoints.known, func(e *endpoint) bool {
 		return e.State == Active && !e.zone.drained && e.zone != z
 	})
 	if z == nil || !othersServe {
@@ -22,7 +22,7 @@
 
 // ReinstateZone takes a drained zone back, by steps. It returns false for a zone that is not drained.
 func (b *Balancer) ReinstateZone(now time.Duration, name string) bool {
-	z := b.fleet.findZone(name)
+	z := b.endpoints.findZone(name)
 	if z == nil || !z.drained {
 		return false
 	}
@@ -37,6 +37,6 @@
 func (b *Balancer) applyZoneChange(now time.Duration) {
 	b.rebuildSubset(now)
 	b.updateLocality(now)
-	b.fleet.estimateWorkPerWeight()
+	b.endpoints.estimateWorkPerWeight()
 	b.dispatchQueue(now)
 }
--- a/balancer/operators_test.go
+++ b/balancer/operators_test.go
@@ -124,7 +124,7 @@
 				s.serve()
 			}
 			s.now += 50 * ms
-			for _, z := range s.balancer.fleet.zones {
+			for _, z := range s.balancer.endpoints.zones {
 				s.checkRecovery(z)
 			}
 		}
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -11,7 +11,7 @@
 	b, _ := newTestBalancer(t, testSettings(), fleet(2))
 	serveRequest(t, b, time.Hour, 1)
 	serveRequest(t, b, time.Hour, 2)
-	timeout := b.responseTimeout(b.fleet.endpoints[0], 1)
+	timeout := b.responseTimeout(b.endpoints.known[0], 1)
 	if timeout < 150*ms {
 		t.Errorf("response timeout %v after a response in 50ms", timeout)
 	}
@@ -23,7 +23,7 @@
 	settings := testSettings()
 	settings.Balancers = 8
 	b, _ := newTestBalancer(t, settings, fleet(1))
-	e := b.fleet.endpoints[0]
+	e := b.endpoints.known[0]
 	for i, latency := range []time.Duration{100, 110, 100, 90, 10, 10} {
 		observeWrite(b, e, OK, latency*ms, time.Hour+time.Duration(i)*time.Second)
 	}
@@ -56,7 +56,7 @@
 // other requests got nothing for 20 s.
 func TestSimultaneousConnectionLossesCountAsOneFailure(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(1))
-	e := b.fleet.endpoints[0]
+	e := b.endpoints.known[0]
 	now := 2 * time.Hour
 	for range 10 {
 		observeWrite(b, e, Reset, ms, now)
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -31,7 +31,7 @@
 
 // selectEndpoint is the eligible endpoint whose turn is due first, and the sum of all traffic shares.
 func (b *Balancer) selectEndpoint(r *request, now time.Duration) (best *endpoint, shares float64, permitted bool) {
-	for e := range b.fleet.inUse() {
+	for e := range b.endpoints.inUse() {
 		shares += b.trafficShare(e, now)
 		if !b.mayAttempt(r, e, now) {
 			continue
@@ -83,7 +83,7 @@
 	if blocked < wait {
 		return nil
 	}
-	for e := range b.fleet.inUse() {
+	for e := range b.endpoints.inUse() {
 		if !e.zone.inUse() || !b.mayAttempt(r, e, now) || !b.canAnswerInTime(e, r, now) {
 			continue
 		}
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -9,7 +9,7 @@
 // third of the other's weight it takes turns 9, 13, 17, ...
 func TestEndpointOfOneThirdWeightTakesEveryFourthTurn(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), oneZone(fleet(2)))
-	first := b.fleet.endpoints[0]
+	first := b.endpoints.known[0]
 	turnsOfFirst := func(from, n int) (turns []int) {
 		for i := from; i < from+n; i++ {
 			if serveRequest(t, b, time.Hour, RequestID(i)) == first {
--- a/balancer/restore.go
+++ b/balancer/restore.go
@@ -46,7 +46,8 @@
 	e.outlier.errorRate = trust * min(1, finite(known.ErrorRate))
 	e.work.mean = trust * finite(known.WorkRate)
 	if known.ConcurrencyLimit > 0 && isAmount(known.ConcurrencyLimit) {
-		e.limit.current = b.fleet.initialLimit + trust*(max(b.fleet.minLimit(), known.ConcurrencyLimit)-b.fleet.initialLimit)
+		initial := b.endpoints.initialLimit
+		e.limit.current = initial + trust*(max(b.endpoints.minLimit(), known.ConcurrencyLimit)-initial)
 	}
 	if known.Latency > 0 && known.WorkUnits > 0 && isAmount(known.Latency) && isAmount(known.WorkUnits) {
 		e.latency = known.latencyStats()
--- a/balancer/restore_test.go
+++ b/balancer/restore_test.go
@@ -11,10 +11,10 @@
 	t.Helper()
 	b, _ := newTestBalancer(t, testSettings(), fourZones(3))
 	now, _ := sendReads(b, time.Hour, 1, 400, map[string]Status{"near": OK, "b": OK, "c": OK, "d": OK})
-	b.fleet.endpoints[1].shareFactor = 0.4
-	b.fleet.endpoints[2].outlier.unresponsive = true
-	b.fleet.endpoints[2].outlier.backoff = 300 * ms
-	ejected := b.fleet.zoneNamed("c")
+	b.endpoints.known[1].shareFactor = 0.4
+	b.endpoints.known[2].outlier.unresponsive = true
+	b.endpoints.known[2].outlier.backoff = 300 * ms
+	ejected := b.endpoints.zoneNamed("c")
 	ejected.health.ejected = true
 	ejected.health.recoveredShare = 1
 	return b, now
@@ -44,22 +44,22 @@
 		t.Run(test.age.String(), func(t *testing.T) {
 			b := restoredBalancer(t, now+test.age, fourZones(3), snapshot)
 			wantFactor := 1 - test.confidence*0.6
-			if !approximately(b.fleet.endpoints[1].shareFactor, wantFactor) {
-				t.Errorf("share factor %v, want %v", b.fleet.endpoints[1].shareFactor, wantFactor)
+			if !approximately(b.endpoints.known[1].shareFactor, wantFactor) {
+				t.Errorf("share factor %v, want %v", b.endpoints.known[1].shareFactor, wantFactor)
 			}
-			limit := b.fleet.endpoints[0].limit.current
-			wantLimit := b.fleet.initialLimit + test.confidence*(before.fleet.endpoints[0].limit.current-b.fleet.initialLimit)
+			limit := b.endpoints.known[0].limit.current
+			wantLimit := b.endpoints.initialLimit + test.confidence*(before.endpoints.known[0].limit.current-b.endpoints.initialLimit)
 			if !approximately(limit, wantLimit) {
 				t.Errorf("limit %v, want %v", limit, wantLimit)
 			}
 			known := test.confidence > 0
-			if b.fleet.endpoints[2].outlier.unresponsive != known {
+			if b.endpoints.known[2].outlier.unresponsive != known {
 				t.Errorf("unresponsive %v, want %v", !known, known)
 			}
-			if b.fleet.zoneNamed("c").health.ejected != known {
+			if b.endpoints.zoneNamed("c").health.ejected != known {
 				t.Errorf("zone ejected %v, want %v", !known, known)
 			}
-			if (b.fleet.endpoints[0].latency.mean > 0) != known {
+			if (b.endpoints.known[0].latency.mean > 0) != known {
 				t.Errorf("latency of an endpoint known: %v, want %v", !known, known)
 			}
 			if (b.means.latency == before.means.latency) != known {
@@ -98,7 +98,7 @@
 		}
 		b.OnEndpointUpdate(now, UpdateCached, fourZones(3))
 		b.Restore(now, snapshot)
-		e := b.fleet.endpoints[2]
+		e := b.endpoints.known[2]
 		r := &request{class: b.clients.classes["read"], workUnits: 1, deadline: now + time.Second}
 		if e.outlier.nextTrialAt > now && b.isEligible(e, r, now) {
 			t.Error("an unresponsive endpoint is eligible before its trial is due")
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -23,7 +23,7 @@
 	e.slowStart.active = true
 	e.slowStart.since = at
 	e.forgetMeasurements()
-	e.limit.current = b.fleet.initialLimit
+	e.limit.current = b.endpoints.initialLimit
 }
 
 // fitsSlowStart reports whether an endpoint is warm, or r fits this balancer's part of its slow-start budget. The budget
@@ -33,7 +33,7 @@
 		return true
 	}
 	budget := &e.slowStart.budget
-	if b.fleet.stats.workPerWeight == 0 { // no warm endpoint to compare with: one at a time, none right after a failure
+	if b.endpoints.stats.workPerWeight == 0 { // no warm endpoint to compare with: one at a time, none right after a failure
 		return len(e.attempts) == 0 && (budget.Level < 1 || now-budget.At >= time.Duration(b.means.latency))
 	}
 	rate := b.slowStartRate(e, now)
@@ -44,7 +44,7 @@
 // chargeSlowStart counts an attempt against the budget of a warming endpoint. Until a warm endpoint is known the budget
 // does not leak.
 func (b *Balancer) chargeSlowStart(e *endpoint, workUnits float64, now time.Duration) {
-	if b.fleet.stats.workPerWeight == 0 {
+	if b.endpoints.stats.workPerWeight == 0 {
 		e.slowStart.budget.At = now
 	}
 	e.slowStart.budget.Add(max(1, workUnits))
@@ -54,7 +54,7 @@
 // balancer's part of what it may get. No endpoint is assumed to do more work than the best one does, because the weight
 // of a zone can jump and the work of its endpoints can't.
 func (b *Balancer) slowStartRate(e *endpoint, now time.Duration) float64 {
-	work := min(b.fleet.stats.maxWorkPerWeight, e.zone.shareFactor()*b.fleet.stats.workPerWeight)
+	work := min(b.endpoints.stats.maxWorkPerWeight, e.zone.shareFactor()*b.endpoints.stats.workPerWeight)
 	capacity := e.weight * work / bandPeriod.Seconds()
 	if b.locality.localShare > 0 {
 		capacity *= localitySlowStartBudgetRatio
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -81,10 +81,10 @@
 	list := fleet(3)
 	list[2].StartedAt = time.Hour
 	b.OnEndpointUpdate(time.Hour, UpdateCached, list)
-	b.fleet.stats.workPerWeight = warmRate
-	b.fleet.stats.maxWorkPerWeight = warmRate
+	b.endpoints.stats.workPerWeight = warmRate
+	b.endpoints.stats.maxWorkPerWeight = warmRate
 	for i := range 150 {
-		for _, warm := range b.fleet.endpoints[:2] {
+		for _, warm := range b.endpoints.known[:2] {
 			warm.limit.pausedUntil = 2 * time.Hour
 		}
 		now := time.Hour + time.Duration(i)*10*ms
@@ -193,7 +193,7 @@
 	}{{100 * ms, false}, {window + ms, true}} {
 		restartedAt := now + test.age
 		restored := restoredBalancer(t, restartedAt, list, snapshot)
-		e := restored.fleet.byID[list[0].ID]
+		e := restored.endpoints.byID[list[0].ID]
 		r := &request{class: restored.clients.classes["read"], workUnits: 1}
 		if !e.slowStart.active {
 			t.Fatal("the endpoint is not warming up")
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -55,19 +55,19 @@
 		ClassLatency:     map[string]float64{},
 		LocalShare:       b.locality.localShare,
 		RegionShare:      b.locality.regionShare,
-		WorkPerWeight:    b.fleet.stats.workPerWeight,
-		MaxWorkPerWeight: b.fleet.stats.maxWorkPerWeight,
-		Endpoints:        make([]EndpointStats, 0, len(b.fleet.tracked)),
+		WorkPerWeight:    b.endpoints.stats.workPerWeight,
+		MaxWorkPerWeight: b.endpoints.stats.maxWorkPerWeight,
+		Endpoints:        make([]EndpointStats, 0, len(b.endpoints.tracked)),
 	}
 	for name, c := range b.clients.classes {
 		snapshot.ClassLatency[name] = c.latency
 	}
-	for e := range b.fleet.inUse() {
+	for e := range b.endpoints.inUse() {
 		if e.State != Removed {
 			snapshot.Endpoints = append(snapshot.Endpoints, e.stats())
 		}
 	}
-	for _, z := range b.fleet.zones {
+	for _, z := range b.endpoints.zones {
 		if z.drained {
 			snapshot.DrainedZones = append(snapshot.DrainedZones, z.name)
 		}
@@ -116,31 +116,31 @@
 		b.restoreFleet(snapshot)
 	}
 	for _, known := range snapshot.Endpoints {
-		e := b.fleet.byID[known.ID]
+		e := b.endpoints.byID[known.ID]
 		if e != nil && e.State == Active {
 			b.restoreEndpoint(e, known, now, snapshot.TakenAt)
 		}
 	}
 	for _, known := range snapshot.Zones {
-		z := b.fleet.zoneNamed(known.Name)
+		z := b.endpoints.zoneNamed(known.Name)
 		if trusted {
 			b.restoreZone(z, known, now)
 		}
 	}
 	for _, name := range snapshot.DrainedZones {
-		b.fleet.zoneNamed(name).drained = true
+		b.endpoints.zoneNamed(name).drained = true
 	}
 	b.rebuildSubset(now)
 	b.updateLocality(now)
-	b.fleet.estimateWorkPerWeight()
+	b.endpoints.estimateWorkPerWeight()
 }
 
 // restoreFleet restores the statistics over all endpoints.
 func (b *Balancer) restoreFleet(snapshot Snapshot) {
 	b.means.latency = snapshot.Latency
 	b.means.costHint = finite(snapshot.MeanCost)
-	b.fleet.stats.workPerWeight = finite(snapshot.WorkPerWeight)
-	b.fleet.stats.maxWorkPerWeight = finite(snapshot.MaxWorkPerWeight)
+	b.endpoints.stats.workPerWeight = finite(snapshot.WorkPerWeight)
+	b.endpoints.stats.maxWorkPerWeight = finite(snapshot.MaxWorkPerWeight)
 	for name, c := range b.clients.classes {
 		c.latency = finite(snapshot.ClassLatency[name])
 	}
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -37,7 +37,7 @@
 			for i := range 100 {
 				serveRequest(t, b, now+time.Duration(i)*ms, RequestID(i+1))
 			}
-			for _, e := range b.fleet.endpoints {
+			for _, e := range b.endpoints.known {
 				share := b.trafficShare(e, now)
 				if math.IsNaN(share) || math.IsInf(share, 0) || share < 0 || math.IsNaN(e.limit.current) {
 					t.Errorf("endpoint %d has traffic share %v and limit %v", e.ID, share, e.limit.current)
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -35,7 +35,7 @@
 // known.
 func (b *Balancer) ZoneStatuses(now time.Duration) []ZoneStatus {
 	shares, total := map[*zone]float64{}, 0.0
-	for e := range b.fleet.inUse() {
+	for e := range b.endpoints.inUse() {
 		if e.zone.inUse() {
 			share := b.trafficShare(e, now)
 			shares[e.zone] += share
@@ -44,7 +44,7 @@
 	}
 	b.summarizeZones(now)
 	var statuses []ZoneStatus
-	for _, z := range b.fleet.zones {
+	for _, z := range b.endpoints.zones {
 		if z.listed == 0 && !z.drained {
 			continue
 		}
@@ -92,7 +92,7 @@
 // EndpointCounts returns how many endpoints the list holds, and how many of them get nothing now but trials. Those are
 // draining, unresponsive or unreachable.
 func (b *Balancer) EndpointCounts(now time.Duration) (known, skipped int) {
-	for _, e := range b.fleet.endpoints {
+	for _, e := range b.endpoints.known {
 		if e.State == Removed {
 			continue
 		}
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -17,23 +17,23 @@
 // rebuildSubset chooses the endpoints that this balancer uses. All balancers see the same ring and take a stretch from a
 // place of their own; the golden ratio spreads these evenly for any run of ranks.
 func (b *Balancer) rebuildSubset(now time.Duration) {
-	active := slices.DeleteFunc(slices.Clone(b.fleet.endpoints), func(e *endpoint) bool { return e.State != Active })
+	active := slices.DeleteFunc(slices.Clone(b.endpoints.known), func(e *endpoint) bool { return e.State != Active })
 	slices.SortFunc(active, func(x, y *endpoint) int { return cmp.Compare(x.ringPosition, y.ringPosition) })
-	count, balancers := float64(len(active)), float64(b.fleet.size.Balancers)
+	count, balancers := float64(len(active)), float64(b.balancers.Balancers)
 	fair := math.Ceil(count * balancersPerEndpoint / max(balancersPerEndpoint, balancers-balancersPerEndpoint))
 	wanted := max(1, min(count, max(minSubsetEndpoints, fair)))
 	b.locality.disabled = wanted < min(count, minLocalitySubsetEndpoints)
-	b.fleet.initialLimit = initialFleetLimitAttempts * max(count, 1) / wanted / float64(b.fleet.size.MaxBalancers)
-	_, place := math.Modf(float64(b.fleet.size.Rank) * math.Phi)
+	b.endpoints.initialLimit = initialFleetLimitAttempts * max(count, 1) / wanted / float64(b.balancers.MaxBalancers)
+	_, place := math.Modf(float64(b.balancers.Rank) * math.Phi)
 	chosen := chooseStretch(b.localFirst(active, place, wanted), wanted)
-	b.fleet.tracked = b.fleet.tracked[:0]
-	for _, e := range b.fleet.endpoints {
+	b.endpoints.tracked = b.endpoints.tracked[:0]
+	for _, e := range b.endpoints.known {
 		if chosen[e] && !e.inSubset {
 			b.joinSubset(e, wanted, now)
 		}
 		e.inSubset = chosen[e]
 		if e.inSubset || len(e.attempts) > 0 {
-			b.fleet.tracked = append(b.fleet.tracked, e)
+			b.endpoints.tracked = append(b.endpoints.tracked, e)
 		}
 	}
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -24,11 +24,11 @@
 			settings.Rank = rank
 			settings.Zone = []string{"near", "far"}[rank%2]
 			b, _ := newTestBalancer(t, settings, fleet(test.endpoints))
-			size := len(b.fleet.tracked)
+			size := len(b.endpoints.tracked)
 			if size < test.least || size > test.most {
 				t.Fatalf("%+v: a balancer uses %d endpoints", test, size)
 			}
-			for _, e := range b.fleet.tracked {
+			for _, e := range b.endpoints.tracked {
 				users[e.ID]++
 			}
 		}
@@ -59,8 +59,8 @@
 		settings.Balancers = max(size.Balancers, 1)
 		settings.Rank = max(size.Rank, 0)
 		fresh, _ := newTestBalancer(t, settings, fleet(40))
-		for i, e := range b.fleet.endpoints {
-			if e.inSubset != fresh.fleet.endpoints[i].inSubset {
+		for i, e := range b.endpoints.known {
+			if e.inSubset != fresh.endpoints.known[i].inSubset {
 				t.Errorf("%+v: endpoint %d in the subset: %v", size, e.ID, e.inSubset)
 			}
 		}
@@ -71,9 +71,9 @@
 				t.Errorf("%+v: tenant %s has %v requests a second, want %v", size, tenant.Name, rate, want)
 			}
 		}
-		want := fresh.fleet.initialLimit * float64(settings.Balancers) / maxBalancers
-		if !approximately(b.fleet.initialLimit, want) {
-			t.Errorf("%+v: initial limit %v, want %v", size, b.fleet.initialLimit, want)
+		want := fresh.endpoints.initialLimit * float64(settings.Balancers) / maxBalancers
+		if !approximately(b.endpoints.initialLimit, want) {
+			t.Errorf("%+v: initial limit %v, want %v", size, b.endpoints.initialLimit, want)
 		}
 	}
 }
@@ -83,24 +83,24 @@
 	settings := testSettings()
 	settings.Balancers = 40
 	b, _ := newTestBalancer(t, settings, fleet(40))
-	before := slices.Clone(b.fleet.tracked)
+	before := slices.Clone(b.endpoints.tracked)
 	before[0].outlier.unresponsive = true
 	before[1].slowStart.active = true
 	before[1].slowStart.since = time.Hour
 	b.rebuildSubset(time.Hour)
-	if len(b.fleet.tracked) != len(before)+2 {
-		t.Errorf("%d endpoints in use, then %d with one unresponsive and one warming up", len(before), len(b.fleet.tracked))
+	if len(b.endpoints.tracked) != len(before)+2 {
+		t.Errorf("%d endpoints in use, then %d with one unresponsive and one warming up", len(before), len(b.endpoints.tracked))
 	}
 	draining := before[2].Endpoint
 	draining.State = Draining
 	b.OnEndpointUpdate(time.Hour, UpdateDelta, []Endpoint{draining})
-	if before[2].inSubset || len(b.fleet.tracked) != len(before)+2 {
-		t.Errorf("a draining endpoint was not replaced: %d in use", len(b.fleet.tracked))
+	if before[2].inSubset || len(b.endpoints.tracked) != len(before)+2 {
+		t.Errorf("a draining endpoint was not replaced: %d in use", len(b.endpoints.tracked))
 	}
 	before[0].outlier.unresponsive = false
 	before[1].slowStart.active = false
 	b.rebuildSubset(time.Hour)
-	if len(b.fleet.tracked) != len(before) {
-		t.Errorf("%d in use after the others recovered, %d at first", len(b.fleet.tracked), len(before))
+	if len(b.endpoints.tracked) != len(before) {
+		t.Errorf("%d in use after the others recovered, %d at first", len(b.endpoints.tracked), len(before))
 	}
 }
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -52,8 +52,8 @@
 }
 
 // zoneNamed is the zone of a name. One that is not known is added.
-func (f *fleetState) zoneNamed(name string) *zone {
-	known := f.findZone(name)
+func (s *endpointSet) zoneNamed(name string) *zone {
+	known := s.findZone(name)
 	if known != nil {
 		return known
 	}
@@ -62,17 +62,17 @@
 		region = ""
 	}
 	z := &zone{name: name, region: region, localityWeight: 1, health: zoneHealth{recoveredShare: 1, stepMultiple: 1}}
-	f.zones = append(f.zones, z)
+	s.zones = append(s.zones, z)
 	return z
 }
 
 // findZone is a zone that is known, or nil.
-func (f *fleetState) findZone(name string) *zone {
-	i := slices.IndexFunc(f.zones, func(z *zone) bool { return z.name == name })
+func (s *endpointSet) findZone(name string) *zone {
+	i := slices.IndexFunc(s.zones, func(z *zone) bool { return z.name == name })
 	if i < 0 {
 		return nil
 	}
-	return f.zones[i]
+	return s.zones[i]
 }
 
 // meanUtilization is that of its endpoints with readings; it needs some.
@@ -89,17 +89,19 @@
 
 // summarizeZones sums up what is known of each zone, and forgets those without endpoints.
 func (b *Balancer) summarizeZones(now time.Duration) {
-	for _, z := range b.fleet.zones {
+	for _, z := range b.endpoints.zones {
 		z.listed = 0
 		z.capacity = 0
 		z.utilizationSum = 0
 		z.measuredCapacity = 0
 	}
-	for _, e := range b.fleet.endpoints {
+	for _, e := range b.endpoints.known {
 		e.zone.listed++
 	}
-	b.fleet.zones = slices.DeleteFunc(b.fleet.zones, func(z *zone) bool { return z.listed == 0 && z.name != b.settings.Zone && !z.drained })
-	for e := range b.fleet.inUse() {
+	b.endpoints.zones = slices.DeleteFunc(b.endpoints.zones, func(z *zone) bool {
+		return z.listed == 0 && z.name != b.settings.Zone && !z.drained
+	})
+	for e := range b.endpoints.inUse() {
 		if !e.isUsable() {
 			continue
 		}
@@ -120,10 +122,10 @@
 }
 
 // summarize adds up the zones that a function selects.
-func (f *fleetState) summarize(selects func(*zone) bool) zoneGroup {
+func (s *endpointSet) summarize(selects func(*zone) bool) zoneGroup {
 	var group zoneGroup
 	var utilizationSum, measuredCapacity float64
-	for _, z := range f.zones {
+	for _, z := range s.zones {
 		if selects(z) {
 			group.capacity += z.capacity
 			utilizationSum += z.utilizationSum
@@ -138,8 +140,8 @@
 }
 
 // usableZones is how many zones have capacity.
-func (f *fleetState) usableZones() (count float64) {
-	for _, z := range f.zones {
+func (s *endpointSet) usableZones() (count float64) {
+	for _, z := range s.zones {
 		if z.capacity > 0 {
 			count++
 		}
@@ -149,10 +151,10 @@
 
 // countEvidence counts the evidence of all endpoints for their zones, and returns their number and weight.
 func (b *Balancer) countEvidence(now time.Duration) (members int, weight float64) {
-	for _, z := range b.fleet.zones {
+	for _, z := range b.endpoints.zones {
 		z.health.resetEvidence()
 	}
-	for e := range b.fleet.inUse() {
+	for e := range b.endpoints.inUse() {
 		members++
 		weight += e.weight
 		b.countEndpoint(e, now)
@@ -161,8 +163,8 @@
 }
 
 // weightOutside is the weight of all usable endpoints outside a zone.
-func (f *fleetState) weightOutside(z *zone) (weight float64) {
-	for e := range f.inUse() {
+func (s *endpointSet) weightOutside(z *zone) (weight float64) {
+	for e := range s.inUse() {
 		if e.zone != z && e.isUsable() {
 			weight += e.weight
 		}
@@ -175,12 +177,12 @@
 	members, weight := b.countEvidence(now)
 	b.detectCorrelatedFailure(now)
 	unhealthy := 0
-	for _, z := range b.fleet.zones {
+	for _, z := range b.endpoints.zones {
 		z.health.countErring()
 		unhealthy += z.health.unhealthy
 	}
 	changed := false
-	for _, z := range b.fleet.zones {
+	for _, z := range b.endpoints.zones {
 		elsewhere := float64(unhealthy-z.health.unhealthy) / float64(max(1, members-z.health.members))
 		if b.updateZoneState(z, elsewhere, weight, now) {
 			changed = true
@@ -188,13 +190,13 @@
 		z.health.endRecovery()
 	}
 	if changed {
-		b.fleet.estimateWorkPerWeight()
+		b.endpoints.estimateWorkPerWeight()
 	}
 }
 
 // countLate counts the endpoints that respond late or not at all, and the responsive ones, in zones that respond.
-func (f *fleetState) countLate() (late, responsive int) {
-	for _, z := range f.zones {
+func (s *endpointSet) countLate() (late, responsive int) {
+	for _, z := range s.zones {
 		if z.health.responsive > 0 {
 			late += z.health.unhealthy + z.health.overdue + z.health.slow
 			responsive += z.health.responsive
--- a/balancer/zonehealth.go
+++ b/balancer/zonehealth.go
@@ -71,8 +71,8 @@
 // of them alone would be ejected. The endpoints of other zones have to respond in time: a faulty link of this balancer
 // makes responses late in all zones. Zones without any response do not count there, since they are faulty themselves.
 func (b *Balancer) detectCorrelatedFailure(now time.Duration) {
-	late, responsive := b.fleet.countLate()
-	for _, z := range b.fleet.zones {
+	late, responsive := b.endpoints.countLate()
+	for _, z := range b.endpoints.zones {
 		suspects, lateElsewhere := z.health.unhealthy+z.health.overdue, late
 		if z.health.responsive > 0 {
 			lateElsewhere -= suspects + z.health.slow
@@ -93,7 +93,7 @@
 
 // ejectOverdue marks the overdue endpoints of a zone as unresponsive.
 func (b *Balancer) ejectOverdue(z *zone, now time.Duration) {
-	for _, e := range slices.Clone(b.fleet.tracked) {
+	for _, e := range slices.Clone(b.endpoints.tracked) {
 		if e.zone == z && !e.outlier.unresponsive && b.isOverdue(e, now) {
 			z.health.unhealthy++
 			z.health.overdue--
@@ -140,7 +140,7 @@
 // mayEject reports whether most of a zone is unhealthy, and the others have the capacity to go on without it.
 func (b *Balancer) mayEject(z *zone, weight float64) bool {
 	mostlyUnhealthy := z.health.unhealthy >= minUnhealthyEndpoints && z.health.unhealthyFraction() >= ejectFraction
-	return mostlyUnhealthy && b.fleet.weightOutside(z) >= minRemainingCapacityRatio*weight
+	return mostlyUnhealthy && b.endpoints.weightOutside(z) >= minRemainingCapacityRatio*weight
 }
 
 // unhealthyFraction is the fraction of a zone that is unhealthy. Once half of the zone is, endpoints without evidence do not
@@ -193,8 +193,8 @@
 // advanceRecovery gives recovering zones their next step, once the last one has lasted long enough and their utilization is
 // not over the fleet's.
 func (b *Balancer) advanceRecovery() {
-	fleet := b.fleet.summarize(func(*zone) bool { return true })
-	for _, z := range b.fleet.zones {
+	fleet := b.endpoints.summarize(func(*zone) bool { return true })
+	for _, z := range b.endpoints.zones {
 		health := &z.health
 		health.stepAgePeriods++
 		waits := health.stepAgePeriods < minStepPeriods*health.stepMultiple || health.isDegraded()
--- a/balancer/zonehealth_test.go
+++ b/balancer/zonehealth_test.go
@@ -11,7 +11,7 @@
 func expectInUse(t *testing.T, b *Balancer, names ...string) {
 	t.Helper()
 	for _, name := range names {
-		if b.fleet.zoneNamed(name).health.ejected {
+		if b.endpoints.zoneNamed(name).health.ejected {
 			t.Errorf("zone %s was ejected", name)
 		}
 	}
@@ -28,7 +28,7 @@
 	now, before := sendReads(b, time.Hour, 1, 400, healthy)
 	now, _ = sendReads(b, now, 1000, 400, failing)
 	now, during := sendReads(b, now, 2000, 400, failing)
-	z := b.fleet.zoneNamed("b")
+	z := b.endpoints.zoneNamed("b")
 	if !z.health.ejected || during["b"] > 20 {
 		t.Errorf("a failing zone got %d of %v attempts, ejected %v", during["b"], during, z.health.ejected)
 	}
@@ -41,7 +41,7 @@
 	}
 	expectInUse(t, b, "near", "c", "d")
 	now, _ = sendReads(b, now, 3000, 1500, healthy)
-	z = b.fleet.zoneNamed("b")
+	z = b.endpoints.zoneNamed("b")
 	if z.health.ejected || z.health.recoveredShare < 1 {
 		t.Errorf("30 s after it has recovered: ejected %v, %v of its share", z.health.ejected, z.health.recoveredShare)
 	}
@@ -68,13 +68,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b, _ := newTestBalancer(t, testSettings(), test.list)
-			for _, e := range b.fleet.endpoints {
+			for _, e := range b.endpoints.known {
 				if test.unhealthy(e) {
 					e.outlier.errorRate = 1
 				}
 			}
 			b.updateZoneHealth(time.Hour)
-			for _, z := range b.fleet.zones {
+			for _, z := range b.endpoints.zones {
 				expectInUse(t, b, z.name)
 			}
 		})
@@ -101,7 +101,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			b, _ := newTestBalancer(t, testSettings(), fourZones(4))
 			now := time.Hour
-			for i, e := range b.fleet.endpoints {
+			for i, e := range b.endpoints.known {
 				e.latency = latencyStats{
 					mean: float64(100 * ms), deviation: float64(20 * ms), workUnits: 1, baseline: 1, smoothed: 1,
 				}
@@ -117,14 +117,14 @@
 				}
 			}
 			now += 200 * ms // twice the usual latency; the response timeout of one alone is over 350 ms
-			for _, e := range b.fleet.endpoints {
+			for _, e := range b.endpoints.known {
 				if !test.overdue(e) && e.outlier.respondedAt > 0 {
 					e.outlier.respondedAt = now
 				}
 			}
 			b.means.latency = float64(100 * ms)
 			b.updateZoneHealth(now)
-			ejected := b.fleet.zoneNamed("b").health.ejected
+			ejected := b.endpoints.zoneNamed("b").health.ejected
 			if ejected != test.want {
 				t.Errorf("ejected %v, want %v", ejected, test.want)
 			}
@@ -138,13 +138,13 @@
 	b, _ := newTestBalancer(t, testSettings(), fourZones(6))
 	now := time.Hour
 	for i := range 12 {
-		e := b.fleet.endpoints[6+i%6]
+		e := b.endpoints.known[6+i%6]
 		id := RequestID(i + 1)
 		startRead(b, e, id, now)
 		b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: e.ID, Latency: ms, Status: Error, RequestClosed: true})
 		now += 10 * ms
 		b.updateZoneHealth(now)
-		ejected := b.fleet.zoneNamed("b").health.ejected
+		ejected := b.endpoints.zoneNamed("b").health.ejected
 		want := i >= 10 // the second error of the fifth endpoint: more than ejectFraction of six
 		if ejected != want {
 			t.Fatalf("after %d errors of all 6 endpoints: ejected %v, want %v", i+1, ejected, want)
@@ -158,9 +158,9 @@
 	b, _ := newTestBalancer(t, testSettings(), fourZones(4))
 	now := time.Hour
 	for i := range 600 {
-		e := b.fleet.endpoints[4+i%2]
+		e := b.endpoints.known[4+i%2]
 		if i%15 == 14 {
-			e = b.fleet.endpoints[6+i%2]
+			e = b.endpoints.known[6+i%2]
 		}
 		status := OK
 		if e.ID <= 6 || i%300 == 299 { // the healthy ones fail now and then, too
@@ -171,7 +171,7 @@
 		b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: e.ID, Latency: ms, Status: status, RequestClosed: true})
 		now += 10 * ms
 		b.updateZoneHealth(now)
-		if b.fleet.zoneNamed("b").health.ejected {
+		if b.endpoints.zoneNamed("b").health.ejected {
 			t.Fatalf("the zone was ejected after %d responses", i+1)
 		}
 	}
@@ -194,11 +194,11 @@
 		rt.Fatalf("%s has %v of its share as its recovery begins", z.name, share)
 	case !ejected && share > h.share+recoveryStep+tolerance:
 		rt.Fatalf("%s went from %v to %v of its share", z.name, h.share, share)
-	case ejected && !h.ejected && b.fleet.weightOutside(z) < minRemainingCapacityRatio*endpoints:
-		rt.Fatalf("%s was ejected, and the others have only %v of %v", z.name, b.fleet.weightOutside(z), endpoints)
+	case ejected && !h.ejected && b.endpoints.weightOutside(z) < minRemainingCapacityRatio*endpoints:
+		rt.Fatalf("%s was ejected, and the others have only %v of %v", z.name, b.endpoints.weightOutside(z), endpoints)
 	}
 	trials := 0
-	for _, e := range b.fleet.endpoints {
+	for _, e := range b.endpoints.known {
 		for _, a := range e.attempts {
 			if e.zone == z && a.sentAt > h.ejectedAt {
 				trials++
@@ -238,7 +238,7 @@
 			for range rapid.IntRange(1, 60).Draw(rt, "requests") {
 				now, _ = sendReads(b, now, id, 1, statuses)
 				id++
-				for _, z := range b.fleet.zones {
+				for _, z := range b.endpoints.zones {
 					histories[z.name].check(rt, b, z, now)
 				}
 			}
