--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -52,7 +52,7 @@
 		}
 	}
 	e.Endpoint = entry
-	e.zone = b.endpoints.zoneNamed(entry.Zone)
+	e.zone = b.endpoints.findOrAddZone(entry.Zone)
 	weight := entry.Weight
 	if b.settings.Weights == WeightLive { // late, and the same for all balancers: following it at once would oscillate
 		weight = e.weight + smoothingFactor*(entry.Weight-e.weight)
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -48,7 +48,7 @@
 //	range of a limit | limit.go | minLimit, raiseLimitCeilings | initialFleetLimitAttempts (attempts), minFleetLimitAttempts (attempts) | reports of a higher limit's effect come a period later
 //	pause between attempts | limit.go | attemptInterval, pauseAfter | concurrencyLimiter.current (attempts), latencyStats.mean (ns) | a limit under one needs time without an attempt
 //	slow-start budget | slowstart.go | slowStartCapacity, fitsSlowStart, chargeSlowStart, slowStartRate | slowStartBudgetRatio (ratio), localitySlowStartBudgetRatio (ratio), Obligations.OverloadMultiple (ratio), Obligations.OverloadWindow (duration), Obligations.SlowStartFrom (ratio) | a warming endpoint fails above its present capacity
-//	start of slow start | slowstart.go | beginSlowStart | Obligations.SlowStartWindow (duration) | measurements from before a restart no longer hold
+//	start and end of slow start | slowstart.go | beginSlowStart, expireSlowStart | Obligations.SlowStartWindow (duration) | measurements from before a restart no longer hold
 //	unresponsive endpoint | outlier.go | responseTimeout, detectUnresponsive, markUnresponsive, markResponsive | timeoutDeviations (mean deviations), trafficMeans.latency (ns), Balancer.tick (duration) | a missing response shows a fault earlier than the client's timeout
 //	hedge or cancel at an unresponsive endpoint | outlier.go | moveAttempts | Class.Idempotency (kind), Limits.AllowHedging (flag), Limits.AllowCancel (flag) | what waits there may still be answered elsewhere in time
 //	trials of an endpoint | outlier.go | isOnTrial, recordTrial, allowsTrial | backoffGrowthFactor (ratio), outlierState.nextTrialAt (time) | the safest class risks least
@@ -58,7 +58,7 @@
 //	local endpoints in use | subset.go | localFirst | Settings.Zone (name) | each zone's endpoints have about as many balancers
 //	next call to discovery | discovery.go | retryDiscovery, grow | notificationDelay (duration), Obligations.PollInterval (duration), Obligations.DrainGrace (duration), backoffGrowthFactor (ratio) | a change counts as notified after a delay, whether or not a call succeeds
 //	entry of an endpoint list | discovery.go | applyEndpoint | Endpoint.StartedAt (time), Settings.Weights (kind), smoothingFactor (ratio) | a restart makes an endpoint cold again
-//	traffic that stays local | locality.go | updateLocality, endLocality, adjustLocalShares, adjustShare | maxLocalShare (ratio), utilizationMarginFactor (ratio), utilizationNoise (utilization), maxLocalUtilization (utilization), localShareGainRatio (ratio), maxLocalShareStep (share), minLocalitySubsetEndpoints (endpoints) | nearby endpoints respond faster until they are full
+//	traffic that stays local | locality.go | updateLocality, adjustLocalShares, adjustShare | maxLocalShare (ratio), utilizationMarginFactor (ratio), utilizationNoise (utilization), maxLocalUtilization (utilization), localShareGainRatio (ratio), maxLocalShareStep (share), minLocalitySubsetEndpoints (endpoints) | nearby endpoints respond faster until they are full
 //	weight of other zones | locality.go | setLocalityWeights, spareFactor | minLocalityWeight (ratio), maxSpareFactor (ratio), zone.capacity (traffic shares) | spillover goes where there is spare utilization
 //	response from another region in time | locality.go | canAnswerInTime | request.deadline (time), latencyStats.mean (ns) | the round trip is part of every response
 //	spillover by limits | locality.go | noteMissedTurns | endpoint.nextTurn (virtual time) | limits of local endpoints grow when they alone cause spillover
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -18,7 +18,7 @@
 // updateLocality adjusts how much of the traffic stays in the zone and in the region, by the utilization there and
 // elsewhere. All balancers of a zone adjust alike, by the same late reports, so each step is small.
 func (b *Balancer) updateLocality(now time.Duration) {
-	home := b.endpoints.zoneNamed(b.settings.Zone)
+	home := b.endpoints.findOrAddZone(b.settings.Zone)
 	b.locality.home = home
 	b.summarizeZones(now)
 	all := b.endpoints.summarize(func(*zone) bool { return true })
@@ -31,14 +31,6 @@
 	b.setLocalityWeights(region.capacity-home.capacity, all.capacity-region.capacity)
 }
 
-// endLocality leaves the distribution between zones to the traffic shares alone.
-func (b *Balancer) endLocality() {
-	b.locality.localShare = 0
-	for _, z := range b.endpoints.zones {
-		z.localityWeight = 1
-	}
-}
-
 // adjustLocalShares adjusts the shares of the traffic that stay in the zone and in the region. At first it assumes that the
 // clients of each zone send equal load.
 func (b *Balancer) adjustLocalShares(region, all zoneGroup) {
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -32,6 +32,7 @@
 // selectEndpoint is the eligible endpoint whose turn is due first, and the sum of all traffic shares.
 func (b *Balancer) selectEndpoint(r *request, now time.Duration) (best *endpoint, shares float64, permitted bool) {
 	for e := range b.endpoints.inUse() {
+		b.expireSlowStart(e, now)
 		shares += b.trafficShare(e, now)
 		if !b.mayAttempt(r, e, now) {
 			continue
@@ -75,12 +76,12 @@
 // Without it no attempt would be made for as long as every endpoint is in backoff. The safest class goes first, others
 // after another half of maxBlocked.
 func (b *Balancer) lastResort(r *request, now time.Duration) (best *endpoint) {
-	blocked := b.blocking.blockedFor(now)
 	wait := maxBlocked
 	if r.class.Idempotency != b.clients.safestClass {
 		wait += maxBlocked / 2
 	}
-	if blocked < wait {
+	b.blocking.noteBlocked(now)
+	if b.blocking.blockedFor(now) < wait {
 		return nil
 	}
 	for e := range b.endpoints.inUse() {
--- a/balancer/restore.go
+++ b/balancer/restore.go
@@ -21,6 +21,7 @@
 	e.slowStart.budget.At = now
 	window := b.settings.Obligations.OverloadWindow
 	if now-takenAt < window {
+		b.expireSlowStart(e, now)
 		e.slowStart.budget.Level = max(1, b.slowStartRate(e, now)*window.Seconds())
 	}
 }
--- a/balancer/restore_test.go
+++ b/balancer/restore_test.go
@@ -14,7 +14,7 @@
 	b.endpoints.known[1].shareFactor = 0.4
 	b.endpoints.known[2].outlier.unresponsive = true
 	b.endpoints.known[2].outlier.backoff = 300 * ms
-	ejected := b.endpoints.zoneNamed("c")
+	ejected := b.endpoints.findOrAddZone("c")
 	ejected.health.ejected = true
 	ejected.health.recoveredShare = 1
 	return b, now
@@ -56,7 +56,7 @@
 			if b.endpoints.known[2].outlier.unresponsive != known {
 				t.Errorf("unresponsive %v, want %v", !known, known)
 			}
-			if b.endpoints.zoneNamed("c").health.ejected != known {
+			if b.endpoints.findOrAddZone("c").health.ejected != known {
 				t.Errorf("zone ejected %v, want %v", !known, known)
 			}
 			if (b.endpoints.known[0].latency.mean > 0) != known {
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -14,10 +14,16 @@
 		elapsed := float64(now-e.slowStart.since) / float64(rules.SlowStartWindow)
 		return rules.SlowStartFrom + (1-rules.SlowStartFrom)*max(0, elapsed)
 	}
-	e.slowStart.active = false
 	return 1
 }
 
+// expireSlowStart ends the slow start of an endpoint once its window has passed.
+func (b *Balancer) expireSlowStart(e *endpoint, now time.Duration) {
+	if now-e.slowStart.since >= b.settings.Obligations.SlowStartWindow {
+		e.slowStart.active = false
+	}
+}
+
 // beginSlowStart treats an endpoint as started at a time: measurements from before are dropped.
 func (b *Balancer) beginSlowStart(e *endpoint, at time.Duration) {
 	e.slowStart.active = true
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -122,13 +122,13 @@
 		}
 	}
 	for _, known := range snapshot.Zones {
-		z := b.endpoints.zoneNamed(known.Name)
+		z := b.endpoints.findOrAddZone(known.Name)
 		if trusted {
 			b.restoreZone(z, known, now)
 		}
 	}
 	for _, name := range snapshot.DrainedZones {
-		b.endpoints.zoneNamed(name).drained = true
+		b.endpoints.findOrAddZone(name).drained = true
 	}
 	b.rebuildSubset(now)
 	b.updateLocality(now)
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -37,6 +37,7 @@
 	shares, total := map[*zone]float64{}, 0.0
 	for e := range b.endpoints.inUse() {
 		if e.zone.inUse() {
+			b.expireSlowStart(e, now)
 			share := b.trafficShare(e, now)
 			shares[e.zone] += share
 			total += share
--- a/balancer/turns.go
+++ b/balancer/turns.go
@@ -14,10 +14,12 @@
 	blockedSince  time.Duration // the first request after the last attempt that no endpoint could take
 }
 
-// blockedFor records that a request found no endpoint, and returns for how long all have.
-func (t *blockingTimes) blockedFor(now time.Duration) time.Duration {
+// noteBlocked records that a request found no endpoint.
+func (t *blockingTimes) noteBlocked(now time.Duration) {
 	if t.lastAttemptAt >= t.blockedSince {
 		t.blockedSince = now
 	}
-	return now - t.blockedSince
 }
+
+// blockedFor returns for how long no request has found an endpoint. The last one must have found none.
+func (t *blockingTimes) blockedFor(now time.Duration) time.Duration { return now - t.blockedSince }
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -51,8 +51,8 @@
 	h.erring = 0
 }
 
-// zoneNamed is the zone of a name. One that is not known is added.
-func (s *endpointSet) zoneNamed(name string) *zone {
+// findOrAddZone returns the zone of a name, and adds it if it is not known yet.
+func (s *endpointSet) findOrAddZone(name string) *zone {
 	known := s.findZone(name)
 	if known != nil {
 		return known
@@ -87,6 +87,14 @@
 // shareFactor is what traffic shares count for in a zone that is in use.
 func (z *zone) shareFactor() float64 { return z.localityWeight * z.health.recoveredShare }
 
+// endLocality leaves the distribution between zones to the traffic shares alone.
+func (b *Balancer) endLocality() {
+	b.locality.localShare = 0
+	for _, z := range b.endpoints.zones {
+		z.localityWeight = 1
+	}
+}
+
 // summarizeZones sums up what is known of each zone, and forgets those without endpoints.
 func (b *Balancer) summarizeZones(now time.Duration) {
 	for _, z := range b.endpoints.zones {
@@ -105,6 +113,7 @@
 		if !e.isUsable() {
 			continue
 		}
+		b.expireSlowStart(e, now)
 		capacity := b.trafficShare(e, now) / e.zone.localityWeight
 		e.zone.capacity += capacity
 		if e.utilization.readings > 0 && !e.slowStart.active {
--- a/balancer/zonehealth_test.go
+++ b/balancer/zonehealth_test.go
@@ -11,7 +11,7 @@
 func expectInUse(t *testing.T, b *Balancer, names ...string) {
 	t.Helper()
 	for _, name := range names {
-		if b.endpoints.zoneNamed(name).health.ejected {
+		if b.endpoints.findOrAddZone(name).health.ejected {
 			t.Errorf("zone %s was ejected", name)
 		}
 	}
@@ -28,7 +28,7 @@
 	now, before := sendReads(b, time.Hour, 1, 400, healthy)
 	now, _ = sendReads(b, now, 1000, 400, failing)
 	now, during := sendReads(b, now, 2000, 400, failing)
-	z := b.endpoints.zoneNamed("b")
+	z := b.endpoints.findOrAddZone("b")
 	if !z.health.ejected || during["b"] > 20 {
 		t.Errorf("a failing zone got %d of %v attempts, ejected %v", during["b"], during, z.health.ejected)
 	}
@@ -41,7 +41,7 @@
 	}
 	expectInUse(t, b, "near", "c", "d")
 	now, _ = sendReads(b, now, 3000, 1500, healthy)
-	z = b.endpoints.zoneNamed("b")
+	z = b.endpoints.findOrAddZone("b")
 	if z.health.ejected || z.health.recoveredShare < 1 {
 		t.Errorf("30 s after it has recovered: ejected %v, %v of its share", z.health.ejected, z.health.recoveredShare)
 	}
@@ -124,7 +124,7 @@
 			}
 			b.means.latency = float64(100 * ms)
 			b.updateZoneHealth(now)
-			ejected := b.endpoints.zoneNamed("b").health.ejected
+			ejected := b.endpoints.findOrAddZone("b").health.ejected
 			if ejected != test.want {
 				t.Errorf("ejected %v, want %v", ejected, test.want)
 			}
@@ -144,7 +144,7 @@
 		b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: e.ID, Latency: ms, Status: Error, RequestClosed: true})
 		now += 10 * ms
 		b.updateZoneHealth(now)
-		ejected := b.endpoints.zoneNamed("b").health.ejected
+		ejected := b.endpoints.findOrAddZone("b").health.ejected
 		want := i >= 10 // the second error of the fifth endpoint: more than ejectFraction of six
 		if ejected != want {
 			t.Fatalf("after %d errors of all 6 endpoints: ejected %v, want %v", i+1, ejected, want)
@@ -171,7 +171,7 @@
 		b.OnAttemptResult(now, AttemptResult{ID: id, Endpoint: e.ID, Latency: ms, Status: status, RequestClosed: true})
 		now += 10 * ms
 		b.updateZoneHealth(now)
-		if b.endpoints.zoneNamed("b").health.ejected {
+		if b.endpoints.findOrAddZone("b").health.ejected {
 			t.Fatalf("the zone was ejected after %d responses", i+1)
 		}
 	}
