--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -47,6 +47,11 @@
 	disabled    bool    // the subset is so small that locality would leave all to chance
 }
 
+// discoveryRetry is the state of repeated calls to discovery.
+type discoveryRetry struct {
+	backoff time.Duration // 0 after a successful call
+}
+
 const (
 	tickToken      = 1 // timers of the regular tick
 	discoveryToken = 2 // timers of the next call to discovery
--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -9,11 +9,6 @@
 // it.
 const notificationDelay = 6 * time.Second
 
-// discoveryRetry is the state of repeated calls to discovery.
-type discoveryRetry struct {
-	backoff time.Duration // 0 after a successful call
-}
-
 // grow lengthens the backoff after a failed call, up to a longest one, and returns it.
 func (d *discoveryRetry) grow(longest time.Duration) time.Duration {
 	d.backoff = min(max(d.backoff*backoffGrowthFactor, longest/4), longest)
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -49,9 +49,9 @@
 //	pause between attempts | limit.go | attemptInterval, pauseAfter | concurrencyLimiter.current (attempts), latencyStats.mean (ns) | a limit under one needs time without an attempt
 //	slow-start budget | slowstart.go | slowStartCapacity, fitsSlowStart, chargeSlowStart, slowStartRate | slowStartBudgetRatio (ratio), localitySlowStartBudgetRatio (ratio), Obligations.OverloadMultiple (ratio), Obligations.OverloadWindow (duration), Obligations.SlowStartFrom (ratio) | a warming endpoint fails above its present capacity
 //	start and end of slow start | slowstart.go | beginSlowStart, expireSlowStart | Obligations.SlowStartWindow (duration) | measurements from before a restart no longer hold
-//	unresponsive endpoint | outlier.go | responseTimeout, detectUnresponsive, markUnresponsive, markResponsive | timeoutDeviations (mean deviations), trafficMeans.latency (ns), Balancer.tick (duration) | a missing response shows a fault earlier than the client's timeout
+//	unresponsive endpoint | outlier.go | responseTimeout, detectUnresponsive, markUnresponsive | timeoutDeviations (mean deviations), trafficMeans.latency (ns), Balancer.tick (duration) | a missing response shows a fault earlier than the client's timeout
 //	hedge or cancel at an unresponsive endpoint | outlier.go | moveAttempts | Class.Idempotency (kind), Limits.AllowHedging (flag), Limits.AllowCancel (flag) | what waits there may still be answered elsewhere in time
-//	trials of an endpoint | outlier.go | isOnTrial, recordTrial, allowsTrial | backoffGrowthFactor (ratio), outlierState.nextTrialAt (time) | the safest class risks least
+//	trials of an endpoint | outlier.go | recordTrial, allowsTrial | backoffGrowthFactor (ratio), outlierState.nextTrialAt (time) | the safest class risks least
 //	backoff after a failed connection | outlier.go | backOff | outlierState.backoff (duration), Obligations.SlowStartWindow (duration) | the endpoint is down or has no free connection
 //	error rate | outlier.go | observeHealth | errorSmoothingFactor (ratio), AttemptResult.Status (kind) | zone health counts endpoints by their errors
 //	endpoints in use | subset.go | rebuildSubset, chooseStretch | balancersPerEndpoint (balancers), minSubsetEndpoints (endpoints), FleetSize.Balancers (balancers), FleetSize.Rank (index) | many balancers would use up an endpoint's connections
@@ -63,11 +63,11 @@
 //	response from another region in time | locality.go | canAnswerInTime | request.deadline (time), latencyStats.mean (ns) | the round trip is part of every response
 //	spillover by limits | locality.go | noteMissedTurns | endpoint.nextTurn (virtual time) | limits of local endpoints grow when they alone cause spillover
 //	evidence of an endpoint | zonehealth.go | isUnhealthy, isErring, isOverdue, countEndpoint | unhealthyErrorRate (ratio), erringErrorRate (ratio), overdueDeviations (mean deviations), responsiveWithin (duration) | only a zone's own endpoints are evidence against it
-//	correlated failure | zonehealth.go | detectCorrelatedFailure, mostlySuspect, ejectOverdue, countErring | minCorrelatedEndpoints (endpoints), responsiveRatio (endpoints) | several endpoints of a zone fail together sooner than each alone shows
-//	ejection of a zone | zonehealth.go | updateZoneState, mayEject, eject | ejectFraction (ratio), minUnhealthyEndpoints (endpoints), zoneOutlierRatio (ratio), minRemainingCapacityRatio (ratio) | the fault must be the zone's, and the others must carry its traffic
+//	correlated failure | zonehealth.go | detectCorrelatedFailure, mostlySuspect, countErring | minCorrelatedEndpoints (endpoints), responsiveRatio (endpoints) | several endpoints of a zone fail together sooner than each alone shows
+//	ejection of a zone | zonehealth.go | updateZoneState, isOutlier, ejectOrDegrade, mayEject, eject | ejectFraction (ratio), minUnhealthyEndpoints (endpoints), zoneOutlierRatio (ratio), minRemainingCapacityRatio (ratio) | the fault must be the zone's, and the others must carry its traffic
 //	degraded zone | zonehealth.go | unhealthyFraction, isDegraded | degradedFraction (ratio) | half of its endpoints carry half of its share
 //	trials of a zone | zonehealth.go | allowsZoneTrial, beginTrial | trialsToRecover (trials), firstTrialTicks (ticks) | one request at a time risks little
-//	recovery of a zone | zonehealth.go | beginRecovery, advanceRecovery, endRecovery | recoveryStep (ratio), minStepPeriods (periods), maxStepMultiple (multiple) | the full share at once would overload a zone that warms up
+//	recovery of a zone | zonehealth.go | recoverZone, advanceRecovery, endRecovery | recoveryStep (ratio), minStepPeriods (periods), maxStepMultiple (multiple) | the full share at once would overload a zone that warms up
 //	weight of a snapshot | restore.go | confidence | snapshotLifetime (duration), Snapshot.TakenAt (time) | older values are less likely to hold
 //	restored endpoint | restore.go | restoreEndpoint, restoreSlowStart, restoreBudget | EndpointStats.Unresponsive (flag), EndpointStats.Backoff (duration), EndpointStats.WarmingSince (time) | an endpoint that was ejected gets a trial first
 //	restored zone | restore.go | restoreZone | ZoneStats.Failed (flag), ZoneStats.RecoveredShare (ratio) | a zone that was ejected passes its trials first
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -129,6 +129,17 @@
 	return now - max(oldest.sentAt, e.outlier.respondedAt)
 }
 
+// isOnTrial reports whether an endpoint, or its zone, is ejected, so that it gets trials only.
+func (e *endpoint) isOnTrial() bool { return e.zone.health.ejected || e.outlier.unresponsive }
+
+// markResponsive records a response, which ends ejection and backoff.
+func (b *Balancer) markResponsive(e *endpoint, now time.Duration) {
+	e.outlier.unresponsive = false
+	e.outlier.respondedAt = now
+	e.outlier.backoff = b.tick
+	e.outlier.unreachableUntil = now
+}
+
 // closePeriod adds the present period to the running mean and begins the next one.
 func (w *workStats) closePeriod() {
 	w.mean += smoothingFactor * (w.period - w.mean)
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -57,17 +57,6 @@
 	}
 }
 
-// markResponsive records a response, which ends ejection and backoff.
-func (b *Balancer) markResponsive(e *endpoint, now time.Duration) {
-	e.outlier.unresponsive = false
-	e.outlier.respondedAt = now
-	e.outlier.backoff = b.tick
-	e.outlier.unreachableUntil = now
-}
-
-// isOnTrial reports whether an endpoint, or its zone, is ejected, so that it gets trials only.
-func (e *endpoint) isOnTrial() bool { return e.zone.health.ejected || e.outlier.unresponsive }
-
 // recordTrial spaces the trials of the zone or endpoint that an attempt is a trial of.
 func (a *attempt) recordTrial() {
 	e := a.endpoint
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -51,6 +51,31 @@
 	h.erring = 0
 }
 
+// beginRecovery gives an ejected zone the first step of its share.
+func (h *zoneHealth) beginRecovery() {
+	h.ejected = false
+	h.recovering = true
+	h.recoveredShare = recoveryStep
+	h.stepAgePeriods = 0
+}
+
+// degrade reduces the share of a zone to degradedFraction.
+func (h *zoneHealth) degrade() {
+	h.recoveredShare = degradedFraction
+	h.stepAgePeriods = 0
+}
+
+// ejectOverdue marks the overdue endpoints of a zone as unresponsive.
+func (b *Balancer) ejectOverdue(z *zone, now time.Duration) {
+	for _, e := range slices.Clone(b.endpoints.tracked) {
+		if e.zone == z && !e.outlier.unresponsive && b.isOverdue(e, now) {
+			z.health.unhealthy++
+			z.health.overdue--
+			b.markUnresponsive(e, 1, now)
+		}
+	}
+}
+
 // findOrAddZone returns the zone of a name, and adds it if it is not known yet.
 func (s *endpointSet) findOrAddZone(name string) *zone {
 	known := s.findZone(name)
@@ -159,16 +184,16 @@
 }
 
 // countEvidence counts the evidence of all endpoints for their zones, and returns their number and weight.
-func (b *Balancer) countEvidence(now time.Duration) (members int, weight float64) {
+func (b *Balancer) countEvidence(now time.Duration) (members int, totalWeight float64) {
 	for _, z := range b.endpoints.zones {
 		z.health.resetEvidence()
 	}
 	for e := range b.endpoints.inUse() {
 		members++
-		weight += e.weight
+		totalWeight += e.weight
 		b.countEndpoint(e, now)
 	}
-	return members, weight
+	return members, totalWeight
 }
 
 // weightOutside is the weight of all usable endpoints outside a zone.
@@ -183,7 +208,7 @@
 
 // updateZoneHealth judges every zone by its endpoints.
 func (b *Balancer) updateZoneHealth(now time.Duration) {
-	members, weight := b.countEvidence(now)
+	members, totalWeight := b.countEvidence(now)
 	b.detectCorrelatedFailure(now)
 	unhealthy := 0
 	for _, z := range b.endpoints.zones {
@@ -192,8 +217,8 @@
 	}
 	changed := false
 	for _, z := range b.endpoints.zones {
-		elsewhere := float64(unhealthy-z.health.unhealthy) / float64(max(1, members-z.health.members))
-		if b.updateZoneState(z, elsewhere, weight, now) {
+		unhealthyElsewhere := float64(unhealthy-z.health.unhealthy) / float64(max(1, members-z.health.members))
+		if b.updateZoneState(z, unhealthyElsewhere, totalWeight, now) {
 			changed = true
 		}
 		z.health.endRecovery()
--- a/balancer/zonehealth.go
+++ b/balancer/zonehealth.go
@@ -1,9 +1,6 @@
 package balancer
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
 // Zone health. Fractions of endpoints and error rates are ratios, 0 to 1.
 const (
@@ -67,9 +64,12 @@
 	}
 }
 
-// detectCorrelatedFailure ejects the overdue endpoints of a zone if most of it is overdue at once. That is long before each
-// of them alone would be ejected. The endpoints of other zones have to respond in time: a faulty link of this balancer
-// makes responses late in all zones. Zones without any response do not count there, since they are faulty themselves.
+// detectCorrelatedFailure ejects the overdue endpoints of a zone together, before each would be ejected alone, if:
+//  1. Unhealthy and overdue endpoints are most of the zone, and at least one is overdue.
+//  2. Enough endpoints of other zones respond, in all and for each late one. A faulty link of this balancer makes responses
+//     late in all zones.
+//
+// Zones without any response do not count in the second condition.
 func (b *Balancer) detectCorrelatedFailure(now time.Duration) {
 	late, responsive := b.endpoints.countLate()
 	for _, z := range b.endpoints.zones {
@@ -91,17 +91,6 @@
 	return suspects >= minCorrelatedEndpoints && 2*suspects >= h.members && float64(suspects) >= minSuspects
 }
 
-// ejectOverdue marks the overdue endpoints of a zone as unresponsive.
-func (b *Balancer) ejectOverdue(z *zone, now time.Duration) {
-	for _, e := range slices.Clone(b.endpoints.tracked) {
-		if e.zone == z && !e.outlier.unresponsive && b.isOverdue(e, now) {
-			z.health.unhealthy++
-			z.health.overdue--
-			b.markUnresponsive(e, 1, now)
-		}
-	}
-}
-
 // countErring counts erring endpoints as unhealthy where they are several.
 func (h *zoneHealth) countErring() {
 	if h.erring >= minCorrelatedEndpoints {
@@ -110,37 +99,57 @@
 	}
 }
 
-// updateZoneState moves a zone to another state if the evidence is sufficient. elsewhere is the unhealthy fraction of the
-// other zones, weight that of all endpoints.
-func (b *Balancer) updateZoneState(z *zone, elsewhere, weight float64, now time.Duration) (changed bool) {
+// updateZoneState moves a zone to another state if the evidence is sufficient, and reports whether that changed its share.
+// unhealthyElsewhere is the unhealthy fraction of the other zones. totalWeight is the weight of all endpoints.
+func (b *Balancer) updateZoneState(z *zone, unhealthyElsewhere, totalWeight float64, now time.Duration) (changed bool) {
+	switch {
+	case z.health.members == 0:
+		z.health.ejected = false
+		return false
+	case z.health.ejected:
+		return b.recoverZone(z, now)
+	case z.drained || !z.health.isOutlier(unhealthyElsewhere):
+		return false
+	}
+	return b.ejectOrDegrade(z, totalWeight, now)
+}
+
+// recoverZone lets an ejected zone recover after enough successful trials.
+func (b *Balancer) recoverZone(z *zone, now time.Duration) (changed bool) {
+	if z.health.trialSuccesses < trialsToRecover {
+		return false
+	}
+	z.health.beginRecovery()
+	b.log.add(now, ZoneRecoveryStarted{Zone: z.name, StepPeriods: minStepPeriods * z.health.stepMultiple})
+	return true
+}
+
+// ejectOrDegrade reduces the share of an unhealthy zone that is in use.
+func (b *Balancer) ejectOrDegrade(z *zone, totalWeight float64, now time.Duration) (changed bool) {
 	health := &z.health
 	switch {
-	case health.members == 0:
-		health.ejected = false
-	case health.ejected && health.trialSuccesses >= trialsToRecover:
-		health.beginRecovery()
-		b.log.add(now, ZoneRecoveryStarted{Zone: z.name, StepPeriods: minStepPeriods * health.stepMultiple})
-		return true
-	case !z.inUse(): // drained, or ejected and not recovered: only operators or trials change that
-	case elsewhere*zoneOutlierRatio > health.unhealthyFraction():
-		// The others are nearly as unhealthy. The fault may be in this balancer's link, or in all zones.
-	case b.mayEject(z, weight):
+	case b.mayEject(z, totalWeight):
 		health.eject(now)
 		health.backoff = firstTrialTicks * b.tick
 		b.log.add(now, ZoneEjected{Zone: z.name, Unhealthy: health.unhealthy, Members: health.members})
 		return true
 	case health.isDegraded() && health.recoveredShare > degradedFraction:
-		health.recoveredShare = degradedFraction
-		health.stepAgePeriods = 0
+		health.degrade()
 		return true
 	}
 	return false
 }
 
+// isOutlier reports whether a zone is much unhealthier than the others. Otherwise the fault may be in this balancer's link,
+// or in all zones.
+func (h *zoneHealth) isOutlier(unhealthyElsewhere float64) bool {
+	return h.unhealthyFraction() >= zoneOutlierRatio*unhealthyElsewhere
+}
+
 // mayEject reports whether most of a zone is unhealthy, and the others have the capacity to go on without it.
-func (b *Balancer) mayEject(z *zone, weight float64) bool {
+func (b *Balancer) mayEject(z *zone, totalWeight float64) bool {
 	mostlyUnhealthy := z.health.unhealthy >= minUnhealthyEndpoints && z.health.unhealthyFraction() >= ejectFraction
-	return mostlyUnhealthy && b.endpoints.weightOutside(z) >= minRemainingCapacityRatio*weight
+	return mostlyUnhealthy && b.endpoints.weightOutside(z) >= minRemainingCapacityRatio*totalWeight
 }
 
 // unhealthyFraction is the fraction of a zone that is unhealthy. Once half of the zone is, endpoints without evidence do not
@@ -170,14 +179,6 @@
 	h.nextTrialAt = now
 }
 
-// beginRecovery gives an ejected zone the first step of its share.
-func (h *zoneHealth) beginRecovery() {
-	h.ejected = false
-	h.recovering = true
-	h.recoveredShare = recoveryStep
-	h.stepAgePeriods = 0
-}
-
 // endRecovery ends the recovery of a zone that has all of its share, and after a long healthy time the memory of
 // setbacks.
 func (h *zoneHealth) endRecovery() {
