--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -36,7 +36,7 @@
 //	send, queue or answer at once | admission.go | OnRequest, admit, isSaturated | request.attemptBy (time), request.priority (weight) | a request waits only if an endpoint may be free in time
 //	advice on a retry | admission.go | retryAfter | Limits.AllowRetryAfter (flag), Limits.MaxRetryAfter (duration), Balancer.tick (duration) | endpoints are looked at again after a tick
 //	traffic share | picker.go | trafficShare | endpoint.weight (mean endpoints), endpoint.shareFactor (ratio) | capacity, bands, slow start and locality multiply
-//	order of turns | picker.go | takeTurn, selectEndpoint, charge | endpoint.nextTurn (virtual time), maxTurnDebtRounds (rounds) | an even interleave by shares spreads load better than random choice
+//	order of turns | picker.go | takeTurn, chooseEndpoint, firstDue, charge | endpoint.nextTurn (virtual time), maxTurnDebtRounds (rounds) | an even interleave by shares spreads load better than random choice
 //	endpoint eligible for a turn | picker.go | isEligible, hasFreeSlot | concurrencyLimiter.current (attempts), concurrencyLimiter.pausedUntil (time), outlierState.unreachableUntil (time) | the limit guards, shares decide below it
 //	attempt while all are in backoff | picker.go | lastResort | maxBlocked (duration), outlierState.nextTrialAt (time) | without attempts no recovery would be noticed
 //	utilization of an endpoint | bands.go | recordUtilization | LoadReport.Utilization (ratio), LoadReport.Inflight (requests), LoadReport.Queue (requests), bandWindowReadings (readings), smoothingFactor (ratio) | reports differ between sites
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -15,13 +15,10 @@
 	return e.weight * e.shareFactor * b.slowStartCapacity(e, now) * e.zone.shareFactor()
 }
 
-// takeTurn selects an endpoint for r and charges it a turn; nil: none can take r now. permitted reports whether r may have
+// takeTurn chooses an endpoint for r and charges it a turn; nil: none can take r now. permitted reports whether r may have
 // an attempt at any endpoint of the subset, now or later.
 func (b *Balancer) takeTurn(r *request, now time.Duration) (best *endpoint, permitted bool) {
-	best, shares, permitted := b.selectEndpoint(r, now)
-	if best == nil && permitted {
-		best = b.lastResort(r, now)
-	}
+	best, shares, permitted := b.chooseEndpoint(r, now)
 	if best != nil {
 		b.noteMissedTurns(best, now)
 		b.turns.charge(best, shares/b.trafficShare(best, now))
@@ -29,8 +26,19 @@
 	return best, permitted
 }
 
-// selectEndpoint is the eligible endpoint whose turn is due first, and the sum of all traffic shares.
-func (b *Balancer) selectEndpoint(r *request, now time.Duration) (best *endpoint, shares float64, permitted bool) {
+// chooseEndpoint is the endpoint that is due first, or the last resort where none is eligible. It charges nothing. shares is
+// the sum of all traffic shares.
+func (b *Balancer) chooseEndpoint(r *request, now time.Duration) (best *endpoint, shares float64, permitted bool) {
+	best, shares, permitted = b.firstDue(r, now)
+	if best == nil && permitted {
+		b.blocking.noteBlocked(now)
+		best = b.lastResort(r, now)
+	}
+	return best, shares, permitted
+}
+
+// firstDue is the eligible endpoint whose turn is due first, and the sum of all traffic shares.
+func (b *Balancer) firstDue(r *request, now time.Duration) (best *endpoint, shares float64, permitted bool) {
 	for e := range b.endpoints.inUse() {
 		b.expireSlowStart(e, now)
 		shares += b.trafficShare(e, now)
@@ -80,7 +88,6 @@
 	if r.class.Idempotency != b.clients.safestClass {
 		wait += maxBlocked / 2
 	}
-	b.blocking.noteBlocked(now)
 	if b.blocking.blockedFor(now) < wait {
 		return nil
 	}
