--- a/balancer/ledger.go
+++ b/balancer/attempt.go
@@ -5,13 +5,6 @@
 	"time"
 )
 
-// tenant counts one customer's requests against this balancer's part of its quota, as a leaky bucket.
-type tenant struct {
-	rate      float64 // requests a second
-	level     float64 // requests not yet leaked
-	updatedAt float64 // s
-}
-
 // class is one kind of request.
 type class struct {
 	Class
@@ -29,7 +22,8 @@
 	uploading   bool // the last byte of its body is still to come
 }
 
-// request is an entry of the ledger; it stays until its last attempt has ended.
+// request is a client's request with its attempts. Balancer.requests has it until it has its final answer and no attempt is
+// in flight.
 type request struct {
 	Request
 	class        *class
@@ -52,7 +46,7 @@
 	return r.attempts[index]
 }
 
-// findAttempt returns a request of the ledger and its attempt by its index, or nil for both.
+// findAttempt returns a request that is not yet dropped and its attempt by its index, or nil for both.
 func (b *Balancer) findAttempt(id RequestID, index int) (*request, *attempt) {
 	r := b.requests[id]
 	if r == nil {
@@ -65,7 +59,7 @@
 	return r, a
 }
 
-// end records how an attempt ended, in the ledger and at its endpoint.
+// end records how an attempt ended, with its request and at its endpoint.
 func (a *attempt) end(result AttemptResult) {
 	a.ended = true
 	a.notExecuted = result.Status.provesNotExecuted()
@@ -129,11 +123,3 @@
 		delete(b.requests, r.ID)
 	}
 }
-
-// countRequest counts a request and reports whether its tenant is over its quota.
-func (t *tenant) countRequest(now time.Duration) (overQuota bool) {
-	leaked := t.rate * (now.Seconds() - t.updatedAt)
-	t.level = max(0, t.level-leaked) + 1
-	t.updatedAt = now.Seconds()
-	return t.level > max(t.rate, 1)
-}
--- a/balancer/fixtures_test.go
+++ b/balancer/fixtures_test.go
@@ -160,7 +160,7 @@
 	return now, attempts
 }
 
-// observeWrite gives a Balancer the result of a write of mean work that the ledger does not hold.
+// observeWrite gives a Balancer the result of a write of mean work for which no request is recorded.
 func observeWrite(b *Balancer, e *endpoint, status Status, latency, now time.Duration) {
 	a := &attempt{request: &request{class: b.clients.classes["write"], workUnits: 1}, endpoint: e}
 	b.observeResult(a, AttemptResult{Latency: latency, Status: status}, now)
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -52,18 +52,18 @@
 	locality.regionShare = max(locality.regionShare, locality.localShare)
 }
 
-// adjustShare adjusts the share of the traffic that stays in a part of the fleet. It grows, up to maxLocalShare, while the
-// part has spare utilization. Without spare utilization it shrinks to an even share, and to half of that while the part is
-// more utilized than the fleet.
-func adjustShare(share float64, part, fleet zoneGroup) float64 {
-	least := part.capacity / fleet.capacity
-	acceptable := utilizationMarginFactor*fleet.utilization + utilizationNoise
-	if part.utilization > acceptable {
-		least /= 2
+// adjustShare adjusts the share of the traffic that stays in a group of zones. It grows, up to maxLocalShare, while the
+// group has spare utilization. Without spare utilization it shrinks to an even share, and to half of that while the group
+// is more utilized than all zones together.
+func adjustShare(share float64, group, all zoneGroup) float64 {
+	minShare := group.capacity / all.capacity
+	acceptable := utilizationMarginFactor*all.utilization + utilizationNoise
+	if group.utilization > acceptable {
+		minShare /= 2
 	}
-	move := localShareGainRatio * (min(acceptable, maxLocalUtilization) - part.utilization)
-	move = max(-maxLocalShareStep, min(maxLocalShareStep, move))
-	return max(least, min(maxLocalShare, share+move))
+	change := localShareGainRatio * (min(acceptable, maxLocalUtilization) - group.utilization)
+	change = max(-maxLocalShareStep, min(maxLocalShareStep, change))
+	return max(minShare, min(maxLocalShare, share+change))
 }
 
 // setLocalityWeights sets the locality weight of each zone: 1 for the balancer's own. Weights elsewhere follow from the
@@ -79,14 +79,14 @@
 	}
 	others := b.endpoints.summarize(func(z *zone) bool { return z != home })
 	for _, z := range b.endpoints.zones {
-		part, capacity := toNear, near
+		traffic, capacity := toNear, near
 		if z.region != home.region {
-			part, capacity = toFar, far
+			traffic, capacity = toFar, far
 		}
 		if z == home {
 			z.localityWeight = 1
 		} else if capacity > 0 {
-			weight := part / b.locality.localShare * home.capacity / capacity * z.spareFactor(others.utilization)
+			weight := traffic / b.locality.localShare * home.capacity / capacity * z.spareFactor(others.utilization)
 			z.localityWeight = max(minLocalityWeight, weight)
 		}
 	}
--- a/balancer/zonehealth.go
+++ b/balancer/zonehealth.go
@@ -194,7 +194,7 @@
 // advanceRecovery gives recovering zones their next step, once the last one has lasted long enough and their utilization is
 // not over the fleet's.
 func (b *Balancer) advanceRecovery() {
-	fleet := b.endpoints.summarize(func(*zone) bool { return true })
+	all := b.endpoints.summarize(func(*zone) bool { return true })
 	for _, z := range b.endpoints.zones {
 		health := &z.health
 		health.stepAgePeriods++
@@ -202,8 +202,8 @@
 		if !z.inUse() || health.recoveredShare == 1 || waits {
 			continue
 		}
-		most := max(utilizationMarginFactor*fleet.utilization+utilizationNoise, minExcessUtilization)
-		if !fleet.measured || z.measuredCapacity == 0 || z.meanUtilization() <= most {
+		maxUtilization := max(utilizationMarginFactor*all.utilization+utilizationNoise, minExcessUtilization)
+		if !all.measured || z.measuredCapacity == 0 || z.meanUtilization() <= maxUtilization {
 			health.recoveredShare = min(1, health.recoveredShare+recoveryStep)
 			health.stepAgePeriods = 0
 		}
