--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -54,7 +54,7 @@
 //	trials of an endpoint | outlier.go | recordTrial, allowsTrial | backoffGrowthFactor (ratio), outlierState.nextTrialAt (time) | the safest class risks least
 //	backoff after a failed connection | outlier.go | backOff | outlierState.backoff (duration), Obligations.SlowStartWindow (duration) | the endpoint is down or has no free connection
 //	error rate | outlier.go | observeHealth | errorSmoothingFactor (ratio), AttemptResult.Status (kind) | zone health counts endpoints by their errors
-//	endpoints in use | subset.go | rebuildSubset, chooseStretch | balancersPerEndpoint (balancers), minSubsetEndpoints (endpoints), FleetSize.Balancers (balancers), FleetSize.Rank (index) | many balancers would use up an endpoint's connections
+//	endpoints in use | subset.go | rebuildSubset, wantedEndpoints, chooseStretch | balancersPerEndpoint (balancers), minSubsetEndpoints (endpoints), FleetSize.Balancers (balancers), FleetSize.Rank (index) | many balancers would use up an endpoint's connections
 //	local endpoints in use | subset.go | localFirst | Settings.Zone (name) | each zone's endpoints have about as many balancers
 //	next call to discovery | discovery.go | retryDiscovery, grow | notificationDelay (duration), Obligations.PollInterval (duration), Obligations.DrainGrace (duration), backoffGrowthFactor (ratio) | a change counts as notified after a delay, whether or not a call succeeds
 //	entry of an endpoint list | discovery.go | applyEndpoint | Endpoint.StartedAt (time), Settings.Weights (kind), smoothingFactor (ratio) | a restart makes an endpoint cold again
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -1,8 +1,10 @@
 package balancer
 
 import (
+	"cmp"
 	"iter"
 	"slices"
+	"time"
 
 	"sprucehill/internal/stats"
 )
@@ -36,6 +38,28 @@
 	}
 }
 
+// activeByRingPosition returns the active endpoints in the order of the hash ring.
+func (s *endpointSet) activeByRingPosition() []*endpoint {
+	active := slices.DeleteFunc(slices.Clone(s.known), func(e *endpoint) bool { return e.State != Active })
+	slices.SortFunc(active, func(x, y *endpoint) int { return cmp.Compare(x.ringPosition, y.ringPosition) })
+	return active
+}
+
+// useEndpoints makes the chosen endpoints the subset, and tracks those that leave it for as long as they have attempts in
+// flight. wanted is how many endpoints the subset needs.
+func (b *Balancer) useEndpoints(chosen map[*endpoint]bool, wanted float64, now time.Duration) {
+	b.endpoints.tracked = b.endpoints.tracked[:0]
+	for _, e := range b.endpoints.known {
+		if chosen[e] && !e.inSubset {
+			b.joinSubset(e, wanted, now)
+		}
+		e.inSubset = chosen[e]
+		if e.inSubset || len(e.attempts) > 0 {
+			b.endpoints.tracked = append(b.endpoints.tracked, e)
+		}
+	}
+}
+
 // forgetRemoved drops endpoints that are removed and have no attempt in flight.
 func (s *endpointSet) forgetRemoved() {
 	s.known = slices.DeleteFunc(s.known, func(e *endpoint) bool {
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -1,7 +1,6 @@
 package balancer
 
 import (
-	"cmp"
 	"math"
 	"slices"
 	"time"
@@ -17,25 +16,24 @@
 // rebuildSubset chooses the endpoints that this balancer uses. All balancers see the same ring and take a stretch from a
 // place of their own; the golden ratio spreads these evenly for any run of ranks.
 func (b *Balancer) rebuildSubset(now time.Duration) {
-	active := slices.DeleteFunc(slices.Clone(b.endpoints.known), func(e *endpoint) bool { return e.State != Active })
-	slices.SortFunc(active, func(x, y *endpoint) int { return cmp.Compare(x.ringPosition, y.ringPosition) })
-	count, balancers := float64(len(active)), float64(b.balancers.Balancers)
-	fair := math.Ceil(count * balancersPerEndpoint / max(balancersPerEndpoint, balancers-balancersPerEndpoint))
-	wanted := max(1, min(count, max(minSubsetEndpoints, fair)))
-	b.locality.disabled = wanted < min(count, minLocalitySubsetEndpoints)
-	b.endpoints.initialLimit = initialFleetLimitAttempts * max(count, 1) / wanted / float64(b.balancers.MaxBalancers)
+	active := b.endpoints.activeByRingPosition()
+	wanted := wantedEndpoints(float64(len(active)), float64(b.balancers.Balancers))
+	b.setSubsetSize(float64(len(active)), wanted)
 	_, place := math.Modf(float64(b.balancers.Rank) * math.Phi)
 	chosen := chooseStretch(b.localFirst(active, place, wanted), wanted)
-	b.endpoints.tracked = b.endpoints.tracked[:0]
-	for _, e := range b.endpoints.known {
-		if chosen[e] && !e.inSubset {
-			b.joinSubset(e, wanted, now)
-		}
-		e.inSubset = chosen[e]
-		if e.inSubset || len(e.attempts) > 0 {
-			b.endpoints.tracked = append(b.endpoints.tracked, e)
-		}
-	}
+	b.useEndpoints(chosen, wanted, now)
+}
+
+// wantedEndpoints is how many of the active endpoints each balancer uses.
+func wantedEndpoints(active, balancers float64) float64 {
+	fair := math.Ceil(active * balancersPerEndpoint / max(balancersPerEndpoint, balancers-balancersPerEndpoint))
+	return max(1, min(active, max(minSubsetEndpoints, fair)))
+}
+
+// setSubsetSize adapts locality and the initial limit to the number of endpoints that are wanted of the active ones.
+func (b *Balancer) setSubsetSize(active, wanted float64) {
+	b.locality.disabled = wanted < min(active, minLocalitySubsetEndpoints)
+	b.endpoints.initialLimit = initialFleetLimitAttempts * max(active, 1) / wanted / float64(b.balancers.MaxBalancers)
 }
 
 // chooseStretch takes endpoints in order until enough of them are warm and responsive, at most twice as many.
