--- a/balancer/events.go
+++ b/balancer/events.go
@@ -86,7 +86,7 @@
 	Error                // the endpoint answered with an error
 	Rejected             // * the endpoint's queue is full
 	Timeout              // no response in time
-	ConnectFailed        // * no connection in time
+	ConnectFailed        // * no connection in time, or it ended before the whole request was written
 	Reset                // connection lost
 	Cancelled            // stopped by Cancel
 	NotSent              // * never written
