--- a/balancer/discovery.go
+++ b/balancer/discovery.go
@@ -9,11 +9,6 @@
 // it.
 const notificationDelay = 6 * time.Second
 
-// discoveryRetry is the state of repeated calls to discovery.
-type discoveryRetry struct {
-	backoff time.Duration // 0 after a successful call
-}
-
 // grow lengthens the backoff after a failed call, up to a longest one, and returns it.
 func (d *discoveryRetry) grow(longest time.Duration) time.Duration {
 	d.backoff = min(max(d.backoff*backoffGrowthFactor, longest/4), longest)
@@ -36,7 +31,7 @@
 
 // applyEndpoint applies one entry of a list.
 func (b *Balancer) applyEndpoint(entry Endpoint, now time.Duration) {
-	e := b.fleet.byID[entry.ID]
+	e := b.endpoints.byID[entry.ID]
 	if e == nil {
 		if entry.State == Removed {
 			return
@@ -52,7 +47,7 @@
 		}
 	}
 	e.Endpoint = entry
-	e.zone = b.fleet.zoneNamed(entry.Zone)
+	e.zone = b.endpoints.findOrAddZone(entry.Zone)
 	weight := entry.Weight
 	if b.settings.Weights == WeightLive { // late, and the same for all balancers: following it at once would oscillate
 		weight = e.weight + smoothingFactor*(entry.Weight-e.weight)
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -18,11 +18,11 @@
 // updateLocality adjusts how much of the traffic stays in the zone and in the region, by the utilization there and
 // elsewhere. All balancers of a zone adjust alike, by the same late reports, so each step is small.
 func (b *Balancer) updateLocality(now time.Duration) {
-	home := b.fleet.zoneNamed(b.settings.Zone)
+	home := b.endpoints.findOrAddZone(b.settings.Zone)
 	b.locality.home = home
 	b.summarizeZones(now)
-	all := b.fleet.summarize(func(*zone) bool { return true })
-	region := b.fleet.summarize(func(z *zone) bool { return z.region == home.region })
+	all := b.endpoints.summarize(func(*zone) bool { return true })
+	region := b.endpoints.summarize(func(z *zone) bool { return z.region == home.region })
 	if home.capacity == 0 || home.capacity == all.capacity || b.locality.disabled {
 		b.endLocality()
 		return
@@ -31,23 +31,15 @@
 	b.setLocalityWeights(region.capacity-home.capacity, all.capacity-region.capacity)
 }
 
-// endLocality leaves the distribution between zones to the traffic shares alone.
-func (b *Balancer) endLocality() {
-	b.locality.localShare = 0
-	for _, z := range b.fleet.zones {
-		z.localityWeight = 1
-	}
-}
-
 // adjustLocalShares adjusts the shares of the traffic that stay in the zone and in the region. At first it assumes that the
 // clients of each zone send equal load.
 func (b *Balancer) adjustLocalShares(region, all zoneGroup) {
 	locality := &b.locality
 	if locality.localShare == 0 {
-		locality.localShare = min(maxLocalShare, b.fleet.usableZones()*locality.home.capacity/all.capacity)
+		locality.localShare = min(maxLocalShare, b.endpoints.usableZones()*locality.home.capacity/all.capacity)
 		locality.regionShare = maxLocalShare
 	}
-	local := b.fleet.summarize(func(z *zone) bool { return z == locality.home })
+	local := b.endpoints.summarize(func(z *zone) bool { return z == locality.home })
 	if all.measured && local.measured {
 		locality.localShare = adjustShare(locality.localShare, local, all)
 	}
@@ -60,18 +52,18 @@
 	locality.regionShare = max(locality.regionShare, locality.localShare)
 }
 
-// adjustShare adjusts the share of the traffic that stays in a part of the fleet. It grows, up to maxLocalShare, while the
-// part has spare utilization. Without spare utilization it shrinks to an even share, and to half of that while the part is
-// more utilized than the fleet.
-func adjustShare(share float64, part, fleet zoneGroup) float64 {
-	least := part.capacity / fleet.capacity
-	acceptable := utilizationMarginFactor*fleet.utilization + utilizationNoise
-	if part.utilization > acceptable {
-		least /= 2
+// adjustShare adjusts the share of the traffic that stays in a group of zones. It grows, up to maxLocalShare, while the
+// group has spare utilization. Without spare utilization it shrinks to an even share, and to half of that while the group
+// is more utilized than all zones together.
+func adjustShare(share float64, group, all zoneGroup) float64 {
+	minShare := group.capacity / all.capacity
+	acceptable := utilizationMarginFactor*all.utilization + utilizationNoise
+	if group.utilization > acceptable {
+		minShare /= 2
 	}
-	move := localShareGainRatio * (min(acceptable, maxLocalUtilization) - part.utilization)
-	move = max(-maxLocalShareStep, min(maxLocalShareStep, move))
-	return max(least, min(maxLocalShare, share+move))
+	change := localShareGainRatio * (min(acceptable, maxLocalUtilization) - group.utilization)
+	change = max(-maxLocalShareStep, min(maxLocalShareStep, change))
+	return max(minShare, min(maxLocalShare, share+change))
 }
 
 // setLocalityWeights sets the locality weight of each zone: 1 for the balancer's own. Weights elsewhere follow from the
@@ -85,16 +77,16 @@
 		toFar = 1 - b.locality.localShare
 		toNear = 0
 	}
-	others := b.fleet.summarize(func(z *zone) bool { return z != home })
-	for _, z := range b.fleet.zones {
-		part, capacity := toNear, near
+	others := b.endpoints.summarize(func(z *zone) bool { return z != home })
+	for _, z := range b.endpoints.zones {
+		traffic, capacity := toNear, near
 		if z.region != home.region {
-			part, capacity = toFar, far
+			traffic, capacity = toFar, far
 		}
 		if z == home {
 			z.localityWeight = 1
 		} else if capacity > 0 {
-			weight := part / b.locality.localShare * home.capacity / capacity * z.spareFactor(others.utilization)
+			weight := traffic / b.locality.localShare * home.capacity / capacity * z.spareFactor(others.utilization)
 			z.localityWeight = max(minLocalityWeight, weight)
 		}
 	}
@@ -125,8 +117,8 @@
 		return
 	}
 	missed := false
-	for _, e := range b.fleet.subset {
-		if e.inSubset && e.Zone == b.settings.Zone && e.nextTurn < best.nextTurn {
+	for e := range b.endpoints.inUse() {
+		if e.Zone == b.settings.Zone && e.nextTurn < best.nextTurn {
 			e.limit.missedTurnAt = now
 			missed = true
 		}
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -15,13 +15,10 @@
 	return e.weight * e.shareFactor * b.slowStartCapacity(e, now) * e.zone.shareFactor()
 }
 
-// takeTurn selects an endpoint for r and charges it a turn; nil: none can take r now. permitted reports whether r may have
+// takeTurn chooses an endpoint for r and charges it a turn; nil: none can take r now. permitted reports whether r may have
 // an attempt at any endpoint of the subset, now or later.
 func (b *Balancer) takeTurn(r *request, now time.Duration) (best *endpoint, permitted bool) {
-	best, shares, permitted := b.selectEndpoint(r, now)
-	if best == nil && permitted {
-		best = b.lastResort(r, now)
-	}
+	best, shares, permitted := b.chooseEndpoint(r, now)
 	if best != nil {
 		b.noteMissedTurns(best, now)
 		b.turns.charge(best, shares/b.trafficShare(best, now))
@@ -29,12 +26,21 @@
 	return best, permitted
 }
 
-// selectEndpoint is the eligible endpoint whose turn is due first, and the sum of all traffic shares.
-func (b *Balancer) selectEndpoint(r *request, now time.Duration) (best *endpoint, shares float64, permitted bool) {
-	for _, e := range b.fleet.subset {
-		if !e.inSubset {
-			continue
-		}
+// chooseEndpoint is the endpoint that is due first, or the last resort where none is eligible. It charges nothing. shares is
+// the sum of all traffic shares.
+func (b *Balancer) chooseEndpoint(r *request, now time.Duration) (best *endpoint, shares float64, permitted bool) {
+	best, shares, permitted = b.firstDue(r, now)
+	if best == nil && permitted {
+		b.blocking.noteBlocked(now)
+		best = b.lastResort(r, now)
+	}
+	return best, shares, permitted
+}
+
+// firstDue is the eligible endpoint whose turn is due first, and the sum of all traffic shares.
+func (b *Balancer) firstDue(r *request, now time.Duration) (best *endpoint, shares float64, permitted bool) {
+	for e := range b.endpoints.inUse() {
+		b.expireSlowStart(e, now)
 		shares += b.trafficShare(e, now)
 		if !b.mayAttempt(r, e, now) {
 			continue
@@ -78,16 +84,15 @@
 // Without it no attempt would be made for as long as every endpoint is in backoff. The safest class goes first, others
 // after another half of maxBlocked.
 func (b *Balancer) lastResort(r *request, now time.Duration) (best *endpoint) {
-	blocked := b.blocking.blockedFor(now)
 	wait := maxBlocked
 	if r.class.Idempotency != b.clients.safestClass {
 		wait += maxBlocked / 2
 	}
-	if blocked < wait {
+	if b.blocking.blockedFor(now) < wait {
 		return nil
 	}
-	for _, e := range b.fleet.subset {
-		if !e.inSubset || !e.zone.inUse() || !b.mayAttempt(r, e, now) || !b.canAnswerInTime(e, r, now) {
+	for e := range b.endpoints.inUse() {
+		if !e.zone.inUse() || !b.mayAttempt(r, e, now) || !b.canAnswerInTime(e, r, now) {
 			continue
 		}
 		if (best == nil || e.outlier.nextTrialAt < best.outlier.nextTrialAt) && b.fitsSlowStart(e, r, now) {
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -51,9 +51,34 @@
 	h.erring = 0
 }
 
-// zoneNamed is the zone of a name. One that is not known is added.
-func (f *fleetState) zoneNamed(name string) *zone {
-	known := f.findZone(name)
+// beginRecovery gives an ejected zone the first step of its share.
+func (h *zoneHealth) beginRecovery() {
+	h.ejected = false
+	h.recovering = true
+	h.recoveredShare = recoveryStep
+	h.stepAgePeriods = 0
+}
+
+// degrade reduces the share of a zone to degradedFraction.
+func (h *zoneHealth) degrade() {
+	h.recoveredShare = degradedFraction
+	h.stepAgePeriods = 0
+}
+
+// ejectOverdue marks the overdue endpoints of a zone as unresponsive.
+func (b *Balancer) ejectOverdue(z *zone, now time.Duration) {
+	for _, e := range slices.Clone(b.endpoints.tracked) {
+		if e.zone == z && !e.outlier.unresponsive && b.isOverdue(e, now) {
+			z.health.unhealthy++
+			z.health.overdue--
+			b.markUnresponsive(e, 1, now)
+		}
+	}
+}
+
+// findOrAddZone returns the zone of a name, and adds it if it is not known yet.
+func (s *endpointSet) findOrAddZone(name string) *zone {
+	known := s.findZone(name)
 	if known != nil {
 		return known
 	}
@@ -62,17 +87,17 @@
 		region = ""
 	}
 	z := &zone{name: name, region: region, localityWeight: 1, health: zoneHealth{recoveredShare: 1, stepMultiple: 1}}
-	f.zones = append(f.zones, z)
+	s.zones = append(s.zones, z)
 	return z
 }
 
 // findZone is a zone that is known, or nil.
-func (f *fleetState) findZone(name string) *zone {
-	i := slices.IndexFunc(f.zones, func(z *zone) bool { return z.name == name })
+func (s *endpointSet) findZone(name string) *zone {
+	i := slices.IndexFunc(s.zones, func(z *zone) bool { return z.name == name })
 	if i < 0 {
 		return nil
 	}
-	return f.zones[i]
+	return s.zones[i]
 }
 
 // meanUtilization is that of its endpoints with readings; it needs some.
@@ -87,22 +112,33 @@
 // shareFactor is what traffic shares count for in a zone that is in use.
 func (z *zone) shareFactor() float64 { return z.localityWeight * z.health.recoveredShare }
 
+// endLocality leaves the distribution between zones to the traffic shares alone.
+func (b *Balancer) endLocality() {
+	b.locality.localShare = 0
+	for _, z := range b.endpoints.zones {
+		z.localityWeight = 1
+	}
+}
+
 // summarizeZones sums up what is known of each zone, and forgets those without endpoints.
 func (b *Balancer) summarizeZones(now time.Duration) {
-	for _, z := range b.fleet.zones {
+	for _, z := range b.endpoints.zones {
 		z.listed = 0
 		z.capacity = 0
 		z.utilizationSum = 0
 		z.measuredCapacity = 0
 	}
-	for _, e := range b.fleet.endpoints {
+	for _, e := range b.endpoints.known {
 		e.zone.listed++
 	}
-	b.fleet.zones = slices.DeleteFunc(b.fleet.zones, func(z *zone) bool { return z.listed == 0 && z.name != b.settings.Zone && !z.drained })
-	for _, e := range b.fleet.subset {
-		if !e.inSubset || !e.isUsable() {
+	b.endpoints.zones = slices.DeleteFunc(b.endpoints.zones, func(z *zone) bool {
+		return z.listed == 0 && z.name != b.settings.Zone && !z.drained
+	})
+	for e := range b.endpoints.inUse() {
+		if !e.isUsable() {
 			continue
 		}
+		b.expireSlowStart(e, now)
 		capacity := b.trafficShare(e, now) / e.zone.localityWeight
 		e.zone.capacity += capacity
 		if e.utilization.readings > 0 && !e.slowStart.active {
@@ -120,10 +156,10 @@
 }
 
 // summarize adds up the zones that a function selects.
-func (f *fleetState) summarize(selects func(*zone) bool) zoneGroup {
+func (s *endpointSet) summarize(selects func(*zone) bool) zoneGroup {
 	var group zoneGroup
 	var utilizationSum, measuredCapacity float64
-	for _, z := range f.zones {
+	for _, z := range s.zones {
 		if selects(z) {
 			group.capacity += z.capacity
 			utilizationSum += z.utilizationSum
@@ -138,8 +174,8 @@
 }
 
 // usableZones is how many zones have capacity.
-func (f *fleetState) usableZones() (count float64) {
-	for _, z := range f.zones {
+func (s *endpointSet) usableZones() (count float64) {
+	for _, z := range s.zones {
 		if z.capacity > 0 {
 			count++
 		}
@@ -148,24 +184,22 @@
 }
 
 // countEvidence counts the evidence of all endpoints for their zones, and returns their number and weight.
-func (b *Balancer) countEvidence(now time.Duration) (members int, weight float64) {
-	for _, z := range b.fleet.zones {
+func (b *Balancer) countEvidence(now time.Duration) (members int, totalWeight float64) {
+	for _, z := range b.endpoints.zones {
 		z.health.resetEvidence()
 	}
-	for _, e := range b.fleet.subset {
-		if e.inSubset {
-			members++
-			weight += e.weight
-			b.countEndpoint(e, now)
-		}
+	for e := range b.endpoints.inUse() {
+		members++
+		totalWeight += e.weight
+		b.countEndpoint(e, now)
 	}
-	return members, weight
+	return members, totalWeight
 }
 
 // weightOutside is the weight of all usable endpoints outside a zone.
-func (f *fleetState) weightOutside(z *zone) (weight float64) {
-	for _, e := range f.subset {
-		if e.inSubset && e.zone != z && e.isUsable() {
+func (s *endpointSet) weightOutside(z *zone) (weight float64) {
+	for e := range s.inUse() {
+		if e.zone != z && e.isUsable() {
 			weight += e.weight
 		}
 	}
@@ -174,29 +208,29 @@
 
 // updateZoneHealth judges every zone by its endpoints.
 func (b *Balancer) updateZoneHealth(now time.Duration) {
-	members, weight := b.countEvidence(now)
+	members, totalWeight := b.countEvidence(now)
 	b.detectCorrelatedFailure(now)
 	unhealthy := 0
-	for _, z := range b.fleet.zones {
+	for _, z := range b.endpoints.zones {
 		z.health.countErring()
 		unhealthy += z.health.unhealthy
 	}
 	changed := false
-	for _, z := range b.fleet.zones {
-		elsewhere := float64(unhealthy-z.health.unhealthy) / float64(max(1, members-z.health.members))
-		if b.updateZoneState(z, elsewhere, weight, now) {
+	for _, z := range b.endpoints.zones {
+		unhealthyElsewhere := float64(unhealthy-z.health.unhealthy) / float64(max(1, members-z.health.members))
+		if b.updateZoneState(z, unhealthyElsewhere, totalWeight, now) {
 			changed = true
 		}
 		z.health.endRecovery()
 	}
 	if changed {
-		b.fleet.estimateWorkPerWeight()
+		b.endpoints.estimateWorkPerWeight()
 	}
 }
 
 // countLate counts the endpoints that respond late or not at all, and the responsive ones, in zones that respond.
-func (f *fleetState) countLate() (late, responsive int) {
-	for _, z := range f.zones {
+func (s *endpointSet) countLate() (late, responsive int) {
+	for _, z := range s.zones {
 		if z.health.responsive > 0 {
 			late += z.health.unhealthy + z.health.overdue + z.health.slow
 			responsive += z.health.responsive
--- a/internal/lab/live/log.go
+++ b/internal/lab/live/log.go
@@ -9,6 +9,13 @@
 	"sprucehill/internal/lab/history"
 )
 
+// The messages under which a balancer logs the state of a zone.
+const (
+	zoneStateMessage = "zone state changed"
+	// formerZoneStateMessage is that of builds up to 2026-12-02, which lab compare still plays.
+	formerZoneStateMessage = "zone"
+)
+
 // zoneLogLine is what the lab reads of a balancer's log: its lines on zones.
 type zoneLogLine struct {
 	Time  time.Time `json:"time"`
@@ -17,6 +24,11 @@
 	State string    `json:"state"`
 }
 
+// isZoneState reports whether the line is about the state of a zone.
+func (l zoneLogLine) isZoneState() bool {
+	return l.Msg == zoneStateMessage || l.Msg == formerZoneStateMessage
+}
+
 // zoneEvents reads from the log how the balancer judged its zones. A program that writes no such lines gives none.
 func (n *node) zoneEvents(origin time.Time) []history.Event {
 	f, err := os.Open(n.log.Name())
@@ -28,7 +40,7 @@
 	lines := bufio.NewScanner(f)
 	for lines.Scan() {
 		var line zoneLogLine
-		if err := json.Unmarshal(lines.Bytes(), &line); err != nil || line.Msg != "zone" {
+		if err := json.Unmarshal(lines.Bytes(), &line); err != nil || !line.isZoneState() {
 			continue
 		}
 		z := n.run.fleet.ZoneByLocality(line.Zone)
