--- a/internal/proxy/decisionlog_test.go
+++ b/internal/proxy/decisionlog_test.go
@@ -12,13 +12,16 @@
 
 // Each event of the decision module is logged under a constant message, with its values as attributes.
 func TestDecisionEventsAreLoggedWithAttributes(t *testing.T) {
+	l := &loop{endpoints: endpointTable{7: {id: 7, address: "192.0.2.7:80"}}}
 	for _, test := range []struct {
 		event balancer.LogEvent
 		text  string
 		keys  []any
 	}{
 		{balancer.EndpointUnresponsive{Endpoint: 7, Silence: time.Second}, "endpoint unresponsive",
-			[]any{"endpoint", balancer.EndpointID(7), "elapsed", time.Second}},
+			[]any{"endpoint", "192.0.2.7:80", "endpoint_id", balancer.EndpointID(7), "elapsed", time.Second}},
+		{balancer.EndpointUnresponsive{Endpoint: 8, Silence: time.Second}, "endpoint unresponsive",
+			[]any{"endpoint", "unknown", "endpoint_id", balancer.EndpointID(8), "elapsed", time.Second}},
 		{balancer.ZoneEjected{Zone: "z", Unhealthy: 3, Members: 4}, "zone ejected",
 			[]any{"zone", "z", "unhealthy", int64(3), "members", int64(4)}},
 		{balancer.ZoneRecoveryStarted{Zone: "z", StepPeriods: 6}, "zone recovery started", []any{"zone", "z", "step_periods", int64(6)}},
@@ -26,7 +29,7 @@
 		{balancer.DiscoveryCallFailed{RetryIn: time.Second}, "discovery call failed", []any{"retry_in", time.Second}},
 	} {
 		records := captureLog(t)
-		new(loop).Log(test.event)
+		l.Log(test.event)
 		want := []logRecord{{slog.LevelInfo, test.text, test.keys}}
 		if got := *records; !reflect.DeepEqual(got, want) {
 			t.Errorf("%T is logged as %+v, want %+v", test.event, got, want)
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -17,7 +17,8 @@
 	r := l.requests[id]
 	endpoint := l.endpoints[up]
 	if r == nil || endpoint == nil { // the module knows both from the loop
-		slog.Info("attempt skipped: request or endpoint unknown", "request_id", id, "endpoint", up)
+		slog.Info("attempt skipped: request or endpoint unknown", "request_serial", id,
+			"endpoint", l.endpoints.addressOf(up), "endpoint_id", up)
 		return
 	}
 	now := l.now()
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -17,6 +17,17 @@
 // has removed stays in it until its last attempt has ended.
 type endpointTable map[balancer.EndpointID]*endpoint
 
+// unknownAddress stands in the log for the address of an endpoint that is not in the table.
+const unknownAddress = "unknown"
+
+// addressOf returns the address (host:port) of an endpoint for the log.
+func (t endpointTable) addressOf(id balancer.EndpointID) string {
+	if e := t[id]; e != nil {
+		return e.address
+	}
+	return unknownAddress
+}
+
 // update applies an entry of discovery's list, an endpoint that it adds included, and returns the endpoint; nil: a
 // removed one that was not known. stale tells that idle connections to it must not be used any more.
 func (t endpointTable) update(u balancer.Endpoint, address string) (e *endpoint, stale bool) {
