--- a/cmd/balancer/former_state_test.go
+++ b/cmd/balancer/former_state_test.go
@@ -215,9 +215,9 @@
 	}
 	wantZoneLeft(t, b.management)
 	wantLogged(t, b.log.Name(),
-		fmt.Sprintf(`endpoint list restored.* upstreams=%d revision=%d`, len(upstreamAddresses), listRevision),
-		fmt.Sprintf(`endpoint statistics restored.* upstreams=%d`, len(upstreamAddresses)),
-		`operator orders restored.* serial=2 drain=true left=`+leftZone)
+		fmt.Sprintf(`endpoint list restored.* endpoints=%d revision=%d`, len(upstreamAddresses), listRevision),
+		fmt.Sprintf(`endpoint statistics restored.* endpoints=%d`, len(upstreamAddresses)),
+		`operator orders restored.* serial=2 drain=true drained_zones=`+leftZone)
 	waitFor(t, "what was learnt is saved again", func() bool {
 		record, _ := newestLearnt(t, folder)
 		return record.Generation > former.Generation+1 // the first one is of the moment before the restoration
@@ -239,7 +239,7 @@
 		t.Errorf("started after drain-off: %q", check)
 	}
 	wantZoneLeft(t, b.management)
-	wantLogged(t, b.log.Name(), `operator orders restored.* serial=3 drain=false left=`+leftZone)
+	wantLogged(t, b.log.Name(), `operator orders restored.* serial=3 drain=false drained_zones=`+leftZone)
 	terminate(t, cmd)
 	newestRecord(t, folder, "list") // and with it that every record is readable
 }
--- a/internal/savedstate/saver.go
+++ b/internal/savedstate/saver.go
@@ -126,7 +126,7 @@
 	if !sameService {
 		s.initial.Revision = 0 // revisions of another service mean nothing: this one has to give the complete list
 	}
-	s.log("endpoint list restored", "upstreams", len(saved.List.Members), "revision", s.initial.Revision,
+	s.log("endpoint list restored", "endpoints", len(saved.List.Members), "revision", s.initial.Revision,
 		"age", time.Since(r.SavedAt).Round(time.Millisecond).String())
 }
 
@@ -144,12 +144,12 @@
 		module.Restore(now(), snapshot)
 	}
 	if ok {
-		s.log("endpoint statistics restored", "upstreams", len(snapshot.Endpoints),
+		s.log("endpoint statistics restored", "endpoints", len(snapshot.Endpoints),
 			"age", (now() - snapshot.TakenAt).Round(time.Millisecond).String())
 	}
 	if orders.Drain || len(orders.DrainedZones) > 0 {
 		s.log("operator orders restored", "serial", orders.Serial, "drain", orders.Drain,
-			"left", strings.Join(orders.DrainedZones, " "))
+			"drained_zones", strings.Join(orders.DrainedZones, " "))
 	}
 }
 
