--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -122,13 +122,13 @@
 
 func (releaseIdle) apply(l *loop) { l.pool.release() }
 
-// operatorCall runs an operator's call on the loop's goroutine; done is closed after it.
-type operatorCall struct {
+// loopCall runs a function on the loop's goroutine; done is closed after it.
+type loopCall struct {
 	do   func(l *loop)
 	done chan struct{}
 }
 
-func (e operatorCall) apply(l *loop) {
+func (e loopCall) apply(l *loop) {
 	defer close(e.done)
 	e.do(l)
 }
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -237,7 +237,7 @@
 // runInLoop runs a function on the event loop, between two events.
 func (b *testBalancer) runInLoop(t *testing.T, do func(l *loop)) {
 	t.Helper()
-	asked := operatorCall{do, make(chan struct{})}
+	asked := loopCall{do, make(chan struct{})}
 	b.proxy.loop.post(asked)
 	<-asked.done
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -107,13 +107,13 @@
 	return true, state
 }
 
-// errBusy says that the loop has not come to a call in time. What was ordered may still be done.
+// errBusy says that the loop has not come to a call in time. The function may still be run.
 var errBusy = errors.New("the balancer is too busy to answer")
 
 // callLoop has the loop run a function on its goroutine, and waits for that.
 func (p *Proxy) callLoop(do func(l *loop)) error {
-	call := operatorCall{do, make(chan struct{})}
-	timeout := time.NewTimer(timelimit.OperatorCall)
+	call := loopCall{do, make(chan struct{})}
+	timeout := time.NewTimer(timelimit.LoopCall)
 	defer timeout.Stop()
 	select {
 	case p.loop.events <- call:
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -31,7 +31,7 @@
 // awaitClients closes idle connections until none is open, or until the time limit closes the rest.
 func (f *frontend) awaitClients() {
 	// http.Server.Shutdown is no substitute: it also closes a persistent connection on which a part of the next request has arrived.
-	limit := time.After(f.lifecycle.longestDeadline + timelimit.ClientWrite)
+	limit := time.After(f.lifecycle.longestDeadline + timelimit.ShutdownLimit)
 	sweep := time.NewTicker(shutdownSweepInterval)
 	defer sweep.Stop()
 	for f.conns.count() > 0 {
--- a/internal/timelimit/limits.go
+++ b/internal/timelimit/limits.go
@@ -82,6 +82,9 @@
 	ShutdownAccept = 450 * time.Millisecond
 	// ShutdownFirstByte is how long a connection that has sent nothing may stay open once no more are accepted.
 	ShutdownFirstByte = 50 * time.Millisecond
+	// ShutdownLimit is how long connections of clients may stay open beyond the longest deadline of all classes. A response
+	// that begins at its deadline then has as long as any other to be read.
+	ShutdownLimit = ClientWrite
 	// KillDelay is the time from SIGTERM to SIGKILL beyond the longest deadline of all classes.
 	//
 	// Term: a request that comes later than this after SIGTERM has to be answered before SIGKILL.
@@ -92,12 +95,13 @@
 	LogFlush = 500 * time.Millisecond
 )
 
-// Limits of an operators' call.
+// Limits of operators' calls.
 const (
-	// OperatorCall bounds a call that the event loop answers.
+	// LoopCall bounds the wait for a function that another goroutine has the event loop run: operators' calls, a changed size
+	// of the fleet, and the last snapshot.
 	//
 	// Term: operators have an answer within 1 s.
-	OperatorCall = 700 * time.Millisecond
+	LoopCall = 700 * time.Millisecond
 	// OperatorConnection bounds how long a caller may take to send its line, and again to read its answer and close.
 	OperatorConnection = 2 * time.Second
 )
