--- a/internal/management/commands.go
+++ b/internal/management/commands.go
@@ -32,8 +32,8 @@
 		return verdict(b.DrainZone(zone))
 	},
 	"zone-return": func(b Balancer, zone string) string {
-		slog.Info("zone restored by operator", "zone", zone)
-		return verdict(b.RestoreZone(zone))
+		slog.Info("zone reinstated by operator", "zone", zone)
+		return verdict(b.ReinstateZone(zone))
 	},
 }
 
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -48,8 +48,8 @@
 	// DrainZone drains a zone, so that it gets no new requests. The state is the zone's from now on, or says why it was
 	// not done.
 	DrainZone(name string) (done bool, state string)
-	// RestoreZone returns a zone to service step by step. Its results are as those of DrainZone.
-	RestoreZone(name string) (done bool, state string)
+	// ReinstateZone returns a drained zone to service step by step. Its results are as those of DrainZone.
+	ReinstateZone(name string) (done bool, state string)
 	// WriteZones writes the state of each zone, one to a line.
 	WriteZones(w io.Writer) error
 	// WriteMembers writes what this balancer knows of its fleet, one member to a line. An error says why it knows
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -44,7 +44,7 @@
 
 func (f *fakeBalancer) DrainZone(name string) (bool, string) { return answerForZone(name, "left") }
 
-func (f *fakeBalancer) RestoreZone(name string) (bool, string) {
+func (f *fakeBalancer) ReinstateZone(name string) (bool, string) {
 	return answerForZone(name, "returning")
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -141,8 +141,8 @@
 	return p.saveZoneOrder("left", func(o *savedstate.Orders) { o.DrainZone(name) })
 }
 
-// RestoreZone returns a drained zone to service step by step. Its results are as those of DrainZone.
-func (p *Proxy) RestoreZone(name string) (done bool, state string) {
+// ReinstateZone returns a drained zone to service step by step. Its results are as those of DrainZone.
+func (p *Proxy) ReinstateZone(name string) (done bool, state string) {
 	reinstated := false // the loop's own until it has answered
 	err := p.callLoop(func(l *loop) { reinstated = l.balancer.ReinstateZone(l.now(), name) })
 	if err != nil {
--- a/internal/proxy/zonemetrics_test.go
+++ b/internal/proxy/zonemetrics_test.go
@@ -80,7 +80,7 @@
 		done, _ = b.proxy.DrainZone(name)
 		assertEqual(t, "zone-leave "+name, done, false)
 	}
-	done, state = b.proxy.RestoreZone("z1")
+	done, state = b.proxy.ReinstateZone("z1")
 	assertEqual(t, "zone-return", done, true)
 	assertEqual(t, "state", state, "returning")
 	if got := zonesText(t, b); !strings.Contains(got, `zone "z1" returning`) {
@@ -90,7 +90,7 @@
 		t.Errorf("reinstated: served by %v", by)
 	}
 	zoneMetricsFollow(t, b)
-	done, _ = b.proxy.RestoreZone("z1")
+	done, _ = b.proxy.ReinstateZone("z1")
 	assertEqual(t, "zone-return again", done, false)
 }
 
