--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -129,18 +129,18 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return list, fmt.Errorf("answered %s", resp.Status)
+		return list, fmt.Errorf("%s answered %s", req.URL.Host, resp.Status)
 	}
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
 		return list, err
 	}
 	if err := json.Unmarshal(text, &list); err != nil {
-		return list, err
+		return list, fmt.Errorf("%s: decoding the endpoint list: %w", req.URL.Host, err)
 	}
 	for i := range list.Members {
 		if err := list.Members[i].Validate(); err != nil {
-			return list, err
+			return list, fmt.Errorf("%s: invalid endpoint list: %w", req.URL.Host, err)
 		}
 	}
 	slices.SortFunc(list.Members, func(a, b Entry) int { return strings.Compare(a.ID, b.ID) })
--- a/internal/proxy/responsestream.go
+++ b/internal/proxy/responsestream.go
@@ -1,15 +1,15 @@
 package proxy
 
 import (
-	"errors"
+	"fmt"
 	"net/http"
 	"time"
 
 	"sprucehill/internal/timelimit"
 )
 
-// errResponseTooLong says that a response without a length has gone on for longer than any valid one does.
-var errResponseTooLong = errors.New("an answer that does not end")
+// errResponseTooLong says that the body of a response without a length is longer than that of any valid one.
+var errResponseTooLong = fmt.Errorf("response body exceeds %d bytes", maxResponseLength)
 
 // responseStream is the rest of a response. It belongs, with its connection, to whoever passes it on to the client.
 type responseStream struct {
@@ -19,8 +19,8 @@
 	bytesRead int64 // of the body, by read
 }
 
-// read reads the next part of the body. It fails if the upstream sends nothing for timelimit.UpstreamStall, or sends without
-// an end.
+// read reads the next part of the body. It fails if the upstream sends nothing for timelimit.UpstreamStall, or more than
+// maxResponseLength in all.
 func (s *responseStream) read(p []byte) (n int, err error) {
 	if s.bytesRead > maxResponseLength {
 		return 0, errResponseTooLong
--- a/internal/savedstate/saver.go
+++ b/internal/savedstate/saver.go
@@ -19,9 +19,6 @@
 // snapshotEvery is the least time between two snapshots of the decision module. The writer's own rate limit comes on top.
 const snapshotEvery = time.Second
 
-// errSnapshotMismatch says that a saved snapshot does not have one name for each endpoint.
-var errSnapshotMismatch = errors.New("names and figures differ in number")
-
 // Options are what a Saver begins with.
 type Options struct {
 	// Writer saves to the disk, and has what an earlier process has saved. It may be nil: then nothing is saved or restored.
@@ -161,8 +158,8 @@
 	if !ok {
 		return balancer.Snapshot{}, false
 	}
-	if len(saved.Names) != len(saved.Snapshot.Endpoints) {
-		s.logIgnored(r, KindSnapshot, errSnapshotMismatch)
+	if names, endpoints := len(saved.Names), len(saved.Snapshot.Endpoints); names != endpoints {
+		s.logIgnored(r, KindSnapshot, fmt.Errorf("the snapshot has %d names for %d endpoints", names, endpoints))
 		return balancer.Snapshot{}, false
 	}
 	for i := range saved.Snapshot.Endpoints {
