--- a/internal/membership/change.go
+++ b/internal/membership/change.go
@@ -6,7 +6,7 @@
 // The kinds of change.
 const (
 	Joined    ChangeKind = "joined"
-	Returned  ChangeKind = "returned"  // it was lost and answers again
+	Returned  ChangeKind = "returned"  // it was lost or had left, and answers again
 	Updated   ChangeKind = "updated"   // it publishes something else about itself
 	Lost      ChangeKind = "lost"      // it no longer answers
 	Left      ChangeKind = "left"      // it has announced its shutdown
--- a/internal/membership/convergence.go
+++ b/internal/membership/convergence.go
@@ -58,11 +58,11 @@
 
 // UpdateAgreedMembers returns the quorum, and makes the view the agreed membership if no recent report differs from it, enough members report it,
 // and it has a majority of the agreed membership before; so a minority side of a partition never takes itself for the
-// fleet. Members lost for rejoinPeriod are dropped from the agreed membership.
+// fleet. Members that departed rejoinPeriod ago or earlier are dropped from the agreed membership.
 func (t *MemberTable) UpdateAgreedMembers(now time.Duration) Quorum {
 	active := t.active()
-	for id, lost := range t.lost {
-		if active[id.Name] == nil && now-lost.lostAt >= rejoinPeriod {
+	for id, departed := range t.departed {
+		if active[id.Name] == nil && now-departed.departedAt >= rejoinPeriod {
 			delete(t.agreedNames, id.Name)
 		}
 	}
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -9,8 +9,8 @@
 //
 //   - Of all processes that share a name at most one is active, and so in the view: the confirmed one with the highest
 //     incarnation. An older one is fenced.
-//   - A process that was lost is active again only after it has answered this one or has stayed alive for some seconds, so
-//     that a replayed message revives nobody.
+//   - A process that was lost or has left is active again only after it has answered this one or has stayed alive for some
+//     seconds, so that a replayed message revives nobody.
 //   - The divisor of budgets is never below a fleet size that was seen within the last ten seconds.
 //   - Input from the network is validated before use. What is invalid is counted and changes nothing.
 //   - While a partition lasts each side serves on; members of a side without a majority report that.
--- a/internal/membership/member_table.go
+++ b/internal/membership/member_table.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// confirmAfter is for how long a process that came back after it was lost may go without an answer: had it been only an old
+// confirmAfter is for how long a process that came back after it had departed may go without an answer: had it been only an old
 // message that somebody replayed, memberlist would have found it dead again by then.
 const confirmAfter = 3 * time.Second
 
@@ -16,7 +16,7 @@
 type MemberTable struct {
 	self          ProcessID
 	alive         map[ProcessID]*aliveProcess
-	lost          map[ProcessID]*lostProcess
+	departed      map[ProcessID]*departedProcess
 	agreedNames   map[string]bool // names of the members in the last agreed view
 	pending       []Change        // not yet returned by TakeChanges
 	activeCache   map[string]*aliveProcess
@@ -27,7 +27,7 @@
 // aliveProcess is a process that memberlist considers alive.
 type aliveProcess struct {
 	Member
-	unconfirmed        bool          // it was lost before and has not answered since; it is not active
+	unconfirmed        bool          // it had departed and has not answered since; it is not active
 	since              time.Duration // when it joined or came back
 	viewDigest         uint64        // of its own view, as it reported last
 	viewReportedAt     time.Duration // 0: never
@@ -39,7 +39,7 @@
 	return &MemberTable{
 		self:        self.ProcessID(),
 		alive:       map[ProcessID]*aliveProcess{self.ProcessID(): {Member: self, since: now}},
-		lost:        map[ProcessID]*lostProcess{},
+		departed:    map[ProcessID]*departedProcess{},
 		agreedNames: map[string]bool{self.Name: true},
 	}
 }
@@ -66,10 +66,10 @@
 		t.update(known, m)
 		return
 	}
-	_, wasLost := t.lost[id]
+	_, hadDeparted := t.departed[id]
 	t.invalidateCaches()
-	t.alive[id] = &aliveProcess{Member: m, since: now, unconfirmed: wasLost}
-	if !wasLost {
+	t.alive[id] = &aliveProcess{Member: m, since: now, unconfirmed: hadDeparted}
+	if !hadDeparted {
 		t.record(Change{Kind: Joined, Member: m})
 	}
 	t.recordSuperseded(m.Name)
@@ -101,12 +101,12 @@
 	if !process.unconfirmed { // otherwise its return was never reported
 		t.record(Change{Kind: kind, Member: process.Member})
 	}
-	lost := &lostProcess{lostAt: now, lastTriedAt: now}
+	departed := &departedProcess{departedAt: now, lastTriedAt: now}
 	if kind == Lost {
-		lost.address = process.Address
+		departed.address = process.Address
 	}
-	t.lost[id] = lost
-	t.limitLost()
+	t.departed[id] = departed
+	t.limitDeparted()
 }
 
 // RecordAck records that a process has answered this one and which digest its own view has.
@@ -125,14 +125,14 @@
 	}
 }
 
-// confirm makes a process that was lost active again.
+// confirm makes a process that had departed active again.
 func (t *MemberTable) confirm(process *aliveProcess) {
 	if !process.unconfirmed {
 		return
 	}
 	t.invalidateCaches()
 	process.unconfirmed = false
-	delete(t.lost, process.ProcessID())
+	delete(t.departed, process.ProcessID())
 	t.record(Change{Kind: Returned, Member: process.Member})
 	t.recordSuperseded(process.Name)
 }
@@ -184,14 +184,14 @@
 	return processes
 }
 
-// Tick confirms processes that have stayed alive for confirmAfter and forgets those lost before lostRetention.
+// Tick confirms processes that have stayed alive for confirmAfter and forgets those that departed before departedRetention.
 func (t *MemberTable) Tick(now time.Duration) {
 	for _, process := range t.sortedAlive() {
 		if now-process.since >= confirmAfter {
 			t.confirm(process)
 		}
 	}
-	t.forgetLost(now)
+	t.forgetDeparted(now)
 }
 
 // Unconfirmed returns the processes that must answer before they are active.
@@ -273,7 +273,7 @@
 			highest = max(highest, id.Incarnation)
 		}
 	}
-	for id := range t.lost {
+	for id := range t.departed {
 		if id.Name == t.self.Name {
 			highest = max(highest, id.Incarnation)
 		}
--- a/internal/membership/member_table_test.go
+++ b/internal/membership/member_table_test.go
@@ -183,17 +183,17 @@
 // In a fleet whose members come and go for long, the lost processes that are remembered stay bounded and are forgotten.
 func TestLostProcessesAreBounded(t *testing.T) {
 	table := NewMemberTable(0, testMember("a", 1))
-	for i := range 2 * maxLostProcesses {
+	for i := range 2 * maxDepartedProcesses {
 		m := testMember(fmt.Sprint("n", i), 1)
 		table.ObserveAlive(time.Second, m)
 		table.ObserveFailed(time.Second+time.Duration(i), m.ProcessID())
 	}
-	if len(table.lost) > maxLostProcesses {
-		t.Errorf("%d lost processes are remembered", len(table.lost))
+	if len(table.departed) > maxDepartedProcesses {
+		t.Errorf("%d lost processes are remembered", len(table.departed))
 	}
-	end := 2 * lostRetention
+	end := 2 * departedRetention
 	table.Tick(end)
-	if table.LostCount(end) != 0 || len(table.lost) > 0 {
-		t.Errorf("%d lost processes are remembered after %v", len(table.lost), end)
+	if table.LostCount(end) != 0 || len(table.departed) > 0 {
+		t.Errorf("%d lost processes are remembered after %v", len(table.departed), end)
 	}
 }
