--- a/internal/management/commands.go
+++ b/internal/management/commands.go
@@ -28,11 +28,11 @@
 // zoneCommands has what executes each call whose argument is the name of a zone.
 var zoneCommands = map[string]func(b Balancer, zone string) (answer string){
 	"zone-leave": func(b Balancer, zone string) string {
-		slog.Info("zone drained by operator", "zone", zone)
+		slog.Info("zone drain requested by operator", "zone", zone)
 		return verdict(b.DrainZone(zone))
 	},
 	"zone-return": func(b Balancer, zone string) string {
-		slog.Info("zone reinstated by operator", "zone", zone)
+		slog.Info("zone reinstatement requested by operator", "zone", zone)
 		return verdict(b.ReinstateZone(zone))
 	},
 }
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -110,7 +110,7 @@
 		return
 	}
 	withLoad := l.settings.Reports != balancer.ReportNone
-	check := &healthCheck{endpoint: endpoint, sentAt: l.now(), address: endpoint.address, load: withLoad, conn: idle}
+	check := &healthCheck{endpoint: endpoint, sentAt: l.now(), address: endpoint.address, withLoad: withLoad, conn: idle}
 	go l.runHealthCheck(check)
 }
 
--- a/internal/proxy/healthcheck.go
+++ b/internal/proxy/healthcheck.go
@@ -18,22 +18,22 @@
 	endpoint *endpoint
 	sentAt   time.Duration // on the loop's clock
 	address  string        // host:port
-	load     bool          // request a load report, and not only whether the upstream serves
+	withLoad bool          // request a load report, and not only whether the upstream serves
 	conn     *upstreamConn // an idle connection; nil: a new one is opened
 }
 
 // checkHealth makes a health check.
-func (d dialer) checkHealth(p *healthCheck) attemptResult {
-	c, err := d.connect(p.conn, p.address)
+func (d dialer) checkHealth(check *healthCheck) attemptResult {
+	c, err := d.connect(check.conn, check.address)
 	if err != nil {
 		return attemptResult{status: balancer.ConnectFailed}
 	}
 	path := healthPath
-	if p.load {
+	if check.withLoad {
 		path = loadPath
 	}
 	c.SetReadDeadline(time.Now().Add(d.timeout))
-	if _, err := io.WriteString(c, "GET "+path+" HTTP/1.1\r\nHost: "+p.address+"\r\n\r\n"); err != nil {
+	if _, err := io.WriteString(c, "GET "+path+" HTTP/1.1\r\nHost: "+check.address+"\r\n\r\n"); err != nil {
 		c.Close()
 		return attemptResult{status: balancer.ConnectFailed}
 	}
@@ -43,7 +43,7 @@
 		c.Close()
 		return attemptResult{status: balancer.Error}
 	}
-	if p.load && r.status == balancer.OK {
+	if check.withLoad && r.status == balancer.OK {
 		if report := parseLoadReport(string(r.body)); report.Fields != 0 {
 			r.load = report
 		}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		return false, err.Error()
 	}
-	if !drained {
+	if !drained { // operators' answers call a drained zone left
 		return false, "it is not known, or the last that is not left"
 	}
 	return p.saveZoneOrder("left", func(o *savedstate.Orders) { o.DrainZone(name) })
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -17,8 +17,9 @@
 	reply     chan response // has capacity for the one answer
 	deadline  time.Duration // on the loop's clock; noDeadline: an upload of which a part has still to be written
 	window    idempotencyWindow
-	// timeLeft returns how much of a budget is left for an upload whose last byte is written at a time. Nil for others.
-	timeLeft    func(at, most time.Duration) time.Duration
+	// timeLeft returns how much of timeout is left to an upload whose last byte is written at writtenAt, on the loop's clock.
+	// Nil for others.
+	timeLeft    func(writtenAt, timeout time.Duration) time.Duration
 	attempts    []*attempt // in the order in which they were made
 	undelivered int        // attempts whose result has not been given to the decision module
 	closed      bool       // it has been answered, or its client has disconnected
--- a/internal/proxy/upstreamconn.go
+++ b/internal/proxy/upstreamconn.go
@@ -29,7 +29,7 @@
 type upstreamConn struct {
 	net.Conn
 	readLimit *io.LimitedReader // how much more may be read of the present response
-	reader    *bufio.Reader     // reads from limit
+	reader    *bufio.Reader     // reads from readLimit
 	idleSince time.Duration     // when it became idle, on the loop's clock
 	abandoned bool              // belongs to the loop: its attempt has been abandoned
 }
