--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -107,13 +107,13 @@
 	return true, state
 }
 
-// errBusy says that the loop has not come to a call in time. What was ordered may still be done.
+// errBusy says that the loop has not come to a call in time. The function may still be run.
 var errBusy = errors.New("the balancer is too busy to answer")
 
 // callLoop has the loop run a function on its goroutine, and waits for that.
 func (p *Proxy) callLoop(do func(l *loop)) error {
-	call := operatorCall{do, make(chan struct{})}
-	timeout := time.NewTimer(timelimit.OperatorCall)
+	call := loopCall{do, make(chan struct{})}
+	timeout := time.NewTimer(timelimit.LoopCall)
 	defer timeout.Stop()
 	select {
 	case p.loop.events <- call:
@@ -135,14 +135,14 @@
 	if err != nil {
 		return false, err.Error()
 	}
-	if !drained {
+	if !drained { // operators' answers call a drained zone left
 		return false, "it is not known, or the last that is not left"
 	}
 	return p.saveZoneOrder("left", func(o *savedstate.Orders) { o.DrainZone(name) })
 }
 
-// RestoreZone returns a drained zone to service step by step. Its results are as those of DrainZone.
-func (p *Proxy) RestoreZone(name string) (done bool, state string) {
+// ReinstateZone returns a drained zone to service step by step. Its results are as those of DrainZone.
+func (p *Proxy) ReinstateZone(name string) (done bool, state string) {
 	reinstated := false // the loop's own until it has answered
 	err := p.callLoop(func(l *loop) { reinstated = l.balancer.ReinstateZone(l.now(), name) })
 	if err != nil {
--- a/internal/savedstate/saver.go
+++ b/internal/savedstate/saver.go
@@ -19,9 +19,6 @@
 // snapshotEvery is the least time between two snapshots of the decision module. The writer's own rate limit comes on top.
 const snapshotEvery = time.Second
 
-// errSnapshotMismatch says that a saved snapshot does not have one name for each endpoint.
-var errSnapshotMismatch = errors.New("names and figures differ in number")
-
 // Options are what a Saver begins with.
 type Options struct {
 	// Writer saves to the disk, and has what an earlier process has saved. It may be nil: then nothing is saved or restored.
@@ -126,7 +123,7 @@
 	if !sameService {
 		s.initial.Revision = 0 // revisions of another service mean nothing: this one has to give the complete list
 	}
-	s.log("endpoint list restored", "upstreams", len(saved.List.Members), "revision", s.initial.Revision,
+	s.log("endpoint list restored", "endpoints", len(saved.List.Members), "revision", s.initial.Revision,
 		"age", time.Since(r.SavedAt).Round(time.Millisecond).String())
 }
 
@@ -144,12 +141,12 @@
 		module.Restore(now(), snapshot)
 	}
 	if ok {
-		s.log("endpoint statistics restored", "upstreams", len(snapshot.Endpoints),
+		s.log("endpoint statistics restored", "endpoints", len(snapshot.Endpoints),
 			"age", (now() - snapshot.TakenAt).Round(time.Millisecond).String())
 	}
 	if orders.Drain || len(orders.DrainedZones) > 0 {
 		s.log("operator orders restored", "serial", orders.Serial, "drain", orders.Drain,
-			"left", strings.Join(orders.DrainedZones, " "))
+			"drained_zones", strings.Join(orders.DrainedZones, " "))
 	}
 }
 
@@ -161,8 +158,8 @@
 	if !ok {
 		return balancer.Snapshot{}, false
 	}
-	if len(saved.Names) != len(saved.Snapshot.Endpoints) {
-		s.logIgnored(r, KindSnapshot, errSnapshotMismatch)
+	if names, endpoints := len(saved.Names), len(saved.Snapshot.Endpoints); names != endpoints {
+		s.logIgnored(r, KindSnapshot, fmt.Errorf("the snapshot has %d names for %d endpoints", names, endpoints))
 		return balancer.Snapshot{}, false
 	}
 	for i := range saved.Snapshot.Endpoints {
