--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -7,7 +7,7 @@
 
 const (
 	maxTurnDebtRounds = 1.0             // rounds of turns not taken that an endpoint may catch up on
-	maxBlocked        = 2 * time.Second // of rejections only, before an endpoint in backoff gets an attempt
+	maxBlocked        = 2 * time.Second // without an attempt, before an endpoint in backoff gets one
 )
 
 // trafficShare is an endpoint's part of the traffic, not scaled.
@@ -80,9 +80,9 @@
 	return !waits && float64(len(e.attempts)) < max(1, math.Floor(e.limit.current))
 }
 
-// lastResort is the endpoint whose trial is due first, for a balancer that has rejected all requests for maxBlocked.
-// Without it no attempt would be made for as long as every endpoint is in backoff. The safest class goes first, others
-// after another half of maxBlocked.
+// lastResort is the endpoint whose trial is due first, for a balancer that has found no endpoint for maxBlocked. Without it
+// no attempt would be made for as long as every endpoint is in backoff. The safest class goes first, others after another
+// half of maxBlocked.
 func (b *Balancer) lastResort(r *request, now time.Duration) (best *endpoint) {
 	wait := maxBlocked
 	if r.class.Idempotency != b.clients.safestClass {
@@ -92,7 +92,7 @@
 		return nil
 	}
 	for e := range b.endpoints.inUse() {
-		if !e.zone.inUse() || !b.mayAttempt(r, e, now) || !b.canAnswerInTime(e, r, now) {
+		if !e.zone.getsTraffic() || !b.mayAttempt(r, e, now) || !b.canAnswerInTime(e, r, now) {
 			continue
 		}
 		if (best == nil || e.outlier.nextTrialAt < best.outlier.nextTrialAt) && b.fitsSlowStart(e, r, now) {
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -36,7 +36,7 @@
 func (b *Balancer) ZoneStatuses(now time.Duration) []ZoneStatus {
 	shares, total := map[*zone]float64{}, 0.0
 	for e := range b.endpoints.inUse() {
-		if e.zone.inUse() {
+		if e.zone.getsTraffic() {
 			b.expireSlowStart(e, now)
 			share := b.trafficShare(e, now)
 			shares[e.zone] += share
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -65,17 +65,6 @@
 	h.stepAgePeriods = 0
 }
 
-// ejectOverdue marks the overdue endpoints of a zone as unresponsive.
-func (b *Balancer) ejectOverdue(z *zone, now time.Duration) {
-	for _, e := range slices.Clone(b.endpoints.tracked) {
-		if e.zone == z && !e.outlier.unresponsive && b.isOverdue(e, now) {
-			z.health.unhealthy++
-			z.health.overdue--
-			b.markUnresponsive(e, 1, now)
-		}
-	}
-}
-
 // findOrAddZone returns the zone of a name, and adds it if it is not known yet.
 func (s *endpointSet) findOrAddZone(name string) *zone {
 	known := s.findZone(name)
@@ -103,11 +92,11 @@
 // meanUtilization is that of its endpoints with readings; it needs some.
 func (z *zone) meanUtilization() float64 { return z.utilizationSum / z.measuredCapacity }
 
-// inUse reports whether a zone gets traffic beyond trials.
-func (z *zone) inUse() bool { return !z.drained && !z.health.ejected }
+// getsTraffic reports whether a zone gets traffic beyond trials.
+func (z *zone) getsTraffic() bool { return !z.drained && !z.health.ejected }
 
 // isUsable reports whether an endpoint counts for the capacity of its zone.
-func (e *endpoint) isUsable() bool { return !e.outlier.unresponsive && e.zone.inUse() }
+func (e *endpoint) isUsable() bool { return !e.outlier.unresponsive && e.zone.getsTraffic() }
 
 // shareFactor is what traffic shares count for in a zone that is in use.
 func (z *zone) shareFactor() float64 { return z.localityWeight * z.health.recoveredShare }
--- a/balancer/zonehealth.go
+++ b/balancer/zonehealth.go
@@ -1,6 +1,9 @@
 package balancer
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
 // Zone health. Fractions of endpoints and error rates are ratios, 0 to 1.
 const (
@@ -140,6 +143,17 @@
 	return false
 }
 
+// ejectOverdue marks the overdue endpoints of a zone as unresponsive.
+func (b *Balancer) ejectOverdue(z *zone, now time.Duration) {
+	for _, e := range slices.Clone(b.endpoints.tracked) {
+		if e.zone == z && !e.outlier.unresponsive && b.isOverdue(e, now) {
+			z.health.unhealthy++
+			z.health.overdue--
+			b.markUnresponsive(e, 1, now)
+		}
+	}
+}
+
 // isOutlier reports whether a zone is much unhealthier than the others. Otherwise the fault may be in this balancer's link,
 // or in all zones.
 func (h *zoneHealth) isOutlier(unhealthyElsewhere float64) bool {
@@ -199,7 +213,7 @@
 		health := &z.health
 		health.stepAgePeriods++
 		waits := health.stepAgePeriods < minStepPeriods*health.stepMultiple || health.isDegraded()
-		if !z.inUse() || health.recoveredShare == 1 || waits {
+		if !z.getsTraffic() || health.recoveredShare == 1 || waits {
 			continue
 		}
 		maxUtilization := max(utilizationMarginFactor*all.utilization+utilizationNoise, minExcessUtilization)
--- a/internal/lab/measure/zones.go
+++ b/internal/lab/measure/zones.go
@@ -197,9 +197,9 @@
 	hit := t.hits[i]
 	kind := t.day.Faults[i].Kind
 	switch {
-	case hit.Scope == day.OnUpstreams && (kind == "down" || kind == "vanish" || kind == "errors"):
+	case hit.Scope == day.OnUpstreams && (kind == day.UpstreamDown || kind == day.UpstreamVanish || kind == day.UpstreamErrors):
 		return slices.Contains(hit.Targets, upstream)
-	case hit.Scope == day.OnLinks && kind == "cut":
+	case hit.Scope == day.OnLinks && kind == day.LinkCut:
 		b := day.Party{Kind: day.BalancerParty, Index: balancer}
 		u := day.Party{Kind: day.UpstreamParty, Index: upstream}
 		return t.paths.Hits(i, b, u) || t.paths.Hits(i, u, b)
--- a/internal/lab/model/front.go
+++ b/internal/lab/model/front.go
@@ -133,7 +133,8 @@
 		f.after(r.leavesAt-f.now, message{kind: msgClientTimeout, id: r.id})
 		return
 	}
-	f.after(r.deadline-f.now, message{kind: msgClientTimeout, id: r.id}) // a connection is not waited for beyond it
+	// The first timer ends the wait for a connection, the second the wait for a response.
+	f.after(r.deadline-f.now, message{kind: msgClientTimeout, id: r.id})
 	f.after(r.deadline+check.Grace-f.now, message{kind: msgClientTimeout, id: r.id})
 }
 
--- a/internal/membership/departed_processes.go
+++ b/internal/membership/departed_processes.go
@@ -10,7 +10,8 @@
 const (
 	// rejoinPeriod is for how long the address of a lost process is tried, so that a partitioned fleet heals by itself.
 	rejoinPeriod = time.Hour
-	// departedRetention is for how long a process that has departed must answer before it is active again, if it is seen.
+	// departedRetention is for how long a departed process is remembered. One that is seen meanwhile must answer before it is active
+	// again.
 	departedRetention = 24 * time.Hour
 	// maxDepartedProcesses bounds the departed processes that are remembered; beyond it the oldest is forgotten.
 	maxDepartedProcesses = 1024
--- a/internal/proxy/decisionlog.go
+++ b/internal/proxy/decisionlog.go
@@ -12,7 +12,7 @@
 	case balancer.EndpointUnresponsive:
 		slog.Info("endpoint unresponsive", "endpoint", l.endpoints.addressOf(e.Endpoint), "endpoint_id", e.Endpoint, "elapsed", e.Silence)
 	case balancer.ZoneEjected:
-		slog.Info("zone ejected", "zone", e.Zone, "unhealthy", e.Unhealthy, "members", e.Members)
+		slog.Info("zone ejected", "zone", e.Zone, "unhealthy", e.Unhealthy, "in_use", e.Members)
 	case balancer.ZoneRecoveryStarted:
 		slog.Info("zone recovery started", "zone", e.Zone, "step_periods", e.StepPeriods)
 	case balancer.RequestsShed:
--- a/internal/proxy/decisionlog_test.go
+++ b/internal/proxy/decisionlog_test.go
@@ -23,7 +23,7 @@
 		{balancer.EndpointUnresponsive{Endpoint: 8, Silence: time.Second}, "endpoint unresponsive",
 			[]any{"endpoint", "unknown", "endpoint_id", balancer.EndpointID(8), "elapsed", time.Second}},
 		{balancer.ZoneEjected{Zone: "z", Unhealthy: 3, Members: 4}, "zone ejected",
-			[]any{"zone", "z", "unhealthy", int64(3), "members", int64(4)}},
+			[]any{"zone", "z", "unhealthy", int64(3), "in_use", int64(4)}},
 		{balancer.ZoneRecoveryStarted{Zone: "z", StepPeriods: 6}, "zone recovery started", []any{"zone", "z", "step_periods", int64(6)}},
 		{balancer.RequestsShed{QueueLength: 5}, "request shed", []any{"queue_length", int64(5)}},
 		{balancer.DiscoveryCallFailed{RetryIn: time.Second}, "discovery call failed", []any{"retry_in", time.Second}},
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -61,8 +61,8 @@
 // runAttempt carries out an attempt and posts its result. It runs on a goroutine of its own.
 func (l *loop) runAttempt(a *attempt) { l.post(attemptFinished{a, l.dialer.runAttempt(a)}) }
 
-// Reject answers a client that its request was not executed and may be retried, after retryAfter if that is over 0 and
-// the settings allow such advice.
+// Reject answers a client that a retry is harmless, after retryAfter if that is over 0 and the settings allow such advice. An
+// idempotent request may have been executed.
 func (l *loop) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	r := l.requests[id]
 	if r == nil {
--- a/internal/timelimit/limits.go
+++ b/internal/timelimit/limits.go
@@ -17,12 +17,13 @@
 
 // Limits of a client's connection and of its requests.
 const (
-	// ClientRead bounds how long a client may take to send the head of a request, or how long it may send nothing of a body.
-	// It includes the silence before the first request.
+	// ClientRead bounds how long a client may take to send the head of a request, the silence before the first request included.
+	// It is also the most credit of time that the sender of a body can have: a silence uses the credit up, what it sends adds to
+	// it.
 	//
 	// Term: a client that sends nothing is disconnected within 3 s of connecting.
 	ClientRead = 2500 * time.Millisecond
-	// RequestSilence bounds how long, from the beginning of a request, its client may send nothing more.
+	// RequestSilence bounds, from the beginning of a request, the silence before the first bytes of its body.
 	//
 	// Term: a client that stops in the middle of a request is disconnected within 3 s.
 	RequestSilence = 2900 * time.Millisecond
--- a/internal/timelimit/schedule.go
+++ b/internal/timelimit/schedule.go
@@ -45,7 +45,7 @@
 }
 
 // BeforeKill returns how much time is left, before SIGKILL, to a request that arrived at the given time. It is timeout unless a
-// shutdown has begun and the request arrived too late to have its own time.
+// shutdown has begun and the request arrived too late to have its own time. Then it can exceed timeout: Remaining takes the less.
 func (s Schedule) BeforeKill(arrivedAt, timeout time.Duration) time.Duration {
 	early := Window{s.Shutdown.At, KillDelay - AnswerMargin}
 	if !s.Shutdown.Begun || !early.IsOver(arrivedAt) {
