--- a/cmd/balancerctl/compare.go
+++ b/cmd/balancerctl/compare.go
@@ -6,8 +6,8 @@
 	"os"
 
 	"sprucehill/internal/lab/compare"
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/measure"
+	"sprucehill/internal/lab/scenario"
 )
 
 // minPlays is the least number of plays on a side that shows noise.
@@ -29,7 +29,7 @@
 // Run plays both sides and prints the comparison. It returns errCheckFailed if it is not as expected.
 func (c *compareCmd) Run(ctx context.Context) error {
 	if c.Plays < minPlays {
-		return fmt.Errorf("%w: --plays: %d says nothing of noise; %d are the least", day.ErrInput, c.Plays, minPlays)
+		return fmt.Errorf("%w: --plays: %d says nothing of noise; %d are the least", scenario.ErrInput, c.Plays, minPlays)
 	}
 	a, endA, err := c.side(ctx, c.A)
 	defer endA()
--- a/cmd/balancerctl/comparecommand.go
+++ b/cmd/balancerctl/comparecommand.go
@@ -12,8 +12,8 @@
 	"strings"
 
 	"sprucehill/internal/lab/compare"
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/measure"
+	"sprucehill/internal/lab/scenario"
 )
 
 // commandSide plays the model engine with the command of another work tree, and so with its decision module.
@@ -25,7 +25,7 @@
 	build := exec.CommandContext(ctx, "go", "build", "-o", command, commandPackage(root))
 	build.Dir = root
 	if out, err := build.CombinedOutput(); err != nil {
-		return nil, fmt.Errorf("%w: %s has no model engine that builds: %s", day.ErrInput, name, strings.TrimSpace(string(out)))
+		return nil, fmt.Errorf("%w: %s has no model engine that builds: %s", scenario.ErrInput, name, strings.TrimSpace(string(out)))
 	}
 	return &commandSide{name: name, file: file, command: command}, nil
 }
--- a/cmd/balancerctl/comparemodel.go
+++ b/cmd/balancerctl/comparemodel.go
@@ -4,14 +4,14 @@
 	"context"
 
 	"sprucehill/internal/lab"
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/measure"
 	"sprucehill/internal/lab/model"
+	"sprucehill/internal/lab/scenario"
 )
 
 // loadSeeded loads a day file with another seed.
-func loadSeeded(file string, seed uint64) (*day.Day, error) {
-	d, err := day.LoadFile(file)
+func loadSeeded(file string, seed uint64) (*scenario.Scenario, error) {
+	d, err := scenario.LoadFile(file)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/balancerctl/compareside.go
+++ b/cmd/balancerctl/compareside.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"sprucehill/internal/lab/compare"
-	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/scenario"
 )
 
 // side makes the side that an argument of the command names. removeFiles removes its temporary files; it is never nil.
@@ -26,7 +26,7 @@
 	case "commit":
 		return c.newCommitSide(ctx, argument, value)
 	default:
-		err = fmt.Errorf("%w: %q is no side: write this, commit:REV, tree:PATH, policy:NAME or day:FILE", day.ErrInput, argument)
+		err = fmt.Errorf("%w: %q is no side: write this, commit:REV, tree:PATH, policy:NAME or day:FILE", scenario.ErrInput, argument)
 	}
 	return s, func() {}, err
 }
@@ -34,7 +34,7 @@
 // newPolicySide makes the side that plays the day with a baseline policy.
 func (c *compareCmd) newPolicySide(name, policy string) (compare.Side, error) {
 	if c.Engine != "model" {
-		return nil, fmt.Errorf("%w: %s: baselines are policies of the model engine", day.ErrInput, name)
+		return nil, fmt.Errorf("%w: %s: baselines are policies of the model engine", scenario.ErrInput, name)
 	}
 	return &modelSide{name: name, file: c.Day, policy: policy}, nil
 }
@@ -51,7 +51,7 @@
 
 // newSide makes the side that plays a day with the balancer of a work tree, on the selected engine.
 func (c *compareCmd) newSide(ctx context.Context, name, root, file string) (compare.Side, error) {
-	if _, err := day.LoadFile(file); err != nil {
+	if _, err := scenario.LoadFile(file); err != nil {
 		return nil, err
 	}
 	switch {
@@ -75,7 +75,7 @@
 	}
 	out, err := exec.CommandContext(ctx, "git", "worktree", "add", "--detach", dir, rev).CombinedOutput()
 	if err != nil {
-		return "", remove, fmt.Errorf("%w: commit %s: %s", day.ErrInput, rev, strings.TrimSpace(string(out)))
+		return "", remove, fmt.Errorf("%w: commit %s: %s", scenario.ErrInput, rev, strings.TrimSpace(string(out)))
 	}
 	return dir, remove, nil
 }
--- a/cmd/balancerctl/daytext.go
+++ b/cmd/balancerctl/daytext.go
@@ -7,11 +7,11 @@
 	"slices"
 	"strings"
 
-	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/scenario"
 )
 
 // showDay writes a day as tables.
-func showDay(w io.Writer, d *day.Day) {
+func showDay(w io.Writer, d *scenario.Scenario) {
 	f := d.Fleet()
 	fmt.Fprintf(w, "%s, seed %d, %v", d.Name, d.Seed, d.Length.D())
 	if d.About != "" {
@@ -35,7 +35,7 @@
 }
 
 // zoneRows has a row on each zone.
-func zoneRows(d *day.Day, f *day.Fleet) [][]any {
+func zoneRows(d *scenario.Scenario, f *scenario.Fleet) [][]any {
 	rows := [][]any{{"region", "zone", "balancers", "load", "upstreams"}}
 	for i, z := range f.Zones {
 		load := fmt.Sprintf("%.1f/s", z.Share*d.Load.Rate)
@@ -45,7 +45,7 @@
 }
 
 // upstreamCounts lists how many upstreams of each model a zone has.
-func upstreamCounts(f *day.Fleet, zone int) string {
+func upstreamCounts(f *scenario.Fleet, zone int) string {
 	counts := map[string]int{} // by model
 	for _, u := range f.Upstreams {
 		if u.Zone == zone {
@@ -60,7 +60,7 @@
 }
 
 // modelRows has a row on each model of upstream.
-func modelRows(d *day.Day) [][]any {
+func modelRows(d *scenario.Scenario) [][]any {
 	rows := [][]any{{"model", "cores", "speed", "slots", "queue", "cold from", "warm after", "pauses", "errors", "reports"}}
 	for _, name := range slices.Sorted(maps.Keys(d.Models)) {
 		rows = append(rows, modelRow(name, d.Models[name]))
@@ -69,7 +69,7 @@
 }
 
 // modelRow has the cells of one model.
-func modelRow(name string, m day.Model) []any {
+func modelRow(name string, m scenario.Model) []any {
 	pauses := "none"
 	if m.Pause > 0 {
 		pauses = fmt.Sprintf("%v every %v", m.Pause.D(), m.PauseEvery.D())
@@ -89,7 +89,7 @@
 }
 
 // classRows has a row on each class of request.
-func classRows(d *day.Day) [][]any {
+func classRows(d *scenario.Scenario) [][]any {
 	rows := [][]any{{"class", "share", "repeat", "aim", "deadline", "worth", "work", "wait"}}
 	for _, c := range d.Classes {
 		repeat := c.Repeat
@@ -102,16 +102,16 @@
 }
 
 // faultRows has a row on each beginning and end of a fault, in order of time.
-func faultRows(d *day.Day, f *day.Fleet) [][]any {
+func faultRows(d *scenario.Scenario, f *scenario.Fleet) [][]any {
 	rows := [][]any{{"at", "", "fault", "on", "what it does"}}
 	changes, hits := d.Timetable()
 	for _, c := range changes {
 		kind := d.Faults[c.Fault].Kind
 		what := "ends"
 		about := ""
-		if c.Transition == day.Begin {
+		if c.Transition == scenario.Begin {
 			what = "begins"
-			about = day.DescribeFault(kind)
+			about = scenario.DescribeFault(kind)
 		}
 		rows = append(rows, []any{c.At, what, kind, d.TargetNames(f, c.Fault, hits[c.Fault]), about})
 	}
@@ -119,4 +119,4 @@
 }
 
 // spread formats the bounds of a range of durations.
-func spread(r day.Range) string { return fmt.Sprintf("%v to %v", r[0].D(), r[1].D()) }
+func spread(r scenario.Range) string { return fmt.Sprintf("%v to %v", r[0].D(), r[1].D()) }
--- a/cmd/balancerctl/lab.go
+++ b/cmd/balancerctl/lab.go
@@ -9,11 +9,11 @@
 	"runtime"
 
 	"sprucehill/internal/lab"
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/live"
 	"sprucehill/internal/lab/model"
 	"sprucehill/internal/lab/program"
 	"sprucehill/internal/lab/report"
+	"sprucehill/internal/lab/scenario"
 )
 
 // checkCmd is the command "lab check".
@@ -23,7 +23,7 @@
 
 // Run reads a day file and prints its size. It returns an error if the file can't be used.
 func (c *checkCmd) Run() error {
-	d, err := day.LoadFile(c.File)
+	d, err := scenario.LoadFile(c.File)
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 
 // Run prints a day.
 func (c *showCmd) Run() error {
-	d, err := day.LoadFile(c.File)
+	d, err := scenario.LoadFile(c.File)
 	if err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 
 // Run plays a day, and writes its report and summary. It returns errCheckFailed if a rule was broken.
 func (c *runCmd) Run(ctx context.Context) error {
-	d, err := day.LoadFile(c.File)
+	d, err := scenario.LoadFile(c.File)
 	if err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 }
 
 // play plays the day on the selected engine. Its report goes into out.
-func (c *runCmd) play(ctx context.Context, d *day.Day, out string, p *progress) (*lab.Result, error) {
+func (c *runCmd) play(ctx context.Context, d *scenario.Scenario, out string, p *progress) (*lab.Result, error) {
 	if c.Engine == "model" {
 		if c.Workers == 0 {
 			c.Workers = runtime.GOMAXPROCS(0)
--- a/cmd/balancerctl/progress.go
+++ b/cmd/balancerctl/progress.go
@@ -7,7 +7,7 @@
 
 	"golang.org/x/term"
 
-	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/scenario"
 )
 
 // progress shows the progress of a run, if standard error is a terminal.
@@ -17,7 +17,7 @@
 }
 
 // newProgress returns the progress of a day; nil: the run is not of one day, and at must not be called.
-func newProgress(d *day.Day) *progress {
+func newProgress(d *scenario.Scenario) *progress {
 	p := &progress{on: term.IsTerminal(int(os.Stderr.Fd()))}
 	if d != nil {
 		p.length = d.Length.D()
--- a/cmd/balancerctl/scale.go
+++ b/cmd/balancerctl/scale.go
@@ -9,9 +9,9 @@
 	"syscall"
 	"time"
 
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/model"
 	"sprucehill/internal/lab/report"
+	"sprucehill/internal/lab/scenario"
 )
 
 // scaleCmd is the command "lab scale".
@@ -34,7 +34,7 @@
 
 // Run models the day on fleets of each size, and prints and plots the costs.
 func (c *scaleCmd) Run(ctx context.Context) error {
-	d, err := day.LoadFile(c.File)
+	d, err := scenario.LoadFile(c.File)
 	if err != nil {
 		return err
 	}
@@ -55,11 +55,11 @@
 }
 
 // measure models the day on a fleet of each size.
-func (c *scaleCmd) measure(ctx context.Context, d *day.Day) ([]cost, error) {
+func (c *scaleCmd) measure(ctx context.Context, d *scenario.Scenario) ([]cost, error) {
 	var costs []cost
 	for _, factor := range c.Factors {
 		if factor <= 0 {
-			return nil, fmt.Errorf("%w: --factors: %v is not over 0", day.ErrInput, factor)
+			return nil, fmt.Errorf("%w: --factors: %v is not over 0", scenario.ErrInput, factor)
 		}
 		scaled := d.Scaled(factor)
 		p := newProgress(scaled)
@@ -74,7 +74,7 @@
 }
 
 // plot writes the plot of the costs and returns its path.
-func (c *scaleCmd) plot(d *day.Day, costs []cost) (string, error) {
+func (c *scaleCmd) plot(d *scenario.Scenario, costs []cost) (string, error) {
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return "", err
 	}
@@ -101,7 +101,7 @@
 }
 
 // measureCost models a day and returns its cost.
-func measureCost(ctx context.Context, d *day.Day, o model.Options) (cost, error) {
+func measureCost(ctx context.Context, d *scenario.Scenario, o model.Options) (cost, error) {
 	runtime.GC() // the garbage of the day before is not part of this one's cost
 	f := d.Fleet()
 	x := cost{Balancers: len(f.Balancers), Upstreams: len(f.Upstreams)}
--- a/internal/lab/check/answers.go
+++ b/internal/lab/check/answers.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
+	"sprucehill/internal/lab/scenario"
 )
 
 // checkAnswers checks OneAnswer of one request: what a running balancer has taken has exactly one answer.
@@ -80,8 +80,8 @@
 // linkExcuses reports whether a fault hit the link between the client and the balancer.
 func (c *checker) linkExcuses(sent history.Event, until time.Duration) bool {
 	// Fronts lead to balancers of their own zone.
-	clients := day.Party{Kind: day.ClientsParty, Index: c.fleet.Balancers[sent.Balancer].Zone}
-	b := day.Party{Kind: day.BalancerParty, Index: int(sent.Balancer)}
+	clients := scenario.Party{Kind: scenario.ClientsParty, Index: c.fleet.Balancers[sent.Balancer].Zone}
+	b := scenario.Party{Kind: scenario.BalancerParty, Index: int(sent.Balancer)}
 	active := map[int32]bool{}
 	for _, e := range c.faults {
 		if e.At > until {
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
+	"sprucehill/internal/lab/scenario"
 )
 
 // Rule is what was broken.
@@ -52,9 +52,9 @@
 
 // checker gathers what the rules need in one pass.
 type checker struct {
-	day        *day.Day
-	fleet      *day.Fleet
-	paths      *day.Paths
+	day        *scenario.Scenario
+	fleet      *scenario.Fleet
+	paths      *scenario.Paths
 	byRequest  map[uint64][]history.Event
 	order      []uint64                         // requests in order of their first event
 	phases     map[endpointView][]history.Event // notifications
@@ -65,7 +65,7 @@
 }
 
 // Judge returns every violation in a history, in order of time. Events are in order of time.
-func Judge(d *day.Day, f *day.Fleet, events []history.Event) []Violation {
+func Judge(d *scenario.Scenario, f *scenario.Fleet, events []history.Event) []Violation {
 	c := &checker{
 		day:       d,
 		fleet:     f,
@@ -127,4 +127,4 @@
 func isArrival(e history.Event) bool { return e.Kind == history.Arrived || e.Kind == history.Rejected }
 
 // class is that of the request of an event.
-func (c *checker) class(e history.Event) day.Class { return c.day.Classes[e.Class] }
+func (c *checker) class(e history.Event) scenario.Class { return c.day.Classes[e.Class] }
--- a/internal/lab/check/fleet.go
+++ b/internal/lab/check/fleet.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
+	"sprucehill/internal/lab/scenario"
 )
 
 // checkDraining checks Drained of the attempts of one request.
@@ -56,17 +56,17 @@
 
 // maxDelay is the longest that an attempt may have been in transit.
 func (c *checker) maxDelay(attempt history.Event) time.Duration {
-	b := day.Party{Kind: day.BalancerParty, Index: int(attempt.Balancer)}
-	u := day.Party{Kind: day.UpstreamParty, Index: int(attempt.Upstream)}
+	b := scenario.Party{Kind: scenario.BalancerParty, Index: int(attempt.Balancer)}
+	u := scenario.Party{Kind: scenario.UpstreamParty, Index: int(attempt.Upstream)}
 	d := c.paths.Condition(b, u).Delay
 	for i, fault := range c.day.Faults {
 		if fault.At.D() > attempt.At || !c.paths.OnLinks(i) || !c.paths.Hits(i, b, u) {
 			continue
 		}
 		switch fault.Kind {
-		case day.LinkDelay:
+		case scenario.LinkDelay:
 			d += fault.Delay.D()
-		case day.LinkCut, day.LinkSlow, day.LinkLossy: // bytes written before may arrive once the fault has ended
+		case scenario.LinkCut, scenario.LinkSlow, scenario.LinkLossy: // bytes written before may arrive once the fault has ended
 			d += max(fault.For.D(), c.day.Length.D()-fault.At.D())
 		}
 	}
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/scenario"
 )
 
 // Result is how a request ended, as its client sees it.
@@ -30,12 +30,12 @@
 
 // Zone is the clients of one zone, which share a retry budget. It is not safe for concurrent use.
 type Zone struct {
-	day    *day.Day
+	day    *scenario.Scenario
 	tokens float64 // retries that the budget allows now
 }
 
 // NewZone returns the clients of a zone, with a full budget.
-func NewZone(d *day.Day) *Zone { return &Zone{day: d, tokens: maxBudget} }
+func NewZone(d *scenario.Scenario) *Zone { return &Zone{day: d, tokens: maxBudget} }
 
 // AddRequest counts a first request, which adds to the budget.
 func (z *Zone) AddRequest() { z.tokens = min(maxBudget, z.tokens+z.day.Clients.Budget) }
@@ -47,7 +47,7 @@
 	if result == Served || result == Disconnected || !z.harmless(class, result) {
 		return 0, false
 	}
-	if sent > z.day.Clients.Retries || sent >= day.MaxRequestsPerArrival {
+	if sent > z.day.Clients.Retries || sent >= scenario.MaxRequestsPerArrival {
 		return 0, false
 	}
 	wait = z.day.Clients.Wait.D()
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"sprucehill/internal/lab/client"
-	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/scenario"
 )
 
 // Kind is what happened.
@@ -94,7 +94,7 @@
 }
 
 // Describe is an event as a line for people.
-func (e Event) Describe(d *day.Day, f *day.Fleet) string {
+func (e Event) Describe(d *scenario.Scenario, f *scenario.Fleet) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%9.3f s  %s", e.At.Seconds(), e.Kind)
 	if e.Kind == FaultBegan || e.Kind == FaultEnded {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -6,18 +6,18 @@
 	"context"
 
 	"sprucehill/internal/lab/check"
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
 	"sprucehill/internal/lab/live"
 	"sprucehill/internal/lab/measure"
 	"sprucehill/internal/lab/model"
+	"sprucehill/internal/lab/scenario"
 )
 
 // Result is a day that has been played.
 type Result struct {
-	Day        *day.Day
-	Fleet      *day.Fleet
-	Arrivals   []day.Arrival
+	Day        *scenario.Scenario
+	Fleet      *scenario.Fleet
+	Arrivals   []scenario.Arrival
 	Events     []history.Event
 	Violations []check.Violation
 	Summary    *measure.Summary
@@ -29,7 +29,7 @@
 }
 
 // Live plays a day with real processes.
-func Live(ctx context.Context, d *day.Day, o live.Options) (*Result, error) {
+func Live(ctx context.Context, d *scenario.Scenario, o live.Options) (*Result, error) {
 	out, err := live.Play(ctx, d, o)
 	if err != nil {
 		return nil, err
@@ -40,7 +40,7 @@
 }
 
 // Model plays a day in virtual time.
-func Model(ctx context.Context, d *day.Day, o model.Options) (*Result, error) {
+func Model(ctx context.Context, d *scenario.Scenario, o model.Options) (*Result, error) {
 	events, err := model.Play(ctx, d, o)
 	if err != nil {
 		return nil, err
@@ -49,7 +49,7 @@
 }
 
 // newResult makes a result of a history.
-func newResult(d *day.Day, engine string, events []history.Event) *Result {
+func newResult(d *scenario.Scenario, engine string, events []history.Event) *Result {
 	r := &Result{Day: d, Fleet: d.Fleet(), Arrivals: d.Arrivals(), Events: events}
 	r.Violations = check.Judge(d, r.Fleet, events)
 	r.Summary = measure.Summarize(d, r.Fleet, engine, r.Arrivals, events, r.Violations)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -7,9 +7,9 @@
 	"testing"
 
 	"sprucehill/internal/lab/check"
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/labtest"
 	"sprucehill/internal/lab/live"
+	"sprucehill/internal/lab/scenario"
 )
 
 // checkerDay has what each rule needs to be broken: an upstream that starts again, one that drains, a restart.
@@ -62,7 +62,7 @@
 `
 
 // play plays a day live with a program. If the test fails it logs the processes' logs.
-func play(t *testing.T, d *day.Day, command ...string) *Result {
+func play(t *testing.T, d *scenario.Scenario, command ...string) *Result {
 	t.Helper()
 	work := t.TempDir()
 	t.Cleanup(func() { logProcesses(t, d, work) })
@@ -77,7 +77,7 @@
 }
 
 // logProcesses logs the seed and the ends of the processes' logs of a failed test.
-func logProcesses(t *testing.T, d *day.Day, work string) {
+func logProcesses(t *testing.T, d *scenario.Scenario, work string) {
 	t.Helper()
 	if !t.Failed() {
 		return
--- a/internal/lab/labtest/labtest.go
+++ b/internal/lab/labtest/labtest.go
@@ -11,13 +11,13 @@
 	"strings"
 	"testing"
 
-	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/scenario"
 )
 
 // Day is the day of a text. It fails the test if the text is no day.
-func Day(tb testing.TB, text string) *day.Day {
+func Day(tb testing.TB, text string) *scenario.Scenario {
 	tb.Helper()
-	d, err := day.Parse("test.toml", []byte(text))
+	d, err := scenario.Parse("test.toml", []byte(text))
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -31,9 +31,9 @@
 }
 
 // Example is an example's day, by its name in the folder examples.
-func Example(tb testing.TB, name string) *day.Day {
+func Example(tb testing.TB, name string) *scenario.Scenario {
 	tb.Helper()
-	d, err := day.LoadFile(ExampleFile(tb, name))
+	d, err := scenario.LoadFile(ExampleFile(tb, name))
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/lab/link/conn.go
+++ b/internal/lab/link/conn.go
@@ -8,20 +8,20 @@
 	"syscall"
 	"time"
 
-	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/scenario"
 )
 
 // Conn is a connection between two parties, at the near one's end.
 type Conn struct {
 	net.Conn
 	network   *Network
-	near, far day.Party
+	near, far scenario.Party
 	closed    chan struct{}
 	once      sync.Once // closes closed
 }
 
 // Wrap makes an open connection one of the network.
-func (n *Network) Wrap(c net.Conn, near, far day.Party) *Conn {
+func (n *Network) Wrap(c net.Conn, near, far scenario.Party) *Conn {
 	wrapped := &Conn{Conn: c, network: n, near: near, far: far, closed: make(chan struct{})}
 	n.mu.Lock()
 	n.conns[wrapped] = struct{}{}
@@ -31,7 +31,7 @@
 
 // waitInTransit waits for as long as size bytes that set out at a moment are in transit, or until the connection is
 // closed.
-func (c *Conn) waitInTransit(from, to day.Party, size int, setOutAt time.Time) error {
+func (c *Conn) waitInTransit(from, to scenario.Party, size int, setOutAt time.Time) error {
 	for {
 		t := c.network.transit(from, to, size)
 		if t.cut {
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/labtest"
+	"sprucehill/internal/lab/scenario"
 )
 
 const cutDay = `
@@ -40,7 +40,7 @@
 one_way = true
 `
 
-var b, u = day.Party{Kind: day.BalancerParty}, day.Party{Kind: day.UpstreamParty}
+var b, u = scenario.Party{Kind: scenario.BalancerParty}, scenario.Party{Kind: scenario.UpstreamParty}
 
 // connect returns a network and the two ends of a connection over it: the balancer's own, and the upstream's.
 func connect(t *testing.T) (*Network, *Listener, net.Conn, *Conn) {
@@ -91,7 +91,7 @@
 	if !arrives(t, far, near, 10*time.Second) {
 		t.Fatal("nothing passes on a whole way")
 	}
-	n.Apply(0, day.Begin)
+	n.Apply(0, scenario.Begin)
 	got := make(chan error, 1)
 	if _, err := io.WriteString(far, "x"); err != nil {
 		t.Fatal(err)
@@ -105,7 +105,7 @@
 		t.Fatalf("a cut way passed a byte or an error on: %v", err)
 	case <-time.After(300 * time.Millisecond):
 	}
-	n.Apply(0, day.End)
+	n.Apply(0, scenario.End)
 	if err := <-got; err != nil {
 		t.Fatalf("after the cut: %v", err)
 	}
@@ -114,7 +114,7 @@
 // A link that is cut in one direction passes the other.
 func TestOneWayCut(t *testing.T) {
 	n, _, far, near := connect(t)
-	n.Apply(1, day.Begin)
+	n.Apply(1, scenario.Begin)
 	if !arrives(t, far, near, 10*time.Second) {
 		t.Error("balancer to upstream is not cut, but nothing passes")
 	}
@@ -127,14 +127,14 @@
 func TestCutTakesNoConnections(t *testing.T) {
 	n, l, _, _ := connect(t)
 	address := l.tcp.Addr().String()
-	n.Apply(0, day.Begin)
-	n.Apply(1, day.Begin)
-	n.Apply(0, day.End)
+	n.Apply(0, scenario.Begin)
+	n.Apply(1, scenario.Begin)
+	n.Apply(0, scenario.End)
 	_, err := net.DialTimeout("tcp", address, 300*time.Millisecond)
 	if timeout := net.Error(nil); !errors.As(err, &timeout) || !timeout.Timeout() {
 		t.Errorf("over a cut: %v", err)
 	}
-	n.Apply(1, day.End)
+	n.Apply(1, scenario.End)
 	c, err := net.DialTimeout("tcp", address, 10*time.Second)
 	if err != nil {
 		t.Fatalf("after the cut: %v", err)
--- a/internal/lab/link/listener.go
+++ b/internal/lab/link/listener.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/scenario"
 )
 
 const (
@@ -30,8 +30,8 @@
 // every further SYN.
 type Listener struct {
 	network *Network
-	near    day.Party
-	far     day.Party
+	near    scenario.Party
+	far     scenario.Party
 	tcp     *net.TCPListener
 
 	mu         sync.Mutex
@@ -44,7 +44,7 @@
 }
 
 // Listen takes connections that far opens to near at an address of near's for far alone.
-func (n *Network) Listen(near, far day.Party, address string) (*Listener, error) {
+func (n *Network) Listen(near, far scenario.Party, address string) (*Listener, error) {
 	tcp, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("an emulated address is not free: %w", err)
--- a/internal/lab/link/network.go
+++ b/internal/lab/link/network.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/scenario"
 )
 
 // lossStream sets the network's random draws apart from other uses of the day's seed.
@@ -19,20 +19,20 @@
 // Network is the network of one day.
 type Network struct {
 	mu        sync.Mutex
-	paths     *day.Paths
+	paths     *scenario.Paths
 	rng       *rand.Rand
-	vanished  map[day.Party]bool // machines
-	changed   chan struct{}      // closed at the next change
+	vanished  map[scenario.Party]bool // machines
+	changed   chan struct{}           // closed at the next change
 	conns     map[*Conn]struct{}
 	listeners map[*Listener]struct{}
 }
 
 // New returns a network whose links are as paths has them.
-func New(paths *day.Paths, seed uint64) *Network {
+func New(paths *scenario.Paths, seed uint64) *Network {
 	return &Network{
 		paths:     paths,
 		rng:       rand.New(rand.NewPCG(seed, lossStream)),
-		vanished:  map[day.Party]bool{},
+		vanished:  map[scenario.Party]bool{},
 		changed:   make(chan struct{}),
 		conns:     map[*Conn]struct{}{},
 		listeners: map[*Listener]struct{}{},
@@ -40,11 +40,11 @@
 }
 
 // Apply begins or ends fault i of the day. A fault that resets connections does so when it begins.
-func (n *Network) Apply(i int, transition day.Transition) {
+func (n *Network) Apply(i int, transition scenario.Transition) {
 	n.mu.Lock()
 	n.paths.Apply(i, transition)
 	var hit []*Conn
-	if transition == day.Begin && n.paths.ResetsConns(i) {
+	if transition == scenario.Begin && n.paths.ResetsConns(i) {
 		hit = n.connsWhere(func(c *Conn) bool { return n.paths.Hits(i, c.near, c.far) || n.paths.Hits(i, c.far, c.near) })
 	}
 	n.notifyChange()
@@ -54,16 +54,16 @@
 }
 
 // Disconnect takes a machine off the network. No byte reaches it or leaves it.
-func (n *Network) Disconnect(p day.Party) { n.setVanished(p, true) }
+func (n *Network) Disconnect(p scenario.Party) { n.setVanished(p, true) }
 
 // Reconnect brings a machine back that Disconnect has taken off. Connections that others still have open to it are reset
 // before any delayed data could arrive.
-func (n *Network) Reconnect(p day.Party) {
+func (n *Network) Reconnect(p scenario.Party) {
 	n.ResetAll(p)
 	n.setVanished(p, false)
 }
 
-func (n *Network) setVanished(p day.Party, vanished bool) {
+func (n *Network) setVanished(p scenario.Party, vanished bool) {
 	n.mu.Lock()
 	n.vanished[p] = vanished
 	n.notifyChange()
@@ -72,7 +72,7 @@
 }
 
 // ResetAll resets every connection of a party, as when its process dies.
-func (n *Network) ResetAll(p day.Party) {
+func (n *Network) ResetAll(p scenario.Party) {
 	n.mu.Lock()
 	hit := n.connsWhere(func(c *Conn) bool { return c.near == p || c.far == p })
 	n.mu.Unlock()
@@ -116,7 +116,7 @@
 }
 
 // isCut reports whether a connection between two parties can't be established. n.mu is held.
-func (n *Network) isCut(a, b day.Party) bool {
+func (n *Network) isCut(a, b scenario.Party) bool {
 	return n.vanished[a] || n.vanished[b] || n.paths.Condition(a, b).Cut || n.paths.Condition(b, a).Cut
 }
 
@@ -128,7 +128,7 @@
 }
 
 // transit is how a message of size bytes passes one way.
-func (n *Network) transit(from, to day.Party, size int) transit {
+func (n *Network) transit(from, to scenario.Party, size int) transit {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	c := n.paths.Condition(from, to)
@@ -139,7 +139,7 @@
 }
 
 // Dial opens a connection from near to far at an address. It waits while the link is cut, until ctx ends.
-func (n *Network) Dial(ctx context.Context, near, far day.Party, address string) (*Conn, error) {
+func (n *Network) Dial(ctx context.Context, near, far scenario.Party, address string) (*Conn, error) {
 	for {
 		n.mu.Lock()
 		cut := n.isCut(near, far)
--- a/internal/lab/live/config.go
+++ b/internal/lab/live/config.go
@@ -6,7 +6,7 @@
 	"os"
 	"path/filepath"
 
-	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/scenario"
 )
 
 // logSection is the part of a balancer's fleet file on its log, which is read after the day.
@@ -35,7 +35,7 @@
 	dir := r.folder(b)
 	n := &node{run: r, index: b, starter: s, config: filepath.Join(dir, "config.json")}
 	if err := os.MkdirAll(n.stateDir(), 0o755); err != nil {
-		return nil, fmt.Errorf("%w: %w", day.ErrInput, err)
+		return nil, fmt.Errorf("%w: %w", scenario.ErrInput, err)
 	}
 	fleetFile := filepath.Join(dir, "fleet.toml")
 	n.env = append(os.Environ(),
@@ -53,11 +53,11 @@
 		text += fmt.Sprintf("[state]\nfolder = %q\nsite = %q\n", filepath.Join(n.stateDir(), "kept"), r.day.Name)
 	}
 	if err := os.WriteFile(fleetFile, []byte(text), 0o644); err != nil {
-		return nil, fmt.Errorf("%w: %w", day.ErrInput, err)
+		return nil, fmt.Errorf("%w: %w", scenario.ErrInput, err)
 	}
 	log, err := os.Create(filepath.Join(dir, "log"))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", day.ErrInput, err)
+		return nil, fmt.Errorf("%w: %w", scenario.ErrInput, err)
 	}
 	n.log = log
 	return n, nil
--- a/internal/lab/live/exchange.go
+++ b/internal/lab/live/exchange.go
@@ -51,7 +51,7 @@
 }
 
 // exchange writes a request on a connection and reads its answer.
-func (r *run) exchange(q *clientRequest, c *clientConn, f *front) requestEnd {
+func (r *run) exchange(q *clientRequest, c *clientConn, f *ingress) requestEnd {
 	message := r.encode(q)
 	reused := c.reused
 	asked := q.event(history.Sent)
@@ -125,7 +125,7 @@
 }
 
 // readAnswer reads the answer, of which the first byte has come.
-func (r *run) readAnswer(q *clientRequest, c *clientConn, f *front) requestEnd {
+func (r *run) readAnswer(q *clientRequest, c *clientConn, f *ingress) requestEnd {
 	answered := q.event(history.Answered)
 	resp, err := http.ReadResponse(c.reader, nil)
 	var body []byte
--- a/internal/lab/live/front.go
+++ b/internal/lab/live/ingress.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
 	"sprucehill/internal/lab/link"
+	"sprucehill/internal/lab/scenario"
 )
 
 const (
@@ -29,12 +29,12 @@
 	lastAnswer history.Event
 }
 
-// front spreads the clients of a zone over its balancers. It sends nobody to one that has not said that it is healthy,
+// ingress spreads the clients of a zone over its balancers. It sends nobody to one that has not said that it is healthy,
 // and learns late that one has died.
-type front struct {
+type ingress struct {
 	run      *run
 	zone     int
-	party    day.Party
+	party    scenario.Party
 	cancel   context.CancelFunc
 	watchers sync.WaitGroup
 
@@ -45,13 +45,13 @@
 	turn     int // round-robin position
 }
 
-// newFront starts the front of a zone. It checks health until ctx ends or the front is closed.
-func (r *run) newFront(ctx context.Context, z int) *front {
+// newIngress starts the front of a zone. It checks health until ctx ends or the front is closed.
+func (r *run) newIngress(ctx context.Context, z int) *ingress {
 	ctx, cancel := context.WithCancel(ctx)
-	f := &front{
+	f := &ingress{
 		run:      r,
 		zone:     z,
-		party:    day.Party{Kind: day.ClientsParty, Index: z},
+		party:    scenario.Party{Kind: scenario.ClientsParty, Index: z},
 		cancel:   cancel,
 		healthy:  map[int]bool{},
 		wasReady: map[int]bool{},
@@ -63,7 +63,7 @@
 	return f
 }
 
-func (f *front) close() {
+func (f *ingress) close() {
 	f.cancel()
 	f.watchers.Wait()
 	f.mu.Lock()
@@ -76,7 +76,7 @@
 }
 
 // unready is a balancer of the zone that has never been healthy, if there is one.
-func (f *front) unready() (b int, found bool) {
+func (f *ingress) unready() (b int, found bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, b := range f.run.fleet.Zones[f.zone].Balancers {
@@ -88,7 +88,7 @@
 }
 
 // watchHealth checks a balancer's health until ctx ends.
-func (f *front) watchHealth(ctx context.Context, b int) {
+func (f *ingress) watchHealth(ctx context.Context, b int) {
 	tick := time.NewTicker(healthCheckInterval)
 	defer tick.Stop()
 	var failingSince time.Time // zero: the last check was answered
@@ -114,7 +114,7 @@
 	}
 }
 
-func (f *front) setHealthy(b int) {
+func (f *ingress) setHealthy(b int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.healthy[b] {
@@ -124,7 +124,7 @@
 	f.wasReady[b] = true
 }
 
-func (f *front) setUnhealthy(b int) {
+func (f *ingress) setUnhealthy(b int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.healthy[b] = false
@@ -140,7 +140,7 @@
 )
 
 // checkHealth checks a balancer's health once.
-func (f *front) checkHealth(ctx context.Context, b int) checkResult {
+func (f *ingress) checkHealth(ctx context.Context, b int) checkResult {
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
 	c, err := f.dial(ctx, b)
@@ -167,12 +167,12 @@
 }
 
 // dial opens a connection to a balancer.
-func (f *front) dial(ctx context.Context, b int) (*link.Conn, error) {
-	return f.run.net.Dial(ctx, f.party, day.Party{Kind: day.BalancerParty, Index: b}, f.run.clientsAt(b))
+func (f *ingress) dial(ctx context.Context, b int) (*link.Conn, error) {
+	return f.run.net.Dial(ctx, f.party, scenario.Party{Kind: scenario.BalancerParty, Index: b}, f.run.clientsAt(b))
 }
 
 // nextBalancer is the next healthy balancer, round robin.
-func (f *front) nextBalancer() (int, bool) {
+func (f *ingress) nextBalancer() (int, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := f.run.fleet.Zones[f.zone].Balancers
@@ -187,7 +187,7 @@
 
 // connect returns an idle connection to a balancer, or a new one if there is none or a new one is wanted. It waits until
 // the deadline at most, which is a time of the day.
-func (f *front) connect(ctx context.Context, b int, newConn bool, deadline time.Duration) (*clientConn, error) {
+func (f *ingress) connect(ctx context.Context, b int, newConn bool, deadline time.Duration) (*clientConn, error) {
 	for !newConn {
 		c := f.takeIdle(b)
 		if c == nil {
@@ -207,7 +207,7 @@
 }
 
 // takeIdle takes the idle connection to a balancer that was used last. It is nil if there is none.
-func (f *front) takeIdle(b int) *clientConn {
+func (f *ingress) takeIdle(b int) *clientConn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	conns := f.idle[b]
@@ -221,7 +221,7 @@
 
 // checkIdle reports whether an idle connection is good to use, and closes it if not: it may have ended, or brought what
 // nobody asked for. A second answer is recorded under the request before.
-func (f *front) checkIdle(c *clientConn) bool {
+func (f *ingress) checkIdle(c *clientConn) bool {
 	waiting := c.reader.Buffered() > 0
 	ended := false
 	if !waiting {
@@ -240,7 +240,7 @@
 }
 
 // putIdle takes back a connection for other requests. It reports whether the connection stays open.
-func (f *front) putIdle(b int, c *clientConn) bool {
+func (f *ingress) putIdle(b int, c *clientConn) bool {
 	c.reused = true
 	c.SetReadDeadline(time.Time{})
 	if c.reader.Buffered() > 0 {
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
+	"sprucehill/internal/lab/scenario"
 )
 
 // lastLogLines is how many lines of its log an error on a process shows.
@@ -55,7 +55,7 @@
 	cmd.Stderr = n.log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := n.starter.start(cmd); err != nil {
-		return fmt.Errorf("%w: %s does not start: %w", day.ErrInput, n.name(), err)
+		return fmt.Errorf("%w: %s does not start: %w", scenario.ErrInput, n.name(), err)
 	}
 	n.cmd = cmd
 	n.ended = make(chan struct{})
@@ -132,36 +132,36 @@
 }
 
 // beginFault begins a fault that hits this balancer.
-func (n *node) beginFault(fault day.Fault) error {
+func (n *node) beginFault(fault scenario.Fault) error {
 	switch fault.Kind {
-	case day.BalancerKill:
+	case scenario.BalancerKill:
 		return n.signal(syscall.SIGKILL, history.Killed)
-	case day.BalancerTerminate:
+	case scenario.BalancerTerminate:
 		return n.terminate(n.exitTimeout())
-	case day.BalancerRestart:
+	case scenario.BalancerRestart:
 		if err := n.terminate(n.exitTimeout()); err != nil {
 			return err
 		}
 		return n.restart(fault)
-	case day.BalancerFreeze:
+	case scenario.BalancerFreeze:
 		return n.signal(syscall.SIGSTOP, history.Paused)
-	case day.ClockOffset:
+	case scenario.ClockOffset:
 		n.run.registry.setClockOffset(n.index, fault.Delay.D())
 	}
 	return nil
 }
 
 // endFault ends a fault that hits this balancer.
-func (n *node) endFault(fault day.Fault) error {
+func (n *node) endFault(fault scenario.Fault) error {
 	switch fault.Kind {
-	case day.BalancerKill:
+	case scenario.BalancerKill:
 		return n.restart(fault)
-	case day.BalancerTerminate:
+	case scenario.BalancerTerminate:
 		n.kill()
 		return n.restart(fault)
-	case day.BalancerFreeze:
+	case scenario.BalancerFreeze:
 		return n.signal(syscall.SIGCONT, history.Resumed)
-	case day.ClockOffset:
+	case scenario.ClockOffset:
 		n.run.registry.setClockOffset(n.index, 0)
 	}
 	return nil
@@ -171,7 +171,7 @@
 func (n *node) exitTimeout() time.Duration { return n.run.day.MaxDeadline() + exitMargin }
 
 // restart starts the process again after a fault, without its saved state where the fault loses it.
-func (n *node) restart(fault day.Fault) error {
+func (n *node) restart(fault scenario.Fault) error {
 	if fault.State == "lose" {
 		if err := os.RemoveAll(n.stateDir()); err != nil {
 			return err
--- a/internal/lab/live/registry.go
+++ b/internal/lab/live/registry.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
+	"sprucehill/internal/lab/scenario"
 )
 
 const (
@@ -124,7 +124,7 @@
 }
 
 // onUpstreamFault announces what a fault does to an upstream, when discovery notices it.
-func (g *registry) onUpstreamFault(u int, fault day.Fault, transition day.Transition, at time.Time) {
+func (g *registry) onUpstreamFault(u int, fault scenario.Fault, transition scenario.Transition, at time.Time) {
 	phase, delay, warmsUp := g.run.day.EndpointPhase(fault, transition)
 	if phase == "" {
 		return
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -12,9 +12,9 @@
 	"syscall"
 	"time"
 
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
 	"sprucehill/internal/lab/link"
+	"sprucehill/internal/lab/scenario"
 )
 
 const (
@@ -52,12 +52,12 @@
 
 // run is a day being played.
 type run struct {
-	day          *day.Day
-	fleet        *day.Fleet
+	day          *scenario.Scenario
+	fleet        *scenario.Fleet
 	options      Options
 	net          *link.Network
 	base         int // second byte of all addresses
-	arrivals     []day.Arrival
+	arrivals     []scenario.Arrival
 	serverOrigin time.Time       // of the upstreams' own time
 	origin       time.Time       // of the day's time: when the first requests are due
 	lateness     []time.Duration // by arrival
@@ -66,12 +66,12 @@
 	registry  *registry
 	upstreams []*upstream
 	nodes     []*node
-	fronts    []*front
+	fronts    []*ingress
 }
 
 // Play runs a day. It checks what can be known before anything starts. When ctx ends the day is broken off, and nothing
 // is left behind.
-func Play(ctx context.Context, d *day.Day, o Options) (*Outcome, error) {
+func Play(ctx context.Context, d *scenario.Scenario, o Options) (*Outcome, error) {
 	r := &run{day: d, fleet: d.Fleet(), options: o, recorder: newRecorder()}
 	if err := r.checkLimits(); err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 	balancers := len(r.fleet.Balancers)
 	upstreams := len(r.fleet.Upstreams)
 	if balancers > maxBalancers {
-		return fmt.Errorf("%w: a live day takes %d balancers at most, this has %d: use the model engine", day.ErrInput, maxBalancers, balancers)
+		return fmt.Errorf("%w: a live day takes %d balancers at most, this has %d: use the model engine", scenario.ErrInput, maxBalancers, balancers)
 	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -127,10 +127,10 @@
 	need := uint64(balancers*upstreams*(1+connsPerPair) + balancers*(2+r.day.Balancer.Sockets/2) + spareDescriptors)
 	if need > limit.Cur {
 		return fmt.Errorf("%w: the day needs about %d descriptors and this process may have %d: raise ulimit -n, or make the fleet smaller",
-			day.ErrInput, need, limit.Cur)
+			scenario.ErrInput, need, limit.Cur)
 	}
 	if _, err := os.Stat(r.options.Dir); err != nil {
-		return fmt.Errorf("%w: %w", day.ErrInput, err)
+		return fmt.Errorf("%w: %w", scenario.ErrInput, err)
 	}
 	return nil
 }
@@ -141,7 +141,7 @@
 // start brings the fleet up and returns when all balancers are ready.
 func (r *run) start(ctx context.Context, s *starter) error {
 	if err := os.MkdirAll(r.options.Work, 0o755); err != nil {
-		return fmt.Errorf("%w: %w", day.ErrInput, err)
+		return fmt.Errorf("%w: %w", scenario.ErrInput, err)
 	}
 	for u := range r.fleet.Upstreams {
 		up, err := r.newUpstream(u)
@@ -167,7 +167,7 @@
 		}
 	}
 	for z := range r.fleet.Zones {
-		r.fronts = append(r.fronts, r.newFront(ctx, z))
+		r.fronts = append(r.fronts, r.newIngress(ctx, z))
 	}
 	return r.waitReady(ctx)
 }
--- a/internal/lab/live/timetable.go
+++ b/internal/lab/live/timetable.go
@@ -7,8 +7,8 @@
 	"os"
 	"time"
 
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
+	"sprucehill/internal/lab/scenario"
 )
 
 // runTimetable carries the faults out, each at its time, until ctx ends.
@@ -21,7 +21,7 @@
 		case <-time.After(c.At - r.now()):
 		}
 		kind := history.FaultEnded
-		if c.Transition == day.Begin {
+		if c.Transition == scenario.Begin {
 			kind = history.FaultBegan
 		}
 		r.recorder.record(history.Event{Kind: kind, Fault: int32(c.Fault), Arrival: history.None, Balancer: history.None, Upstream: history.None})
@@ -30,30 +30,30 @@
 }
 
 // applyChange begins or ends a fault.
-func (r *run) applyChange(c day.Change, hit day.Hit) {
+func (r *run) applyChange(c scenario.Change, hit scenario.Hit) {
 	fault := r.day.Faults[c.Fault]
 	switch hit.Scope {
-	case day.OnLinks:
+	case scenario.OnLinks:
 		r.net.Apply(c.Fault, c.Transition)
-	case day.OnUpstreams:
+	case scenario.OnUpstreams:
 		for _, u := range hit.Targets {
 			r.upstreams[u].applyFault(fault, c.Transition)
 		}
-	case day.OnBalancers:
+	case scenario.OnBalancers:
 		for _, b := range hit.Targets {
 			go r.applyNodeFault(b, fault, c.Transition) // it may wait for the process's end
 		}
-	case day.OnDiscovery:
+	case scenario.OnDiscovery:
 		for _, b := range hit.Targets {
 			r.applyDiscoveryFault(b, fault, c.Transition)
 		}
 	}
 }
 
-func (r *run) applyNodeFault(b int, fault day.Fault, transition day.Transition) {
+func (r *run) applyNodeFault(b int, fault scenario.Fault, transition scenario.Transition) {
 	n := r.nodes[b]
 	apply := n.endFault
-	if transition == day.Begin {
+	if transition == scenario.Begin {
 		apply = n.beginFault
 	}
 	if err := apply(fault); err != nil && !errors.Is(err, os.ErrProcessDone) {
@@ -61,12 +61,12 @@
 	}
 }
 
-func (r *run) applyDiscoveryFault(b int, fault day.Fault, transition day.Transition) {
-	begins := transition == day.Begin
+func (r *run) applyDiscoveryFault(b int, fault scenario.Fault, transition scenario.Transition) {
+	begins := transition == scenario.Begin
 	switch {
-	case fault.Kind == day.DiscoverySilent && begins:
+	case fault.Kind == scenario.DiscoverySilent && begins:
 		r.registry.silence(b)
-	case fault.Kind == day.DiscoverySilent:
+	case fault.Kind == scenario.DiscoverySilent:
 		r.registry.endSilence(b)
 	case begins:
 		r.registry.setErrorRate(b, fault.Size)
--- a/internal/lab/live/upstream.go
+++ b/internal/lab/live/upstream.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
 	"sprucehill/internal/lab/link"
+	"sprucehill/internal/lab/scenario"
 	"sprucehill/internal/lab/server"
 )
 
@@ -17,7 +17,7 @@
 type upstream struct {
 	run     *run
 	index   int
-	party   day.Party
+	party   scenario.Party
 	changed chan struct{} // something has arrived: the next wake-up may be sooner
 	ended   chan struct{} // closed at the end of the day
 	done    sync.WaitGroup
@@ -28,14 +28,14 @@
 	lastJob   server.JobID
 	listeners []*link.Listener // nil: the addresses are closed
 	conns     map[*link.Conn]struct{}
-	faults    []day.Fault // that act now
+	faults    []scenario.Fault // that act now
 }
 
 func (r *run) newUpstream(index int) (*upstream, error) {
 	u := &upstream{
 		run:     r,
 		index:   index,
-		party:   day.Party{Kind: day.UpstreamParty, Index: index},
+		party:   scenario.Party{Kind: scenario.UpstreamParty, Index: index},
 		changed: make(chan struct{}, 1),
 		ended:   make(chan struct{}),
 		jobs:    map[server.JobID]*upstreamAttempt{},
@@ -48,7 +48,9 @@
 	return u, nil
 }
 
-func (u *upstream) model() day.Model { return u.run.day.Models[u.run.fleet.Upstreams[u.index].Model] }
+func (u *upstream) model() scenario.Model {
+	return u.run.day.Models[u.run.fleet.Upstreams[u.index].Model]
+}
 
 // clock is the server's time.
 func (u *upstream) clock() time.Duration { return time.Since(u.run.serverOrigin) }
@@ -64,7 +66,7 @@
 		return nil
 	}
 	for b := range u.run.fleet.Balancers {
-		l, err := u.run.net.Listen(u.party, day.Party{Kind: day.BalancerParty, Index: b}, u.run.upstreamAt(b, u.index))
+		l, err := u.run.net.Listen(u.party, scenario.Party{Kind: scenario.BalancerParty, Index: b}, u.run.upstreamAt(b, u.index))
 		if err != nil {
 			return err
 		}
@@ -134,29 +136,29 @@
 }
 
 // applyFault begins or ends a fault that hits this upstream.
-func (u *upstream) applyFault(fault day.Fault, transition day.Transition) {
+func (u *upstream) applyFault(fault scenario.Fault, transition scenario.Transition) {
 	u.setFault(fault, transition)
-	begins := transition == day.Begin
+	begins := transition == scenario.Begin
 	switch {
-	case fault.Kind == day.UpstreamDown && begins:
+	case fault.Kind == scenario.UpstreamDown && begins:
 		u.stopProcess()
-	case fault.Kind == day.UpstreamDown:
+	case fault.Kind == scenario.UpstreamDown:
 		u.restartProcess()
-	case fault.Kind == day.UpstreamVanish && begins:
+	case fault.Kind == scenario.UpstreamVanish && begins:
 		u.stopMachine()
-	case fault.Kind == day.UpstreamVanish:
+	case fault.Kind == scenario.UpstreamVanish:
 		u.restartMachine()
 	}
 	u.run.registry.onUpstreamFault(u.index, fault, transition, time.Now())
 }
 
 // setFault adds a fault to those that act on the server, or removes it.
-func (u *upstream) setFault(fault day.Fault, transition day.Transition) {
+func (u *upstream) setFault(fault scenario.Fault, transition scenario.Transition) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if transition == day.Begin {
+	if transition == scenario.Begin {
 		u.faults = append(u.faults, fault)
-	} else if i := slices.IndexFunc(u.faults, func(f day.Fault) bool { return f.At == fault.At && f.Kind == fault.Kind }); i >= 0 {
+	} else if i := slices.IndexFunc(u.faults, func(f scenario.Fault) bool { return f.At == fault.At && f.Kind == fault.Kind }); i >= 0 {
 		u.faults = slices.Concat(u.faults[:i], u.faults[i+1:])
 	}
 	if u.server != nil {
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -10,8 +10,8 @@
 	"slices"
 
 	"sprucehill/internal/lab/check"
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
+	"sprucehill/internal/lab/scenario"
 )
 
 // Summary is all figures of a day. A served ratio is the priority weight of the requests that were served in time over
@@ -69,13 +69,13 @@
 }
 
 // Summarize computes the figures of a day.
-func Summarize(d *day.Day, f *day.Fleet, engine string, arrivals []day.Arrival, events []history.Event, violations []check.Violation) *Summary {
+func Summarize(d *scenario.Scenario, f *scenario.Fleet, engine string, arrivals []scenario.Arrival, events []history.Event, violations []check.Violation) *Summary {
 	s := &Summary{Run: newRun(d, engine), Broken: map[check.Rule]int{}}
 	for _, v := range violations {
 		s.Broken[v.Rule]++
 	}
 	requests := Requests(d, arrivals, events)
-	settled := slices.IndexFunc(arrivals, func(a day.Arrival) bool { return a.At >= d.Settle.D() })
+	settled := slices.IndexFunc(arrivals, func(a scenario.Arrival) bool { return a.At >= d.Settle.D() })
 	if settled < 0 {
 		settled = len(arrivals)
 	}
@@ -91,7 +91,7 @@
 	return s
 }
 
-func newRun(d *day.Day, engine string) Run {
+func newRun(d *scenario.Scenario, engine string) Run {
 	return Run{
 		Day:           d.Name,
 		Engine:        engine,
--- a/internal/lab/measure/measure_test.go
+++ b/internal/lab/measure/measure_test.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"sprucehill/internal/lab/client"
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
 	"sprucehill/internal/lab/labtest"
+	"sprucehill/internal/lab/scenario"
 )
 
 const handDay = `
@@ -51,13 +51,13 @@
 
 // playByHand returns a day of one request each 100 ms, each answered with the latency that of returns, or failed for 0,
 // and the history of it.
-func playByHand(t *testing.T, of func(i int, a day.Arrival) (latency time.Duration, upstream int32)) (*day.Day, []day.Arrival, []history.Event) {
+func playByHand(t *testing.T, of func(i int, a scenario.Arrival) (latency time.Duration, upstream int32)) (*scenario.Scenario, []scenario.Arrival, []history.Event) {
 	t.Helper()
 	d := labtest.Day(t, handDay)
-	var arrivals []day.Arrival
+	var arrivals []scenario.Arrival
 	var events []history.Event
 	for i := range 200 {
-		a := day.Arrival{At: time.Duration(i) * 100 * time.Millisecond, Class: i % 2, Tenant: -1}
+		a := scenario.Arrival{At: time.Duration(i) * 100 * time.Millisecond, Class: i % 2, Tenant: -1}
 		arrivals = append(arrivals, a)
 		latency, u := of(i, a)
 		e := history.Event{At: a.At, Kind: history.Sent, RequestID: uint64(i), Arrival: int32(i), Upstream: history.None}
@@ -74,7 +74,7 @@
 
 // From 10 to 14 s requests fail, one in ten of the rest is late, a quarter of attempts cross zones.
 func TestSummary(t *testing.T) {
-	d, arrivals, events := playByHand(t, func(i int, a day.Arrival) (time.Duration, int32) {
+	d, arrivals, events := playByHand(t, func(i int, a scenario.Arrival) (time.Duration, int32) {
 		u := int32(0)
 		if i%4 == 3 {
 			u = 1
@@ -114,7 +114,7 @@
 
 // A request that is answered twice counts once, and a client's retry counts for its first request.
 func TestRequestsAcrossRetries(t *testing.T) {
-	d, arrivals, _ := playByHand(t, func(int, day.Arrival) (time.Duration, int32) { return time.Millisecond, 0 })
+	d, arrivals, _ := playByHand(t, func(int, scenario.Arrival) (time.Duration, int32) { return time.Millisecond, 0 })
 	at := func(ms int, kind history.Kind, try int8, r client.Result) history.Event {
 		return history.Event{At: time.Duration(ms) * time.Millisecond, Kind: kind, Retry: try, Result: r}
 	}
@@ -139,7 +139,7 @@
 
 // Who left a zone that a fault took away and when, who doubted a healthy one, and how use is spread.
 func TestZones(t *testing.T) {
-	d, arrivals, events := playByHand(t, func(i int, _ day.Arrival) (time.Duration, int32) { return 50 * time.Millisecond, int32(i / 150) })
+	d, arrivals, events := playByHand(t, func(i int, _ scenario.Arrival) (time.Duration, int32) { return 50 * time.Millisecond, int32(i / 150) })
 	d.Faults[0].Target = []string{"zone:b"}
 	recordZoneState := func(at time.Duration, balancer int32, zone int16, state string) {
 		events = append(events, history.Event{At: at, Kind: history.ZoneState, Balancer: balancer, Zone: zone, Upstream: history.None,
@@ -166,7 +166,7 @@
 // A second dip after recovery counts, and one that the next fault makes does not.
 func TestSecondDip(t *testing.T) {
 	dip := func(i int) bool { return i >= 150 && i < 180 } // 15 to 18 s; the fault ends at 13
-	d, arrivals, events := playByHand(t, func(i int, _ day.Arrival) (time.Duration, int32) {
+	d, arrivals, events := playByHand(t, func(i int, _ scenario.Arrival) (time.Duration, int32) {
 		if dip(i) && i%2 == 0 {
 			return 0, 0
 		}
@@ -177,7 +177,7 @@
 		t.Errorf("back %v, then down to %v of the level before, want 0.75", r.RecoverySeconds, r.SecondDipRatio)
 	}
 	d.Faults = append(d.Faults, d.Faults[0])
-	d.Faults[1].At = day.Duration(15 * time.Second)
+	d.Faults[1].At = scenario.Duration(15 * time.Second)
 	if r := Summarize(d, d.Fleet(), "model", arrivals, events, nil).Recoveries[0]; r.SecondDipRatio < 0.99 {
 		t.Errorf("the next fault's dip counts as the first one's: %v", r.SecondDipRatio)
 	}
--- a/internal/lab/measure/recovery.go
+++ b/internal/lab/measure/recovery.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/scenario"
 )
 
 const (
@@ -41,7 +41,7 @@
 }
 
 // recoveries computes the recovery from each fault.
-func recoveries(d *day.Day, windows []Window) []Recovery {
+func recoveries(d *scenario.Scenario, windows []Window) []Recovery {
 	var all []Recovery
 	for _, fault := range d.Faults {
 		all = append(all, recoveryOf(d, fault, windows))
@@ -50,7 +50,7 @@
 }
 
 // recoveryOf computes the recovery from one fault of the day.
-func recoveryOf(d *day.Day, fault day.Fault, windows []Window) Recovery {
+func recoveryOf(d *scenario.Scenario, fault scenario.Fault, windows []Window) Recovery {
 	width := d.Window.D().Seconds()
 	end := faultEnd(fault)
 	r := Recovery{
@@ -87,19 +87,19 @@
 
 // faultEnd is when a fault ends, in seconds. It is positive infinity if the fault lasts. A reset or a restart ends at
 // once.
-func faultEnd(fault day.Fault) float64 {
+func faultEnd(fault scenario.Fault) float64 {
 	at := fault.At.D().Seconds()
 	switch {
 	case fault.For > 0:
 		return at + fault.For.D().Seconds()
-	case fault.Kind == day.LinkReset || fault.Kind == day.BalancerRestart:
+	case fault.Kind == scenario.LinkReset || fault.Kind == scenario.BalancerRestart:
 		return at
 	}
 	return math.Inf(1)
 }
 
 // secondDip is the level of the worst dipWindows up to the next fault, over the level before.
-func secondDip(d *day.Day, windows []Window, before float64) float64 {
+func secondDip(d *scenario.Scenario, windows []Window, before float64) float64 {
 	lowest := 1.0
 	for i := 0; i+dipWindows <= len(windows); i++ {
 		last := windows[i+dipWindows-1]
@@ -114,8 +114,8 @@
 }
 
 // faultBetween reports whether a fault begins between two times, in seconds, both included.
-func faultBetween(d *day.Day, from, to float64) bool {
-	return slices.ContainsFunc(d.Faults, func(f day.Fault) bool {
+func faultBetween(d *scenario.Scenario, from, to float64) bool {
+	return slices.ContainsFunc(d.Faults, func(f scenario.Fault) bool {
 		at := f.At.D().Seconds()
 		return at >= from && at <= to
 	})
--- a/internal/lab/measure/requests.go
+++ b/internal/lab/measure/requests.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"sprucehill/internal/lab/client"
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
+	"sprucehill/internal/lab/scenario"
 )
 
 const (
@@ -47,7 +47,7 @@
 }
 
 // Requests follows each arrival through the history.
-func Requests(d *day.Day, arrivals []day.Arrival, events []history.Event) []Request {
+func Requests(d *scenario.Scenario, arrivals []scenario.Arrival, events []history.Event) []Request {
 	requests := make([]Request, len(arrivals))
 	quotas := make([]quotaBucket, len(d.Tenants))
 	for i, a := range arrivals {
--- a/internal/lab/measure/score.go
+++ b/internal/lab/measure/score.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/scenario"
 )
 
 // The shares of the score's parts. Their sum is 1.
@@ -41,7 +41,7 @@
 func (t *weightTally) servedRatio() float64 { return ratio(t.served, t.offered) }
 
 // setScore computes the score from all requests and from the stretch, class and tenant that were served worst.
-func (s *Summary) setScore(d *day.Day, arrivals []day.Arrival, requests []Request) {
+func (s *Summary) setScore(d *scenario.Scenario, arrivals []scenario.Arrival, requests []Request) {
 	var overall weightTally
 	classes := make([]weightTally, len(d.Classes))
 	tenants := make([]weightTally, len(d.Tenants))
@@ -73,7 +73,7 @@
 
 // worstStretch is the lowest served ratio of all stretches that begin a whole number of seconds after the first arrival. A
 // shorter day is one stretch.
-func worstStretch(arrivals []day.Arrival, requests []Request) float64 {
+func worstStretch(arrivals []scenario.Arrival, requests []Request) float64 {
 	if len(arrivals) == 0 {
 		return 1
 	}
--- a/internal/lab/measure/series.go
+++ b/internal/lab/measure/series.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
+	"sprucehill/internal/lab/scenario"
 )
 
 // Window is the figures of a short stretch of the day. A request counts in the window in which it arrived, an attempt in
@@ -25,7 +25,7 @@
 	latency            *histogram // nil once the percentiles are computed
 }
 
-func newWindow(at time.Duration, f *day.Fleet) Window {
+func newWindow(at time.Duration, f *scenario.Fleet) Window {
 	w := Window{
 		StartSeconds:       at.Seconds(),
 		AttemptsByUpstream: make([]int, len(f.Upstreams)),
@@ -39,7 +39,7 @@
 }
 
 // newSeries computes the windows of a day.
-func newSeries(d *day.Day, f *day.Fleet, arrivals []day.Arrival, requests []Request, events []history.Event) []Window {
+func newSeries(d *scenario.Scenario, f *scenario.Fleet, arrivals []scenario.Arrival, requests []Request, events []history.Event) []Window {
 	width := d.Window.D()
 	windows := make([]Window, int((d.Length.D()+width-1)/width))
 	for i := range windows {
@@ -69,7 +69,7 @@
 	}
 }
 
-func (w *Window) addAttempt(f *day.Fleet, e history.Event) {
+func (w *Window) addAttempt(f *scenario.Fleet, e history.Event) {
 	from := f.Balancers[e.Balancer].Zone
 	to := f.Upstreams[e.Upstream].Zone
 	w.Attempts++
--- a/internal/lab/measure/zones.go
+++ b/internal/lab/measure/zones.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
+	"sprucehill/internal/lab/scenario"
 )
 
 const (
@@ -69,7 +69,7 @@
 }
 
 // zonesOf computes the figures of zones.
-func zonesOf(d *day.Day, f *day.Fleet, events []history.Event, series []Window) *Zones {
+func zonesOf(d *scenario.Scenario, f *scenario.Fleet, events []history.Event, series []Window) *Zones {
 	loads := newTrafficLoads(d, f)
 	for _, e := range events {
 		isAttempt := e.Kind == history.Arrived || e.Kind == history.Rejected
@@ -103,7 +103,7 @@
 }
 
 // newTrafficLoads returns the capacities of a fleet, without traffic.
-func newTrafficLoads(d *day.Day, f *day.Fleet) *trafficLoads {
+func newTrafficLoads(d *scenario.Scenario, f *scenario.Fleet) *trafficLoads {
 	l := &trafficLoads{zones: make([]zoneLoad, len(f.Zones))}
 	seconds := (d.Length - d.Settle).D().Seconds()
 	for _, u := range f.Upstreams {
@@ -116,7 +116,7 @@
 }
 
 // addAttempt counts an attempt that arrived at an upstream.
-func (l *trafficLoads) addAttempt(f *day.Fleet, e history.Event) {
+func (l *trafficLoads) addAttempt(f *scenario.Fleet, e history.Event) {
 	to := f.Upstreams[e.Upstream].Zone
 	l.total.attempts++
 	l.zones[to].attempts++
@@ -131,7 +131,7 @@
 
 // zoneSwing is the greatest difference between the highest and the lowest share of all attempts that one zone had after
 // the first stretch.
-func zoneSwing(d *day.Day, f *day.Fleet, series []Window) float64 {
+func zoneSwing(d *scenario.Scenario, f *scenario.Fleet, series []Window) float64 {
 	lowest := make([]float64, len(f.Zones))
 	highest := make([]float64, len(f.Zones))
 	for i := range lowest {
@@ -170,10 +170,10 @@
 
 // faultTruth is what the timetable does to zones, as a balancer at its place could know it at best.
 type faultTruth struct {
-	day   *day.Day
-	fleet *day.Fleet
-	paths *day.Paths
-	hits  []day.Hit
+	day   *scenario.Scenario
+	fleet *scenario.Fleet
+	paths *scenario.Paths
+	hits  []scenario.Hit
 }
 
 // hitShare is the share of a zone's upstreams that fault i takes away from a balancer.
@@ -197,11 +197,11 @@
 	hit := t.hits[i]
 	kind := t.day.Faults[i].Kind
 	switch {
-	case hit.Scope == day.OnUpstreams && (kind == day.UpstreamDown || kind == day.UpstreamVanish || kind == day.UpstreamErrors):
+	case hit.Scope == scenario.OnUpstreams && (kind == scenario.UpstreamDown || kind == scenario.UpstreamVanish || kind == scenario.UpstreamErrors):
 		return slices.Contains(hit.Targets, upstream)
-	case hit.Scope == day.OnLinks && kind == day.LinkCut:
-		b := day.Party{Kind: day.BalancerParty, Index: balancer}
-		u := day.Party{Kind: day.UpstreamParty, Index: upstream}
+	case hit.Scope == scenario.OnLinks && kind == scenario.LinkCut:
+		b := scenario.Party{Kind: scenario.BalancerParty, Index: balancer}
+		u := scenario.Party{Kind: scenario.UpstreamParty, Index: upstream}
 		return t.paths.Hits(i, b, u) || t.paths.Hits(i, u, b)
 	}
 	return false
--- a/internal/lab/model/actions_test.go
+++ b/internal/lab/model/actions_test.go
@@ -23,7 +23,7 @@
 	"time"
 
 	"sprucehill/balancer"
-	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/scenario"
 )
 
 var renewActions = flag.Bool("renew-actions", false, "write testdata/actions.txt anew, for a change that means to decide otherwise")
@@ -152,7 +152,7 @@
 
 // playRecorded plays a day and returns how many actions its modules asked for, and their hash. Modules are taken in the
 // order of their seeds, whatever order the workers start them in.
-func playRecorded(ctx context.Context, d *day.Day) (actions int, sum uint64, err error) {
+func playRecorded(ctx context.Context, d *scenario.Scenario) (actions int, sum uint64, err error) {
 	var mu sync.Mutex
 	recorders := map[uint64]*actionRecorder{}
 	policy := func(s balancer.Settings, seed uint64, now time.Duration, host balancer.Effects) (balancer.Events, error) {
@@ -209,7 +209,7 @@
 	var lines []string
 	for _, file := range exampleDays(t) {
 		for seed := uint64(1); seed <= recordedSeeds; seed++ {
-			d, err := day.LoadFile(file)
+			d, err := scenario.LoadFile(file)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/lab/model/actor.go
+++ b/internal/lab/model/actor.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"time"
 
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
+	"sprucehill/internal/lab/scenario"
 )
 
 // messageSize is the bytes of a message with its head, on links that have a rate.
@@ -20,7 +20,7 @@
 type actor struct {
 	sim       *sim
 	id        int32 // index in sim.actors
-	party     day.Party
+	party     scenario.Party
 	rng       *rand.Rand
 	handler   handler
 	now       time.Duration
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -5,32 +5,32 @@
 	"slices"
 
 	"sprucehill/balancer"
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
+	"sprucehill/internal/lab/scenario"
 )
 
 // beginFault begins a fault that hits this node.
 func (n *node) beginFault(i int) {
 	fault := n.sim.day.Faults[i]
 	switch fault.Kind {
-	case day.BalancerKill:
+	case scenario.BalancerKill:
 		if n.module != nil {
 			n.recordProcess(history.Killed)
 			n.exit()
 		}
-	case day.BalancerTerminate, day.BalancerRestart:
+	case scenario.BalancerTerminate, scenario.BalancerRestart:
 		if n.module != nil {
-			n.drain(fault.Kind == day.BalancerRestart)
+			n.drain(fault.Kind == scenario.BalancerRestart)
 		}
-	case day.BalancerFreeze:
+	case scenario.BalancerFreeze:
 		n.stop()
-	case day.ClockOffset:
+	case scenario.ClockOffset:
 		n.agent.clockOffset = fault.Delay.D()
-	case day.DiscoverySilent:
+	case scenario.DiscoverySilent:
 		n.agent.silences++
-	case day.DiscoveryOverloaded:
+	case scenario.DiscoveryOverloaded:
 		n.agent.errorRate = fault.Size
-	case day.LinkReset:
+	case scenario.LinkReset:
 		n.resetConns(i)
 	}
 }
@@ -39,25 +39,25 @@
 func (n *node) endFault(i int) {
 	fault := n.sim.day.Faults[i]
 	switch fault.Kind {
-	case day.BalancerKill:
+	case scenario.BalancerKill:
 		if fault.State == "lose" {
 			n.loseDisk()
 		}
 		n.after(startupTime, message{kind: msgBoot})
-	case day.BalancerTerminate:
+	case scenario.BalancerTerminate:
 		n.after(startupTime, message{kind: msgBoot})
-	case day.BalancerFreeze:
+	case scenario.BalancerFreeze:
 		n.resume()
-	case day.ClockOffset:
+	case scenario.ClockOffset:
 		n.agent.clockOffset = 0
-	case day.DiscoverySilent:
+	case scenario.DiscoverySilent:
 		n.agent.silences--
 		if n.agent.silences == 0 {
 			n.agentAnswersAgain()
 		}
-	case day.DiscoveryOverloaded:
+	case scenario.DiscoveryOverloaded:
 		n.agent.errorRate = 0
-	case day.LinkReset:
+	case scenario.LinkReset:
 		n.resetConns(i)
 	}
 }
@@ -111,6 +111,6 @@
 }
 
 // onLinkFault reports whether a fault on links hits one between this node and another party.
-func (n *node) onLinkFault(i int, p day.Party) bool {
+func (n *node) onLinkFault(i int, p scenario.Party) bool {
 	return n.sim.paths.Hits(i, n.party, p) || n.sim.paths.Hits(i, p, n.party)
 }
--- a/internal/lab/model/front.go
+++ b/internal/lab/model/ingress.go
@@ -12,8 +12,8 @@
 // healthCheckInterval is how often a front checks a balancer's health, as live fronts do.
 const healthCheckInterval = 100 * time.Millisecond
 
-// front is the clients of a zone with the front that spreads them over the zone's balancers.
-type front struct {
+// ingress is the clients of a zone with the ingress that spreads them over the zone's balancers.
+type ingress struct {
 	*actor
 	zone         int
 	clients      *client.Zone
@@ -23,11 +23,11 @@
 	idle         []int         // idle connections
 	lastHealthAt []time.Duration
 	healthy      []bool
-	pending      map[uint64]*frontRequest
+	pending      map[uint64]*ingressRequest
 }
 
-// frontRequest is a client's request that has not ended yet.
-type frontRequest struct {
+// ingressRequest is a client's request that has not ended yet.
+type ingressRequest struct {
 	*clientRequest
 	place        int  // of its balancer
 	sent         bool // written on a connection
@@ -35,9 +35,9 @@
 	retriedOnNew bool // it met a connection that had just been closed, and was sent again on a new one
 }
 
-func newFront(a *actor, zone int) *front {
+func newIngress(a *actor, zone int) *ingress {
 	nodes := a.sim.fleet.Zones[zone].Balancers
-	f := &front{
+	f := &ingress{
 		actor:        a,
 		zone:         zone,
 		clients:      client.NewZone(a.sim.day),
@@ -46,7 +46,7 @@
 		idle:         make([]int, len(nodes)),
 		lastHealthAt: make([]time.Duration, len(nodes)),
 		healthy:      make([]bool, len(nodes)),
-		pending:      map[uint64]*frontRequest{},
+		pending:      map[uint64]*ingressRequest{},
 	}
 	for i, b := range nodes {
 		f.placeOfNode[a.sim.nodes[b].id] = i
@@ -57,9 +57,9 @@
 	return f
 }
 
-func (f *front) node(place int) *actor { return f.sim.nodes[f.nodes[place]] }
+func (f *ingress) node(place int) *actor { return f.sim.nodes[f.nodes[place]] }
 
-func (f *front) handle(m message) {
+func (f *ingress) handle(m message) {
 	switch m.kind {
 	case msgArrival:
 		f.clients.AddRequest()
@@ -80,7 +80,7 @@
 }
 
 // handleRequest handles a message about a request that has not ended.
-func (f *front) handleRequest(r *frontRequest, m message) {
+func (f *ingress) handleRequest(r *ingressRequest, m message) {
 	switch m.kind {
 	case msgConnected:
 		if !r.sent {
@@ -96,7 +96,7 @@
 }
 
 // checkHealth checks a balancer's health. One that has not answered for the notice time gets no more requests.
-func (f *front) checkHealth(index int32) {
+func (f *ingress) checkHealth(index int32) {
 	i := int(index)
 	if f.now-f.lastHealthAt[i] >= f.sim.day.Balancer.Notice.D() {
 		f.healthy[i] = false
@@ -106,7 +106,7 @@
 }
 
 // onHealth notes the answer to a health check, and records a balancer that has become ready.
-func (f *front) onHealth(place int, answer message) {
+func (f *ingress) onHealth(place int, answer message) {
 	f.lastHealthAt[place] = f.now
 	if answer.healthy && !f.healthy[place] {
 		f.record(history.Event{Kind: history.Ready, Balancer: int32(f.nodes[place]), Upstream: history.None, Arrival: history.None})
@@ -115,10 +115,10 @@
 }
 
 // startRequest begins a client's request for an arrival. number counts its retries, from 0.
-func (f *front) startRequest(arrival, number int32) {
+func (f *ingress) startRequest(arrival, number int32) {
 	a := f.sim.arrivals[arrival]
 	class := f.sim.day.Classes[a.Class]
-	r := &frontRequest{clientRequest: &clientRequest{
+	r := &ingressRequest{clientRequest: &clientRequest{
 		id:       f.sim.day.RequestID(int(arrival), int(number)),
 		arrival:  arrival,
 		number:   number,
@@ -139,7 +139,7 @@
 }
 
 // assign sends a request to the next healthy balancer, round robin.
-func (f *front) assign(r *frontRequest) {
+func (f *ingress) assign(r *ingressRequest) {
 	for range f.nodes {
 		f.next++
 		place := f.next % len(f.nodes)
@@ -161,7 +161,7 @@
 }
 
 // write sends the request on its connection.
-func (f *front) write(r *frontRequest) {
+func (f *ingress) write(r *ingressRequest) {
 	r.sent = true
 	event := f.event(r, history.Sent)
 	event.Deadline = r.deadline
@@ -170,7 +170,7 @@
 }
 
 // event is an event of a request.
-func (f *front) event(r *frontRequest, kind history.Kind) history.Event {
+func (f *ingress) event(r *ingressRequest, kind history.Kind) history.Event {
 	return history.Event{
 		Kind:      kind,
 		RequestID: r.id,
@@ -183,7 +183,7 @@
 }
 
 // onReset ends a request whose connection broke. requestRead says whether its balancer had read it.
-func (f *front) onReset(r *frontRequest, requestRead bool) {
+func (f *ingress) onReset(r *ingressRequest, requestRead bool) {
 	switch {
 	case !r.sent:
 		f.record(f.event(r, history.NotConnected))
@@ -197,7 +197,7 @@
 	}
 }
 
-func (f *front) onResponse(r *frontRequest, m message) {
+func (f *ingress) onResponse(r *ingressRequest, m message) {
 	if m.keepAlive {
 		f.idle[r.place]++
 	}
@@ -218,7 +218,7 @@
 }
 
 // onClientTimeout ends a request whose client waits no longer.
-func (f *front) onClientTimeout(r *frontRequest) {
+func (f *ingress) onClientTimeout(r *ingressRequest) {
 	switch {
 	case r.leavesAt > 0 && f.now >= r.leavesAt:
 		if r.sent {
@@ -235,13 +235,13 @@
 }
 
 // disconnect closes the connection of a request that has been sent.
-func (f *front) disconnect(r *frontRequest, why history.Kind) {
+func (f *ingress) disconnect(r *ingressRequest, why history.Kind) {
 	f.record(f.event(r, why))
 	f.send(f.node(r.place), message{kind: msgClientGone, id: r.id})
 }
 
 // finish ends a request. Its client may retry.
-func (f *front) finish(r *frontRequest, result client.Result, retryAfter time.Duration) {
+func (f *ingress) finish(r *ingressRequest, result client.Result, retryAfter time.Duration) {
 	delete(f.pending, r.id)
 	a := f.sim.arrivals[r.arrival]
 	draw := rand.New(rand.NewPCG(f.sim.day.Seed, uint64(r.arrival)<<8|uint64(r.number))).Float64()
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -10,9 +10,9 @@
 
 	"sprucehill/internal/lab/check"
 	"sprucehill/internal/lab/client"
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
 	"sprucehill/internal/lab/labtest"
+	"sprucehill/internal/lab/scenario"
 )
 
 // everyFaultDay is a day for every kind of fault, some of them over each other.
@@ -78,7 +78,7 @@
 `
 
 // dayWithEveryFault adds one fault of each kind to everyFaultDay.
-func dayWithEveryFault(t *testing.T) *day.Day {
+func dayWithEveryFault(t *testing.T) *scenario.Scenario {
 	t.Helper()
 	text := everyFaultDay
 	for i, f := range []string{
@@ -107,7 +107,7 @@
 	return labtest.Day(t, text)
 }
 
-func play(t *testing.T, d *day.Day, o Options) []history.Event {
+func play(t *testing.T, d *scenario.Scenario, o Options) []history.Event {
 	t.Helper()
 	events, err := Play(context.Background(), d, o)
 	if err != nil {
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"sprucehill/balancer"
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
+	"sprucehill/internal/lab/scenario"
 	"sprucehill/internal/wire"
 )
 
@@ -64,7 +64,7 @@
 	d := a.sim.day
 	settings, links, err := wire.DecodeSettings(d.Settings(a.sim.fleet, index))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", day.ErrInput, err)
+		return nil, fmt.Errorf("%w: %w", scenario.ErrInput, err)
 	}
 	n := &node{
 		actor:     a,
--- a/internal/lab/model/policy.go
+++ b/internal/lab/model/policy.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"sprucehill/balancer"
-	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/scenario"
 )
 
 // newPolicy makes what decides for a balancer: the program's decision module, or a baseline with the same interface.
@@ -35,7 +35,7 @@
 	case "true-state":
 		return newTrueState, nil
 	}
-	return nil, fmt.Errorf("%w: policy %q is not one of %s", day.ErrInput, name, strings.Join(Policies, ", "))
+	return nil, fmt.Errorf("%w: policy %q is not one of %s", scenario.ErrInput, name, strings.Join(Policies, ", "))
 }
 
 // baseline chooses by one plain rule among the active endpoints. It retries only what is idempotent or was not run, on
--- a/internal/lab/model/process.go
+++ b/internal/lab/model/process.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"sprucehill/balancer"
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
+	"sprucehill/internal/lab/scenario"
 )
 
 const (
@@ -39,7 +39,7 @@
 	seed := n.sim.day.Seed<<24 + uint64(n.incarnation)<<12 + uint64(n.index)
 	module, err := n.newModule(n.settings, seed, n.clock(), n)
 	if err != nil {
-		return fmt.Errorf("%w: %s: %w", day.ErrInput, n.sim.fleet.Balancers[n.index].Name, err)
+		return fmt.Errorf("%w: %s: %w", scenario.ErrInput, n.sim.fleet.Balancers[n.index].Name, err)
 	}
 	n.module = module
 	n.recordProcess(history.Started)
--- a/internal/lab/model/sim.go
+++ b/internal/lab/model/sim.go
@@ -16,8 +16,8 @@
 	"slices"
 	"time"
 
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
+	"sprucehill/internal/lab/scenario"
 )
 
 const (
@@ -37,11 +37,11 @@
 
 // sim is a day being modelled.
 type sim struct {
-	day         *day.Day
-	fleet       *day.Fleet
-	paths       *day.Paths
-	arrivals    []day.Arrival
-	hits        []day.Hit
+	day         *scenario.Scenario
+	fleet       *scenario.Fleet
+	paths       *scenario.Paths
+	arrivals    []scenario.Arrival
+	hits        []scenario.Hit
 	minDelay    time.Duration // no message is faster
 	fronts      []*actor      // by zone
 	nodes       []*actor      // by balancer
@@ -52,7 +52,7 @@
 }
 
 // Play models a day and returns its history.
-func Play(ctx context.Context, d *day.Day, o Options) ([]history.Event, error) {
+func Play(ctx context.Context, d *scenario.Scenario, o Options) ([]history.Event, error) {
 	policy, err := policyNamed(o.Policy)
 	if err != nil {
 		return nil, err
@@ -61,7 +61,7 @@
 }
 
 // playWith is Play with the given policy in every balancer.
-func playWith(ctx context.Context, d *day.Day, o Options, policy newPolicy) ([]history.Event, error) {
+func playWith(ctx context.Context, d *scenario.Scenario, o Options, policy newPolicy) ([]history.Event, error) {
 	s := &sim{day: d, fleet: d.Fleet(), arrivals: d.Arrivals()}
 	s.paths = d.NewPaths(s.fleet)
 	_, s.hits = d.Timetable()
@@ -83,16 +83,16 @@
 // populate makes the actors in a fixed order and gives each its first messages.
 func (s *sim) populate(policy newPolicy) error {
 	for z := range s.fleet.Zones {
-		s.fronts = append(s.fronts, s.addActor(day.ClientsParty, z))
+		s.fronts = append(s.fronts, s.addActor(scenario.ClientsParty, z))
 	}
 	for b := range s.fleet.Balancers {
-		s.nodes = append(s.nodes, s.addActor(day.BalancerParty, b))
+		s.nodes = append(s.nodes, s.addActor(scenario.BalancerParty, b))
 	}
 	for u := range s.fleet.Upstreams {
-		s.servers = append(s.servers, s.addActor(day.UpstreamParty, u))
+		s.servers = append(s.servers, s.addActor(scenario.UpstreamParty, u))
 	}
 	for z, a := range s.fronts {
-		a.handler = newFront(a, z)
+		a.handler = newIngress(a, z)
 	}
 	for u, a := range s.servers {
 		a.handler = newUpstream(a, u)
@@ -121,12 +121,12 @@
 }
 
 // addActor adds an actor for a party, with random draws of its own.
-func (s *sim) addActor(kind day.PartyKind, index int) *actor {
+func (s *sim) addActor(kind scenario.PartyKind, index int) *actor {
 	id := len(s.actors)
 	a := &actor{
 		sim:       s,
 		id:        int32(id),
-		party:     day.Party{Kind: kind, Index: index},
+		party:     scenario.Party{Kind: kind, Index: index},
 		rng:       rand.New(rand.NewPCG(s.day.Seed, uint64(id)<<32|actorStream)),
 		heapIndex: -1,
 	}
@@ -228,28 +228,28 @@
 }
 
 // applyChange carries out a row of the timetable.
-func (s *sim) applyChange(c day.Change) {
+func (s *sim) applyChange(c scenario.Change) {
 	fault := s.day.Faults[c.Fault]
 	hit := s.hits[c.Fault]
 	event := history.Event{At: c.At, Kind: history.FaultEnded, Fault: int32(c.Fault), Arrival: history.None, Balancer: history.None, Upstream: history.None}
 	m := message{at: c.At, kind: msgFaultEnds, index: int32(c.Fault)}
-	if c.Transition == day.Begin {
+	if c.Transition == scenario.Begin {
 		event.Kind = history.FaultBegan
 		m.kind = msgFaultBegins
 	}
 	s.faultEvents = append(s.faultEvents, event)
 	var targets []*actor
 	switch hit.Scope {
-	case day.OnLinks:
+	case scenario.OnLinks:
 		s.paths.Apply(c.Fault, c.Transition)
-		if fault.Kind == day.LinkReset {
+		if fault.Kind == scenario.LinkReset {
 			targets = s.nodes
 		}
 		s.releaseBlocked(c.At)
-	case day.OnUpstreams:
+	case scenario.OnUpstreams:
 		targets = pickActors(s.servers, hit.Targets)
 		s.announceUpdate(c, fault, hit)
-	case day.OnBalancers, day.OnDiscovery:
+	case scenario.OnBalancers, scenario.OnDiscovery:
 		targets = pickActors(s.nodes, hit.Targets)
 	}
 	for _, a := range targets {
@@ -270,7 +270,7 @@
 }
 
 // announceUpdate sends every balancer's agent the effect of a fault on the endpoint list, when discovery notices it.
-func (s *sim) announceUpdate(c day.Change, fault day.Fault, hit day.Hit) {
+func (s *sim) announceUpdate(c scenario.Change, fault scenario.Fault, hit scenario.Hit) {
 	phase, delay, warmsUp := s.day.EndpointPhase(fault, c.Transition)
 	if phase == "" {
 		return
--- a/internal/lab/model/truth.go
+++ b/internal/lab/model/truth.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sprucehill/balancer"
-	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/scenario"
 	"sprucehill/internal/lab/server"
 )
 
@@ -84,25 +84,25 @@
 	switch {
 	case now < fault.At.D():
 		return 1
-	case hit.Scope == day.OnLinks && active && fault.Kind == day.LinkCut:
-		if p.node.onLinkFault(i, day.Party{Kind: day.UpstreamParty, Index: u}) {
+	case hit.Scope == scenario.OnLinks && active && fault.Kind == scenario.LinkCut:
+		if p.node.onLinkFault(i, scenario.Party{Kind: scenario.UpstreamParty, Index: u}) {
 			return 0
 		}
 		return 1
-	case hit.Scope != day.OnUpstreams || !slices.Contains(hit.Targets, u):
+	case hit.Scope != scenario.OnUpstreams || !slices.Contains(hit.Targets, u):
 		return 1
 	}
 	switch fault.Kind {
-	case day.UpstreamDown, day.UpstreamVanish:
+	case scenario.UpstreamDown, scenario.UpstreamVanish:
 		if active {
 			return 0
 		}
 		return server.Warmth(s.day.Models[s.fleet.Upstreams[u].Model], now-end)
-	case day.UpstreamErrors, day.NoisyNeighbour:
+	case scenario.UpstreamErrors, scenario.NoisyNeighbour:
 		if active {
 			return 1 - fault.Size
 		}
-	case day.UpstreamDrain:
+	case scenario.UpstreamDrain:
 		if active {
 			return 0
 		}
--- a/internal/lab/model/upstream.go
+++ b/internal/lab/model/upstream.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
+	"sprucehill/internal/lab/scenario"
 	"sprucehill/internal/lab/server"
 )
 
@@ -21,10 +21,10 @@
 	byAttempt   map[attemptKey]server.JobID
 	lastJob     server.JobID
 	conns       int
-	connsByNode map[int32]int // open connections, by the balancer's actor
-	unanswered  []job         // attempts without a server, whose connections are still to be reset
-	wakeAt      time.Duration // when the next wake-up is due; math.MaxInt64: none is
-	faults      []day.Fault   // that act now
+	connsByNode map[int32]int    // open connections, by the balancer's actor
+	unanswered  []job            // attempts without a server, whose connections are still to be reset
+	wakeAt      time.Duration    // when the next wake-up is due; math.MaxInt64: none is
+	faults      []scenario.Fault // that act now
 }
 
 // attemptKey identifies an attempt.
@@ -53,7 +53,9 @@
 	return u
 }
 
-func (u *upstream) model() day.Model { return u.sim.day.Models[u.sim.fleet.Upstreams[u.index].Model] }
+func (u *upstream) model() scenario.Model {
+	return u.sim.day.Models[u.sim.fleet.Upstreams[u.index].Model]
+}
 
 // start starts the server's process, which warms up or is warm from the start.
 func (u *upstream) start(warmsUp bool) {
@@ -218,22 +220,22 @@
 	}
 }
 
-func (u *upstream) beginFault(fault day.Fault) {
+func (u *upstream) beginFault(fault scenario.Fault) {
 	u.faults = append(u.faults, fault)
 	u.applyFaults()
 	switch fault.Kind {
-	case day.UpstreamDown:
+	case scenario.UpstreamDown:
 		u.stopProcess()
-	case day.UpstreamVanish:
+	case scenario.UpstreamVanish:
 		u.stopMachine()
 	}
 }
 
-func (u *upstream) endFault(fault day.Fault) {
-	i := slices.IndexFunc(u.faults, func(f day.Fault) bool { return f.Kind == fault.Kind && f.At == fault.At })
+func (u *upstream) endFault(fault scenario.Fault) {
+	i := slices.IndexFunc(u.faults, func(f scenario.Fault) bool { return f.Kind == fault.Kind && f.At == fault.At })
 	u.faults = slices.Delete(u.faults, i, i+1)
 	u.applyFaults()
-	if fault.Kind == day.UpstreamDown || fault.Kind == day.UpstreamVanish {
+	if fault.Kind == scenario.UpstreamDown || fault.Kind == scenario.UpstreamVanish {
 		u.restart()
 	}
 }
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -13,8 +13,8 @@
 	"gonum.org/v1/plot/vg/draw"
 
 	"sprucehill/internal/lab"
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/measure"
+	"sprucehill/internal/lab/scenario"
 )
 
 // The look of all plots: dark lines that differ in dashes too, for black-and-white print.
@@ -85,12 +85,12 @@
 }
 
 // faultSpan is when a fault is active within the day, in seconds.
-func faultSpan(d *day.Day, f day.Fault) (from, to float64) {
+func faultSpan(d *scenario.Scenario, f scenario.Fault) (from, to float64) {
 	from, to = f.At.D().Seconds(), d.Length.D().Seconds()
 	if f.For > 0 {
 		to = min(to, (f.At + f.For).D().Seconds())
 	}
-	if f.Kind == day.LinkReset || f.Kind == day.BalancerRestart {
+	if f.Kind == scenario.LinkReset || f.Kind == scenario.BalancerRestart {
 		to = min(to, from+0.2) // a moment, wide enough to be seen
 	}
 	return from, to
@@ -138,7 +138,7 @@
 }
 
 // shadeFaults marks when faults are active in a plot whose y axis ends at top.
-func shadeFaults(p *plot.Plot, d *day.Day, top float64) error {
+func shadeFaults(p *plot.Plot, d *scenario.Scenario, top float64) error {
 	p.Y.Min, p.Y.Max = 0, top
 	for _, f := range d.Faults {
 		from, to := faultSpan(d, f)
@@ -250,7 +250,7 @@
 }
 
 // addUpstreams adds a row for each upstream and returns the names of the rows.
-func (g *shares) addUpstreams(f *day.Fleet) []string {
+func (g *shares) addUpstreams(f *scenario.Fleet) []string {
 	var names []string
 	for i, u := range f.Upstreams {
 		names = append(names, u.Name+" "+u.Model)
@@ -260,7 +260,7 @@
 }
 
 // addZones adds a row for each zone that has upstreams and returns the names of the rows.
-func (g *shares) addZones(f *day.Fleet) []string {
+func (g *shares) addZones(f *scenario.Fleet) []string {
 	var names []string
 	for z, zone := range f.Zones {
 		var upstreams []int
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -18,9 +18,9 @@
 
 	"sprucehill/internal/lab"
 	"sprucehill/internal/lab/check"
-	"sprucehill/internal/lab/day"
 	"sprucehill/internal/lab/history"
 	"sprucehill/internal/lab/measure"
+	"sprucehill/internal/lab/scenario"
 )
 
 const (
@@ -186,7 +186,7 @@
 			To:    to,
 			Kind:  string(f.Kind),
 			Whom:  p.Day.TargetNames(p.Fleet, i, hits[i]),
-			About: day.DescribeFault(f.Kind),
+			About: scenario.DescribeFault(f.Kind),
 		})
 	}
 }
--- a/internal/lab/day/check.go
+++ b/internal/lab/scenario/check.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"fmt"
@@ -22,7 +22,7 @@
 func isShare(x float64) bool { return x >= 0 && x <= 1 }
 
 // check names the first thing that makes the day unusable.
-func (d *Day) check() error {
+func (d *Scenario) check() error {
 	if d.Length <= 0 || d.Length > maxLength {
 		return invalid("length", "%v is not over 0 and at most %v", d.Length.D(), maxLength.D())
 	}
@@ -44,7 +44,7 @@
 	return nil
 }
 
-func (d *Day) checkFleet() error {
+func (d *Scenario) checkFleet() error {
 	c := fleetChecker{models: d.Models, regions: map[string]bool{}, zones: map[string]bool{}}
 	for i, r := range d.Regions {
 		if err := c.checkRegion(fmt.Sprintf("region[%d]", i+1), r); err != nil {
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func (d *Day) checkModels() error {
+func (d *Scenario) checkModels() error {
 	for name, m := range d.Models {
 		key := "model." + name
 		switch {
@@ -130,7 +130,7 @@
 	return nil
 }
 
-func (d *Day) checkNetwork() error {
+func (d *Scenario) checkNetwork() error {
 	n := d.Network
 	if n.SameZone <= 0 || n.CrossZone < n.SameZone || n.CrossRegion < n.CrossZone {
 		return invalid("network", "delays must be over 0 and must not fall from same_zone to cross_zone to cross_region")
@@ -153,7 +153,7 @@
 	return nil
 }
 
-func (d *Day) checkBalancer() error {
+func (d *Scenario) checkBalancer() error {
 	b := d.Balancer
 	if b.MemoryMB < 16 || b.Sockets < 64 || b.MaxAttempts < 1 || b.TipMultiple <= 0 || b.TipAfter <= 0 ||
 		b.ConnectTimeout <= 0 || b.KeepAlive <= 0 || b.DrainGrace <= 0 || b.RetryAfter < 0 || b.Notice < 0 {
@@ -165,7 +165,7 @@
 	return nil
 }
 
-func (d *Day) checkClasses() error {
+func (d *Scenario) checkClasses() error {
 	if len(d.Classes) == 0 {
 		return invalid("class", "no [[class]] stands in the file")
 	}
@@ -197,7 +197,7 @@
 	return nil
 }
 
-func (d *Day) checkTenants() error {
+func (d *Scenario) checkTenants() error {
 	names := map[string]bool{}
 	for i, t := range d.Tenants {
 		if t.Name == "" || names[t.Name] || t.Share < 0 || t.Quota < 0 {
@@ -208,7 +208,7 @@
 	return nil
 }
 
-func (d *Day) checkClients() error {
+func (d *Scenario) checkClients() error {
 	c := d.Clients
 	if c.Retries < 0 || c.Wait < 0 || c.Budget < 0 || !isShare(c.Impatience) || !isShare(c.Honour) || c.Keys < 1 {
 		return invalid("clients", "impatience and honour are shares from 0 to 1, the rest is not negative")
@@ -216,7 +216,7 @@
 	return nil
 }
 
-func (d *Day) checkLoad() error {
+func (d *Scenario) checkLoad() error {
 	l := d.Load
 	if l.Rate <= 0 || l.Rate*time.Duration(d.Length).Seconds() > maxArrivals {
 		return invalid("load.rate", "%v a second is not over 0 and at most %.0f requests a day", l.Rate, maxArrivals)
@@ -228,7 +228,7 @@
 }
 
 // checkFaults also resolves whom each fault hits: one that names nobody is an error.
-func (d *Day) checkFaults() error {
+func (d *Scenario) checkFaults() error {
 	f := d.Fleet()
 	for i := range d.Faults {
 		fault := &d.Faults[i]
--- a/internal/lab/day/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"cmp"
@@ -103,7 +103,7 @@
 // EndpointPhase returns the phase in which discovery lists the upstreams of a fault after a transition, and the delay until
 // its agents have it. An empty phase means that the list does not change: discovery knows only of processes. warmsUp
 // reports that the upstreams have started again and warm up.
-func (d *Day) EndpointPhase(fault Fault, transition Transition) (phase string, delay time.Duration, warmsUp bool) {
+func (d *Scenario) EndpointPhase(fault Fault, transition Transition) (phase string, delay time.Duration, warmsUp bool) {
 	delay = d.Discovery.Delay.D()
 	switch fault.Kind {
 	case UpstreamDrain:
@@ -132,7 +132,7 @@
 }
 
 // resolve draws whom fault i hits.
-func (d *Day) resolve(f *Fleet, i int) (Hit, error) {
+func (d *Scenario) resolve(f *Fleet, i int) (Hit, error) {
 	fault := d.Faults[i]
 	h := Hit{Scope: faultKinds[fault.Kind].scope}
 	if h.Scope == OnLinks {
@@ -208,7 +208,7 @@
 
 // Timetable is every begin and end of a fault, in order of time. Of several at one moment, ends come first, and then the
 // order of the file counts. hits is by the index of the fault.
-func (d *Day) Timetable() (changes []Change, hits []Hit) {
+func (d *Scenario) Timetable() (changes []Change, hits []Hit) {
 	f := d.Fleet()
 	for i, fault := range d.Faults {
 		hit, err := d.resolve(f, i)
@@ -231,7 +231,7 @@
 func DescribeFault(kind FaultKind) string { return faultKinds[kind].about }
 
 // TargetNames names those that fault i hits, for people.
-func (d *Day) TargetNames(f *Fleet, i int, hit Hit) string {
+func (d *Scenario) TargetNames(f *Fleet, i int, hit Hit) string {
 	fault := d.Faults[i]
 	if hit.Scope == OnLinks {
 		arrow := "<->"
--- a/internal/lab/day/fleet.go
+++ b/internal/lab/scenario/fleet.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"fmt"
@@ -61,7 +61,7 @@
 const cellSize = 6
 
 // Fleet lists who takes part.
-func (d *Day) Fleet() *Fleet {
+func (d *Scenario) Fleet() *Fleet {
 	f := &Fleet{}
 	taken := map[string]bool{}
 	var shares float64
--- a/internal/lab/day/paths.go
+++ b/internal/lab/scenario/paths.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"path"
@@ -34,7 +34,7 @@
 // and losses of overlapping faults add up. The lowest rate counts. A link stays cut until the last cut ends. Paths is not
 // safe for concurrent use.
 type Paths struct {
-	day          *Day
+	day          *Scenario
 	fleet        *Fleet
 	hits         []Hit
 	active       []bool
@@ -43,7 +43,7 @@
 }
 
 // NewPaths returns the links of a day with no fault active.
-func (d *Day) NewPaths(f *Fleet) *Paths {
+func (d *Scenario) NewPaths(f *Fleet) *Paths {
 	_, hits := d.Timetable()
 	p := &Paths{day: d, fleet: f, hits: hits, active: make([]bool, len(d.Faults))}
 	for from, a := range f.Zones {
--- a/internal/lab/day/scale.go
+++ b/internal/lab/scenario/scale.go
@@ -1,10 +1,10 @@
-package day
+package scenario
 
 import "math"
 
 // Scaled is the same day on a fleet of another size: balancers, upstreams and load times factor, and at least one of what
 // a zone has any of. Its quotas grow likewise.
-func (d *Day) Scaled(factor float64) *Day {
+func (d *Scenario) Scaled(factor float64) *Scenario {
 	times := func(n int) int {
 		if n == 0 {
 			return 0
--- a/internal/lab/day/day.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,9 +1,9 @@
-// Package day reads a day file, which describes an experiment: a fleet in regions and zones, its clients, and a timetable
+// Package scenario reads a scenario file, which describes an experiment: a fleet in regions and zones, its clients, and a timetable
 // of faults. It draws from one seed all that chance decides before a day begins, so that the same file and seed give the
 // same arrivals, the same choices of who is hit, and the same timetable in both engines. It has no clock and no sockets.
 //
-// The exported fields of a Day and its parts are the keys of its JSON form: they keep their names.
-package day
+// The exported fields of a Scenario and its parts are the keys of its JSON form: they keep their names.
+package scenario
 
 import (
 	"errors"
@@ -24,8 +24,8 @@
 // Range is the least and the most of what is drawn evenly between them.
 type Range [2]Duration
 
-// Day is a day file.
-type Day struct {
+// Scenario is a day file.
+type Scenario struct {
 	Name   string   `toml:"name"`
 	About  string   `toml:"about"`  // one sentence: what the day shows
 	Seed   uint64   `toml:"seed"`   // draws everything that chance decides
@@ -179,7 +179,7 @@
 }
 
 // LoadFile reads a day file, sets defaults for what it leaves out and checks it.
-func LoadFile(path string) (*Day, error) {
+func LoadFile(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInput, err)
@@ -188,8 +188,8 @@
 }
 
 // Parse reads the text of a day file; path is for messages.
-func Parse(path string, text []byte) (*Day, error) {
-	d := &Day{Path: path}
+func Parse(path string, text []byte) (*Scenario, error) {
+	d := &Scenario{Path: path}
 	if err := tomlfile.Decode(path, text, d); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInput, err)
 	}
@@ -211,7 +211,7 @@
 const ms = Duration(time.Millisecond)
 
 // setDefaults sets what the file leaves out: the figures of a small site with usual rules.
-func (d *Day) setDefaults() {
+func (d *Scenario) setDefaults() {
 	setDefault(&d.Name, strings.TrimSuffix(baseName(d.Path), ".toml"))
 	setDefault(&d.Seed, 1)
 	setDefault(&d.Settle, min(5000*ms, d.Length/4))
@@ -282,7 +282,7 @@
 }
 
 // MaxDeadline is the longest that a client waits.
-func (d *Day) MaxDeadline() time.Duration {
+func (d *Scenario) MaxDeadline() time.Duration {
 	var longest time.Duration
 	for _, c := range d.Classes {
 		longest = max(longest, c.Deadline.D())
--- a/internal/lab/day/day_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"errors"
@@ -35,7 +35,7 @@
 rate = 50
 `
 
-func parse(t *testing.T, text string) *Day {
+func parse(t *testing.T, text string) *Scenario {
 	t.Helper()
 	d, err := Parse("d.toml", []byte(text))
 	if err != nil {
--- a/internal/lab/day/schedule.go
+++ b/internal/lab/scenario/schedule.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"cmp"
@@ -29,7 +29,7 @@
 }
 
 // Arrivals draws the day's first requests, in order of time. They arrive whether or not earlier ones are answered.
-func (d *Day) Arrivals() []Arrival {
+func (d *Scenario) Arrivals() []Arrival {
 	f := d.Fleet()
 	_, hits := d.Timetable()
 	var all []Arrival
@@ -42,7 +42,7 @@
 
 // zoneArrivals draws the first requests of a zone, which has a share of the load. It thins a Poisson process: candidates
 // come at the highest rate, and each is accepted with the ratio of the rate of its moment to that.
-func (d *Day) zoneArrivals(hits []Hit, zone int, share float64) []Arrival {
+func (d *Scenario) zoneArrivals(hits []Hit, zone int, share float64) []Arrival {
 	rng := rand.New(rand.NewPCG(d.Seed, randomStream("arrivals", zone)))
 	keys := rand.NewZipf(rng, keyExponent, keyOffset, uint64(d.Clients.Keys-1))
 	classes := cumulative(d.Classes, func(c Class) float64 { return c.Share })
@@ -76,7 +76,7 @@
 }
 
 // rate is how many requests a second would arrive at a moment if all clients were in one zone, z.
-func (d *Day) rate(hits []Hit, z int, at time.Duration) float64 {
+func (d *Scenario) rate(hits []Hit, z int, at time.Duration) float64 {
 	r := d.Load.Rate
 	if d.Load.Shape == "wave" {
 		r *= 1 + d.Load.Swing*math.Sin(2*math.Pi*at.Seconds()/d.Load.Period.D().Seconds())
@@ -91,7 +91,7 @@
 }
 
 // peak is a rate that the zone's never passes.
-func (d *Day) peak(hits []Hit, z int) float64 {
+func (d *Scenario) peak(hits []Hit, z int) float64 {
 	r := d.Load.Rate
 	if d.Load.Shape == "wave" {
 		r *= 1 + d.Load.Swing
@@ -137,7 +137,7 @@
 
 // RequestID returns the id that a client gives to a request; retry counts its retries, from 0. It differs for each seed, and from that of
 // every other request of the day, since the mixing (of SplitMix64) can be inverted.
-func (d *Day) RequestID(arrival, retry int) uint64 {
+func (d *Scenario) RequestID(arrival, retry int) uint64 {
 	x := uint64(arrival)<<retryBits | uint64(retry)
 	x += d.Seed * 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/lab/day/settings.go
+++ b/internal/lab/scenario/settings.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import "encoding/json"
 
@@ -88,7 +88,7 @@
 
 // Settings returns the settings object that balancer b reads from its configuration, in the platform's JSON form. Both
 // engines hand it to the program through the same decoder.
-func (d *Day) Settings(f *Fleet, b int) json.RawMessage {
+func (d *Scenario) Settings(f *Fleet, b int) json.RawMessage {
 	text, err := json.Marshal(settings{
 		Zone:                f.Locality(f.Balancers[b].Zone),
 		Balancers:           len(f.Balancers),
@@ -113,7 +113,7 @@
 	return text
 }
 
-func (d *Day) modelNames() []string {
+func (d *Scenario) modelNames() []string {
 	names := []string{}
 	for name := range d.Models {
 		names = append(names, name)
@@ -129,7 +129,7 @@
 	return zones
 }
 
-func (d *Day) settingsLimits() settingsLimits {
+func (d *Scenario) settingsLimits() settingsLimits {
 	l := d.Balancer
 	return settingsLimits{
 		Cancel:          true,
@@ -145,7 +145,7 @@
 }
 
 // settingsRules returns the longest slow start and the lowest capacity at a start of all models.
-func (d *Day) settingsRules() settingsRules {
+func (d *Scenario) settingsRules() settingsRules {
 	capacity := 1.0
 	slowStart := Duration(0)
 	for _, m := range d.Models {
@@ -164,7 +164,7 @@
 	}
 }
 
-func (d *Day) settingsClasses() []settingsClass {
+func (d *Scenario) settingsClasses() []settingsClass {
 	classes := []settingsClass{}
 	for _, c := range d.Classes {
 		classes = append(classes, settingsClass{
@@ -180,7 +180,7 @@
 	return classes
 }
 
-func (d *Day) settingsTenants() []settingsTenant {
+func (d *Scenario) settingsTenants() []settingsTenant {
 	tenants := []settingsTenant{}
 	for _, t := range d.Tenants {
 		tenants = append(tenants, settingsTenant{Name: t.Name, QuotaRate: t.Quota, Quota: t.Share})
--- a/internal/lab/server/server.go
+++ b/internal/lab/server/server.go
@@ -14,7 +14,7 @@
 	"math/rand/v2"
 	"time"
 
-	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/scenario"
 )
 
 const (
@@ -43,8 +43,8 @@
 
 // Server is one upstream while its process runs.
 type Server struct {
-	model     day.Model
-	balancers day.Balancers // has the budget of a server that warms up
+	model     scenario.Model
+	balancers scenario.Balancers // has the budget of a server that warms up
 	rng       *rand.Rand
 	now       time.Duration
 	attained  float64 // service of each running request so far, seconds of a core of speed 1
@@ -79,7 +79,7 @@
 }
 
 // New returns a server that starts at now. It warms up, or is warm from the start.
-func New(m day.Model, balancers day.Balancers, seed uint64, now time.Duration, warmsUp bool) *Server {
+func New(m scenario.Model, balancers scenario.Balancers, seed uint64, now time.Duration, warmsUp bool) *Server {
 	s := &Server{
 		model:     m,
 		balancers: balancers,
@@ -104,7 +104,7 @@
 }
 
 // Warmth is the share of its capacity that a server of the model has at some time after its start, from 0 to 1.
-func Warmth(m day.Model, since time.Duration) float64 {
+func Warmth(m scenario.Model, since time.Duration) float64 {
 	return min(1, m.ColdFrom+(1-m.ColdFrom)*max(0, float64(since)/float64(m.Warm)))
 }
 
@@ -267,15 +267,15 @@
 
 // SetFaults sets which faults act. Of several error shares the largest counts. Each program that takes a share of the
 // machine takes it from what the others leave. Delays of load reports add up.
-func (s *Server) SetFaults(faults []day.Fault) {
+func (s *Server) SetFaults(faults []scenario.Fault) {
 	s.faults = faultEffects{}
 	for _, f := range faults {
 		switch f.Kind {
-		case day.UpstreamErrors:
+		case scenario.UpstreamErrors:
 			s.faults.errorShare = max(s.faults.errorShare, f.Size)
-		case day.NoisyNeighbour:
+		case scenario.NoisyNeighbour:
 			s.faults.foreignLoadShare = 1 - (1-s.faults.foreignLoadShare)*(1-f.Size)
-		case day.LateReports:
+		case scenario.LateReports:
 			s.faults.reportDelay += f.Delay.D()
 		}
 	}
--- a/internal/lab/server/server_test.go
+++ b/internal/lab/server/server_test.go
@@ -7,13 +7,13 @@
 
 	"pgregory.net/rapid"
 
-	"sprucehill/internal/lab/day"
+	"sprucehill/internal/lab/scenario"
 )
 
 var (
-	serverModel = day.Model{Cores: 2, Speed: 1, Slots: 4, Queue: 2, ColdFrom: 0.2, Warm: day.Duration(10 * time.Second),
-		ReportEvery: day.Duration(time.Second), ReportDelay: day.Duration(200 * time.Millisecond)}
-	balancers = day.Balancers{TipMultiple: 2.5, TipAfter: day.Duration(2 * time.Second)}
+	serverModel = scenario.Model{Cores: 2, Speed: 1, Slots: 4, Queue: 2, ColdFrom: 0.2, Warm: scenario.Duration(10 * time.Second),
+		ReportEvery: scenario.Duration(time.Second), ReportDelay: scenario.Duration(200 * time.Millisecond)}
+	balancers = scenario.Balancers{TipMultiple: 2.5, TipAfter: scenario.Duration(2 * time.Second)}
 )
 
 // drain advances a server until it has no job left, and returns when each ended.
@@ -72,7 +72,7 @@
 func TestEveryJobEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := serverModel
-		m.Pause, m.PauseEvery = day.Duration(20*time.Millisecond), day.Duration(300*time.Millisecond)
+		m.Pause, m.PauseEvery = scenario.Duration(20*time.Millisecond), scenario.Duration(300*time.Millisecond)
 		a, b := New(m, balancers, 5, 0, false), New(m, balancers, 5, 0, false)
 		now := time.Duration(0)
 		open, ends := map[JobID]bool{}, 0
