--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,8 +1,9 @@
-// Command simadapter connects instances of the decision module to the simulator, whose protocol it speaks on standard
-// input and output. It translates and decides nothing.
+// Command simadapter runs instances of the decision module for the simulator. It reads batches of events from standard
+// input and writes the resulting effects to standard output, in the protocol of package wire. It only translates; all
+// decisions are the decision module's.
 //
-// It ends with exit code 0 at the end of input, and with 1 and a message on malformed input. An instance that panics or
-// refuses its settings is reported in the reply and does not end the program.
+// The exit code is 0 at the end of input, and 1 on malformed input, with a message on standard error. An instance that
+// panics or rejects its settings is reported as a crash in the reply; the program goes on.
 package main
 
 import (
@@ -23,7 +24,7 @@
 	}
 }
 
-// run answers batches until the end of input.
+// run reads batches until the end of input, and writes a reply to each.
 func run(in io.Reader, out io.Writer) error {
 	reader := wire.NewReader(in)
 	h := host{writer: wire.NewWriter(out), instances: map[int]*balancer.Balancer{}}
@@ -39,24 +40,24 @@
 		for i := range batch.Events {
 			h.deliver(batch.At, &batch.Events[i])
 		}
-		if err := h.writer.Done(batch.Serial); err != nil {
-			return fmt.Errorf("writing a reply: %w", err)
+		if err := h.writer.EndReply(batch.Serial); err != nil {
+			return fmt.Errorf("writing the reply to batch %d: %w", batch.Serial, err)
 		}
 	}
 }
 
-// host owns the running instances, by their numbers.
+// host runs instances of the decision module. The keys of instances are the numbers that the simulator gives them.
 type host struct {
 	writer    *wire.Writer
 	instances map[int]*balancer.Balancer
 }
 
-// deliver passes one event to its instance. Events for an instance that does not run are ignored. A panic ends the
-// instance and is reported with its text.
+// deliver passes an event to its instance. Events for an instance that is not running are ignored. If the instance panics,
+// it is removed and reported as crashed, with the text of the panic.
 func (h *host) deliver(now time.Duration, event *wire.Event) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			wire.NewActionWriter(h.writer, event.Instance).Crash(fmt.Sprint(cause))
+			wire.NewEffectWriter(h.writer, event.Instance).Crash(fmt.Sprint(cause))
 			delete(h.instances, event.Instance)
 		}
 	}()
@@ -88,12 +89,12 @@
 	}
 }
 
-// attach starts an instance, in place of a running one of the same number.
+// attach starts an instance. It replaces a running instance with the same number.
 func (h *host) attach(now time.Duration, event *wire.Event) {
-	actions := wire.NewActionWriter(h.writer, event.Instance)
-	instance, err := balancer.New(event.Settings, event.Seed, now, actions)
+	effects := wire.NewEffectWriter(h.writer, event.Instance)
+	instance, err := balancer.New(event.Settings, event.Seed, now, effects)
 	if err != nil {
-		actions.Crash(err.Error())
+		effects.Crash(err.Error())
 		return
 	}
 	h.instances[event.Instance] = instance
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -11,7 +11,7 @@
 	`"ramp_time_us":9000000,"tip_after_us":1500000,"tip_multiple":3.0},"profiles":[{"name":"c","target_us":160000,` +
 	`"give_up_us":750000,"repeat":"non_idempotent","worth":1}],"reporting":{"via":"piggyback"}}`
 
-// exchange returns the replies to a stream of batches.
+// exchange runs the adapter on a stream of batches and returns its output.
 func exchange(t *testing.T, in string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -39,7 +39,7 @@
 	}
 }
 
-// An instance whose settings are refused is reported as crashed.
+// An instance that rejects its settings is reported as crashed.
 func TestBadSettingsAreReportedAsCrash(t *testing.T) {
 	bad := strings.Replace(params, `"max_attempts":3`, `"max_attempts":0`, 1)
 	got, err := exchange(t, "frame at_time_us=1 serial=1\nattach balancer_id=3 random_seed=5 params="+bad+"\neob\n")
@@ -48,7 +48,8 @@
 	}
 }
 
-// A second attach starts the instance again; events for one that is unknown or has exited are ignored.
+// A second attach message restarts the instance, so the result of an attempt from before it is ignored. So are events for
+// an unknown instance.
 func TestAttachAgainAndUnknownInstances(t *testing.T) {
 	attach := "attach balancer_id=3 random_seed=5 params=" + params + "\nendpoints balancer_id=3 mode=C rev=1 bank=0\n"
 	in := "frame at_time_us=1000000 serial=1\nsheet bank=0 items=1\nm upstream=9 availability=active\n" + attach +
@@ -64,7 +65,7 @@
 	}
 }
 
-func TestMalformedInputStopsWithoutAReply(t *testing.T) {
+func TestMalformedInputGetsNoReply(t *testing.T) {
 	got, err := exchange(t, "frame at_time_us=1 serial=1\nbogus balancer_id=1\neob\n")
 	if err == nil || got != "" {
 		t.Errorf("error %v, got %q", err, got)
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -1,11 +1,13 @@
 package wire
 
 import (
+	"fmt"
+
 	"sprucehill/balancer"
 )
 
-// eventParsers has, by the name of each message that is an event, what sets the event's kind and fields from those of
-// the current line. The instance is common to all and not theirs to parse.
+// eventParsers maps the name of each event message to the function that sets the kind and fields of an Event from the
+// fields of the current line. The instance, which every event has, is parsed by parseMessage.
 var eventParsers = map[string]func(*Reader, *Event){
 	messageAttach:             (*Reader).parseAttach,
 	messageExit:               (*Reader).parseExit,
@@ -35,11 +37,11 @@
 	}
 }
 
-// referencedList returns the numbered list that the current line refers to.
+// referencedList returns the endpoints of the numbered list that the current line refers to.
 func (r *Reader) referencedList() []balancer.Endpoint {
 	number := r.fields.requiredUint(fieldListNumber, 31)
 	if number >= maxLists || !r.lists[number].defined {
-		r.fields.fail(fieldListNumber, "no such list")
+		r.fields.fail(fieldListNumber, fmt.Sprintf("endpoint list %d is not defined", number))
 		return nil
 	}
 	return r.lists[number].endpoints
@@ -100,12 +102,12 @@
 	r.fields.requiredUint(fieldSender, 31)
 }
 
-// requestID parses a request's identifier.
+// requestID parses the ID of a request.
 func (f *fields) requestID() balancer.RequestID {
 	return balancer.RequestID(f.requiredHex(fieldRequestID))
 }
 
-// attempt parses the fields that identify an attempt, and how long it has taken.
+// attempt parses the fields that identify an attempt, and its latency.
 func (f *fields) attempt() balancer.AttemptResult {
 	return balancer.AttemptResult{
 		ID:       f.requestID(),
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// maxDigits is the length of the largest 64-bit number in decimal.
+	// maxDigits is the number of decimal digits of the largest 64-bit number.
 	maxDigits = 20
-	// safeDigits is how many decimal digits always fit in 64 bits.
-	safeDigits = 18
-	// hexDigits is the length of a 64-bit number in hexadecimal.
+	// maxSafeDigits is a number of decimal digits that can't overflow 64 bits.
+	maxSafeDigits = 18
+	// hexDigits is the number of hexadecimal digits of a 64-bit number.
 	hexDigits = 16
 )
 
-// fields holds the name=value fields of one line. Its getters record the first error in err and go on with a zero value,
-// so that a caller checks once, after the last of them. The required getters record an error if the field is missing.
+// fields holds the name=value fields of one line. Its getters record the first error in err and still return a value, so
+// that a caller checks err once, after the last getter. The required getters record an error if the field is missing.
 type fields struct {
 	list []field
 	err  error
 }
 
-// field is one name=value pair of a line, in the line's own memory.
+// field is one name=value pair of a line. Both slices alias the line, and are valid as long as it is.
 type field struct{ name, value []byte }
 
 // parse splits a line into its fields and returns the message's name.
@@ -35,7 +35,7 @@
 	for more {
 		var text []byte
 		equals := bytes.IndexByte(rest, '=')
-		if equals > 0 && runsToLineEnd(rest[:equals]) {
+		if equals > 0 && valueMayContainSpaces(rest[:equals]) {
 			text = rest
 			more = false
 		} else {
@@ -50,19 +50,19 @@
 	return message, nil
 }
 
-// runsToLineEnd reports whether a field's value may contain spaces.
-func runsToLineEnd(name []byte) bool {
+// valueMayContainSpaces reports whether the value of a field extends to the end of the line, spaces included.
+func valueMayContainSpaces(name []byte) bool {
 	return string(name) == fieldSettings || string(name) == fieldText
 }
 
-// fail records an error, unless there is one.
+// fail records an error of a field, unless an earlier error has been recorded.
 func (f *fields) fail(name, reason string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("field %s: %s", name, reason)
 	}
 }
 
-// optional returns a field's value, or nil if the field is missing.
+// optional returns the value of a field, or nil if the field is missing.
 func (f *fields) optional(name string) []byte {
 	for i := range f.list {
 		if string(f.list[i].name) == name {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// required returns a field's value, and nil after an error if the field is missing.
+// required returns the value of a field. If the field is missing, it records an error and returns nil.
 func (f *fields) required(name string) []byte {
 	value := f.optional(name)
 	if value == nil {
@@ -84,7 +84,7 @@
 // has reports whether the line has a field.
 func (f *fields) has(name string) bool { return f.optional(name) != nil }
 
-// requiredUint returns a decimal number of at most bits bits.
+// requiredUint returns an unsigned decimal number that fits in the given number of bits.
 func (f *fields) requiredUint(name string, bits int) uint64 {
 	return f.parseUint(name, f.required(name), bits)
 }
@@ -100,17 +100,17 @@
 	}
 	x, ok := parseDecimal(value)
 	if !ok || (bits < 64 && x>>bits != 0) {
-		f.fail(name, fmt.Sprintf("%q is not a number in range", value))
+		f.fail(name, fmt.Sprintf("%q is not an unsigned %d-bit number", value, bits))
 	}
 	return x
 }
 
-// parseDecimal parses an unsigned decimal number, without an allocation if it is short.
+// parseDecimal parses an unsigned decimal number. It does not allocate for up to maxSafeDigits digits.
 func parseDecimal(value []byte) (uint64, bool) {
 	if len(value) == 0 || len(value) > maxDigits {
 		return 0, false
 	}
-	if len(value) > safeDigits {
+	if len(value) > maxSafeDigits {
 		x, err := strconv.ParseUint(string(value), 10, 64)
 		return x, err == nil
 	}
@@ -124,7 +124,7 @@
 	return x, true
 }
 
-// requiredDuration returns a duration, which is written in microseconds and may be negative.
+// requiredDuration returns a duration. The field holds microseconds and may be negative.
 func (f *fields) requiredDuration(name string) time.Duration {
 	return f.parseDuration(name, f.required(name))
 }
@@ -145,13 +145,13 @@
 	}
 	x, ok := parseDecimal(value)
 	if !ok || x > math.MaxInt64/uint64(time.Microsecond) {
-		f.fail(name, fmt.Sprintf("%q is not a time", value))
+		f.fail(name, fmt.Sprintf("%q is not a duration in microseconds", value))
 		return 0
 	}
 	return time.Duration(x) * unit
 }
 
-// requiredHex returns a number of 64 bits, which is written in 16 lower-case hexadecimal digits.
+// requiredHex returns a 64-bit number. The field holds exactly 16 lower-case hexadecimal digits.
 func (f *fields) requiredHex(name string) uint64 { return f.parseHex(name, f.required(name)) }
 
 // optionalHex is like requiredHex, but returns 0 if the field is missing.
@@ -174,12 +174,12 @@
 		}
 	}
 	if !ok {
-		f.fail(name, fmt.Sprintf("%q is not 16 hex digits", value))
+		f.fail(name, fmt.Sprintf("%q is not 16 lower-case hex digits", value))
 	}
 	return x
 }
 
-// flag returns whether a field is 1. It may be missing.
+// flag reports whether a field is 1. A missing field counts as 0.
 func (f *fields) flag(name string) bool {
 	value := f.optional(name)
 	if value != nil && string(value) != "1" && string(value) != "0" {
@@ -188,7 +188,7 @@
 	return string(value) == "1"
 }
 
-// optionalFloat returns a finite number, or the default if the field is missing.
+// optionalFloat returns a finite number, or defaultValue if the field is missing.
 func (f *fields) optionalFloat(name string, defaultValue float64) float64 {
 	value := f.optional(name)
 	if value == nil {
@@ -200,7 +200,7 @@
 func (f *fields) parseFloat(name string, value []byte) float64 {
 	x, err := strconv.ParseFloat(string(value), 64)
 	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-		f.fail(name, fmt.Sprintf("%q is not a number", value))
+		f.fail(name, fmt.Sprintf("%q is not a finite number", value))
 	}
 	return x
 }
--- a/internal/wire/loadreport.go
+++ b/internal/wire/loadreport.go
@@ -7,7 +7,7 @@
 	"sprucehill/balancer"
 )
 
-// loadValue is one value of a load report.
+// loadValue identifies one value of a load report: the bit that marks it as present, and its place in the report.
 type loadValue struct {
 	field balancer.LoadField
 	get   func(*balancer.LoadReport) *float64
@@ -22,7 +22,8 @@
 	loadErrors      = loadValue{balancer.HasErrors, func(r *balancer.LoadReport) *float64 { return &r.Errors }}
 )
 
-// loadValues has the values of a load report by the simulator's names, and by the short names that real upstreams send.
+// loadValues maps the names of the values of a load report: for each value the simulator's name, and the short name that
+// real upstreams send.
 var loadValues = map[string]loadValue{
 	"load_share": loadUtilization,
 	"util":       loadUtilization,
@@ -38,8 +39,8 @@
 	"eps":        loadErrors,
 }
 
-// SetLoadField sets one value of a load report. The name is the simulator's, or the short one that real upstreams send.
-// Other names are ignored.
+// SetLoadField sets one value of a load report, by the simulator's name or by the short name that real upstreams send.
+// Unknown names are ignored.
 func SetLoadField(report *balancer.LoadReport, name string, value float64) {
 	load, known := loadValues[name]
 	if !known {
@@ -49,7 +50,7 @@
 	report.Fields |= load.field
 }
 
-// loadReport parses an upstream's load report, a comma-separated list of name:value. It may be missing.
+// loadReport parses a load report, a comma-separated list of name:value. If the field is missing, the report is empty.
 func (f *fields) loadReport(name string) balancer.LoadReport {
 	var report balancer.LoadReport
 	rest := f.optional(name)
--- a/internal/wire/logtext.go
+++ b/internal/wire/logtext.go
@@ -6,7 +6,7 @@
 	"sprucehill/balancer"
 )
 
-// logText is the simulator's log line for an event.
+// logText formats a log event as the text of a log message of the simulator protocol.
 func logText(event balancer.LogEvent) string {
 	switch e := event.(type) {
 	case balancer.EndpointUnresponsive:
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -1,8 +1,8 @@
 package wire
 
-// The names of the simulator's protocol. Each stands here once, under the term that the rest of the program uses.
+// Names of the simulator protocol. Each constant is named after the term that the rest of the program uses.
 
-// Messages that come in.
+// Messages from the simulator.
 const (
 	messageBatch              = "frame"
 	messageBatchEnd           = "eob"
@@ -17,10 +17,10 @@
 	messageClientDisconnected = "lapsed"
 	messageTimer              = "elapsed"
 	messageHealthCheckResult  = "health"
-	messageInbox              = "inbox" // a message of another instance
+	messageInbox              = "inbox" // a message from another instance
 )
 
-// Messages that go out.
+// Messages to the simulator.
 const (
 	messageSend           = "submit_to"
 	messageReject         = "bounce"
@@ -36,7 +36,7 @@
 	messageDone           = "ok"
 )
 
-// Fields of messages. Names that end in _us are times in microseconds.
+// Fields of messages. Names that end in _us hold points in time or durations in microseconds.
 const (
 	fieldTime           = "at_time_us"
 	fieldSerial         = "serial"
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -1,11 +1,13 @@
-// Package wire implements the simulator's text protocol: batches of events come in, and one reply of actions goes out
-// for each.
+// Package wire implements the simulator's text protocol: the simulator sends batches of events, and gets one reply for
+// each, which holds the effects of the decision module.
 //
-// A batch is a line "frame", any number of lines that each hold an event or a numbered endpoint list, and a line "eob".
-// Every line is a message name and name=value fields, separated by single spaces. Fields that this package does not
-// know are ignored.
+// A batch is a "frame" line, any number of events and numbered endpoint lists, and an "eob" line. Every line holds one
+// message: its name and name=value fields, separated by single spaces. An endpoint list is followed by one line for each
+// entry. Unknown fields are ignored.
 //
-// Reader and Writer translate and decide nothing. Each is for one goroutine.
+// The package also decodes the settings object of the protocol, which is part of a real balancer's configuration too.
+//
+// Reader and Writer only translate; all decisions are the decision module's. Neither is safe for concurrent use.
 package wire
 
 import (
@@ -19,18 +21,19 @@
 )
 
 const (
-	// maxLists is how many numbered endpoint lists the protocol has.
+	// maxLists is the number of endpoint lists that events can refer to; they are numbered from 0.
 	maxLists = 16
-	// readBufferSize is the size in bytes of the read buffer. Longer lines are allowed and cost a copy.
+	// readBufferSize is the size of the read buffer in bytes. Longer lines are allowed, but have to be copied.
 	readBufferSize = 1 << 16
-	// maxPreallocatedEndpoints bounds what is allocated for a list on the word of its count alone.
+	// maxPreallocatedEndpoints bounds what is allocated for a list before its entries have been read: the announced length
+	// may be wrong.
 	maxPreallocatedEndpoints = 1 << 12
 )
 
-// EventKind says what an Event is, and so which of its fields are set.
+// EventKind is the kind of an Event. It determines which fields of the Event are set.
 type EventKind uint8
 
-// The kinds of events, with the fields that are set beside Kind and Instance.
+// The kinds of events, with the fields that are set in addition to Kind and Instance.
 const (
 	KindAttach             EventKind = iota // an instance starts: Seed, Settings
 	KindExit                                // an instance ends
@@ -41,7 +44,7 @@
 	KindClientDisconnected                  // Request: ID only
 	KindTimer                               // TimerToken
 	KindHealthCheckResult                   // HealthCheck
-	KindInbox                               // a message of another instance, whose content is ignored
+	KindInbox                               // a message from another instance; its content is ignored
 )
 
 // Event is one event for one instance of the decision module.
@@ -51,55 +54,55 @@
 	Seed        uint64
 	Settings    balancer.Settings
 	Mode        balancer.UpdateMode
-	Endpoints   []balancer.Endpoint // shared with other events: not to be changed
+	Endpoints   []balancer.Endpoint // shared with other events; must not be modified
 	Request     balancer.Request
 	Result      balancer.AttemptResult
 	HealthCheck balancer.HealthCheckResult
 	TimerToken  uint64
 }
 
-// Batch is the events of one moment.
+// Batch holds events that happen at the same time, in order.
 type Batch struct {
 	At     time.Duration // on the simulator's clock
-	Serial uint64        // to be repeated in the reply
+	Serial uint64        // echoed in the reply
 	Events []Event
 }
 
 // Reader reads batches.
 type Reader struct {
 	in       *bufio.Reader
-	line     int    // number of the line that was read last, from 1
-	longLine []byte // buffer for lines that exceed the read buffer
-	interned map[string]string
+	line     int               // number of the current line, from 1
+	longLine []byte            // buffer for lines that exceed the read buffer
+	interned map[string]string // strings returned by intern
 	lists    [maxLists]endpointList
 	fields   fields // of the current line
 }
 
-// endpointList is a numbered list that events refer to.
+// endpointList is a numbered endpoint list. Its zero value is not defined yet.
 type endpointList struct {
 	defined   bool
 	endpoints []balancer.Endpoint
 }
 
-// NewReader returns a Reader of r.
+// NewReader returns a Reader that reads batches from r.
 func NewReader(r io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(r, readBufferSize), interned: map[string]string{}}
 }
 
-// Next reads a batch into b and overwrites its events. It returns io.EOF at the end of input, and an error that names
-// line and field if the input is malformed.
+// Next reads a batch into b, overwriting its events. It returns io.EOF at the end of input. If the input is malformed, the
+// error names the line and, where one is to blame, the field.
 func (r *Reader) Next(b *Batch) error {
 	line, err := r.readLine()
 	if err != nil {
 		return err
 	}
-	if err := r.parseFrame(line, b); err != nil {
+	if err := r.parseBatchHeader(line, b); err != nil {
 		return fmt.Errorf("line %d: %w", r.line, err)
 	}
 	for {
 		line, err := r.readLine()
 		if errors.Is(err, io.EOF) {
-			return fmt.Errorf("line %d: batch %d ends without %s", r.line, b.Serial, messageBatchEnd)
+			return fmt.Errorf("line %d: end of input in batch %d, without %s", r.line, b.Serial, messageBatchEnd)
 		}
 		if err != nil {
 			return err
@@ -113,7 +116,7 @@
 	}
 }
 
-// readLine returns the next line without its end. The slice is valid until the next call.
+// readLine returns the next line without its line feed. The slice is valid until the next call.
 func (r *Reader) readLine() ([]byte, error) {
 	line, err := r.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -121,7 +124,7 @@
 	}
 	switch {
 	case errors.Is(err, io.EOF) && len(line) > 0:
-		return nil, fmt.Errorf("line %d: cut short", r.line+1)
+		return nil, fmt.Errorf("line %d: truncated: %d bytes without a line feed", r.line+1, len(line))
 	case errors.Is(err, io.EOF):
 		return nil, io.EOF
 	case err != nil:
@@ -131,9 +134,9 @@
 	return line[:len(line)-1], nil
 }
 
-// readLongLine reads the rest of a line whose beginning filled the read buffer.
-func (r *Reader) readLongLine(beginning []byte) ([]byte, error) {
-	r.longLine = append(r.longLine[:0], beginning...)
+// readLongLine returns a line of which prefix has filled the read buffer.
+func (r *Reader) readLongLine(prefix []byte) ([]byte, error) {
+	r.longLine = append(r.longLine[:0], prefix...)
 	for {
 		part, err := r.in.ReadSlice('\n')
 		r.longLine = append(r.longLine, part...)
@@ -143,15 +146,15 @@
 	}
 }
 
-// parseFrame parses the first line of a batch.
-func (r *Reader) parseFrame(line []byte, b *Batch) error {
+// parseBatchHeader parses the first line of a batch.
+func (r *Reader) parseBatchHeader(line []byte, b *Batch) error {
 	f := &r.fields
 	name, err := f.parse(line)
 	if err != nil {
 		return err
 	}
 	if string(name) != messageBatch {
-		return fmt.Errorf("message %q where %s was expected", name, messageBatch)
+		return fmt.Errorf("got message %q, want %s", name, messageBatch)
 	}
 	b.At = f.requiredDuration(fieldTime)
 	b.Serial = f.requiredUint(fieldSerial, 64)
@@ -159,8 +162,7 @@
 	return f.err
 }
 
-// parseMessage parses a line within a batch: an event, which it appends to the batch, or an endpoint list, which it
-// reads to its end.
+// parseMessage handles a line within a batch: it appends an event to the batch, and reads an endpoint list to its end.
 func (r *Reader) parseMessage(line []byte, b *Batch) error {
 	f := &r.fields
 	name, err := f.parse(line)
@@ -184,13 +186,13 @@
 	return nil
 }
 
-// readList parses the head of a numbered endpoint list, which is the current line, and reads its entries.
+// readList parses the header of a numbered endpoint list, which is the current line, and reads the lines of its entries.
 func (r *Reader) readList() error {
 	f := &r.fields
 	number := f.requiredUint(fieldListNumber, 31)
 	count := f.requiredUint(fieldListLength, 31)
 	if f.err == nil && number >= maxLists {
-		f.fail(fieldListNumber, "out of range")
+		f.fail(fieldListNumber, fmt.Sprintf("got %d, want 0 to %d", number, maxLists-1))
 	}
 	if f.err != nil {
 		return fmt.Errorf("%s: %w", messageList, f.err)
@@ -199,14 +201,14 @@
 	for range count {
 		line, err := r.readLine()
 		if err != nil {
-			return fmt.Errorf("%s: %s=%d, but %d follow: %w", messageList, fieldListLength, count, len(endpoints), err)
+			return fmt.Errorf("%s: got %d entries, want %s=%d: %w", messageList, len(endpoints), fieldListLength, count, err)
 		}
 		name, err := f.parse(line)
 		if err != nil {
 			return err
 		}
 		if string(name) != messageListEntry {
-			return fmt.Errorf("%s: %s=%d, but %d follow", messageList, fieldListLength, count, len(endpoints))
+			return fmt.Errorf("%s: got %d entries, want %s=%d", messageList, len(endpoints), fieldListLength, count)
 		}
 		endpoint := r.parseEndpoint()
 		if f.err != nil {
@@ -231,7 +233,7 @@
 	}
 }
 
-// intern returns b as a string. Equal values share one string, so that requests allocate none.
+// intern returns b as a string. Equal values share one string, so that a request with known names does not allocate.
 func (r *Reader) intern(b []byte) string {
 	if len(b) == 0 {
 		return ""
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,8 +8,8 @@
 	"sprucehill/balancer"
 )
 
-// settingsJSON is the settings object as it is written, without the keys that are not used. Durations are in
-// microseconds. Its tags name the keys. Errors repeat a key, because code can't refer to a tag.
+// settingsJSON is the JSON form of the settings object; unused keys are left out. All durations are in microseconds. Error
+// messages repeat the key of a field, because code can't refer to its tag.
 type settingsJSON struct {
 	Zone         string  `json:"az"`
 	Balancers    int     `json:"balancers"`
@@ -67,7 +67,7 @@
 	PriorityWeight     float64 `json:"worth"`
 }
 
-// The values of the settings that are one of a few words.
+// The settings with a fixed set of values, by the text of each value.
 var (
 	idempotencies = map[string]balancer.Idempotency{
 		"read_like":       balancer.Idempotent,
@@ -90,21 +90,21 @@
 		"piggyback": balancer.ReportInResponses,
 		"pull":      balancer.ReportInHealthChecks,
 	}
-	// pollsDiscovery has, by membership mode, whether endpoint lists have to be polled for.
+	// pollsDiscovery says for each membership mode whether endpoint lists have to be polled for.
 	pollsDiscovery = map[string]bool{"pushed": false, "on_request": true}
-	// weighsByWork has, by what priority weights are given for, whether that is a unit of work.
-	weighsByWork = map[string]bool{"": false, "request": false, "work": true}
+	// prioritizesByWork says for each unit that priority weights can refer to whether it is a unit of work, not a request.
+	prioritizesByWork = map[string]bool{"": false, "request": false, "work": true}
 )
 
-// ConnectionTimeouts is the part of the settings that concerns connections to upstreams. The simulator applies it by
-// itself. A real balancer has to.
+// ConnectionTimeouts is the part of the settings that concerns connections to upstreams. The simulator enforces these
+// timeouts itself; a real balancer has to.
 type ConnectionTimeouts struct {
-	KeepAlive      time.Duration // after which an upstream closes an idle connection
-	ConnectTimeout time.Duration // within which a connection has to be established
+	KeepAlive      time.Duration // idle time after which an upstream closes a connection
+	ConnectTimeout time.Duration // bounds how long a connection takes to be established
 }
 
-// DecodeSettings decodes the settings object of a start message or of a real balancer's configuration. It checks the
-// form only; balancer.Settings.Validate checks ranges.
+// DecodeSettings decodes the settings object of an attach message or of a real balancer's configuration. It checks syntax
+// and enumerated values; balancer.Settings.Validate checks ranges.
 func DecodeSettings(text []byte) (balancer.Settings, ConnectionTimeouts, error) {
 	var decoded settingsJSON
 	if err := json.Unmarshal(text, &decoded); err != nil {
@@ -114,14 +114,14 @@
 	if err != nil {
 		return balancer.Settings{}, ConnectionTimeouts{}, fmt.Errorf("settings: %w", err)
 	}
-	links := ConnectionTimeouts{
+	timeouts := ConnectionTimeouts{
 		KeepAlive:      microseconds(decoded.Limits.KeepAlive),
 		ConnectTimeout: microseconds(decoded.Limits.ConnectTimeout),
 	}
-	return settings, links, nil
+	return settings, timeouts, nil
 }
 
-// settings parses the settings object in a field.
+// settings parses a field that holds the settings object.
 func (f *fields) settings(name string) balancer.Settings {
 	settings, _, err := DecodeSettings(f.required(name))
 	if err != nil {
@@ -130,7 +130,7 @@
 	return settings
 }
 
-// settings converts what was decoded.
+// settings converts the decoded object to the decision module's settings.
 func (s *settingsJSON) settings() (balancer.Settings, error) {
 	settings := balancer.Settings{
 		Zone:            s.Zone,
@@ -143,16 +143,16 @@
 		Obligations:     s.Obligations.obligations(),
 	}
 	var err error
-	if settings.PriorityByWork, err = lookUp(weighsByWork, "worth_by", s.PriorityBy); err != nil {
+	if settings.PriorityByWork, err = lookUpEnum(prioritizesByWork, "worth_by", s.PriorityBy); err != nil {
 		return settings, err
 	}
-	if settings.PollDiscovery, err = lookUp(pollsDiscovery, "membership_mode", s.Membership); err != nil {
+	if settings.PollDiscovery, err = lookUpEnum(pollsDiscovery, "membership_mode", s.Membership); err != nil {
 		return settings, err
 	}
-	if settings.Weights, err = lookUp(weightKinds, "weights", s.Weights); err != nil {
+	if settings.Weights, err = lookUpEnum(weightKinds, "weights", s.Weights); err != nil {
 		return settings, err
 	}
-	if settings.Reports, err = lookUp(reportSources, "reporting.via", s.Reporting.Via); err != nil {
+	if settings.Reports, err = lookUpEnum(reportSources, "reporting.via", s.Reporting.Via); err != nil {
 		return settings, err
 	}
 	for i := range s.Classes {
@@ -202,21 +202,21 @@
 		LatePriorityFactor: c.LatePriorityFactor,
 	}
 	var err error
-	if class.Idempotency, err = lookUp(idempotencies, "repeat", c.Idempotency); err != nil {
+	if class.Idempotency, err = lookUpEnum(idempotencies, "repeat", c.Idempotency); err != nil {
 		return class, err
 	}
-	class.Scope, err = lookUp(idempotencyScopes, "group", c.IdempotencyScope)
+	class.Scope, err = lookUpEnum(idempotencyScopes, "group", c.IdempotencyScope)
 	if class.Idempotency != balancer.IdempotentByKey {
-		return class, nil // the scope of keys does not matter, and is often missing
+		return class, nil // the scope matters for idempotency keys only, and is often missing without them
 	}
 	return class, err
 }
 
-// lookUp returns the value of a setting's word.
-func lookUp[T any](values map[string]T, setting, word string) (T, error) {
-	value, ok := values[word]
+// lookUpEnum returns the value that a setting has under the given name, or an error that names the setting.
+func lookUpEnum[T any](values map[string]T, setting, name string) (T, error) {
+	value, ok := values[name]
 	if !ok {
-		return value, fmt.Errorf("%s %q is unknown", setting, word)
+		return value, fmt.Errorf("%s: unknown value %q", setting, name)
 	}
 	return value, nil
 }
--- a/internal/wire/values.go
+++ b/internal/wire/values.go
@@ -1,12 +1,13 @@
 package wire
 
 import (
+	"fmt"
 	"strconv"
 
 	"sprucehill/balancer"
 )
 
-// updateModes has the ways in which an endpoint list relates to the one before it.
+// updateModes maps the codes of the update modes, which say how an endpoint list relates to the one before it.
 var updateModes = map[string]balancer.UpdateMode{
 	"D": balancer.UpdateDelta,
 	"F": balancer.UpdateComplete,
@@ -14,14 +15,14 @@
 	"X": balancer.UpdateFailed,
 }
 
-// endpointStates has the states of an endpoint.
+// endpointStates maps the names of the endpoint states.
 var endpointStates = map[string]balancer.EndpointState{
 	"active":  balancer.Active,
 	"leaving": balancer.Draining,
 	"left":    balancer.Removed,
 }
 
-// statuses has the statuses of attempts and health checks by their codes.
+// statuses maps the status codes of attempts and health checks.
 var statuses = map[uint64]balancer.Status{
 	0:   balancer.OK,
 	255: balancer.Error,
@@ -33,21 +34,23 @@
 	249: balancer.NotSent,
 }
 
-// updateMode parses how an endpoint list relates to the one before it.
+// updateMode parses an update mode.
 func (f *fields) updateMode(name string) balancer.UpdateMode {
-	return parseWord(f, name, updateModes, "unknown list mode")
+	return parseEnum(f, name, updateModes, "update mode")
 }
 
 // endpointState parses the state of an endpoint.
 func (f *fields) endpointState(name string) balancer.EndpointState {
-	return parseWord(f, name, endpointStates, "unknown state")
+	return parseEnum(f, name, endpointStates, "endpoint state")
 }
 
-// parseWord returns the value of a field that is one of a few words, and records the reason as an error if it is none.
-func parseWord[T any](f *fields, name string, values map[string]T, reason string) T {
-	value, known := values[string(f.required(name))]
+// parseEnum returns the value of a field whose text is a key of values. Any other text is recorded as an error, in which
+// kind says what the field holds.
+func parseEnum[T any](f *fields, name string, values map[string]T, kind string) T {
+	text := f.required(name)
+	value, known := values[string(text)]
 	if !known {
-		f.fail(name, reason)
+		f.fail(name, fmt.Sprintf("unknown %s %q", kind, text))
 	}
 	return value
 }
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -11,19 +11,19 @@
 	"sprucehill/balancer"
 )
 
-// Writer collects the actions of one reply and writes it as a whole.
+// Writer buffers the effects of one reply and writes the reply with a single call. It is not safe for concurrent use.
 type Writer struct {
 	out io.Writer
 	buf []byte
 }
 
-// NewWriter returns a Writer to w.
+// NewWriter returns a Writer that writes replies to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{out: w} }
 
-// Done ends the reply to the batch of a serial number and writes it out.
-func (w *Writer) Done(serial uint64) error {
+// EndReply ends the reply to the batch with the given serial number and writes it out.
+func (w *Writer) EndReply(serial uint64) error {
 	w.buf = append(w.buf, messageDone...)
-	w.buf = appendName(w.buf, fieldSerial)
+	w.buf = appendFieldName(w.buf, fieldSerial)
 	w.buf = strconv.AppendUint(w.buf, serial, 10)
 	w.buf = append(w.buf, '\n')
 	_, err := w.out.Write(w.buf)
@@ -31,148 +31,149 @@
 	return err
 }
 
-// ActionWriter writes the actions of one instance of the decision module to a reply.
-type ActionWriter struct {
-	w        *Writer
-	instance []byte // the field that names it, with a space before
+// EffectWriter implements balancer.Effects for one instance of the decision module: each effect becomes a message of the
+// reply.
+type EffectWriter struct {
+	reply    *Writer
+	instance []byte // the instance field, which follows the name of every message
 }
 
-// NewActionWriter returns the ActionWriter of an instance.
-func NewActionWriter(w *Writer, instance int) *ActionWriter {
-	field := strconv.AppendInt(appendName(nil, fieldInstance), int64(instance), 10)
-	return &ActionWriter{w: w, instance: field}
+// NewEffectWriter returns an EffectWriter for the instance with the given number.
+func NewEffectWriter(w *Writer, instance int) *EffectWriter {
+	field := strconv.AppendInt(appendFieldName(nil, fieldInstance), int64(instance), 10)
+	return &EffectWriter{reply: w, instance: field}
 }
 
-var _ balancer.Effects = (*ActionWriter)(nil)
+var _ balancer.Effects = (*EffectWriter)(nil)
 
-// appendName appends the beginning of a field up to its value.
-func appendName(buf []byte, name string) []byte {
+// appendFieldName appends a space, the name of a field and the equals sign before its value.
+func appendFieldName(buf []byte, name string) []byte {
 	buf = append(buf, ' ')
 	buf = append(buf, name...)
 	return append(buf, '=')
 }
 
-// begin starts a message. The methods below add fields to it.
-func (a *ActionWriter) begin(message string) {
-	a.w.buf = append(a.w.buf, message...)
-	a.w.buf = append(a.w.buf, a.instance...)
+// begin starts a message with its name and the instance field.
+func (e *EffectWriter) begin(message string) {
+	e.reply.buf = append(e.reply.buf, message...)
+	e.reply.buf = append(e.reply.buf, e.instance...)
 }
 
 // end ends a message.
-func (a *ActionWriter) end() { a.w.buf = append(a.w.buf, '\n') }
+func (e *EffectWriter) end() { e.reply.buf = append(e.reply.buf, '\n') }
 
-func (a *ActionWriter) uintField(name string, value uint64) {
-	a.w.buf = appendName(a.w.buf, name)
-	a.w.buf = strconv.AppendUint(a.w.buf, value, 10)
+func (e *EffectWriter) uintField(name string, value uint64) {
+	e.reply.buf = appendFieldName(e.reply.buf, name)
+	e.reply.buf = strconv.AppendUint(e.reply.buf, value, 10)
 }
 
-// durationField adds a duration in microseconds, or nothing if it is 0.
-func (a *ActionWriter) durationField(name string, d time.Duration) {
+// durationField adds a duration in microseconds. A duration of 0 is omitted.
+func (e *EffectWriter) durationField(name string, d time.Duration) {
 	if d == 0 {
 		return
 	}
-	a.w.buf = appendName(a.w.buf, name)
-	a.w.buf = strconv.AppendInt(a.w.buf, d.Microseconds(), 10)
+	e.reply.buf = appendFieldName(e.reply.buf, name)
+	e.reply.buf = strconv.AppendInt(e.reply.buf, d.Microseconds(), 10)
 }
 
-// requestField adds a request's identifier.
-func (a *ActionWriter) requestField(id balancer.RequestID) {
+// requestField adds the ID of a request in 16 hexadecimal digits.
+func (e *EffectWriter) requestField(id balancer.RequestID) {
 	var bytes [8]byte
 	binary.BigEndian.PutUint64(bytes[:], uint64(id))
-	a.w.buf = appendName(a.w.buf, fieldRequestID)
-	a.w.buf = hex.AppendEncode(a.w.buf, bytes[:])
+	e.reply.buf = appendFieldName(e.reply.buf, fieldRequestID)
+	e.reply.buf = hex.AppendEncode(e.reply.buf, bytes[:])
 }
 
-// textField adds text as one line.
-func (a *ActionWriter) textField(name, text string) {
-	a.w.buf = appendName(a.w.buf, name)
-	a.w.buf = append(a.w.buf, strings.Join(strings.Fields(text), " ")...)
+// textField adds free text. Each run of white space, line feeds included, becomes one space: a message is a single line.
+func (e *EffectWriter) textField(name, text string) {
+	e.reply.buf = appendFieldName(e.reply.buf, name)
+	e.reply.buf = append(e.reply.buf, strings.Join(strings.Fields(text), " ")...)
 }
 
-// Send writes that an attempt is to be sent to an endpoint. A timeout of 0 is left out.
-func (a *ActionWriter) Send(id balancer.RequestID, endpoint balancer.EndpointID, timeout time.Duration) {
-	a.begin(messageSend)
-	a.requestField(id)
-	a.uintField(fieldEndpoint, uint64(endpoint))
-	a.durationField(fieldAttemptTimeout, timeout)
-	a.end()
+// Send writes that an attempt is to be sent to an endpoint. A timeout of 0 is omitted.
+func (e *EffectWriter) Send(id balancer.RequestID, endpoint balancer.EndpointID, timeout time.Duration) {
+	e.begin(messageSend)
+	e.requestField(id)
+	e.uintField(fieldEndpoint, uint64(endpoint))
+	e.durationField(fieldAttemptTimeout, timeout)
+	e.end()
 }
 
-// Reject writes that a request is rejected. A retryAfter of 0 is left out.
-func (a *ActionWriter) Reject(id balancer.RequestID, retryAfter time.Duration) {
-	a.begin(messageReject)
-	a.requestField(id)
-	a.durationField(fieldRetryAfter, retryAfter)
-	a.end()
+// Reject writes that a request is rejected. A retryAfter of 0 is omitted.
+func (e *EffectWriter) Reject(id balancer.RequestID, retryAfter time.Duration) {
+	e.begin(messageReject)
+	e.requestField(id)
+	e.durationField(fieldRetryAfter, retryAfter)
+	e.end()
 }
 
 // Fail writes that a request has failed.
-func (a *ActionWriter) Fail(id balancer.RequestID) {
-	a.begin(messageFail)
-	a.requestField(id)
-	a.end()
+func (e *EffectWriter) Fail(id balancer.RequestID) {
+	e.begin(messageFail)
+	e.requestField(id)
+	e.end()
 }
 
-// Cancel writes that the response to an attempt is no longer waited for.
-func (a *ActionWriter) Cancel(id balancer.RequestID, attempt int) {
-	a.begin(messageCancel)
-	a.requestField(id)
-	a.uintField(fieldAttempt, uint64(attempt))
-	a.end()
+// Cancel writes that an attempt is cancelled: its response is no longer needed.
+func (e *EffectWriter) Cancel(id balancer.RequestID, attempt int) {
+	e.begin(messageCancel)
+	e.requestField(id)
+	e.uintField(fieldAttempt, uint64(attempt))
+	e.end()
 }
 
-// HealthCheck writes that an endpoint is to be checked.
-func (a *ActionWriter) HealthCheck(endpoint balancer.EndpointID) {
-	a.begin(messageHealthCheck)
-	a.uintField(fieldEndpoint, uint64(endpoint))
-	a.end()
+// HealthCheck writes that a health check is to be sent to an endpoint.
+func (e *EffectWriter) HealthCheck(endpoint balancer.EndpointID) {
+	e.begin(messageHealthCheck)
+	e.uintField(fieldEndpoint, uint64(endpoint))
+	e.end()
 }
 
 // CloseIdle writes that idle connections to an endpoint are to be closed.
-func (a *ActionWriter) CloseIdle(endpoint balancer.EndpointID) {
-	a.begin(messageCloseIdle)
-	a.uintField(fieldEndpoint, uint64(endpoint))
-	a.end()
+func (e *EffectWriter) CloseIdle(endpoint balancer.EndpointID) {
+	e.begin(messageCloseIdle)
+	e.uintField(fieldEndpoint, uint64(endpoint))
+	e.end()
 }
 
 // WatchEndpoints writes a subscription to discovery.
-func (a *ActionWriter) WatchEndpoints() {
-	a.begin(messageWatchEndpoints)
-	a.uintField(fieldWatching, 1)
-	a.end()
+func (e *EffectWriter) WatchEndpoints() {
+	e.begin(messageWatchEndpoints)
+	e.uintField(fieldWatching, 1)
+	e.end()
 }
 
 // UnwatchEndpoints writes the end of a subscription to discovery.
-func (a *ActionWriter) UnwatchEndpoints() {
-	a.begin(messageWatchEndpoints)
-	a.uintField(fieldWatching, 0)
-	a.end()
+func (e *EffectWriter) UnwatchEndpoints() {
+	e.begin(messageWatchEndpoints)
+	e.uintField(fieldWatching, 0)
+	e.end()
 }
 
 // FetchEndpoints writes a request for the complete endpoint list.
-func (a *ActionWriter) FetchEndpoints() {
-	a.begin(messageFetchEndpoints)
-	a.end()
+func (e *EffectWriter) FetchEndpoints() {
+	e.begin(messageFetchEndpoints)
+	e.end()
 }
 
-// SetTimer writes that a timer is to fire. A negative delay counts as 0.
-func (a *ActionWriter) SetTimer(after time.Duration, token uint64) {
-	a.begin(messageSetTimer)
-	a.uintField(fieldTimerDelay, uint64(max(after, 0).Microseconds()))
-	a.uintField(fieldTimerToken, token)
-	a.end()
+// SetTimer writes that a timer with the given token is to fire after a delay. A negative delay counts as 0.
+func (e *EffectWriter) SetTimer(after time.Duration, token uint64) {
+	e.begin(messageSetTimer)
+	e.uintField(fieldTimerDelay, uint64(max(after, 0).Microseconds()))
+	e.uintField(fieldTimerToken, token)
+	e.end()
 }
 
 // Log writes an event as a log line.
-func (a *ActionWriter) Log(event balancer.LogEvent) {
-	a.begin(messageLog)
-	a.textField(fieldText, logText(event))
-	a.end()
+func (e *EffectWriter) Log(event balancer.LogEvent) {
+	e.begin(messageLog)
+	e.textField(fieldText, logText(event))
+	e.end()
 }
 
-// Crash writes that the decision module has panicked or refused its settings.
-func (a *ActionWriter) Crash(text string) {
-	a.begin(messageCrash)
-	a.textField(fieldText, text)
-	a.end()
+// Crash writes that the instance has panicked or rejected its settings.
+func (e *EffectWriter) Crash(text string) {
+	e.begin(messageCrash)
+	e.textField(fieldText, text)
+	e.end()
 }
