--- a/internal/framing/conn.go
+++ b/internal/framing/conn.go
@@ -10,48 +10,47 @@
 	"sprucehill/internal/socket"
 )
 
-// Conn is a client connection whose requests are checked for framing errors: a head in doubt is not passed on
-// completely, its reader gets an error instead. It also knows what net/http does not report: when each request came, and
-// whether a request has begun on a connection that net/http takes for idle.
+// Conn is a client connection whose requests are checked for framing errors: reading fails before the last byte of an
+// ambiguous head. It also tracks what net/http does not report: when each request arrived, and whether a request has begun
+// on a connection that net/http considers idle.
 //
-// One goroutine reads it at a time, and only that one calls HeadAt; all other methods may be called from any goroutine.
+// Read and HeadAt must be called from one goroutine at a time; all other methods are safe for concurrent use.
 type Conn struct {
 	net.Conn
 	now         func() time.Duration // the caller's clock
 	headTimeout time.Duration        // see NewConn
-	// headAt is when the first byte of the present request came, or the connection where it is the first request. It
-	// belongs to the reader.
-	headAt time.Duration
-
-	mu       sync.Mutex // guards the fields below
-	scan     requestScanner
-	headBy   time.Time // when the head of the present request has to have come, unless it is the first
-	err      error     // the framing error that the reader has come to
-	shut     bool      // what is read from now on goes no further: it comes behind the last response
-	closed   bool      // closed between two requests, by CloseIfIdle
-	answered int       // requests that have been answered
-	// arrivals are when the last byte came of each complete request that is not answered, the present one first.
+	// headStartedAt is the result of HeadAt. Only the reader's goroutine uses it.
+	headStartedAt time.Duration
+
+	mu            sync.Mutex // guards the fields below
+	scanner       requestScanner
+	headDeadline  time.Time // by when the head of the current request is due, unless it is the first
+	framingErr    error     // the framing error that has ended reading
+	readingEnded  bool      // bytes from now on are dropped: they follow the last request that is served
+	closedIdle    bool      // closed by CloseIfIdle, between two requests
+	answeredCount int       // requests that have been answered
+	// arrivals holds, for each complete request that is not answered, when its last byte arrived, the current request first.
 	arrivals []time.Duration
 	readAhead
 }
 
-// NewConn returns a connection that checks what comes on c. Its first request counts as begun now, a time on the clock that
-// now reads. headTimeout bounds how long the head of a request may take, from its first byte, on a connection that has served
-// one before; the caller bounds that of the first one.
+// NewConn returns a Conn that checks the requests on c. now reads the caller's monotonic clock; the first request counts as
+// begun at the time of the call. headTimeout bounds the time from the first to the last byte of a request's head, except
+// for the first request of the connection, whose head the caller has to bound.
 func NewConn(c net.Conn, now func() time.Duration, headTimeout time.Duration) *Conn {
-	return &Conn{Conn: c, now: now, headTimeout: headTimeout, headAt: now()}
+	return &Conn{Conn: c, now: now, headTimeout: headTimeout, headStartedAt: now()}
 }
 
-// HeadAt returns when the first byte of the present request came, or the connection where it is the first request, on the
-// clock of NewConn. It belongs to the reader's goroutine.
-func (c *Conn) HeadAt() time.Duration { return c.headAt }
+// HeadAt returns when the first byte of the current request arrived, on the clock of NewConn. For the first request it is
+// when the connection was accepted. Only the reader's goroutine may call it.
+func (c *Conn) HeadAt() time.Duration { return c.headStartedAt }
 
-// OnAnswered notes that the present request is answered.
+// OnAnswered records that the current request has been answered.
 func (c *Conn) OnAnswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answered++
-	c.closeUnnoticed = false
+	c.answeredCount++
+	c.disconnectMasked = false
 	if len(c.arrivals) > 0 {
 		c.arrivals = c.arrivals[1:]
 	}
@@ -61,11 +60,11 @@
 func (c *Conn) AnsweredCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.answered
+	return c.answeredCount
 }
 
-// ArrivedAt returns when the last byte of the present request came, on the clock of NewConn, or now if it has not come. A
-// request that was sent behind another may have come long before its turn.
+// ArrivedAt returns when the last byte of the current request arrived, on the clock of NewConn, or the present time if it
+// has not arrived. A pipelined request may have arrived long before the previous one was answered.
 func (c *Conn) ArrivedAt() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,7 +74,7 @@
 	return c.now()
 }
 
-// IsIdle reports whether the connection is between two requests: no byte has been read of one that is not answered.
+// IsIdle reports whether the connection is between two requests: no byte of an unanswered request has been read.
 func (c *Conn) IsIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,17 +82,17 @@
 }
 
 func (c *Conn) isIdleLocked() bool {
-	return c.scan.atRequestStart() && c.scan.requestCount == c.answered
+	return c.scanner.atRequestStart() && c.scanner.requestCount == c.answeredCount
 }
 
-// CloseIfIdle closes the connection if it is between two requests, and reports whether this call has closed it. Its client
-// then sends again any request that crosses the close, so that request must not be forwarded as well: bytes that have been
-// taken from the network but not been scanned when the connection is closed are given to nobody.
+// CloseIfIdle closes the connection if it is between two requests, and reports whether this call closed it. The client
+// retries a request that it sends at the same moment, so that request must not be forwarded too: bytes that have been read
+// from the network but not scanned when the connection is closed are dropped.
 func (c *Conn) CloseIfIdle() bool {
 	c.mu.Lock()
-	closes := !c.closed && c.isIdleLocked()
-	c.closed = c.closed || closes
-	c.shut = c.shut || closes
+	closes := !c.closedIdle && c.isIdleLocked()
+	c.closedIdle = c.closedIdle || closes
+	c.readingEnded = c.readingEnded || closes
 	c.mu.Unlock()
 	if closes {
 		c.Close()
@@ -101,48 +100,49 @@
 	return closes
 }
 
-// IsShut reports whether nothing that comes from now on is read.
+// IsShut reports whether reading has ended by CloseIfIdle or EndAfterResponse: bytes that arrive from now on are dropped.
 func (c *Conn) IsShut() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.shut
+	return c.readingEnded
 }
 
 // IsClosed reports whether CloseIfIdle has closed the connection.
 func (c *Conn) IsClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.closed
+	return c.closedIdle
 }
 
-// EndAfterResponse makes the present response the connection's last, where its head has been written without saying so. It has
-// to be called before the response's last byte is written: a client sends its next request behind that. Nothing that comes
-// behind the present request is read from then on, so that the client sends such a request again elsewhere. It does nothing
-// where a part of the next request has been read already: that request is answered.
+// EndAfterResponse makes the current response the last one of the connection although its head, which has been written,
+// does not announce that. It must be called before the last byte of the response is written, because the client may send
+// its next request after that byte. From then on nothing after the current request is read, so that the client retries such
+// a request on another connection. If a part of the next request has been read already, EndAfterResponse does nothing: that
+// request is answered.
 func (c *Conn) EndAfterResponse() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	nothingBehind := c.scan.atRequestStart() && c.scan.requestCount == c.answered+1
-	c.shut = c.shut || nothingBehind
+	nextNotBegun := c.scanner.atRequestStart() && c.scanner.requestCount == c.answeredCount+1
+	c.readingEnded = c.readingEnded || nextNotBegun
 }
 
-// HasFramingError reports whether reading has ended for a framing error, and not because the client disconnected.
+// HasFramingError reports whether reading has ended because of a framing error, not because the client disconnected.
 func (c *Conn) HasFramingError() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.err != nil
+	return c.framingErr != nil
 }
 
-// Read passes on what the client sends, up to the byte before one that shows a framing error.
+// Read reads what the client sends, up to the byte before one that reveals a framing error.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
-	if err := c.err; err != nil {
+	if err := c.framingErr; err != nil {
 		c.mu.Unlock()
 		return 0, err
 	}
-	// With the present request complete, net/http only reads to notice a disconnect.
-	requestComplete := c.scan.requestCount > c.answered
-	n, found, err := c.take(p)
+	// Once the current request is complete, net/http reads only to detect a disconnect.
+	requestComplete := c.scanner.requestCount > c.answeredCount
+	n, found, err := c.readBuffered(p)
 	readAt := c.bufferedAt
 	c.mu.Unlock()
 	if !found {
@@ -151,68 +151,68 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.shut {
+	if c.readingEnded {
 		return 0, net.ErrClosed
 	}
 	if requestComplete && n > 0 {
-		c.closeUnnoticed = true
+		c.disconnectMasked = true
 	}
-	if c.closeUnnoticed {
+	if c.disconnectMasked {
 		c.startReadAhead()
 	}
-	good, framingErr := c.scanRead(p[:n], readAt)
+	valid, framingErr := c.scanRead(p[:n], readAt)
 	if framingErr == nil {
 		return n, err
 	}
-	c.err = framingErr
-	if good > 0 {
-		return good, nil
+	c.framingErr = framingErr
+	if valid > 0 {
+		return valid, nil
 	}
 	return 0, framingErr
 }
 
-// scanRead scans what was read at a time on the caller's clock, and returns how much of it comes before a framing error. The
-// caller has the lock.
-func (c *Conn) scanRead(p []byte, readAt time.Duration) (good int, framingErr error) {
-	atStart := c.scan.atRequestStart()
-	complete := c.scan.requestCount
-	if len(p) > 0 && atStart && c.scan.headCount > 0 {
-		c.headAt = c.now()
+// scanRead scans the bytes that were read at readAt, and returns how many of them precede a framing error. The caller holds
+// the lock.
+func (c *Conn) scanRead(p []byte, readAt time.Duration) (valid int, framingErr error) {
+	atStart := c.scanner.atRequestStart()
+	complete := c.scanner.requestCount
+	if len(p) > 0 && atStart && c.scanner.headCount > 0 {
+		c.headStartedAt = c.now()
 	}
-	good, framingErr = c.scan.feed(p)
-	for range c.scan.requestCount - complete {
+	valid, framingErr = c.scanner.scan(p)
+	for range c.scanner.requestCount - complete {
 		c.arrivals = append(c.arrivals, readAt)
 	}
-	nextBegan := !c.scan.atRequestStart() && (atStart || c.scan.requestCount > complete)
+	nextBegan := !c.scanner.atRequestStart() && (atStart || c.scanner.requestCount > complete)
 	if nextBegan {
-		c.headBy = time.Now().Add(c.headTimeout)
+		c.headDeadline = time.Now().Add(c.headTimeout)
 		if c.inLaterHead() {
-			c.Conn.SetReadDeadline(c.headBy)
+			c.Conn.SetReadDeadline(c.headDeadline)
 		}
 	}
-	return good, framingErr
+	return valid, framingErr
 }
 
-// SetReadDeadline sets until when a read may wait. net/http lets the first bytes of a later request wait for its fourth
-// byte for as long as a connection may be idle; here its head is due as soon as its first byte has come.
+// SetReadDeadline sets the deadline of reads. For requests after the first, net/http applies its idle timeout up to the
+// fourth byte of the head. Here the deadline of the head applies from its first byte.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.inLaterHead() && (t.IsZero() || t.After(c.headBy)) {
-		t = c.headBy
+	if c.inLaterHead() && (t.IsZero() || t.After(c.headDeadline)) {
+		t = c.headDeadline
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// inLaterHead reports whether a part of a head other than the first has come, and no request waits for its response. The
-// caller has the lock.
+// inLaterHead reports whether a part of a head other than the first has arrived while no request waits for its response.
+// The caller holds the lock.
 func (c *Conn) inLaterHead() bool {
-	complete := c.scan.requestCount
-	return complete > 0 && complete == c.answered && complete == c.scan.headCount && !c.scan.atRequestStart()
+	complete := c.scanner.requestCount
+	return complete > 0 && complete == c.answeredCount && complete == c.scanner.headCount && !c.scanner.atRequestStart()
 }
 
-// ClosedByClient reports, without waiting, whether the client has closed or reset the connection behind what has been read
-// of it. net/http notices that only with its next read, beside the request's way to an upstream.
+// ClosedByClient reports, without blocking, whether the client has closed or reset the connection after the bytes that have
+// been read. net/http detects that only with its next read, which runs concurrently with forwarding the request.
 func (c *Conn) ClosedByClient() bool {
 	inner, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -220,15 +220,16 @@
 	}
 	state, err := socket.Peek(inner)
 	if errors.Is(err, socket.ErrPeekFailed) {
-		return false // the next read will show it
+		return false // the next read reports a disconnect, if there is one
 	}
 	return err != nil || state == socket.Closed
 }
 
-// halfCloser is a connection whose sending side can be closed alone.
+// halfCloser is a connection whose write side can be closed on its own.
 type halfCloser interface{ CloseWrite() error }
 
-// CloseWrite lets net/http close a connection without taking the last response away from a client that is still sending.
+// CloseWrite closes the write side. With it net/http can close a connection on which the client is still sending without a
+// reset, which could make the client lose the last response.
 func (c *Conn) CloseWrite() error {
 	if half, ok := c.Conn.(halfCloser); ok {
 		return half.CloseWrite()
--- a/internal/framing/conn_test.go
+++ b/internal/framing/conn_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// failureTimeout is how long a test waits for what has to come. Only a failure takes that long.
+// failureTimeout bounds the waits of the tests. Only a failing test waits that long.
 const failureTimeout = 30 * time.Second
 
-// A response that is to be its connection's last ends reading: what comes behind it is given to nobody, and the connection
-// closes as soon as it is idle. Where a part of the next request has been read before, that request is answered.
+// EndAfterResponse ends reading: bytes after the current request are dropped, and the connection can be closed as soon as
+// it is idle. If a part of the next request has been read before, that request is answered instead.
 func TestEndAfterResponse(t *testing.T) {
 	const head = "GET /read/x HTTP/1.1\r\nHost: x\r\n\r\n"
-	for _, behind := range []string{"", head[:1], head} {
+	for _, next := range []string{"", head[:1], head} {
 		client, conn := net.Pipe()
 		defer client.Close()
 		c := NewConn(conn, func() time.Duration { return 0 }, failureTimeout)
@@ -26,20 +26,20 @@
 			_, err := io.ReadFull(c, make([]byte, len(text)))
 			return err
 		}
-		if err := read(head + behind); err != nil {
+		if err := read(head + next); err != nil {
 			t.Fatal(err)
 		}
 		c.EndAfterResponse()
 		err := read("more")
-		assertEqual(t, "reading has ended", errors.Is(err, net.ErrClosed), behind == "")
-		assertEqual(t, "closes during the response", c.CloseIfIdle(), false)
+		assertEqual(t, "reading has ended", errors.Is(err, net.ErrClosed), next == "")
+		assertEqual(t, "closed before the response has ended", c.CloseIfIdle(), false)
 		c.OnAnswered()
-		assertEqual(t, "closes after it", c.CloseIfIdle(), behind == "")
-		assertEqual(t, "closes twice", c.CloseIfIdle(), false)
+		assertEqual(t, "closed after the response", c.CloseIfIdle(), next == "")
+		assertEqual(t, "closed a second time", c.CloseIfIdle(), false)
 	}
 }
 
-// pipeConn is a connection whose descriptor is no socket: a look at it fails for a reason that says nothing of the peer.
+// pipeConn is a connection whose descriptor is not a socket, so that a peek fails with an error that is no disconnect.
 type pipeConn struct {
 	net.Conn
 	file *os.File
@@ -47,7 +47,8 @@
 
 func (c pipeConn) SyscallConn() (syscall.RawConn, error) { return c.file.SyscallConn() }
 
-// A look that fails, for lack of memory as well, is not taken for a client that has left: its request would be dropped.
+// A failed peek, for example for lack of memory, does not count as a disconnect, which would drop the client's request. A
+// connection that has been closed on this side counts as one.
 func TestFailedPeekIsNoDisconnect(t *testing.T) {
 	read, write, err := os.Pipe()
 	if err != nil {
@@ -56,9 +57,9 @@
 	defer read.Close()
 	defer write.Close()
 	c := &Conn{Conn: pipeConn{file: read}}
-	assertEqual(t, "left", c.ClosedByClient(), false)
+	assertEqual(t, "disconnected after a failed peek", c.ClosedByClient(), false)
 	read.Close()
-	assertEqual(t, "left, where this side has closed", c.ClosedByClient(), true)
+	assertEqual(t, "disconnected after a close on this side", c.ClosedByClient(), true)
 }
 
 // assertEqual fails the test if got is not want.
--- a/internal/framing/doc.go
+++ b/internal/framing/doc.go
@@ -1,13 +1,15 @@
-// Package framing checks the HTTP/1.1 framing of clients' requests, as it stands on the wire, in front of net/http.
+// Package framing checks the HTTP/1.1 framing of client requests on the wire, before net/http parses them.
 //
-// net/http drops the Content-Length of a request that also has a Transfer-Encoding, and does not show that both were there.
-// Where the end of a request is in doubt, one reader's body is another reader's next request (request smuggling). So a Conn
-// scans each byte before net/http reads it, and gives a head in doubt to nobody completely: the reader gets an error.
+// net/http drops the Content-Length of a request that also has a Transfer-Encoding, and does not report that both were
+// present. When the end of a request is ambiguous, two parsers may disagree on which bytes are its body and which the next
+// request (request smuggling). So a Conn scans every byte before net/http reads it, and fails the read before the last
+// byte of an ambiguous head: net/http never gets a complete one.
 //
-// A Conn also knows what net/http does not report: when each request came, whether a request has begun on a connection that
-// net/http takes for idle, and, by reading ahead, that a client disconnects behind bytes that nobody reads.
+// A Conn also tracks what net/http does not report: when each request arrived, whether a request has begun on a connection
+// that net/http considers idle, and, by reading ahead, that a client has disconnected after sending bytes that net/http
+// does not read.
 //
-// A Listener accepts such connections, and can be closed without resetting those that wait in its queue.
+// A Listener accepts such connections, and can be closed without resetting those in its accept queue.
 //
-// The package decides nothing about requests. It passes on the bytes of proper ones unchanged.
+// The package makes no decisions about requests, and passes on the bytes of well-formed ones unchanged.
 package framing
--- a/internal/framing/readahead.go
+++ b/internal/framing/readahead.go
@@ -1,44 +1,46 @@
 package framing
 
 import (
-	"errors"
+	"fmt"
 	"sync"
 	"time"
 )
 
-// net/http notices that a client disconnects by reading one byte behind the request, and stops looking once it has got
-// one. A client that sends more behind its request and then disconnects would be waited for, and its request forwarded.
-// Instead, a Conn reads ahead while the request waits for its response.
+// net/http detects that a client disconnects by reading one byte after the request, and stops once it has got that byte. So
+// if a client sends more after its request and then disconnects, net/http does not detect that, and the request would still
+// be forwarded. To detect it, a Conn reads ahead while the request waits for its response.
 
 const (
-	// ReadAheadBuffer is how many bytes are buffered of what comes behind a request that is not answered. Clients send one
-	// request at a time, so more is malformed: it is discarded, and the connection ends after what has been buffered.
+	// ReadAheadBuffer is how many bytes after an unanswered request are buffered. Clients send one request at a time, so a
+	// client that sends more is faulty: the rest is discarded, and reading fails after the buffered bytes.
 	ReadAheadBuffer = 4 << 10
-	// maxReadAhead is how many bytes are read behind one request at most.
+	// maxReadAhead bounds the bytes that are read after one request.
 	maxReadAhead = 16 << 20
-	// readBufferSize is how many bytes one read ahead takes at most.
+	// readBufferSize bounds the bytes of one read.
 	readBufferSize = 16 << 10
 )
 
-// readBuffers are *[readBufferSize]byte for reading ahead.
+// readBuffers pools the buffers for reading ahead, of type *[readBufferSize]byte.
 var readBuffers = sync.Pool{New: func() any { return new([readBufferSize]byte) }}
 
-// errReadAhead ends a connection whose client has sent too much behind a request.
-var errReadAhead = errors.New("too much behind a request that is not answered")
+// errReadAheadOverflow ends a connection whose client has sent more than ReadAheadBuffer after an unanswered request.
+var errReadAheadOverflow = fmt.Errorf("client sent more than %d bytes after an unanswered request", ReadAheadBuffer)
 
-// readAhead is what has been read of a client connection behind its present request. The connection's lock guards it.
+// readAhead is the state of reading ahead, after the current request of a client connection. The connection's lock guards
+// it.
 type readAhead struct {
-	closeUnnoticed bool          // net/http no longer notices that the client disconnects
-	disconnected   chan struct{} // closed when the client is seen to disconnect; nil: nobody waits for that
-	done           chan struct{} // closed once reading ahead has ended; nil: it is not running
-	buffered       []byte
-	bufferedAt     time.Duration // when the last buffered byte came, on the caller's clock
-	overflowed     bool          // more came than is buffered
-	readErr        error         // what ended reading ahead
+	disconnectMasked bool          // net/http can't detect a disconnect any more: it has got its byte
+	disconnected     chan struct{} // closed on a disconnect; nil: nobody watches for one
+	readAheadDone    chan struct{} // closed once reading ahead has ended; nil: it is not running
+	buffered         []byte
+	bufferedAt       time.Duration // when the last buffered byte arrived, on the caller's clock
+	bufferOverflowed bool          // more bytes arrived than are buffered
+	readAheadErr     error         // the read error that ended reading ahead
 }
 
-// take returns what was read ahead, or the error that ended it; found is false where there is neither.
-func (a *readAhead) take(p []byte) (n int, found bool, err error) {
+// readBuffered reads bytes that were read ahead or, after the last of them, returns the error that ended reading ahead. If
+// there is neither, found is false.
+func (a *readAhead) readBuffered(p []byte) (n int, found bool, err error) {
 	switch {
 	case len(a.buffered) > 0:
 		n = copy(p, a.buffered)
@@ -47,32 +49,32 @@
 			a.buffered = nil
 		}
 		return n, true, nil
-	case a.overflowed:
-		return 0, true, errReadAhead
-	case a.readErr != nil:
-		return 0, true, a.readErr
+	case a.bufferOverflowed:
+		return 0, true, errReadAheadOverflow
+	case a.readAheadErr != nil:
+		return 0, true, a.readAheadErr
 	}
 	return 0, false, nil
 }
 
-// WatchDisconnect returns a channel that is closed as soon as the client is seen to disconnect behind bytes that nobody
-// reads. A disconnect that net/http notices by itself is not reported. StopWatchingDisconnect ends it.
+// WatchDisconnect returns a channel that is closed when the client disconnects after bytes that net/http does not read. A
+// disconnect that net/http detects by itself is not reported. The caller has to call StopWatchingDisconnect.
 func (c *Conn) WatchDisconnect() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.disconnected = make(chan struct{})
-	if c.closeUnnoticed {
+	if c.disconnectMasked {
 		c.startReadAhead()
 	}
 	return c.disconnected
 }
 
-// StopWatchingDisconnect returns once reading ahead has ended.
+// StopWatchingDisconnect stops reading ahead, and returns once the goroutine that reads has ended.
 func (c *Conn) StopWatchingDisconnect() {
 	c.mu.Lock()
-	done := c.done
+	done := c.readAheadDone
 	c.disconnected = nil
-	c.done = nil
+	c.readAheadDone = nil
 	c.mu.Unlock()
 	if done != nil {
 		c.Conn.SetReadDeadline(expiredDeadline)
@@ -81,13 +83,14 @@
 	}
 }
 
-// startReadAhead begins to read ahead where somebody waits for the client's disconnect. The caller has the lock.
+// startReadAhead starts reading ahead if a disconnect is watched for and reading ahead is not running. The caller holds the
+// lock.
 func (c *Conn) startReadAhead() {
-	if c.disconnected == nil || c.done != nil {
+	if c.disconnected == nil || c.readAheadDone != nil {
 		return
 	}
-	c.done = make(chan struct{})
-	go c.runReadAhead(c.done)
+	c.readAheadDone = make(chan struct{})
+	go c.runReadAhead(c.readAheadDone)
 }
 
 // runReadAhead reads until the client disconnects, StopWatchingDisconnect ends it, or maxReadAhead is reached.
@@ -100,8 +103,8 @@
 		remaining -= n
 		c.mu.Lock()
 		c.bufferReadAhead(buf[:n])
-		if err != nil && c.disconnected != nil { // otherwise StopWatchingDisconnect has ended the read
-			c.readErr = err
+		if err != nil && c.disconnected != nil { // otherwise StopWatchingDisconnect ended the read
+			c.readAheadErr = err
 			close(c.disconnected)
 		}
 		c.mu.Unlock()
@@ -111,10 +114,10 @@
 	}
 }
 
-// bufferReadAhead buffers what has been read ahead. The caller has the lock.
+// bufferReadAhead buffers bytes that were read ahead, unless the buffer would overflow. The caller holds the lock.
 func (c *Conn) bufferReadAhead(p []byte) {
-	c.overflowed = c.overflowed || len(c.buffered)+len(p) > ReadAheadBuffer
-	if len(p) == 0 || c.overflowed {
+	c.bufferOverflowed = c.bufferOverflowed || len(c.buffered)+len(p) > ReadAheadBuffer
+	if len(p) == 0 || c.bufferOverflowed {
 		return
 	}
 	c.buffered = append(c.buffered, p...)
--- a/internal/framing/scanner.go
+++ b/internal/framing/scanner.go
@@ -8,19 +8,19 @@
 	"strings"
 )
 
-// Framing errors: the end of the request that shows one is in doubt.
+// Framing errors. Each makes the end of the request ambiguous.
 var (
-	errBothLengths = errors.New("a Content-Length beside a Transfer-Encoding")
-	errBadLength   = errors.New("a Content-Length that is no number, or several that differ")
-	errBadEncoding = errors.New("a Transfer-Encoding other than chunked")
-	errFoldedLine  = errors.New("a folded header line")
-	errBadChunk    = errors.New("a malformed chunk")
+	errLengthAndEncoding = errors.New("request has both Content-Length and Transfer-Encoding")
+	errBadLength         = errors.New("request has an invalid Content-Length, or several that differ")
+	errBadEncoding       = errors.New("request has a Transfer-Encoding other than chunked")
+	errFoldedLine        = errors.New("request has a folded header line")
+	errBadChunk          = errors.New("request body has a malformed chunk")
 )
 
-// maxScannedLine is how many bytes of a line the scanner buffers: more than any line has that gives a valid length.
+// maxScannedLine is how many bytes of a line the scanner buffers. A line with a valid length is shorter.
 const maxScannedLine = 256
 
-// scanState is the part of a request that a scanner reads next.
+// scanState is the part of a request that the scanner expects next.
 type scanState uint8
 
 const (
@@ -32,28 +32,28 @@
 	scanTrailer
 )
 
-// requestScanner finds where the requests of a connection end, however they are split into reads. Its zero value is ready
-// for the first byte of a connection.
+// requestScanner finds the ends of the requests on a connection, independently of how they are split into reads. Its zero
+// value is ready for the first byte of a connection.
 type requestScanner struct {
-	state         scanState
-	line          []byte   // the present line so far, up to maxScannedLine bytes
-	lineTruncated bool     // the line is longer than maxScannedLine
-	headLines     int      // complete lines of the present head
-	lengths       []string // Content-Length fields of the present head
-	encodings     []string // Transfer-Encoding fields of the present head
-	remaining     int64    // bytes still to come of the present body or chunk
-	headCount     int      // complete heads so far
-	requestCount  int      // complete requests so far
+	state             scanState
+	line              []byte   // the current line so far, up to maxScannedLine bytes
+	lineTruncated     bool     // the line is longer than maxScannedLine
+	headLines         int      // complete lines of the current head
+	contentLengths    []string // Content-Length fields of the current head
+	transferEncodings []string // Transfer-Encoding fields of the current head
+	bodyRemaining     int64    // bytes still to come of the current body or chunk
+	headCount         int      // complete heads so far
+	requestCount      int      // complete requests so far
 }
 
-// atRequestStart reports whether nothing of the next head has come yet.
+// atRequestStart reports whether the scanner is between two requests: no byte of the next head has been scanned.
 func (s *requestScanner) atRequestStart() bool {
 	return s.state == scanHead && s.headLines == 0 && len(s.line) == 0
 }
 
-// feed scans the next bytes of the connection. Beside a framing error, good is how many bytes of p came before the byte
-// that shows it.
-func (s *requestScanner) feed(p []byte) (good int, err error) {
+// scan scans the next bytes of the connection. On a framing error, valid is how many bytes of p precede the byte that
+// reveals it.
+func (s *requestScanner) scan(p []byte) (valid int, err error) {
 	for i := 0; i < len(p); {
 		if s.state == scanBody || s.state == scanChunk {
 			i += s.skipData(len(p) - i)
@@ -75,12 +75,13 @@
 	return len(p), nil
 }
 
-// skipData passes over as much of a body or chunk as there is in available bytes, and returns how much that is.
+// skipData skips the rest of the current body or chunk, or as much of it as is available, and returns the number of bytes
+// skipped.
 func (s *requestScanner) skipData(available int) int {
-	n := min(int64(available), s.remaining)
-	s.remaining -= n
+	n := min(int64(available), s.bodyRemaining)
+	s.bodyRemaining -= n
 	switch {
-	case s.remaining > 0:
+	case s.bodyRemaining > 0:
 	case s.state == scanBody:
 		s.endRequest()
 	default:
@@ -97,16 +98,16 @@
 	}
 }
 
-// endRequest notes a complete request, and begins another head.
+// endRequest counts a complete request, and prepares for the head of the next one.
 func (s *requestScanner) endRequest() {
 	s.requestCount++
 	s.state = scanHead
 	s.headLines = 0
-	s.lengths = nil
-	s.encodings = nil
+	s.contentLengths = nil
+	s.transferEncodings = nil
 }
 
-// endLine takes a complete line.
+// endLine handles a complete line, without its line end.
 func (s *requestScanner) endLine(line []byte) error {
 	switch s.state {
 	case scanHead:
@@ -126,8 +127,8 @@
 	return nil
 }
 
-// endHeadLine takes a complete line of a head: the request line, a field, or the empty line at its end. Empty lines before
-// the request line count as request lines; net/http rejects them.
+// endHeadLine handles a complete line of a head: the request line, a header field, or the empty line at its end. An empty
+// line before the request line counts as the request line; net/http rejects it.
 func (s *requestScanner) endHeadLine(line []byte) error {
 	if len(line) == 0 && s.headLines > 0 {
 		s.headCount++
@@ -137,17 +138,17 @@
 	if s.headLines == 1 {
 		return nil
 	}
-	return s.headerField(line)
+	return s.scanHeaderField(line)
 }
 
-// startChunk takes the line before a chunk: its size, and extensions.
+// startChunk handles the line before a chunk, which holds its size and extensions.
 func (s *requestScanner) startChunk(line []byte) error {
 	size, _, hasExtension := bytes.Cut(line, []byte(";"))
 	n, err := strconv.ParseUint(string(bytes.TrimRight(size, " \t")), 16, 63)
 	if err != nil || (s.lineTruncated && !hasExtension) {
 		return errBadChunk
 	}
-	s.remaining = int64(n)
+	s.bodyRemaining = int64(n)
 	s.state = scanChunk
 	if n == 0 {
 		s.state = scanTrailer
@@ -155,8 +156,9 @@
 	return nil
 }
 
-// headerField takes a line of a head behind the request line.
-func (s *requestScanner) headerField(line []byte) error {
+// scanHeaderField handles a line of a head after the request line. It collects the fields that determine the length of the
+// body.
+func (s *requestScanner) scanHeaderField(line []byte) error {
 	if line[0] == ' ' || line[0] == '\t' {
 		return errFoldedLine
 	}
@@ -166,10 +168,10 @@
 	var malformed error
 	switch strings.ToLower(trimmedName) {
 	case "transfer-encoding":
-		values = &s.encodings
+		values = &s.transferEncodings
 		malformed = errBadEncoding
 	case "content-length":
-		values = &s.lengths
+		values = &s.contentLengths
 		malformed = errBadLength
 	default:
 		return nil
@@ -181,35 +183,35 @@
 	return nil
 }
 
-// startBody finds out, at the end of a head, what follows it.
+// startBody determines at the end of a head what follows: a chunked body, one of a fixed length, or the next request.
 func (s *requestScanner) startBody() error {
 	switch {
-	case len(s.encodings) > 0 && len(s.lengths) > 0:
-		return errBothLengths
-	case len(s.encodings) > 0:
-		if len(s.encodings) > 1 || !strings.EqualFold(s.encodings[0], "chunked") {
+	case len(s.transferEncodings) > 0 && len(s.contentLengths) > 0:
+		return errLengthAndEncoding
+	case len(s.transferEncodings) > 0:
+		if len(s.transferEncodings) > 1 || !strings.EqualFold(s.transferEncodings[0], "chunked") {
 			return errBadEncoding
 		}
 		s.state = scanChunkSize
 		return nil
-	case len(s.lengths) > 0:
-		return s.startSizedBody()
+	case len(s.contentLengths) > 0:
+		return s.startFixedLengthBody()
 	}
 	s.endRequest()
 	return nil
 }
 
-// startSizedBody checks the Content-Length, which may be repeated but must not differ.
-func (s *requestScanner) startSizedBody() error {
-	for _, length := range s.lengths {
+// startFixedLengthBody checks the Content-Length fields, which may be repeated with the same value.
+func (s *requestScanner) startFixedLengthBody() error {
+	for _, length := range s.contentLengths {
 		n, err := strconv.ParseUint(length, 10, 64)
-		if err != nil || n > math.MaxInt64 || length != s.lengths[0] {
+		if err != nil || n > math.MaxInt64 || length != s.contentLengths[0] {
 			return errBadLength
 		}
-		s.remaining = int64(n)
+		s.bodyRemaining = int64(n)
 	}
 	s.state = scanBody
-	if s.remaining == 0 {
+	if s.bodyRemaining == 0 {
 		s.endRequest()
 	}
 	return nil
