--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -13,48 +13,50 @@
 )
 
 const (
-	// WatchTimeout is how long discovery may leave a watch call open until there is a newer list.
+	// WatchTimeout is how long the service may hold a watch call open until there is a newer list.
 	WatchTimeout = 2 * time.Second
-	// AnswerTimeout is how much later than WatchTimeout the answer may come, and how long that of a fetch may take. A change
-	// of the list counts as notified 2 s after WatchTimeout. An agent that does not respond must be noticed before that.
+	// AnswerTimeout bounds the wait for a response to a fetch and, from the end of WatchTimeout, to a watch call. The service
+	// counts a change of the list as delivered 2 s after WatchTimeout, so an agent that does not respond has to be detected
+	// earlier.
 	AnswerTimeout = 1 * time.Second
-	// WatchInterval is the least time from one watch call to the next, for an agent that answers at once. Discovery takes a
-	// call 200 ms after the last answer for a new watch.
+	// WatchInterval is the minimum time from the start of one watch call to the next, for an agent that responds at once. The
+	// service counts a call that comes 200 ms after the last response as a new watch.
 	WatchInterval = 100 * time.Millisecond
-	// maxListBytes bounds an answer.
+	// maxListBytes bounds the body of a response.
 	maxListBytes = 4 << 20
 )
 
-// Update is an answer of discovery, or the failure of a call. Whoever takes one from a Watcher has to call MarkApplied.
+// Update is the response to a call, or its failure. Whoever receives one from a Watcher has to call MarkApplied.
 type Update struct {
-	List List  // the answer; empty where the call failed
-	Err  error // why the call failed; nil: it was answered
+	List List  // the response; empty if the call failed
+	Err  error // why the call failed; nil if it did not
 
-	from *client
-	// began and ended place the call and its answer in the order of all calls and answers of this client.
-	began, ended uint64
-	applied      chan struct{} // closed by MarkApplied
+	source *client
+	// startSequence and endSequence order the call and its response among all calls and responses of the client.
+	startSequence, endSequence uint64
+	applied                    chan struct{} // closed by MarkApplied
 }
 
-// MarkApplied lets the call's goroutine go on. It must be called exactly once, when the update has been applied or ignored.
+// MarkApplied unblocks the goroutine of the call. It must be called exactly once, when the update has been applied or
+// ignored.
 func (u Update) MarkApplied() { close(u.applied) }
 
-// client calls one discovery service for the list of endpoints and delivers the answers to the owner. Each call of watch
-// or fetch runs on a goroutine of its own. After a failure it does not call again by itself: when to do so is for the owner
-// to say.
+// client calls one discovery service for the endpoint list and delivers the responses to the owner. Each call of watch or
+// fetch runs on its own goroutine. A failed call is not retried: that is up to the owner.
 type client struct {
 	url  string
 	http *http.Client
-	// revision is that of the owner's list. The owner sets it: what it has not applied is requested again.
-	revision atomic.Uint64
-	sequence atomic.Uint64 // counts calls and answers
-	// deliver returns once the owner has applied the update.
+	// revision is that of the list that the owner has applied. The owner sets it, so that a list which it has not applied is
+	// requested again.
+	revision     atomic.Uint64
+	lastSequence atomic.Uint64 // counts calls and responses
+	// deliver passes an update to the owner, and returns once the owner has applied it.
 	deliver func(Update)
-	// firstDelay is how long, a time.Duration, the next watch waits before its first call. That watch sets it to 0.
+	// firstDelay is the time.Duration that the next watch waits before its first call. That watch resets it to 0.
 	firstDelay atomic.Int64
 }
 
-// newClient returns a client of the service at an address, for an owner whose list is of a revision.
+// newClient returns a client of the service at an address (host:port), for an owner that has applied the given revision.
 func newClient(address string, revision uint64, deliver func(Update)) *client {
 	c := &client{
 		url:     "http://" + address + "/v1/servers",
@@ -65,10 +67,10 @@
 	return c
 }
 
-// delayFirstCall has the next watch wait before its first call.
+// delayFirstCall delays the first call of the next watch.
 func (c *client) delayFirstCall(delay time.Duration) { c.firstDelay.Store(int64(delay)) }
 
-// watch follows the list until a call fails or ctx ends.
+// watch calls for newer lists until a call fails or ctx ends.
 func (c *client) watch(ctx context.Context) {
 	select {
 	case <-time.After(time.Duration(c.firstDelay.Swap(0))):
@@ -85,17 +87,17 @@
 			c.deliver(update)
 			return
 		}
-		c.deliver(update) // also where the watch was stopped just then: the list has been notified
+		c.deliver(update) // even if ctx has just ended: the service counts the list as delivered
 		<-nextCall
 	}
 }
 
-// watchURL is that of a call which waits for a list newer than the owner's.
+// watchURL returns the URL of a call that waits for a list newer than the owner's.
 func (c *client) watchURL() string {
 	return fmt.Sprintf("%s?since=%d&timeout_ms=%d", c.url, c.revision.Load(), WatchTimeout.Milliseconds())
 }
 
-// fetch requests the complete list once.
+// fetch requests the complete list once, and delivers it or the failure.
 func (c *client) fetch(ctx context.Context) {
 	update := c.call(ctx, c.url, AnswerTimeout)
 	if update.Err == nil || ctx.Err() == nil {
@@ -103,18 +105,18 @@
 	}
 }
 
-// call makes one call and returns its answer or failure.
+// call makes one call and returns its response or failure.
 func (c *client) call(ctx context.Context, url string, timeout time.Duration) Update {
-	update := Update{from: c, began: c.sequence.Add(1)}
+	update := Update{source: c, startSequence: c.lastSequence.Add(1)}
 	update.List, update.Err = c.get(ctx, url, timeout)
 	if update.Err != nil {
 		update.Err = fmt.Errorf("discovery: %w", update.Err)
 	}
-	update.ended = c.sequence.Add(1)
+	update.endSequence = c.lastSequence.Add(1)
 	return update
 }
 
-// get reads the list at a URL, its entries sorted by their IDs.
+// get requests the list at a URL and returns it with its entries valid and sorted by ID.
 func (c *client) get(ctx context.Context, url string, timeout time.Duration) (List, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -129,7 +131,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return list, fmt.Errorf("%s answered %s", req.URL.Host, resp.Status)
+		return list, fmt.Errorf("%s responded %s", req.URL.Host, resp.Status)
 	}
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,11 +1,12 @@
-// Package discovery follows the service that lists the upstreams, by its agent on the balancer's machine.
+// Package discovery is the client of the service that lists the upstreams. It calls the service's agent on the balancer's
+// machine.
 //
-// A Watcher makes the calls and queues each answer as an Update for its owner, the event loop of package proxy. The owner
-// decides when to watch and when to fetch: a failed call is not retried by the Watcher. The owner checks with IsStale whether
-// an answer is out of date, applies the list, and has the next call continue from it.
+// A Watcher makes the calls and queues each response as an Update for its owner, the event loop of package proxy. The owner
+// decides when to watch and when to fetch; the Watcher does not retry a failed call. The owner checks with IsStale whether
+// a response is out of date, applies its list, and has the next call wait for a newer one.
 //
-// Each watch and each fetch runs on a goroutine of its own. Such a goroutine ends with its call, when the watch is stopped,
-// or when the Watcher's context ends. Everything else belongs to the owner's goroutine.
+// Each watch and each fetch runs on its own goroutine, which ends after a failed call or a fetch, when the watch is
+// stopped, or when the Watcher's context ends. Everything else runs on the owner's goroutine.
 //
-// The package does not know what a list changes: the endpoint table and the decision module are the owner's.
+// Applying a list is up to the owner, which has the endpoint table and the decision module.
 package discovery
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -5,47 +5,49 @@
 	"time"
 )
 
-// updateQueueLength is how many answers may wait for the owner.
+// updateQueueLength bounds the updates that are queued for the owner.
 const updateQueueLength = 4
 
-// Watcher follows the discovery service, also to another address, and knows which answers are out of date. Its methods
-// belong to one goroutine, its owner's. The goroutines of calls hand their answers over through Updates.
+// Watcher calls the discovery service, whose address may change, and determines which responses are out of date. Its
+// methods must be called from one goroutine, the owner's. The goroutines of calls deliver their responses through Updates.
 type Watcher struct {
 	ctx     context.Context // ends all calls
 	client  *client
 	updates chan Update
-	// stop ends the present watch. Without one it does nothing.
-	stop context.CancelFunc
-	// stopPrevious ends the watch of the service before the last move, which goes on until the present one has answered.
-	// Without one it does nothing.
-	stopPrevious context.CancelFunc
-
-	revision uint64 // of the owner's list; 0: it has none of the present service
-	// lastAccepted is when the latest accepted answer of the present service came, in its client's order of calls and
-	// answers; 0: none has been.
-	lastAccepted uint64
-	lastWasStale bool // the last answer was of an older list than the owner's
+	// cancelWatch ends the current watch. Without one it does nothing.
+	cancelWatch context.CancelFunc
+	// cancelPreviousWatch ends the watch of the service before the last MoveTo, which runs until a response of the current
+	// service has been accepted. Without one it does nothing.
+	cancelPreviousWatch context.CancelFunc
+
+	// revision is that of the owner's list; 0: it has none of the current service.
+	revision uint64
+	// lastAcceptedSequence is the endSequence of the latest accepted response of the current service; 0: there is none.
+	lastAcceptedSequence uint64
+	// lastWasStale is set if the last response was ignored although its call started after the accepted response arrived.
+	lastWasStale bool
 }
 
-// NewWatcher returns a watcher of the service at an address (host:port), for an owner that has its list of a revision, 0
-// for none. It makes no call before StartWatch or Fetch. All calls end with ctx.
+// NewWatcher returns a Watcher of the service at an address (host:port), for an owner whose list of that service has the
+// given revision; 0 stands for none. It makes no call before StartWatch or Fetch. All calls end with ctx.
 func NewWatcher(ctx context.Context, address string, revision uint64) *Watcher {
 	w := &Watcher{
-		ctx:          ctx,
-		updates:      make(chan Update, updateQueueLength),
-		revision:     revision,
-		stop:         func() {},
-		stopPrevious: func() {},
+		ctx:                 ctx,
+		updates:             make(chan Update, updateQueueLength),
+		revision:            revision,
+		cancelWatch:         func() {},
+		cancelPreviousWatch: func() {},
 	}
 	w.client = newClient(address, revision, w.deliver)
 	return w
 }
 
-// Updates returns the queue of answers, in the order in which they came. The owner takes them from it, and calls
-// MarkApplied for each. Any goroutine may call it.
+// Updates returns the queue of updates, in the order in which they arrived. The owner receives from it, and calls
+// MarkApplied for each update. Updates is safe for concurrent use.
 func (w *Watcher) Updates() <-chan Update { return w.updates }
 
-// deliver queues an update for the owner and returns once that has applied it, or has ended. Clients' goroutines call it.
+// deliver queues an update for the owner, and returns once the owner has applied it or the Watcher's context has ended. The
+// goroutines of calls use it.
 func (w *Watcher) deliver(update Update) {
 	update.applied = make(chan struct{})
 	select {
@@ -59,78 +61,78 @@
 	}
 }
 
-// DelayFirstCall has the next watch wait before its first call.
+// DelayFirstCall delays the first call of the next watch.
 func (w *Watcher) DelayFirstCall(delay time.Duration) { w.client.delayFirstCall(delay) }
 
 // FirstCallDelay returns how long the next watch waits before its first call.
 func (w *Watcher) FirstCallDelay() time.Duration { return time.Duration(w.client.firstDelay.Load()) }
 
-// StartWatch begins to follow the service, until a call fails. A watch that runs must have been stopped.
+// StartWatch starts a watch, which runs until a call fails. A running watch must have been stopped before.
 func (w *Watcher) StartWatch() {
 	ctx, cancel := context.WithCancel(w.ctx)
-	w.stop = cancel
+	w.cancelWatch = cancel
 	go w.client.watch(ctx)
 }
 
-// StopWatch stops following the service, if it is followed.
+// StopWatch stops the watch, if one is running.
 func (w *Watcher) StopWatch() {
-	w.stop()
-	w.stop = func() {}
+	w.cancelWatch()
+	w.cancelWatch = func() {}
 }
 
-// Fetch requests the complete list once.
+// Fetch requests the complete list once, on a goroutine of its own.
 func (w *Watcher) Fetch() { go w.client.fetch(w.ctx) }
 
-// MoveTo follows the service at another address (host:port). What the one before has not answered yet, this one answers
-// from the beginning; its revisions are its own.
+// MoveTo starts a watch of the service at another address (host:port), from no revision: revisions of different services
+// are unrelated. The watch of the previous service runs until a response of the new one has been accepted.
 func (w *Watcher) MoveTo(address string) {
 	previous := w.client
 	w.revision = 0
-	w.lastAccepted = 0
+	w.lastAcceptedSequence = 0
 	w.lastWasStale = false
-	w.stopPrevious()
-	w.stopPrevious = w.stop
-	w.stop = func() {}
+	w.cancelPreviousWatch()
+	w.cancelPreviousWatch = w.cancelWatch
+	w.cancelWatch = func() {}
 	w.client = newClient(address, 0, w.deliver)
 	w.StartWatch()
 	previous.http.CloseIdleConnections()
 }
 
-// IsFromPrevious reports whether an update is of the service before the last move. Its revision has nothing to do with
-// those of the present service.
-func (w *Watcher) IsFromPrevious(update Update) bool { return update.from != w.client }
+// IsFromPrevious reports whether an update is from a service before the last MoveTo. Its revision is unrelated to those of
+// the current service.
+func (w *Watcher) IsFromPrevious(update Update) bool { return update.source != w.client }
 
-// HasAccepted reports whether an answer of the present service has been accepted.
-func (w *Watcher) HasAccepted() bool { return w.lastAccepted != 0 }
+// HasAccepted reports whether a response of the current service has been accepted.
+func (w *Watcher) HasAccepted() bool { return w.lastAcceptedSequence != 0 }
 
-// IsStale reports whether an answer of the present service must not undo the owner's list: a newer one has overtaken it,
-// or it is out of date. An agent that has restarted its revisions gives an older one again, in a call that began after
-// the answer that was accepted; then it is not stale.
+// IsStale reports whether a response of the current service must not replace the owner's list, because its revision is
+// older. An agent that has restarted counts its revisions anew: then a second response in a row with an older revision, to a
+// call that started after the accepted response arrived, is not stale.
 func (w *Watcher) IsStale(update Update) bool {
 	if update.List.Revision >= w.revision {
 		return false
 	}
-	return update.began < w.lastAccepted || !w.lastWasStale
+	return update.startSequence < w.lastAcceptedSequence || !w.lastWasStale
 }
 
-// Ignore notes an answer that is stale.
+// Ignore records that a stale response is not applied.
 func (w *Watcher) Ignore(update Update) {
-	w.lastWasStale = update.began >= w.lastAccepted
+	w.lastWasStale = update.startSequence >= w.lastAcceptedSequence
 }
 
-// Accept notes an answer that is about to be applied. The service before the last move is not needed any more.
+// Accept records that a response of the current service is about to be applied. It ends the watch of the previous service.
 func (w *Watcher) Accept(update Update) {
-	w.lastAccepted = max(w.lastAccepted, update.ended)
+	w.lastAcceptedSequence = max(w.lastAcceptedSequence, update.endSequence)
 	w.lastWasStale = false
-	w.stopPrevious()
-	w.stopPrevious = func() {}
+	w.cancelPreviousWatch()
+	w.cancelPreviousWatch = func() {}
 }
 
-// Revision returns the revision of the owner's list; 0: it has none of the present service.
+// Revision returns the revision of the owner's list, or 0 if it has none of the current service.
 func (w *Watcher) Revision() uint64 { return w.revision }
 
-// SetRevision notes the revision of the owner's list. Calls continue from it after ContinueFromRevision.
+// SetRevision sets the revision of the owner's list. It has no effect on calls before ContinueFromRevision.
 func (w *Watcher) SetRevision(revision uint64) { w.revision = revision }
 
-// ContinueFromRevision has the calls of a watch from now on wait for a list newer than the owner's.
+// ContinueFromRevision makes the watch calls from now on wait for a list newer than the owner's.
 func (w *Watcher) ContinueFromRevision() { w.client.revision.Store(w.revision) }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -4,29 +4,29 @@
 	"testing"
 )
 
-// An answer with an older revision than the list held is stale, until the service has given one twice: then it has
-// restarted its revisions.
+// A response with a revision older than the owner's list is stale. Two in a row mean that the service has restarted its
+// revisions: the second one is applied. Responses that were overtaken by the accepted one do not count.
 func TestStaleEndpointUpdates(t *testing.T) {
 	const held, older = 12, 3
 	w := NewWatcher(t.Context(), "127.0.0.1:1", held)
 	w.revision = held
 	update := func(revision, began, ended uint64) Update {
-		return Update{List: List{Revision: revision}, from: w.client, began: began, ended: ended}
+		return Update{List: List{Revision: revision}, source: w.client, startSequence: began, endSequence: ended}
 	}
 	w.Accept(update(held, 2, 5))
 	assertEqual(t, "the same revision", w.IsStale(update(held, 6, 7)), false)
 	assertEqual(t, "a newer revision", w.IsStale(update(held+1, 6, 7)), false)
 
-	overtaken := update(older, 1, 6) // its call began before the accepted answer came
-	assertEqual(t, "an overtaken answer", w.IsStale(overtaken), true)
+	overtaken := update(older, 1, 6) // its call started before the accepted response arrived
+	assertEqual(t, "an overtaken response", w.IsStale(overtaken), true)
 	w.Ignore(overtaken)
-	assertEqual(t, "another overtaken answer", w.IsStale(update(older, 3, 7)), true)
+	assertEqual(t, "another overtaken response", w.IsStale(update(older, 3, 7)), true)
 
 	first := update(older, 8, 9)
-	assertEqual(t, "the first answer with an older revision", w.IsStale(first), true)
+	assertEqual(t, "the first response with an older revision", w.IsStale(first), true)
 	w.Ignore(first)
 	second := update(older, 10, 11)
-	assertEqual(t, "the second answer with an older revision", w.IsStale(second), false)
+	assertEqual(t, "the second response with an older revision", w.IsStale(second), false)
 	w.Accept(second)
 	assertEqual(t, "an older revision after that", w.IsStale(update(older-1, 12, 13)), true)
 }
--- a/internal/savedstate/saver.go
+++ b/internal/savedstate/saver.go
@@ -16,8 +16,8 @@
 	"sprucehill/internal/durable"
 )
 
-// snapshotEvery is the least time between two snapshots of the decision module. The writer's own rate limit comes on top.
-const snapshotEvery = time.Second
+// snapshotInterval is the least time between two snapshots of the decision module. The writer's own rate limit comes on top.
+const snapshotInterval = time.Second
 
 // Options are what a Saver begins with.
 type Options struct {
@@ -42,7 +42,7 @@
 	log       func(message string, keysAndValues ...any)
 	discovery string // the address of the service that is followed
 
-	initial  discovery.List // to begin with
+	initialList  discovery.List // to begin with
 	restored bool           // initial is from before this process
 
 	members      map[string]discovery.Entry     // the list as it is now
@@ -60,7 +60,7 @@
 		idOf:      options.IDOf,
 		log:       options.Log,
 		discovery: options.Discovery,
-		initial:   options.Known,
+		initialList:   options.Known,
 		members:   map[string]discovery.Entry{},
 		names:     map[balancer.EndpointID]string{},
 	}
@@ -73,7 +73,7 @@
 }
 
 // Initial returns the list of upstreams to begin with.
-func (s *Saver) Initial() discovery.List { return s.initial }
+func (s *Saver) Initial() discovery.List { return s.initialList }
 
 // IsRestored reports whether the list to begin with is from an earlier process.
 func (s *Saver) IsRestored() bool { return s.restored }
@@ -82,12 +82,12 @@
 func (s *Saver) SetDiscovery(address string) { s.discovery = address }
 
 // load reads the saved state of a kind into a value. ok is false where there is none, or it does not have the form.
-func (s *Saver) load(kind string, into any) (r durable.Record, ok bool) {
+func (s *Saver) load(kind string, target any) (r durable.Record, ok bool) {
 	r, ok = s.writer.Load(kind)
 	if !ok {
 		return r, false
 	}
-	if err := json.Unmarshal(r.Payload, into); err != nil { // it is undamaged, but not of this form
+	if err := json.Unmarshal(r.Payload, target); err != nil { // it is undamaged, but not of this form
 		s.logIgnored(r, kind, err)
 		return r, false
 	}
@@ -95,8 +95,8 @@
 }
 
 // logIgnored logs that a saved state is not used, and why.
-func (s *Saver) logIgnored(r durable.Record, kind string, why error) {
-	s.log("record ignored", "kind", kind, "generation", r.Generation, "err", why)
+func (s *Saver) logIgnored(r durable.Record, kind string, reason error) {
+	s.log("record ignored", "kind", kind, "generation", r.Generation, "err", reason)
 }
 
 // chooseList begins with the saved list instead of the configuration's if it is newer and of the same discovery service,
@@ -118,12 +118,12 @@
 	if !isNewer && len(options.Known.Members) > 0 {
 		return
 	}
-	s.initial = saved.List
+	s.initialList = saved.List
 	s.restored = true
 	if !sameService {
-		s.initial.Revision = 0 // revisions of another service mean nothing: this one has to give the complete list
+		s.initialList.Revision = 0 // revisions of another service mean nothing: this one has to give the complete list
 	}
-	s.log("endpoint list restored", "endpoints", len(saved.List.Members), "revision", s.initial.Revision,
+	s.log("endpoint list restored", "endpoints", len(saved.List.Members), "revision", s.initialList.Revision,
 		"age", time.Since(r.SavedAt).Round(time.Millisecond).String())
 }
 
@@ -202,7 +202,7 @@
 	if s.writer == nil || now < s.nextSnapshot {
 		return
 	}
-	s.nextSnapshot = now + snapshotEvery
+	s.nextSnapshot = now + snapshotInterval
 	saved := snapshotRecord{Snapshot: module.TakeSnapshot(now)}
 	for _, endpoint := range saved.Snapshot.Endpoints {
 		saved.Names = append(saved.Names, s.names[endpoint.ID])
