--- a/internal/savedstate/records.go
+++ b/internal/savedstate/records.go
@@ -9,8 +9,8 @@
 	"sprucehill/internal/durable"
 )
 
-// The kinds of state that a balancer saves, and the version of the form of each. Operators' orders are a kind of their
-// own, since they are saved before the operators have their answer.
+// The kinds of records that a balancer saves, and the version of the format of each. Operators' orders have their own kind,
+// because they are saved synchronously.
 const (
 	KindList     = "list"
 	KindSnapshot = "learnt"
@@ -21,51 +21,52 @@
 	versionOrders   = 1
 )
 
-// Kinds is what a Writer has to load: the kinds and the versions of their forms. It is not changed.
+// Kinds maps the kinds of records that a Writer has to load to the versions of their formats. It must not be modified.
 var Kinds = map[string]uint16{
 	KindList:     versionList,
 	KindSnapshot: versionSnapshot,
 	KindOrders:   versionOrders,
 }
 
-// OrderKinds is which of Kinds are of operators' orders. It is not changed.
+// OrderKinds lists the kinds that hold operators' orders. It must not be modified.
 var OrderKinds = []string{KindOrders}
 
-// Writer saves state to a disk. Only SaveSync waits for the disk. Its methods may be called from any goroutine.
+// Writer writes records to disk. Only SaveSync waits for the disk. Its methods must be safe for concurrent use.
 type Writer interface {
-	// Load returns the last state of a kind from before this process.
+	// Load returns the last record of a kind that an earlier process saved.
 	Load(kind string) (durable.Record, bool)
-	// Save saves a state some time later, unless a newer one of its kind comes before that. encode is called then.
+	// Save schedules a record, and returns at once. encode is called when the record is written, unless a newer one of its
+	// kind has replaced it before.
 	Save(kind string, version uint16, at time.Time, encode func() ([]byte, error))
-	// SaveSync saves a state and returns once it is safe, or durable.ErrWriteTimeout where that takes too long.
+	// SaveSync saves a record and returns once it is durable, or durable.ErrWriteTimeout if that takes too long.
 	SaveSync(kind string, version uint16, at time.Time, payload []byte) error
-	// MarkRecovered notes that the balancer has taken its state from before.
+	// MarkRecovered records that the balancer has restored its saved state.
 	MarkRecovered()
 }
 
-// listRecord is the list of upstreams, with the address of the discovery service that it is from.
+// listRecord holds an endpoint list and the address of the discovery service that it is from.
 type listRecord struct {
 	Discovery string         `json:"discovery"`
 	List      discovery.List `json:"list"`
 }
 
-// snapshotRecord is what the decision module knew. Names has discovery's IDs of Snapshot.Endpoints, in their order: the
-// module's IDs are valid in one process only.
+// snapshotRecord holds a snapshot of the decision module. Names has discovery's IDs of Snapshot.Endpoints, in the same
+// order: the module's own IDs are valid in one process only.
 type snapshotRecord struct {
 	Names    []string          `json:"names"`
 	Snapshot balancer.Snapshot `json:"knowledge"`
 }
 
-// Orders is what operators have ordered and not revoked.
+// Orders holds the operators' orders that are in effect.
 type Orders struct {
-	Serial       uint64   `json:"serial"` // counts orders
-	Drain        bool     `json:"drain"`  // clients are sent away
-	DrainedZones []string `json:"left"`   // zones whose upstreams get nothing new
+	Serial       uint64   `json:"serial"` // number of the last order
+	Drain        bool     `json:"drain"`  // the balancer is drained
+	DrainedZones []string `json:"left"`   // drained zones, whose upstreams get no new requests
 }
 
 // DrainZone adds a zone to the drained ones.
 func (o *Orders) DrainZone(name string) {
-	o.ReinstateZone(name) // no zone is in the list twice
+	o.ReinstateZone(name) // avoids a duplicate
 	o.DrainedZones = append(o.DrainedZones, name)
 }
 
--- a/internal/savedstate/records_test.go
+++ b/internal/savedstate/records_test.go
@@ -8,8 +8,8 @@
 	"sprucehill/internal/discovery"
 )
 
-// The saved forms stay as they are: a balancer has to read what another version of it has saved.
-func TestSavedForms(t *testing.T) {
+// The saved formats must not change: a balancer has to read what another version of it saved.
+func TestRecordFormats(t *testing.T) {
 	tests := []struct {
 		name  string
 		value any
@@ -32,7 +32,7 @@
 				t.Fatal(err)
 			}
 			if string(text) != test.text {
-				t.Errorf("form: got %s, want %s", text, test.text)
+				t.Errorf("got %s, want %s", text, test.text)
 			}
 		})
 	}
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 		if !strings.HasPrefix(string(text), `{"names":["s-1"],"knowledge":{`) {
-			t.Errorf("form: %s", text)
+			t.Errorf("got %s, want it to begin with names and knowledge", text)
 		}
 	})
 }
--- a/internal/savedstate/saver.go
+++ b/internal/savedstate/saver.go
@@ -16,53 +16,54 @@
 	"sprucehill/internal/durable"
 )
 
-// snapshotInterval is the least time between two snapshots of the decision module. The writer's own rate limit comes on top.
+// snapshotInterval is the minimum time between two snapshots of the decision module. The Writer's own rate limit applies as
+// well.
 const snapshotInterval = time.Second
 
-// Options are what a Saver begins with.
+// Options configure a Saver.
 type Options struct {
-	// Writer saves to the disk, and has what an earlier process has saved. It may be nil: then nothing is saved or restored.
+	// Writer saves records, and loads those of an earlier process. If it is nil, nothing is saved or restored.
 	Writer Writer
-	// Discovery is the address (host:port) of the discovery service that is followed.
+	// Discovery is the address (host:port) of the discovery service.
 	Discovery string
-	// Known is the list of upstreams that the configuration has.
+	// Known is the configured endpoint list.
 	Known discovery.List
-	// IDOf returns the decision module's ID of one of discovery's. It is called by SaveList and Restore only.
+	// IDOf returns the decision module's ID for an ID of discovery. Only SaveList and Restore call it.
 	IDOf func(id string) balancer.EndpointID
-	// Log writes a line: a message, and keys with their values as in slog.Info. It must not block.
+	// Log writes a log line. Its arguments are those of slog.Info. It must not block.
 	Log func(message string, keysAndValues ...any)
 }
 
-// Saver saves what has to outlive the process and restores what an earlier process has saved. Without a writer its methods
-// do nothing. It belongs to one goroutine, but for the operators' orders: UpdateOrders and CurrentOrders may be called from
-// any goroutine.
+// Saver saves the state that has to outlive the process, and restores what an earlier process saved. Without a Writer it
+// neither saves nor restores. Its methods must be called from one goroutine, except for UpdateOrders and CurrentOrders,
+// which are safe for concurrent use.
 type Saver struct {
 	writer    Writer
 	idOf      func(id string) balancer.EndpointID
 	log       func(message string, keysAndValues ...any)
-	discovery string // the address of the service that is followed
+	discovery string // address of the discovery service
 
-	initialList  discovery.List // to begin with
-	restored bool           // initial is from before this process
+	initialList discovery.List // list to start with
+	restored    bool           // initialList was saved by an earlier process
 
-	members      map[string]discovery.Entry     // the list as it is now
-	names        map[balancer.EndpointID]string // discovery's IDs of members
-	nextSnapshot time.Duration                  // on the caller's clock
+	members      map[string]discovery.Entry     // the current list, by discovery's IDs
+	names        map[balancer.EndpointID]string // discovery's IDs, by the decision module's
+	nextSnapshot time.Duration                  // when the next snapshot is due, on the event loop's clock
 
-	mu     sync.Mutex // guards orders; locked while they are being saved
+	mu     sync.Mutex // guards orders; held while they are being saved
 	orders Orders
 }
 
-// NewSaver loads the saved state, and chooses the list of upstreams to begin with.
+// NewSaver loads the saved orders and list, and chooses the endpoint list to start with.
 func NewSaver(options Options) *Saver {
 	s := &Saver{
-		writer:    options.Writer,
-		idOf:      options.IDOf,
-		log:       options.Log,
-		discovery: options.Discovery,
-		initialList:   options.Known,
-		members:   map[string]discovery.Entry{},
-		names:     map[balancer.EndpointID]string{},
+		writer:      options.Writer,
+		idOf:        options.IDOf,
+		log:         options.Log,
+		discovery:   options.Discovery,
+		initialList: options.Known,
+		members:     map[string]discovery.Entry{},
+		names:       map[balancer.EndpointID]string{},
 	}
 	if s.writer == nil {
 		return s
@@ -72,35 +73,35 @@
 	return s
 }
 
-// Initial returns the list of upstreams to begin with.
+// Initial returns the endpoint list to start with: the configured or the saved one.
 func (s *Saver) Initial() discovery.List { return s.initialList }
 
-// IsRestored reports whether the list to begin with is from an earlier process.
+// IsRestored reports whether the list to start with was saved by an earlier process.
 func (s *Saver) IsRestored() bool { return s.restored }
 
-// SetDiscovery sets the address (host:port) of the discovery service that the lists from now on are of.
+// SetDiscovery sets the address (host:port) of the discovery service that lists are from, from now on.
 func (s *Saver) SetDiscovery(address string) { s.discovery = address }
 
-// load reads the saved state of a kind into a value. ok is false where there is none, or it does not have the form.
+// load decodes the saved record of a kind into target. ok is false if there is none, or if it can't be decoded.
 func (s *Saver) load(kind string, target any) (r durable.Record, ok bool) {
 	r, ok = s.writer.Load(kind)
 	if !ok {
 		return r, false
 	}
-	if err := json.Unmarshal(r.Payload, target); err != nil { // it is undamaged, but not of this form
+	if err := json.Unmarshal(r.Payload, target); err != nil { // the Writer returns intact records only, but the format may differ
 		s.logIgnored(r, kind, err)
 		return r, false
 	}
 	return r, true
 }
 
-// logIgnored logs that a saved state is not used, and why.
+// logIgnored logs that a saved record is not used, and why.
 func (s *Saver) logIgnored(r durable.Record, kind string, reason error) {
 	s.log("record ignored", "kind", kind, "generation", r.Generation, "err", reason)
 }
 
-// chooseList begins with the saved list instead of the configuration's if it is newer and of the same discovery service,
-// or if the configuration has none.
+// chooseList replaces the configured list with the saved one if that is newer and from the same discovery service, or if no
+// list is configured.
 func (s *Saver) chooseList(options Options) {
 	var saved listRecord
 	r, ok := s.load(KindList, &saved)
@@ -121,14 +122,14 @@
 	s.initialList = saved.List
 	s.restored = true
 	if !sameService {
-		s.initialList.Revision = 0 // revisions of another service mean nothing: this one has to give the complete list
+		s.initialList.Revision = 0 // revisions of another service are unrelated: the current one has to send its complete list
 	}
 	s.log("endpoint list restored", "endpoints", len(saved.List.Members), "revision", s.initialList.Revision,
 		"age", time.Since(r.SavedAt).Round(time.Millisecond).String())
 }
 
-// Restore gives the decision module what an earlier process knew and what operators had ordered. The initial list must have
-// been applied. now is the loop's clock.
+// Restore passes the saved snapshot and the drained zones to the decision module, to which the initial list must have been
+// applied. now reads the event loop's clock.
 func (s *Saver) Restore(module *balancer.Balancer, now func() time.Duration) {
 	if s.writer == nil {
 		return
@@ -150,8 +151,8 @@
 	}
 }
 
-// loadSnapshot reads the saved snapshot, its endpoints under this process's IDs. Without a usable one it is empty, and
-// ok false.
+// loadSnapshot loads the saved snapshot, and gives its endpoints the IDs that they have in this process. If there is no
+// usable snapshot, it returns an empty one, and false.
 func (s *Saver) loadSnapshot() (snapshot balancer.Snapshot, ok bool) {
 	var saved snapshotRecord
 	r, ok := s.load(KindSnapshot, &saved)
@@ -159,7 +160,7 @@
 		return balancer.Snapshot{}, false
 	}
 	if names, endpoints := len(saved.Names), len(saved.Snapshot.Endpoints); names != endpoints {
-		s.logIgnored(r, KindSnapshot, fmt.Errorf("the snapshot has %d names for %d endpoints", names, endpoints))
+		s.logIgnored(r, KindSnapshot, fmt.Errorf("snapshot has %d names for %d endpoints", names, endpoints))
 		return balancer.Snapshot{}, false
 	}
 	for i := range saved.Snapshot.Endpoints {
@@ -168,7 +169,8 @@
 	return saved.Snapshot, true
 }
 
-// SaveList takes a list that has been applied, and saves what the complete one is now.
+// SaveList updates the current list with one that has been applied, and saves the result. Unless the mode is
+// balancer.UpdateDelta, list is complete.
 func (s *Saver) SaveList(mode balancer.UpdateMode, list discovery.List) {
 	if s.writer == nil {
 		return
@@ -197,7 +199,7 @@
 	s.writer.Save(KindList, versionList, time.Now(), func() ([]byte, error) { return json.Marshal(saved) })
 }
 
-// SaveSnapshot saves a snapshot of the decision module, if one is due at now, a time on the loop's clock.
+// SaveSnapshot saves a snapshot of the decision module if one is due. now is the time on the event loop's clock.
 func (s *Saver) SaveSnapshot(module *balancer.Balancer, now time.Duration) {
 	if s.writer == nil || now < s.nextSnapshot {
 		return
@@ -210,15 +212,15 @@
 	s.writer.Save(KindSnapshot, versionSnapshot, time.Now(), func() ([]byte, error) { return json.Marshal(saved) })
 }
 
-// SaveLastSnapshot saves a snapshot of the decision module, whenever the one before was saved.
+// SaveLastSnapshot saves a snapshot of the decision module even if none is due.
 func (s *Saver) SaveLastSnapshot(module *balancer.Balancer, now time.Duration) {
 	s.nextSnapshot = 0
 	s.SaveSnapshot(module, now)
 }
 
-// UpdateOrders changes what operators have ordered and returns once that is saved, or with an error that says why it may
-// not be: it wraps durable.ErrWriteTimeout where the disk is slow and may still save it. On any other error the orders are unchanged.
-// Orders are saved one after the other.
+// UpdateOrders applies a change to the operators' orders, and returns once the result is saved. An error that wraps
+// durable.ErrWriteTimeout means that the disk is slow and may still save it: CurrentOrders has the change. On any other
+// error the orders are unchanged. Concurrent calls are serialized.
 func (s *Saver) UpdateOrders(change func(*Orders)) error {
 	if s.writer == nil {
 		return nil
@@ -236,14 +238,14 @@
 	if err != nil && !errors.Is(err, durable.ErrWriteTimeout) {
 		return fmt.Errorf("but not kept: %w", durable.ForOperators(err))
 	}
-	s.orders = next // a slow disk may have it all the same, and what follows builds on it
+	s.orders = next // after a time-out too: the disk may still save it, and later orders must build on it
 	if err != nil {
 		return fmt.Errorf("but not kept yet: %w", durable.ForOperators(err))
 	}
 	return nil
 }
 
-// CurrentOrders returns what operators have ordered and not revoked.
+// CurrentOrders returns a copy of the operators' orders that are in effect.
 func (s *Saver) CurrentOrders() Orders {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/timelimit/doc.go
+++ b/internal/timelimit/doc.go
@@ -1,12 +1,13 @@
-// Package timelimit has the limits of time after which the balancer gives up a request, a connection, a call or a shutdown, the
-// spans of a drain, and the arithmetic on them.
+// Package timelimit defines the timeouts of requests, connections, operators' calls and shutdown, the phases of a drain, and
+// the arithmetic on them.
 //
-// Not here are the pace of an upload (package proxy, requestbody.go), calls to discovery (package discovery), waits for the disk
-// (package durable), the limits of the settings (connect timeout, deadlines) and those that follow from latency (package balancer).
+// Some timeouts are defined elsewhere: the minimum rate of an upload in package proxy (requestbody.go), those of calls to
+// discovery in package discovery, of disk writes in package durable, those in the settings (connect timeout, deadlines), and
+// those that are derived from latency in package balancer. Intervals of periodic work are next to the code that repeats.
 //
-// The comment of each constant says what the span bounds, and in a line "Term:" which term of the platform it serves, if there
-// is one. Intervals at which something is repeated are no limits; they are next to the code that repeats.
+// The comment of each constant says what it bounds. A line "Platform:" states the behavior or requirement of the platform
+// that the constant is derived from, if there is one.
 //
-// Moments are durations on one monotonic clock, which is the caller's. A change of the system's clock moves none of them. The
-// package reads no clock itself.
+// Points in time are durations on one monotonic clock of the caller, so that changes of the system clock do not affect them.
+// The package itself reads no clock.
 package timelimit
--- a/internal/timelimit/schedule.go
+++ b/internal/timelimit/schedule.go
@@ -2,53 +2,54 @@
 
 import "time"
 
-// Window is a span that begins at Start and lasts Length. Start is on the caller's monotonic clock.
+// Window is an interval that begins at Start, on the caller's monotonic clock, and lasts Length.
 type Window struct{ Start, Length time.Duration }
 
-// IsOver reports whether the window has ended at the time now. It has at its last moment.
+// IsOver reports whether the window has ended at the time now. The end does not belong to the window.
 func (w Window) IsOver(now time.Duration) bool { return now-w.Start >= w.Length }
 
-// Remaining returns how much of the window is left at the time now. It is negative after the window's end.
+// Remaining returns the time from now to the end of the window. It is negative after the end.
 func (w Window) Remaining(now time.Duration) time.Duration { return w.Length - (now - w.Start) }
 
-// Phase is a drain or a shutdown. Its zero value has not begun.
+// Phase is the state of a drain or a shutdown. Its zero value stands for one that has not begun.
 type Phase struct {
 	Begun bool
 	At    time.Duration // when it began, on the caller's monotonic clock
 }
 
-// Schedule has what bounds the time of a request beside its own deadline.
+// Schedule holds what limits the time of a request in addition to its own deadline.
 type Schedule struct {
 	LongestDeadline time.Duration // of all classes
 	Drain           Phase
 	Shutdown        Phase
 }
 
-// Remaining returns how much of timeout is left to a request that arrived at the given time: until the limit of a drain or
-// SIGKILL, whichever is first. It is never negative unless timeout is.
+// Remaining returns the time that a request with the given timeout has from its arrival: timeout, or less if the limit of a
+// drain or SIGKILL comes first. It is never negative unless timeout is.
 func (s Schedule) Remaining(arrivedAt, timeout time.Duration) time.Duration {
 	return min(s.BeforeDrainLimit(arrivedAt, timeout), s.BeforeKill(arrivedAt, timeout))
 }
 
-// BeforeDrainLimit returns how much of timeout is left, before the limit of a drain, to a request that arrived at the given
-// time. It is all of timeout for a request that is not recent at the limit, and for one that arrives after it.
+// BeforeDrainLimit returns the time that a request with the given timeout has from its arrival to the limit of a drain. It
+// is timeout for a request that is not recent at the limit, and for one that arrives after it.
 func (s Schedule) BeforeDrainLimit(arrivedAt, timeout time.Duration) time.Duration {
 	if !s.Drain.Begun {
 		return timeout
 	}
-	oldEnough := Window{s.Drain.At, Drain - DrainRecentRequest - AnswerMargin}
+	exempt := Window{s.Drain.At, Drain - DrainRecentRequest - AnswerMargin}
 	limit := Window{s.Drain.At, Drain}
-	if !oldEnough.IsOver(arrivedAt) || limit.IsOver(arrivedAt) {
+	if !exempt.IsOver(arrivedAt) || limit.IsOver(arrivedAt) {
 		return timeout
 	}
 	return min(timeout, max(0, limit.Remaining(arrivedAt)-AnswerMargin))
 }
 
-// BeforeKill returns how much time is left, before SIGKILL, to a request that arrived at the given time. It is timeout unless a
-// shutdown has begun and the request arrived too late to have its own time. Then it can exceed timeout: Remaining takes the less.
+// BeforeKill returns the time that a request has from its arrival to SIGKILL. It is timeout unless a shutdown has begun and
+// the request arrived too late to be sure of its own timeout. Then the result may exceed timeout; Remaining returns the
+// smaller of the two.
 func (s Schedule) BeforeKill(arrivedAt, timeout time.Duration) time.Duration {
-	early := Window{s.Shutdown.At, KillDelay - AnswerMargin}
-	if !s.Shutdown.Begun || !early.IsOver(arrivedAt) {
+	unaffected := Window{s.Shutdown.At, KillDelay - AnswerMargin}
+	if !s.Shutdown.Begun || !unaffected.IsOver(arrivedAt) {
 		return timeout
 	}
 	kill := Window{s.Shutdown.At, min(s.LongestDeadline, KillDeadlineCap) + KillDelay}
--- a/internal/timelimit/schedule_test.go
+++ b/internal/timelimit/schedule_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// The time that a request has left is that until the first of its own deadline, the limit of a drain and SIGKILL.
+// A request has time until its own deadline, the limit of a drain or SIGKILL, whichever comes first.
 func TestRemaining(t *testing.T) {
 	const at, timeout, second = time.Hour, 9 * time.Second, time.Second
 	drain := Schedule{LongestDeadline: 4 * second, Drain: Phase{true, at}}
 	shutdown := Schedule{LongestDeadline: 4 * second, Shutdown: Phase{true, at}}
 	both := Schedule{LongestDeadline: 4 * second, Drain: Phase{true, at}, Shutdown: Phase{true, at + second}}
 	short := Schedule{LongestDeadline: second, Drain: Phase{true, at}, Shutdown: Phase{true, at + second}}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name        string
 		schedule    Schedule
 		since, want time.Duration
@@ -28,8 +28,8 @@
 		{"the drain ends first", both, 2 * second, 1650 * time.Millisecond},
 		{"SIGKILL comes first", short, 2 * second, 350 * time.Millisecond},
 	} {
-		if got := x.schedule.Remaining(at+x.since, timeout); got != x.want {
-			t.Errorf("%s: got %v, want %v", x.name, got, x.want)
+		if got := test.schedule.Remaining(at+test.since, timeout); got != test.want {
+			t.Errorf("%s: got %v, want %v", test.name, got, test.want)
 		}
 	}
 }
