--- a/internal/leakybucket/leakybucket_test.go
+++ b/internal/leakybucket/leakybucket_test.go
@@ -18,11 +18,11 @@
 	} {
 		b.Leak(step.now, 0.5)
 		if b.Level != step.want || b.At != step.now {
-			t.Errorf("at %v: %v at %v, want %v", step.now, b.Level, b.At, step.want)
+			t.Errorf("after a leak until %v: got level %v at %v, want %v", step.now, b.Level, b.At, step.want)
 		}
 	}
 	b.Add(2)
 	if b.Level != 2 {
-		t.Errorf("level %v after 2 were added to an empty bucket", b.Level)
+		t.Errorf("got level %v after adding 2 to an empty bucket, want 2", b.Level)
 	}
 }
--- a/internal/management/commands.go
+++ b/internal/management/commands.go
@@ -6,40 +6,40 @@
 	"strings"
 )
 
-// usage is the answer to a call of no known command.
-const usage = "NO the calls are check, vars, drain-on, drain-off, members, zone-status, zone-leave Z and zone-return Z\n"
+// usageResponse is the response to an unknown command.
+const usageResponse = "NO the calls are check, vars, drain-on, drain-off, members, zone-status, zone-leave Z and zone-return Z\n"
 
-// commands has what executes each call that has no argument.
-var commands = map[string]func(Balancer) (answer string){
-	"check":       func(b Balancer) string { return verdict(b.Ready()) },
-	"vars":        func(b Balancer) string { return listing(b.WriteMetrics) },
-	"zone-status": func(b Balancer) string { return listing(b.WriteZones) },
-	"members":     func(b Balancer) string { return listing(b.WriteMembers) },
+// commands maps the name of each command without an argument to its implementation.
+var commands = map[string]func(Balancer) (response string){
+	"check":       func(b Balancer) string { return statusLine(b.Ready()) },
+	"vars":        func(b Balancer) string { return multilineResponse(b.WriteMetrics) },
+	"zone-status": func(b Balancer) string { return multilineResponse(b.WriteZones) },
+	"members":     func(b Balancer) string { return multilineResponse(b.WriteMembers) },
 	"drain-on": func(b Balancer) string {
 		slog.Info("balancer drained by operator")
-		return verdict(b.StartDrain())
+		return statusLine(b.StartDrain())
 	},
 	"drain-off": func(b Balancer) string {
 		slog.Info("balancer restored by operator")
-		return verdict(b.EndDrain())
+		return statusLine(b.EndDrain())
 	},
 }
 
-// zoneCommands has what executes each call whose argument is the name of a zone.
-var zoneCommands = map[string]func(b Balancer, zone string) (answer string){
+// zoneCommands maps the name of each command whose argument is a zone to its implementation.
+var zoneCommands = map[string]func(b Balancer, zone string) (response string){
 	"zone-leave": func(b Balancer, zone string) string {
 		slog.Info("zone drain requested by operator", "zone", zone)
-		return verdict(b.DrainZone(zone))
+		return statusLine(b.DrainZone(zone))
 	},
 	"zone-return": func(b Balancer, zone string) string {
 		slog.Info("zone reinstatement requested by operator", "zone", zone)
-		return verdict(b.ReinstateZone(zone))
+		return statusLine(b.ReinstateZone(zone))
 	},
 }
 
-// execute carries out a call and returns its answer.
-func execute(b Balancer, call string) (answer string) {
-	name, argument, _ := strings.Cut(call, " ")
+// execute executes a command and returns its response.
+func execute(b Balancer, commandLine string) (response string) {
+	name, argument, _ := strings.Cut(commandLine, " ")
 	if command, ok := zoneCommands[name]; ok {
 		if argument == "" {
 			return "NO " + name + " wants the name of a zone\n"
@@ -48,13 +48,14 @@
 	}
 	command, ok := commands[name]
 	if !ok || argument != "" {
-		return usage
+		return usageResponse
 	}
 	return command(b)
 }
 
-// listing is an answer of several lines with a line END behind them, or the error of what should write them.
-func listing(write func(io.Writer) error) string {
+// multilineResponse returns a response of the lines that write writes, followed by a line END. If write fails, it returns a
+// status line with the error.
+func multilineResponse(write func(io.Writer) error) string {
 	var lines strings.Builder
 	if err := write(&lines); err != nil {
 		return "NO " + err.Error() + "\n"
@@ -62,8 +63,8 @@
 	return lines.String() + "END\n"
 }
 
-// verdictWords has the first word of an answer of one line, by whether what was called for is so.
-var verdictWords = map[bool]string{true: "YES", false: "NO"}
+// statusWords holds the first word of a status line.
+var statusWords = map[bool]string{true: "YES", false: "NO"}
 
-// verdict is an answer of one line.
-func verdict(yes bool, state string) string { return verdictWords[yes] + " " + state + "\n" }
+// statusLine returns a response of one line.
+func statusLine(ok bool, state string) string { return statusWords[ok] + " " + state + "\n" }
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -1,10 +1,11 @@
-// Package management serves the operators' address. A connection carries one call, which is a line, and gets one answer:
-// a line that begins with YES or NO, or several lines with a line END behind them.
+// Package management serves operators' commands. A client sends one command per connection, as a line of text, and gets one
+// response: a status line that begins with YES or NO, or several lines followed by a line END.
 //
-// It promises an answer to every call that is a line, also while many callers hold connections open: the number of
-// connections and the time of each are bounded. It does not authenticate callers; whoever reaches the address may call.
+// Every command that is a complete line gets a response, even while many clients hold connections open: the number of
+// connections and the duration of each are bounded. Clients are not authenticated; whoever can reach the address may send
+// commands.
 //
-// The package owns its connections and nothing else: what a call does is up to the Balancer that it is given.
+// The package manages its connections only; the Balancer that it is given implements the commands.
 package management
 
 import (
@@ -23,37 +24,37 @@
 )
 
 const (
-	// maxConnections bounds the open connections. One more closes the one that has been open for longest.
+	// maxConnections bounds the open connections. One more closes the oldest.
 	maxConnections = 16
-	// maxCallSize bounds a call with its line feed, in bytes.
-	maxCallSize = 128
-	// maxDiscarded bounds the bytes that are read after a call, so that a caller who sent more still gets its answer.
-	maxDiscarded = 64 << 10
-	// acceptRetryDelay is the wait after a connection could not be accepted, as where descriptors are short.
+	// maxCommandSize bounds a command in bytes, its line feed included.
+	maxCommandSize = 128
+	// maxDiscardedBytes bounds the bytes after a command that are read and discarded, so that a client that sent more than
+	// one line still gets its response.
+	maxDiscardedBytes = 64 << 10
+	// acceptRetryDelay is the wait after a failed accept call, for example when file descriptors are exhausted.
 	acceptRetryDelay = 50 * time.Millisecond
 )
 
-// Balancer is what the operators' calls act on. No method may wait for the balancer's other work, but for those on zones.
-// The texts that they return go into answers as they are.
+// Balancer implements the operators' commands. Only the methods that concern zones may wait for the balancer's other work.
+// Responses hold the returned texts unchanged.
 type Balancer interface {
-	// Ready reports whether clients are accepted. The state says more, in a few words.
+	// Ready reports whether the balancer accepts clients, with a short description of its state.
 	Ready() (ready bool, state string)
 	// WriteMetrics writes the metrics, one to a line.
 	WriteMetrics(w io.Writer) error
-	// StartDrain starts a drain of the balancer. The state is the one from now on, or says what went wrong. Repeating it
-	// is harmless.
+	// StartDrain starts a drain of the balancer. It is idempotent. If it succeeds, state is the balancer's new state,
+	// otherwise a description of the error.
 	StartDrain() (done bool, state string)
-	// EndDrain ends the drain of the balancer. Its results are as those of StartDrain.
+	// EndDrain ends the drain of the balancer. Its results are like those of StartDrain.
 	EndDrain() (done bool, state string)
-	// DrainZone drains a zone, so that it gets no new requests. The state is the zone's from now on, or says why it was
-	// not done.
+	// DrainZone drains a zone, so that it gets no new requests. If it succeeds, state is the zone's new state, otherwise a
+	// description of the error.
 	DrainZone(name string) (done bool, state string)
-	// ReinstateZone returns a drained zone to service step by step. Its results are as those of DrainZone.
+	// ReinstateZone gradually returns a drained zone to service. Its results are like those of DrainZone.
 	ReinstateZone(name string) (done bool, state string)
 	// WriteZones writes the state of each zone, one to a line.
 	WriteZones(w io.Writer) error
-	// WriteMembers writes what this balancer knows of its fleet, one member to a line. An error says why it knows
-	// nothing.
+	// WriteMembers writes this balancer's view of its fleet, one member to a line. It returns an error if there is none.
 	WriteMembers(w io.Writer) error
 }
 
@@ -62,12 +63,12 @@
 	balancer Balancer
 	handlers sync.WaitGroup
 
-	mu   sync.Mutex
-	open []net.Conn // in order of arrival
+	mu          sync.Mutex
+	connections []net.Conn // in order of arrival
 }
 
-// Serve answers calls until ctx ends, and then closes the listener and every connection. It returns an error if the
-// listener is closed by somebody else.
+// Serve executes commands until ctx ends, and then closes the listener and all connections. It returns an error if the
+// listener is closed before that.
 func Serve(ctx context.Context, l net.Listener, b Balancer) error {
 	s := &server{balancer: b}
 	defer s.handlers.Wait()
@@ -85,7 +86,7 @@
 			}
 			return nil
 		case errors.Is(err, net.ErrClosed):
-			return fmt.Errorf("taking operators' calls: %w", err)
+			return fmt.Errorf("accepting operators' connections: %w", err)
 		case err != nil:
 			select {
 			case <-time.After(acceptRetryDelay):
@@ -98,70 +99,70 @@
 			defer s.remove(c)
 			s.handle(c)
 		})
-		if ctx.Err() != nil { // c may have been added after all others were closed
+		if ctx.Err() != nil { // c may have been added after closeAll was called
 			s.closeAll()
 		}
 	}
 }
 
-// add registers a connection, and closes the one that has been open for longest if there are too many.
+// add registers a connection, and closes the oldest one if there are more than maxConnections.
 func (s *server) add(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open = append(s.open, c)
-	if len(s.open) > maxConnections {
-		s.open[0].Close()
-		s.open = slices.Delete(s.open, 0, 1)
+	s.connections = append(s.connections, c)
+	if len(s.connections) > maxConnections {
+		s.connections[0].Close()
+		s.connections = slices.Delete(s.connections, 0, 1)
 	}
 }
 
-// remove closes a connection and forgets it.
+// remove closes a connection and unregisters it.
 func (s *server) remove(c net.Conn) {
 	c.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open = slices.DeleteFunc(s.open, func(other net.Conn) bool { return other == c })
+	s.connections = slices.DeleteFunc(s.connections, func(other net.Conn) bool { return other == c })
 }
 
 func (s *server) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range s.open {
+	for _, c := range s.connections {
 		c.Close()
 	}
 }
 
-// handle reads one call and answers it.
+// handle reads a command and writes its response.
 func (s *server) handle(c net.Conn) {
 	c.SetDeadline(time.Now().Add(timelimit.OperatorConnection))
-	answer := s.readAndExecute(c)
+	response := s.readAndExecute(c)
 	c.SetDeadline(time.Now().Add(timelimit.OperatorConnection))
-	if _, err := io.WriteString(c, answer); err != nil {
-		return // the caller has gone
+	if _, err := io.WriteString(c, response); err != nil {
+		return // the client has disconnected
 	}
-	discardRest(c)
+	discardRemainingInput(c)
 }
 
-// readAndExecute reads one call, executes it and returns its answer.
-func (s *server) readAndExecute(c net.Conn) (answer string) {
-	in := bufio.NewReaderSize(io.LimitReader(c, maxCallSize), maxCallSize)
+// readAndExecute reads a command, executes it and returns its response.
+func (s *server) readAndExecute(c net.Conn) (response string) {
+	in := bufio.NewReaderSize(io.LimitReader(c, maxCommandSize), maxCommandSize)
 	line, err := in.ReadString('\n')
 	switch {
 	case err == nil:
 		return execute(s.balancer, strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r"))
-	case len(line) == maxCallSize:
+	case len(line) == maxCommandSize:
 		return "NO a call is one short line\n"
 	default:
 		return "NO a call ends with a line feed\n"
 	}
 }
 
-// discardRest ends the answer and reads what else the caller sends: closing a connection with unread bytes resets it,
-// and the caller may lose the answer.
-func discardRest(c net.Conn) {
+// discardRemainingInput closes the write side, which ends the response, and reads what else the client sends: closing a
+// connection with unread bytes resets it, and the client may lose the response.
+func discardRemainingInput(c net.Conn) {
 	half, ok := c.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
 		return
 	}
-	_, _ = io.CopyN(io.Discard, c, maxDiscarded) // an error ends the connection, which is closed next
+	_, _ = io.CopyN(io.Discard, c, maxDiscardedBytes) // an error does not matter: the connection is closed next
 }
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -42,14 +42,14 @@
 	return err
 }
 
-func (f *fakeBalancer) DrainZone(name string) (bool, string) { return answerForZone(name, "left") }
+func (f *fakeBalancer) DrainZone(name string) (bool, string) { return zoneResult(name, "left") }
 
 func (f *fakeBalancer) ReinstateZone(name string) (bool, string) {
-	return answerForZone(name, "returning")
+	return zoneResult(name, "returning")
 }
 
-// answerForZone returns a state for the zone dc-a, and an error's text for others.
-func answerForZone(name, state string) (bool, string) {
+// zoneResult returns a state for the zone dc-a, and an error text for all others.
+func zoneResult(name, state string) (bool, string) {
 	if name != "dc-a" {
 		return false, "it is not known"
 	}
@@ -63,7 +63,7 @@
 
 func (f *fakeBalancer) WriteMembers(io.Writer) error { return errors.New("there is no membership") }
 
-// serve answers calls for a balancer until the test ends.
+// serve runs Serve for a balancer until the test ends, and returns its address.
 func serve(t *testing.T, b Balancer) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -89,34 +89,34 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(30 * time.Second)) // only a failure takes as long
+	c.SetDeadline(time.Now().Add(30 * time.Second)) // only a failing test waits that long
 	return c
 }
 
-// call sends bytes and returns all that comes back until the connection is closed.
+// call sends text and returns the complete response, up to the end of the connection.
 func call(t *testing.T, addr, text string) string {
 	t.Helper()
 	c := dial(t, addr)
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
-	answer, err := io.ReadAll(c)
+	response, err := io.ReadAll(c)
 	if err != nil {
 		t.Fatalf("%q: %v", text, err)
 	}
-	return string(answer)
+	return string(response)
 }
 
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	b := &fakeBalancer{ready: true}
 	addr := serve(t, b)
-	for _, c := range []struct{ sent, answer string }{
+	for _, c := range []struct{ sent, response string }{
 		{"check\n", "YES serving\n"},
 		{"check\r\n", "YES serving\n"},
 		{"drain-on\n", "YES noted\n"},
 		{"drain-on\n", "YES noted\n"},
 		{"drain-off\n", "YES noted\n"},
-		{"check\ncheck\n" + strings.Repeat("more\n", 1000), "YES serving\n"}, // only the first line counts
+		{"check\ncheck\n" + strings.Repeat("more\n", 1000), "YES serving\n"}, // all lines after the first are ignored
 		{"zone-leave dc-a\n", "YES left\n"},
 		{"zone-return dc-a\r\n", "YES returning\n"},
 		{"zone-leave dc-x\n", "NO it is not known\n"},
@@ -126,15 +126,15 @@
 		{"\n", "NO "},
 		{"CHECK\n", "NO "},
 		{"check now\n", "NO "},
-		{"drain-on", "NO "}, // no line feed comes: the line may have gone on
+		{"drain-on", "NO "}, // without a line feed the command may be incomplete
 		{"\x00\xff\x16\x03\x01\n", "NO "},
 		{strings.Repeat("x", 100_000), "NO "},
-		{strings.Repeat("check", maxCallSize) + "\n", "NO "},
+		{strings.Repeat("check", maxCommandSize) + "\n", "NO "},
 	} {
 		t.Run(fmt.Sprintf("%.40q", c.sent), func(t *testing.T) {
 			got := call(t, addr, c.sent)
-			if !strings.HasPrefix(got, c.answer) || strings.Count(got, "\n") != 1 {
-				t.Errorf("got %q, want one line %q", got, c.answer)
+			if !strings.HasPrefix(got, c.response) || strings.Count(got, "\n") != 1 {
+				t.Errorf("got %q, want one line %q", got, c.response)
 			}
 		})
 	}
@@ -148,7 +148,7 @@
 		t.Errorf("zone-status: got %q, want %q", got, want)
 	}
 	if got := b.drains; len(got) != 3 || !got[0] || !got[1] || got[2] {
-		t.Errorf("drains asked for: %v", got)
+		t.Errorf("got calls %v of StartDrain (true) and EndDrain (false), want true, true, false", got)
 	}
 }
 
@@ -158,8 +158,8 @@
 	}
 }
 
-// Callers that hold a connection with half a call or none neither delay an answer nor accumulate: the oldest connection
-// is closed for a new one.
+// Clients that hold connections open without sending a complete command neither delay a response nor accumulate: the
+// oldest connection is closed for a new one.
 func TestOldestConnectionIsClosedForANewOne(t *testing.T) {
 	addr := serve(t, &fakeBalancer{ready: true})
 	first := dial(t, addr)
@@ -172,22 +172,22 @@
 	if got := call(t, addr, "check\n"); got != "YES serving\n" {
 		t.Errorf("got %q", got)
 	}
-	// It was closed for a new one, so no answer comes: one that had timed out would get a NO.
+	// It was closed for a new one, so it gets no response: a connection that times out would get a NO.
 	if text, err := io.ReadAll(first); len(text) > 0 {
 		t.Errorf("the oldest connection got %q, %v", text, err)
 	}
 }
 
-// A caller that sends nothing is answered and closed after a timeout.
-func TestSilentCallerTimesOut(t *testing.T) {
+// A connection on which nothing is sent gets a response and is closed after a timeout.
+func TestSilentClientTimesOut(t *testing.T) {
 	c := dial(t, serve(t, &fakeBalancer{ready: true}))
 	if text, err := io.ReadAll(c); err != nil || !strings.HasPrefix(string(text), "NO ") {
 		t.Errorf("got %q, %v", text, err)
 	}
 }
 
-// At its end Serve closes its connections and its listener.
-func TestServeClosesConnectionsAtItsEnd(t *testing.T) {
+// When its context ends, Serve closes its connections and its listener.
+func TestServeClosesConnectionsWhenContextEnds(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,8 +1,8 @@
-// Package metrics has counters and gauges and writes them as text, one per line: its name, its labels if it has any, and its
-// value.
+// Package metrics implements counters and gauges, and writes them as text: each line holds the name of a metric, its labels
+// if it has any, and its value.
 //
-// Values may be changed and written from any goroutine. The values in one text are not a consistent snapshot: each is read
-// by itself. A Set is built by one goroutine before it is first written.
+// Changing and writing values is safe for concurrent use. The values of one text are not a consistent snapshot: each is read
+// separately. All metrics must be added to a Set, by one goroutine, before the Set is first written.
 package metrics
 
 import (
@@ -13,30 +13,30 @@
 	"sync/atomic"
 )
 
-// Counter counts events since the start of the process. It never decreases. Its zero value is 0.
+// Counter counts events since the start of the process. It never decreases. Its zero value is a counter at 0.
 type Counter struct{ value atomic.Int64 }
 
-// Inc counts one event.
+// Inc increments the counter by 1.
 func (c *Counter) Inc() { c.value.Add(1) }
 
-// Gauge is a value that goes up and down. Its zero value is 0.
+// Gauge is a value that can increase and decrease. Its zero value is a gauge at 0.
 type Gauge struct{ value atomic.Int64 }
 
-// Add changes the gauge by delta.
+// Add adds delta, which may be negative, to the gauge.
 func (g *Gauge) Add(delta int) { g.value.Add(int64(delta)) }
 
 // Set sets the gauge to value.
 func (g *Gauge) Set(value int) { g.value.Store(int64(value)) }
 
-// Label distinguishes metrics of the same name. Its value may be any text; it is written quoted.
+// Label distinguishes metrics with the same name. Its value may be any text; it is written as a quoted Go string.
 type Label struct{ Name, Value string }
 
-// Set is a list of metrics, which are written in the order in which they were added.
+// Set is an ordered list of metrics. They are written in the order in which they were added.
 type Set struct{ metrics []metric }
 
 // metric is a counter or gauge with its name.
 type metric struct {
-	id    string // name and labels as they are written
+	id    string // name and labels in text form
 	value *atomic.Int64
 }
 
@@ -54,7 +54,7 @@
 	return g
 }
 
-// metricID returns a name with its labels as they are written: name{label="value",...}.
+// metricID returns the text form of a name and its labels: name{label="value",...}.
 func metricID(name string, labels []Label) string {
 	if len(labels) == 0 {
 		return name
@@ -66,7 +66,7 @@
 	return name + "{" + strings.Join(pairs, ",") + "}"
 }
 
-// Write writes every metric. It returns the first error of w, wrapped.
+// Write writes all metrics to w. It wraps the first error of w.
 func (s *Set) Write(w io.Writer) error {
 	buffered := bufio.NewWriter(w)
 	for _, m := range s.metrics {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Metrics are written in order, with their labels quoted; counts from several goroutines add up.
+// Metrics are written in order, with their labels quoted. Concurrent increments are not lost.
 func TestWriteFormat(t *testing.T) {
 	var s Set
 	passed := s.Counter("svc_passed", Label{"category", "plan-trip"})
@@ -38,16 +38,16 @@
 	}
 }
 
-// brokenWriter fails with its error.
-type brokenWriter struct{ err error }
+// failingWriter fails every write with its error.
+type failingWriter struct{ err error }
 
-func (b brokenWriter) Write([]byte) (int, error) { return 0, b.err }
+func (w failingWriter) Write([]byte) (int, error) { return 0, w.err }
 
 func TestWriteReturnsTheWriterError(t *testing.T) {
 	var s Set
 	s.Gauge("g")
-	gone := errors.New("gone")
-	if err := s.Write(brokenWriter{gone}); !errors.Is(err, gone) {
-		t.Errorf("got %v", err)
+	writeErr := errors.New("connection closed")
+	if err := s.Write(failingWriter{writeErr}); !errors.Is(err, writeErr) {
+		t.Errorf("got error %v, want one that wraps %v", err, writeErr)
 	}
 }
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -17,7 +17,7 @@
 	for id := range uint64(ids) {
 		at := Position(id)
 		if seen[at] {
-			t.Fatalf("id %d shares its position with another", id)
+			t.Fatalf("id %d has the same position as a smaller id", id)
 		}
 		seen[at] = true
 		count[at>>62]++
@@ -30,20 +30,20 @@
 }
 
 func TestFrom(t *testing.T) {
-	letters := []string{"a", "b", "c", "d"}
+	elements := []string{"a", "b", "c", "d"}
 	for _, c := range []struct {
-		place float64
+		start float64
 		want  []string
 	}{
 		{0, []string{"a", "b", "c", "d"}},
 		{0.25, []string{"b", "c", "d", "a"}},
 		{0.99, []string{"d", "a", "b", "c"}},
 	} {
-		if got := From(letters, c.place); !slices.Equal(got, c.want) {
-			t.Errorf("from %v: %v, want %v", c.place, got, c.want)
+		if got := From(elements, c.start); !slices.Equal(got, c.want) {
+			t.Errorf("from %v: got %v, want %v", c.start, got, c.want)
 		}
 	}
 	if got := From([]string(nil), 0.5); len(got) != 0 {
-		t.Errorf("an empty ring gives %v", got)
+		t.Errorf("got %v from an empty ring, want none", got)
 	}
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,4 @@
-// Package socket looks at the state of a socket without waiting and without reading from it.
+// Package socket determines the state of a connection from its socket, without blocking and without consuming data.
 package socket
 
 import (
@@ -8,25 +8,26 @@
 	"syscall"
 )
 
-// ErrPeekFailed says that a look at a socket has failed, which says nothing of the other side.
-var ErrPeekFailed = errors.New("looking at a socket")
+// ErrPeekFailed is the error of Peek if the system call fails for a reason that does not concern the peer.
+var ErrPeekFailed = errors.New("peeking at a socket")
 
-// disconnectErrors are the errors by which a socket shows that the connection is over.
+// disconnectErrors are the socket errors that mean that the connection has ended.
 var disconnectErrors = []syscall.Errno{syscall.ECONNRESET, syscall.ECONNABORTED, syscall.ECONNREFUSED, syscall.EPIPE,
 	syscall.ENOTCONN, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ENETDOWN}
 
-// State is what can be seen of a connection without waiting and without reading from it.
+// State is the state of a connection, as far as it can be determined without blocking.
 type State uint8
 
 // The states of a connection.
 const (
-	Quiet    State = iota // open, with nothing to read
-	Readable              // bytes wait to be read
-	Closed                // the other side has closed or reset it
+	Quiet    State = iota // open, with no data to read
+	Readable              // open or closed, with data to read
+	Closed                // closed or reset by the peer, with no data to read
 )
 
-// Peek returns a connection's state. It fails where the connection has been closed on this side, and with ErrPeekFailed where
-// the look itself has failed. Any goroutine may call it, also while another one reads the connection.
+// Peek returns the state of a connection. It returns an error if the connection has been closed on this side, and
+// ErrPeekFailed if the system call fails for a reason that does not concern the peer. Peek is safe for concurrent use, also
+// with reads from the connection.
 func Peek(c syscall.Conn) (State, error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -57,7 +58,7 @@
 	}
 }
 
-// isDisconnect reports whether an error of a socket shows that the connection is over.
+// isDisconnect reports whether a socket error means that the connection has ended.
 func isDisconnect(err error) bool {
 	var number syscall.Errno
 	return errors.As(err, &number) && slices.Contains(disconnectErrors, number)
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// failureTimeout is how long a test waits for what has to come. Only a failure takes that long.
+// failureTimeout bounds the waits of the tests. Only a failing test waits that long.
 const failureTimeout = 30 * time.Second
 
-// A look at a socket shows its state, and takes nothing out of it.
+// Peek returns the state of a socket and consumes no data: a second call returns the same.
 func TestPeekSocket(t *testing.T) {
-	for _, x := range []struct {
-		name  string
-		act   func(other *net.TCPConn) error
-		state State
+	for _, test := range []struct {
+		name   string
+		action func(peer *net.TCPConn) error
+		state  State
 	}{
 		{"open", func(*net.TCPConn) error { return nil }, Quiet},
-		{"bytes wait", func(other *net.TCPConn) error { _, err := other.Write([]byte("x")); return err }, Readable},
-		{"sending side closed", func(other *net.TCPConn) error { return other.CloseWrite() }, Closed},
-		{"closed", func(other *net.TCPConn) error { return other.Close() }, Closed},
-		{"reset", func(other *net.TCPConn) error { other.SetLinger(0); return other.Close() }, Closed},
+		{"bytes wait", func(peer *net.TCPConn) error { _, err := peer.Write([]byte("x")); return err }, Readable},
+		{"write side closed", func(peer *net.TCPConn) error { return peer.CloseWrite() }, Closed},
+		{"closed", func(peer *net.TCPConn) error { return peer.Close() }, Closed},
+		{"reset", func(peer *net.TCPConn) error { peer.SetLinger(0); return peer.Close() }, Closed},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			c, other := tcpPair(t)
-			if err := x.act(other); err != nil {
+		t.Run(test.name, func(t *testing.T) {
+			c, peer := tcpPair(t)
+			if err := test.action(peer); err != nil {
 				t.Fatal(err)
 			}
-			eventually(t, "the state is seen", func() bool {
+			eventually(t, "Peek returns the state", func() bool {
 				state, err := Peek(c)
-				return err == nil && state == x.state
+				return err == nil && state == test.state
 			})
 			state, err := Peek(c)
-			assertEqual(t, "state at a second look", state, x.state)
+			assertEqual(t, "state at a second call", state, test.state)
 			assertEqual(t, "error", err, nil)
 		})
 	}
@@ -40,13 +40,13 @@
 		c, _ := tcpPair(t)
 		c.Close()
 		if _, err := Peek(c); err == nil {
-			t.Error("no error")
+			t.Error("Peek returned no error")
 		}
 	})
 }
 
-// tcpPair returns the two ends of a connection.
-func tcpPair(t *testing.T) (one, other *net.TCPConn) {
+// tcpPair returns the two ends of a TCP connection.
+func tcpPair(t *testing.T) (conn, peer *net.TCPConn) {
 	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -76,12 +76,12 @@
 	}
 }
 
-// eventually waits until a condition holds. Only a failure takes long.
-func eventually(t *testing.T, what string, is func() bool) {
+// eventually waits until a condition holds. It fails the test after failureTimeout.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(failureTimeout); !is(); time.Sleep(time.Millisecond) {
-		if time.Now().After(limit) {
-			t.Fatalf("never came true: %s", what)
+	for deadline := time.Now().Add(failureTimeout); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("not within %v: %s", failureTimeout, what)
 		}
 	}
 }
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -1,5 +1,5 @@
-// Package stats computes small statistics of samples. It has no state of its own. Its functions are safe for concurrent use
-// on different data.
+// Package stats computes statistics of samples. Its functions keep no state, and are safe for concurrent use on different
+// data.
 package stats
 
 import (
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// UpdateEWMA moves an exponentially weighted moving average towards a sample. The weight of the sample is a ratio from 0 to 1.
-// A mean of 0 stands for no sample yet: it is set to the sample.
+// UpdateEWMA adds a sample, with a weight from 0 to 1, to an exponentially weighted moving average. A mean of 0 stands for no
+// samples yet, and is set to the sample.
 func UpdateEWMA(mean *float64, sample, weight float64) {
 	if *mean == 0 {
 		*mean = sample
@@ -16,7 +16,7 @@
 	*mean += weight * (sample - *mean)
 }
 
-// MeanDeviation returns the mean and the population standard deviation of samples; both are 0 for none.
+// MeanDeviation returns the mean and the population standard deviation of samples. Without samples both are 0.
 func MeanDeviation(samples []float64) (mean, deviation float64) {
 	for _, x := range samples {
 		mean += x / float64(len(samples))
@@ -28,8 +28,9 @@
 	return mean, math.Sqrt(variance)
 }
 
-// ValueAbove returns the value that is above one in n of the samples: the median for n = 2, the lower quartile for n = 4. n is
-// at least 2. Without samples it returns 0. It sorts samples, and may overwrite the capacity of the slice beyond them.
+// ValueAbove returns the sample that is greater than one n-th of the samples: the upper median for n = 2, the lower quartile
+// for n = 4. n must be at least 2. Without samples it returns 0. It sorts samples, and may overwrite the element beyond the
+// end of the slice if there is capacity for one.
 func ValueAbove(n int, samples []float64) float64 {
 	slices.Sort(samples)
 	return append(samples, 0)[len(samples)/n]
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -23,8 +23,8 @@
 	}{
 		{"none", nil, 0, 0},
 		{"one", []float64{0.5}, 0.5, 0},
-		{"two apart", []float64{0, 1}, 0.5, 0.5},
-		{"population, not sample", []float64{2, 4, 4, 4, 5, 5, 7, 9}, 5, 2},
+		{"two", []float64{0, 1}, 0.5, 0.5},
+		{"population deviation, not sample deviation", []float64{2, 4, 4, 4, 5, 5, 7, 9}, 5, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			mean, deviation := MeanDeviation(c.samples)
@@ -45,7 +45,7 @@
 		{"none", 2, nil, 0},
 		{"median of one", 2, []float64{3}, 3},
 		{"median of three", 2, []float64{9, 1, 5}, 5},
-		{"upper of the two in the middle", 2, []float64{4, 1, 3, 2}, 3},
+		{"upper median of four", 2, []float64{4, 1, 3, 2}, 3},
 		{"lower quartile", 4, []float64{8, 7, 6, 5, 4, 3, 2, 1}, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
