--- a/internal/framing/readahead.go
+++ b/internal/framing/readahead.go
@@ -29,7 +29,7 @@
 // readAhead is the state of reading ahead, after the current request of a client connection. The connection's lock guards
 // it.
 type readAhead struct {
-	disconnectMasked bool          // net/http can't detect a disconnect any more: it has got its byte
+	disconnectMasked bool          // net/http has read its byte, and can no longer detect a disconnect
 	disconnected     chan struct{} // closed on a disconnect; nil: nobody watches for one
 	readAheadDone    chan struct{} // closed once reading ahead has ended; nil: it is not running
 	buffered         []byte
