--- a/internal/proxy/bodybudget.go
+++ b/internal/proxy/bodybudget.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	// maxBody is how many bytes are buffered of one body at most, of a request or a response: what is buffered completely
-	// can be sent again, or requested again. A longer body is streamed.
+	// maxBody is the number of bytes of a request or response body that are buffered before the rest is streamed. Only a
+	// request whose body is buffered completely can be sent again, and only a response that is buffered completely can be
+	// discarded and requested again.
 	maxBody = 64 << 10
-	// minBodyBuffer is how many bytes of a body are buffered even when the budget is spent.
+	// minBodyBuffer is the number of bytes of a body that are buffered even if the budget is exhausted.
 	minBodyBuffer = 4 << 10
-	// bodyBufferGrowth is the factor by which the buffer of a body grows.
+	// bodyBufferGrowth is the factor by which a full body buffer grows.
 	bodyBufferGrowth = 4
 )
 
-// byteBudget bounds the bytes that are buffered of all bodies together. Where it is spent, bodies are streamed before they
-// reach maxBody, through buffers whose number the limit on connections bounds. It may be used from any goroutine.
+// byteBudget bounds the total size of all body buffers. When it is exhausted, bodies are streamed before they reach
+// maxBody, through buffers whose number is bounded by the connection limit. It is safe for concurrent use.
 type byteBudget struct{ available atomic.Int64 }
 
 func newByteBudget(bytes int64) *byteBudget {
@@ -25,7 +26,7 @@
 	return b
 }
 
-// reserve takes n bytes out of the budget if as many are available.
+// reserve takes n bytes from the budget and reports whether that many were available.
 func (b *byteBudget) reserve(n int) bool {
 	if b.available.Add(int64(-n)) >= 0 {
 		return true
@@ -34,12 +35,12 @@
 	return false
 }
 
-// release returns n bytes to the budget. What readBody reserves for a body is the body's capacity.
+// release returns n bytes to the budget. For a body that readBody returned, n is the capacity of the slice.
 func (b *byteBudget) release(n int) { b.available.Add(int64(n)) }
 
-// readBody buffers a body, of the given length or of unknown length (-1), until it is complete, maxBody is reached, the
-// budget is spent, or stop returns true once some of it has come. The capacity of the returned body is reserved and has to
-// be released, also beside an error.
+// readBody buffers a body of the given length, or of unknown length (-1). It stops when the body is complete, maxBody is
+// reached, the budget is exhausted, or stop returns true after a read that returned data. The capacity of the returned
+// slice is reserved in the budget; the caller releases it, also if err is not nil.
 func (b *byteBudget) readBody(r io.Reader, length int64, stop func() bool) (body []byte, complete bool, err error) {
 	limit := maxBody
 	if length >= 0 && length < maxBody {
@@ -73,8 +74,9 @@
 	}
 }
 
-// grow returns a copy of a full buffer with more capacity, up to limit. It fails at the limit, and if the budget is spent.
-func (b *byteBudget) grow(body []byte, limit int) ([]byte, bool) {
+// grow copies a full buffer into one with more capacity, at most limit. ok is false if the buffer has reached limit or the
+// budget is exhausted.
+func (b *byteBudget) grow(body []byte, limit int) (grown []byte, ok bool) {
 	capacity := min(limit, bodyBufferGrowth*cap(body))
 	if capacity == cap(body) || !b.reserve(capacity) {
 		return nil, false
--- a/internal/proxy/clientconns.go
+++ b/internal/proxy/clientconns.go
@@ -12,68 +12,69 @@
 	"sprucehill/internal/timelimit"
 )
 
-// maxLoggedConns is how many open connections are logged one by one.
+// maxLoggedConns bounds the log lines that logOpen writes, one for each connection.
 const maxLoggedConns = 8
 
-// connStatus is the state of a client connection and when it was entered, on the loop's clock.
+// connStatus is the state of a client connection as reported by net/http.
 type connStatus struct {
 	state http.ConnState
-	since time.Duration
+	since time.Duration // when the connection entered the state, on the loop's clock
 }
 
-// clientConns has the open client connections and bounds their number. Its methods may be called from any goroutine.
+// clientConns tracks the open client connections and bounds their number. It is safe for concurrent use.
 type clientConns struct {
 	metrics   connMetrics
 	lifecycle *lifecycle
 	now       func() time.Duration // the loop's clock
 
 	mu   sync.Mutex // guards the fields below
-	max  int        // bound on the number of connections
+	max  int        // maximum number of open connections
 	open map[*framing.Conn]connStatus
 }
 
-// track records a connection's change of state; it is the server's ConnState hook. A connection over the limit replaces the
-// one that has been idle for longest, or is closed itself: file descriptors must not run out.
+// track records a state change of a connection; it is the ConnState hook of the HTTP server. If a new connection exceeds
+// the limit, the connection that has been idle longest is closed, or the new one if none has been idle long enough: the
+// process must not run out of file descriptors.
 func (c *clientConns) track(netConn net.Conn, state http.ConnState) {
-	conn := netConn.(*framing.Conn) // all come from a framing.Listener
+	conn := netConn.(*framing.Conn) // every connection comes from a framing.Listener
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state == http.StateClosed || state == http.StateHijacked {
 		c.forget(conn)
 		return
 	}
-	c.forget(conn) // in its former state
+	c.forget(conn) // removes it from the gauge of its previous state
 	c.metrics.added(state)
 	c.open[conn] = connStatus{state: state, since: c.now()}
 	if state == http.StateIdle {
 		conn.OnAnswered()
-		c.closeAfterDrainedResponse(conn)
+		c.closeIfEnding(conn)
 	}
 	if state == http.StateNew && len(c.open) > c.max {
 		c.evict(conn)
 	}
 }
 
-// closeAfterDrainedResponse closes a connection that has become idle where clients are sent away: its response began too
-// early to say so. Waiting for the next sweep would let its client send another request.
-func (c *clientConns) closeAfterDrainedResponse(conn *framing.Conn) {
+// closeIfEnding closes a connection that has become idle during a drain or a shutdown. The head of its last response may
+// have been written too early to carry Connection: close, and by the next sweep the client could send another request.
+func (c *clientConns) closeIfEnding(conn *framing.Conn) {
 	cause, ending := c.lifecycle.closeCause()
 	switch {
 	case ending:
 		c.closeIfIdle(conn, cause)
-	case conn.IsShut(): // a drain has ended meanwhile
+	case conn.IsShut(): // the drain that shut it has ended in the meantime
 		c.closeIfIdle(conn, closedByDrain)
 	}
 }
 
-// closeIfIdle closes a connection if it is between two requests, and counts that.
+// closeIfIdle closes a connection if it is between two requests, and counts the close under cause.
 func (c *clientConns) closeIfIdle(conn *framing.Conn, cause closeCause) {
 	if conn.CloseIfIdle() {
 		c.metrics.countClose(cause)
 	}
 }
 
-// forget removes a connection from the open ones, if it is one of them. The caller has the lock.
+// forget stops tracking a connection, if it is tracked. The caller holds the lock.
 func (c *clientConns) forget(conn *framing.Conn) {
 	status, tracked := c.open[conn]
 	if !tracked {
@@ -83,45 +84,47 @@
 	delete(c.open, conn)
 }
 
-// evict closes the connection that has been idle for longest, or newcomer if there is none. The caller has the lock.
-func (c *clientConns) evict(newcomer *framing.Conn) {
-	victim := newcomer
-	since := c.now() - timelimit.EvictionMinIdle
+// evict closes the connection that has been idle longest, for at least timelimit.EvictionMinIdle, or newConn if there is
+// none. The caller holds the lock.
+func (c *clientConns) evict(newConn *framing.Conn) {
+	victim := newConn
+	idleSince := c.now() - timelimit.EvictionMinIdle
 	for conn, status := range c.open {
-		if status.since <= since && conn.IsIdle() {
+		if status.since <= idleSince && conn.IsIdle() {
 			victim = conn
-			since = status.since
+			idleSince = status.since
 		}
 	}
-	if !victim.CloseIfIdle() && !victim.IsClosed() { // a request has just begun on it
-		victim = newcomer
-		newcomer.Close()
+	if !victim.CloseIfIdle() && !victim.IsClosed() { // a request has begun on it since the check above
+		victim = newConn
+		newConn.Close()
 	}
 	c.metrics.countClose(closedByLimit)
-	c.forget(victim) // net/http reports it as closed only once its goroutine has noticed
+	c.forget(victim) // net/http reports StateClosed only after the connection's goroutine has noticed the close
 }
 
-// nearLimit reports whether connections are so many that each should close after its response.
+// nearLimit reports whether more than 7/8 of the allowed connections are open, so that each should be closed after its
+// response.
 func (c *clientConns) nearLimit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open) > c.max*7/8
 }
 
-// closeIdle closes the connections between two requests, and those that have been in their state for minSilence
-// without beginning a request. The cause is for the metrics.
-func (c *clientConns) closeIdle(minSilence time.Duration, cause closeCause) {
+// closeIdle closes the connections between two requests, and those that have been in their state for at least
+// minTimeInState without beginning a request. It counts each close under cause.
+func (c *clientConns) closeIdle(minTimeInState time.Duration, cause closeCause) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
 	for conn, status := range c.open {
-		if status.state == http.StateIdle || now-status.since >= minSilence {
+		if status.state == http.StateIdle || now-status.since >= minTimeInState {
 			c.closeIfIdle(conn, cause)
 		}
 	}
 }
 
-// logOpen logs the open connections, maxLoggedConns at most.
+// logOpen logs up to maxLoggedConns open connections.
 func (c *clientConns) logOpen() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,22 +139,22 @@
 	}
 }
 
-// count returns the number of client connections.
+// count returns the number of open client connections.
 func (c *clientConns) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open)
 }
 
-// connKey is the context key of a request's connection.
-type connKey struct{}
+// connContextKey is the context key under which a request's connection is stored.
+type connContextKey struct{}
 
-// withConn is the server's ConnContext hook.
-func withConn(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, c)
+// contextWithConn stores the connection in the context of its requests; it is the ConnContext hook of the HTTP server.
+func contextWithConn(ctx context.Context, c net.Conn) context.Context {
+	return context.WithValue(ctx, connContextKey{}, c)
 }
 
-// connOf returns the connection of a request; all come from a framing.Listener.
-func connOf(r *http.Request) *framing.Conn {
-	return r.Context().Value(connKey{}).(*framing.Conn)
+// connOfRequest returns the connection on which a request arrived. Every connection comes from a framing.Listener.
+func connOfRequest(r *http.Request) *framing.Conn {
+	return r.Context().Value(connContextKey{}).(*framing.Conn)
 }
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -19,54 +19,54 @@
 )
 
 const (
-	// minMemoryMB is the least memory limit, in MiB, with which a balancer starts.
+	// minMemoryMB is the lowest memory limit, in MiB, that a configuration may set.
 	minMemoryMB = 16
-	// minSockets is the least limit on descriptors with which a balancer starts.
+	// minSockets is the lowest limit on open sockets that a configuration may set.
 	minSockets = 64
 )
 
-// Config is the configuration with which a balancer starts.
+// Config is the configuration of a balancer at its start.
 type Config struct {
 	// Name is the balancer's name in the fleet.
 	Name string
-	// Listen is the host:port for clients.
+	// Listen is the host:port on which clients are accepted.
 	Listen string
 	// Discovery is the host:port of the discovery service.
 	Discovery string
-	// Management is the host:port for operators' calls. Empty: there is none.
+	// Management is the host:port for operators' calls. If it is empty, there is no management listener.
 	Management string
-	// ListenFD is the descriptor of the clients' listener if the platform hands one down, or else 0.
+	// ListenFD is the file descriptor of the client listener if it is inherited from the platform, otherwise 0.
 	ListenFD int
-	// Seed is for all random choices.
+	// Seed seeds the random number generator that makes all random choices.
 	Seed uint64
 	// MemoryMB is the memory limit of the process, in MiB.
 	MemoryMB int
 	// Sockets is the limit on open sockets of the process.
 	Sockets int
-	// Known is the endpoint list as last known, maybe stale.
+	// Known is the last known endpoint list. It may be stale.
 	Known discovery.List
-	// Settings are for the decision module.
+	// Settings are the settings of the decision module.
 	Settings balancer.Settings
-	// Links are the settings of connections to upstreams.
+	// Links has the timeouts of connections to upstreams.
 	Links wire.ConnectionTimeouts
-	// StateWriter saves the state that has to outlive the process. It may be nil: nothing is saved.
+	// StateWriter saves the state that has to outlive the process. If it is nil, nothing is saved.
 	StateWriter savedstate.Writer
-	// UnusedKeys are the keys of the configuration file's top level that this program does not know, sorted. They are no mistake,
-	// but a misspelt one shows there.
+	// UnusedKeys has the top-level keys of the configuration file that this program does not use, sorted. They are not an
+	// error, but reporting them reveals a misspelt key.
 	UnusedKeys []string
-	// Localities maps zones that discovery and settings name without a region to region/zone. It may be nil.
+	// Localities maps the zones that discovery and the settings name without a region to region/zone. It may be nil.
 	Localities map[string]string
 
-	openConn dialFunc // opens connections to upstreams; nil: net.DialTimeout
+	openConn dialFunc // opens connections to upstreams; net.DialTimeout if nil
 }
 
-// SetLocalities sets the map from zones to region/zone. It has to be called before New.
+// SetLocalities sets Localities and qualifies the balancer's own zone with its region. It must be called before New.
 func (c *Config) SetLocalities(localities map[string]string) {
 	c.Localities = localities
 	c.Settings.Zone = qualifyZone(localities, c.Settings.Zone)
 }
 
-// qualifyZone returns a zone with its region if that is known.
+// qualifyZone returns zone as region/zone if its region is known, and unchanged otherwise.
 func qualifyZone(localities map[string]string, zone string) string {
 	if qualified, ok := localities[zone]; ok {
 		return qualified
@@ -74,7 +74,7 @@
 	return zone
 }
 
-// longestDeadline is the longest time that a client waits.
+// longestDeadline returns the longest deadline of all classes.
 func (c *Config) longestDeadline() time.Duration {
 	var longest time.Duration
 	for _, class := range c.Settings.Classes {
@@ -83,27 +83,28 @@
 	return longest
 }
 
-// configFile is the form of the configuration file.
+// configFile is the JSON configuration file.
 type configFile struct {
 	Name       string          `json:"name"`
 	Listen     string          `json:"listen"`
 	Discovery  string          `json:"discovery"`
 	Management string          `json:"management"`
 	Seed       string          `json:"seed"` // hexadecimal
-	Limits     fileLimits      `json:"limits"`
+	Limits     processLimits   `json:"limits"`
 	Known      discovery.List  `json:"known"`
 	Settings   json.RawMessage `json:"settings"`
 
-	text []byte // the complete file
+	text []byte // the content of the file
 }
 
-// fileLimits are the limits of the process in the configuration file.
-type fileLimits struct {
+// processLimits are the resource limits of the process.
+type processLimits struct {
 	MemoryMB int `json:"memory_mb"`
 	Sockets  int `json:"sockets"`
 }
 
-// LoadConfig reads the file that the environment variable RELAY_CONFIG names. The other RELAY_ variables override it.
+// LoadConfig reads the configuration file at the path in the environment variable RELAY_CONFIG. The variables RELAY_NAME,
+// RELAY_LISTEN, RELAY_DISCOVERY and RELAY_MANAGEMENT override its values; RELAY_FD sets ListenFD.
 func LoadConfig(getenv func(string) string) (Config, error) {
 	path, err := configPath(getenv)
 	if err != nil {
@@ -113,7 +114,7 @@
 	if err != nil {
 		return Config{}, err
 	}
-	f.override(getenv)
+	f.applyEnvironment(getenv)
 	c, err := f.toConfig()
 	if err != nil {
 		return Config{}, fmt.Errorf("%s: %w", path, err)
@@ -122,8 +123,8 @@
 	return c, err
 }
 
-// LoadDiscovery reads the address of discovery again from the file that RELAY_CONFIG names. It ignores RELAY_DISCOVERY,
-// which counts only at the start.
+// LoadDiscovery rereads the address of the discovery service from the file that RELAY_CONFIG names. It ignores
+// RELAY_DISCOVERY, which applies only at the start of the process.
 func LoadDiscovery(getenv func(string) string) (string, error) {
 	path, err := configPath(getenv)
 	if err != nil {
@@ -139,7 +140,7 @@
 	return f.Discovery, nil
 }
 
-// configPath is the path that RELAY_CONFIG names.
+// configPath returns the path in RELAY_CONFIG.
 func configPath(getenv func(string) string) (string, error) {
 	path := getenv("RELAY_CONFIG")
 	if path == "" {
@@ -161,10 +162,11 @@
 	return &f, nil
 }
 
-// maxUnusedKeys is how many unused keys are reported at most.
+// maxUnusedKeys bounds the number of unused keys that are reported.
 const maxUnusedKeys = 16
 
-// unusedKeys returns the keys of a configuration's top level that are not used, sorted.
+// unusedKeys returns the top-level keys of a configuration file that configFile does not have, sorted, at most
+// maxUnusedKeys of them.
 func unusedKeys(text []byte) []string {
 	var all map[string]json.RawMessage
 	if json.Unmarshal(text, &all) != nil {
@@ -179,8 +181,8 @@
 	return unused[:min(len(unused), maxUnusedKeys)]
 }
 
-// override replaces what the environment sets.
-func (f *configFile) override(getenv func(string) string) {
+// applyEnvironment replaces the values for which an environment variable is set.
+func (f *configFile) applyEnvironment(getenv func(string) string) {
 	for name, field := range map[string]*string{
 		"RELAY_NAME":       &f.Name,
 		"RELAY_LISTEN":     &f.Listen,
@@ -193,7 +195,7 @@
 	}
 }
 
-// toConfig checks the file and converts it.
+// toConfig validates the file and converts it to a Config.
 func (f *configFile) toConfig() (Config, error) {
 	c := Config{
 		Name:       f.Name,
@@ -246,7 +248,7 @@
 	return nil
 }
 
-// decodeSettings decodes and checks the settings, so that an error names the file.
+// decodeSettings decodes and validates the settings. This happens while the file is loaded so that an error names the file.
 func (c *Config) decodeSettings(text json.RawMessage) error {
 	if len(text) == 0 {
 		return errors.New("settings are missing")
@@ -260,7 +262,7 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	if c.Links.KeepAlive <= 0 || c.Links.ConnectTimeout <= 0 {
-		return errors.New("settings: limits: keepalive_us and connect_timeout_us must be over zero")
+		return errors.New("settings: limits: keepalive_us and connect_timeout_us must be greater than zero")
 	}
 	return nil
 }
--- a/internal/proxy/connmetrics.go
+++ b/internal/proxy/connmetrics.go
@@ -6,17 +6,17 @@
 	"sprucehill/internal/metrics"
 )
 
-// closeCause is why the balancer closes a client's connection.
+// closeCause is the reason for which the balancer closes a client connection, as the value of a metric label.
 type closeCause string
 
 const (
-	closedByDrain    closeCause = "drain"     // operators have ordered a drain
-	closedByShutdown closeCause = "shutdown"  // the process ends
-	closedByLimit    closeCause = "limit"     // there are too many connections
-	closedByRequest  closeCause = "malformed" // the end of a request is in doubt, or its body is not read
+	closedByDrain    closeCause = "drain"     // an operator has ordered a drain
+	closedByShutdown closeCause = "shutdown"  // the process is shutting down
+	closedByLimit    closeCause = "limit"     // the number of connections is at or near its limit
+	closedByRequest  closeCause = "malformed" // the end of a request is ambiguous, or its body was not read to the end
 )
 
-// connMetrics counts client connections. Its methods may be called from any goroutine.
+// connMetrics counts client connections. It is safe for concurrent use.
 type connMetrics struct {
 	open   map[http.ConnState]*metrics.Gauge
 	closed map[closeCause]*metrics.Counter
@@ -33,11 +33,11 @@
 	return m
 }
 
-// added counts a connection that enters a state.
+// added counts a connection that has entered a state.
 func (m connMetrics) added(state http.ConnState) { m.open[state].Add(1) }
 
-// removed stops counting a connection that leaves a state.
+// removed stops counting a connection that has left a state.
 func (m connMetrics) removed(state http.ConnState) { m.open[state].Add(-1) }
 
-// countClose counts a connection that is closed, now or after its response.
+// countClose counts a connection that is closed, either immediately or after its response.
 func (m connMetrics) countClose(cause closeCause) { m.closed[cause].Inc() }
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -8,17 +8,17 @@
 	"sprucehill/internal/framing"
 )
 
-// requestEnd is how a request ended for its client.
+// requestEnd is how a request ended for its client, as it is logged.
 type requestEnd string
 
 const (
 	endAnswered     requestEnd = "answered"
-	endBrokenOff    requestEnd = "response broken off"
+	endTruncated    requestEnd = "response broken off"
 	endDisconnected requestEnd = "client disconnected"
 	endBodyFailed   requestEnd = "body not complete"
 )
 
-// exchange is one client request from the moment it has been parsed until its response is written.
+// exchange is a client request and its response, from when the request has been parsed until the response is written.
 type exchange struct {
 	frontend    *frontend
 	writer      http.ResponseWriter
@@ -26,12 +26,12 @@
 	request     *request
 	body        *requestBody
 	end         requestEnd
-	status      int // of the response; 0: there is none
+	status      int // of the response; 0 if none was written
 }
 
-// serve posts the request to the loop and writes the loop's response, unless the client disconnects first.
+// serve posts the request to the event loop and writes the loop's response, unless the client disconnects first.
 func (x *exchange) serve() {
-	conn := connOf(x.httpRequest)
+	conn := connOfRequest(x.httpRequest)
 	defer x.logEnd(time.Now())
 	if conn.ClosedByClient() {
 		x.abort(endDisconnected)
@@ -52,21 +52,21 @@
 	x.awaitResponse(conn, disconnected)
 }
 
-// awaitResponse waits for the loop's response and writes it, or abandons the request if its client disconnects or its body
-// breaks off. disconnected tells of a disconnect that net/http can't see.
+// awaitResponse waits for the loop's response and writes it. It abandons the request if the client disconnects or the body
+// ends early. disconnected reports a disconnect that net/http can't detect.
 func (x *exchange) awaitResponse(conn *framing.Conn, disconnected <-chan struct{}) {
-	contextDone := x.httpRequest.Context().Done() // also where the body breaks off
+	contextDone := x.httpRequest.Context().Done() // closed on a disconnect, and also when the body ends early
 	for {
 		select {
-		case a := <-x.request.reply:
-			x.reply(a)
+		case resp := <-x.request.reply:
+			x.reply(resp)
 			return
 		case <-contextDone:
 			if !conn.HasFramingError() {
 				x.abandon(endDisconnected)
 				return
 			}
-			contextDone = nil // only what follows the request is malformed; the request is answered all the same
+			contextDone = nil // only the bytes after this request are malformed; the request itself is still answered
 		case <-disconnected:
 			x.abandon(endDisconnected)
 			return
@@ -77,49 +77,50 @@
 	}
 }
 
-// received reports whether the request has come with its complete body.
+// received reports whether the request has arrived with its complete body.
 func (x *exchange) received() bool {
 	return !x.request.Upload || x.body.complete.Load()
 }
 
 // reply writes the loop's response and counts it.
-func (x *exchange) reply(a response) {
-	defer x.frontend.bodyBudget.release(cap(a.body))
-	if !x.received() { // the rest of its body is not read
+func (x *exchange) reply(resp response) {
+	defer x.frontend.bodyBudget.release(cap(resp.body))
+	if !x.received() { // the rest of the body is not read, so the next request could not be found
 		x.frontend.closeAfterResponse(x.writer, closedByRequest)
 	}
-	result := x.write(a)
-	x.status = a.status
-	x.end = endOf[result]
+	result := x.write(resp)
+	x.status = resp.status
+	x.end = endByOutcome[result]
 	if result == clientGone {
 		x.frontend.metrics.countAbandoned(x.request.Class)
 	} else {
-		x.frontend.metrics.countAnswer(x.request.Class, a.status, result == delivered)
+		x.frontend.metrics.countAnswer(x.request.Class, resp.status, result == delivered)
 	}
 	if result != delivered {
-		panic(http.ErrAbortHandler) // breaks the connection, so that the client can tell
+		panic(http.ErrAbortHandler) // closes the connection, so that the client detects the truncated response
 	}
 }
 
-// endOf is how a request has ended, by what came of writing its response.
-var endOf = map[delivery]requestEnd{
+// endByOutcome maps the outcome of writing a response to how the request ended.
+var endByOutcome = map[writeOutcome]requestEnd{
 	delivered:  endAnswered,
-	brokenOff:  endBrokenOff,
+	truncated:  endTruncated,
 	clientGone: endDisconnected,
 }
 
-// abandon tells the loop that the client is gone, and ends the request.
-func (x *exchange) abandon(why requestEnd) {
+// abandon reports to the loop that the request needs no response any more, and ends it.
+func (x *exchange) abandon(end requestEnd) {
 	x.frontend.post(clientDisconnected{x.request})
-	x.abort(why)
+	x.abort(end)
 }
 
-// abort ends a request that gets no response from the loop.
-func (x *exchange) abort(why requestEnd) {
-	x.end = why
+// abort ends a request that gets no response from the loop. The client gets an error if its body is incomplete; otherwise
+// the connection is closed.
+func (x *exchange) abort(end requestEnd) {
+	x.end = end
 	x.frontend.metrics.countAbandoned(x.request.Class)
 	if x.received() {
-		// Returning would make net/http answer 200, and the client may only have closed its sending side.
+		// Returning would make net/http answer 200, which a client that has closed only its sending side would receive.
 		panic(http.ErrAbortHandler)
 	}
 	extendWriteDeadline(x.body.control)
@@ -127,7 +128,7 @@
 	http.Error(x.writer, "the body did not come whole", http.StatusRequestTimeout)
 }
 
-// logEnd logs how the request ended, where the log has that much detail.
+// logEnd logs at debug level how the request ended.
 func (x *exchange) logEnd(began time.Time) {
 	if !debugLogged() {
 		return
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -14,30 +14,29 @@
 	"sprucehill/internal/timelimit"
 )
 
-// maxHeaderBytes bounds the head of a request.
+// maxHeaderBytes bounds the request line and the header of a request.
 const maxHeaderBytes = 16 << 10
 
-// response is the one response that a client gets to its request. Its body counts against the body budget until it is
-// written.
+// response is the one response to a client's request. Its body is reserved in the body budget until it has been written.
 type response struct {
 	status      int
-	body        []byte // the complete body, or the part of it before stream
-	contentType string // the Content-Type; empty: none is sent
-	retryAfter  time.Duration
-	stream      *responseStream // the rest of a streamed body; nil: body is complete
+	body        []byte          // the complete body, or the buffered part of it that precedes stream
+	contentType string          // the Content-Type; none is sent if it is empty
+	retryAfter  time.Duration   // the Retry-After; none is sent if it is zero
+	stream      *responseStream // the rest of a streamed body; nil if body is complete
 }
 
 // frontend accepts client connections, parses requests, posts them to the event loop and writes the loop's responses.
 //
-// It owns the client connections. A request belongs to the loop once it has been posted; the frontend then only waits for
-// the reply, or for the client to disconnect.
+// It owns the client connections. The loop owns a request once it has been posted; the frontend then only waits for the
+// reply or for the client to disconnect.
 type frontend struct {
-	ctx        context.Context // ends the goroutines that the frontend starts
+	ctx        context.Context // its end stops the goroutines that the frontend starts
 	metrics    *proxyMetrics
-	bodyBudget *byteBudget // of buffered bodies, shared with the loop
-	classes    map[string]balancer.Class
-	post       func(event)          // posts to the loop; may wait
-	now        func() time.Duration // the loop's clock
+	bodyBudget *byteBudget               // bounds the buffered bodies; shared with the loop
+	classes    map[string]balancer.Class // by name
+	post       func(event)               // posts an event to the loop; may block
+	now        func() time.Duration      // the loop's clock
 	server     http.Server
 	acceptor   acceptor
 	lifecycle  lifecycle
@@ -45,32 +44,32 @@
 	drainSweep drainSweep
 }
 
-// acceptor is where client connections come from.
+// acceptor is the listener for client connections and its state.
 type acceptor struct {
 	listener  *framing.Listener
-	inherited bool          // the listener was handed down by the platform
-	ended     chan struct{} // closed once no more connections are accepted
+	inherited bool          // the listening socket is inherited from the platform
+	ended     chan struct{} // closed when no more connections are accepted
 }
 
-func newFrontend(c *Config, l net.Listener, to *loop) *frontend {
+func newFrontend(c *Config, listener net.Listener, eventLoop *loop) *frontend {
 	f := &frontend{
-		ctx:        to.ctx,
-		metrics:    to.metrics,
-		bodyBudget: to.dialer.bodyBudget,
+		ctx:        eventLoop.ctx,
+		metrics:    eventLoop.metrics,
+		bodyBudget: eventLoop.dialer.bodyBudget,
 		classes:    make(map[string]balancer.Class, len(c.Settings.Classes)),
-		post:       to.post,
-		now:        to.now,
+		post:       eventLoop.post,
+		now:        eventLoop.now,
 		lifecycle:  lifecycle{longestDeadline: c.longestDeadline()},
 		acceptor: acceptor{
-			listener:  framing.NewListener(l, to.now, timelimit.ClientRead),
+			listener:  framing.NewListener(listener, eventLoop.now, timelimit.ClientRead),
 			inherited: c.inheritsListener(),
 			ended:     make(chan struct{}),
 		},
 	}
 	f.conns = clientConns{
-		metrics:   to.metrics.conns,
+		metrics:   eventLoop.metrics.conns,
 		lifecycle: &f.lifecycle,
-		now:       to.now,
+		now:       eventLoop.now,
 		max:       c.maxClientConns(),
 		open:      map[*framing.Conn]connStatus{},
 	}
@@ -83,7 +82,7 @@
 		WriteTimeout:      timelimit.ClientRead + f.lifecycle.longestDeadline + timelimit.ClientWrite,
 		IdleTimeout:       timelimit.ClientIdle,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ConnContext:       withConn,
+		ConnContext:       contextWithConn,
 		ConnState:         f.conns.track,
 	}
 	return f
@@ -99,15 +98,15 @@
 	return nil
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP handles one request.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// A connection that closes after its response can't be in use when the listener closes; and near the connection limit,
-	// new clients need its descriptor.
-	if cause, closes := f.closesConns(); closes {
+	// During a drain or a shutdown, a connection that closes after its response can't be in use when the listener closes.
+	// Near the connection limit, new clients need its file descriptor.
+	if cause, closes := f.closeCause(); closes {
 		f.closeAfterResponse(w, cause)
 	}
 	if err := checkFraming(r); err != nil {
-		f.closeAfterResponse(w, closedByRequest) // nothing behind this request on its connection can be trusted
+		f.closeAfterResponse(w, closedByRequest) // the bytes after this request can't be trusted to be a request
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -117,36 +116,37 @@
 	}
 	request, body, err := f.parseRequest(w, r)
 	if err != nil {
-		if r.ContentLength != 0 { // the rest of its body is not read
+		if r.ContentLength != 0 { // the rest of the body is not read
 			f.closeAfterResponse(w, closedByRequest)
 		}
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	// The size is taken now: the loop drops the request's body once the request is closed.
+	// The capacity is evaluated here because the loop drops the request's body when the request is closed.
 	defer f.bodyBudget.release(cap(request.message.body))
 	x := exchange{frontend: f, writer: w, httpRequest: r, request: request, body: body}
 	x.serve()
 }
 
-// closesConns reports whether each connection is to be closed once its present request is answered, and why. The result is
-// valid only now: call it when the response is written, not only when its request arrives.
-func (f *frontend) closesConns() (cause closeCause, closes bool) {
+// closeCause reports whether each connection has to be closed once its current request is answered, and for which reason.
+// The result can change while a request is in progress: call it when the response is written, not only when the request
+// arrives.
+func (f *frontend) closeCause() (cause closeCause, closes bool) {
 	if cause, closes := f.lifecycle.closeCause(); closes {
 		return cause, true
 	}
 	return closedByLimit, f.conns.nearLimit()
 }
 
-// closeAfterResponse makes net/http close the connection once the present request is answered.
+// closeAfterResponse makes net/http close the connection once the current request is answered.
 func (f *frontend) closeAfterResponse(w http.ResponseWriter, cause closeCause) {
-	if w.Header().Get("Connection") == "" { // not set before
+	if w.Header().Get("Connection") == "" { // not counted yet
 		f.metrics.conns.countClose(cause)
 	}
 	w.Header().Set("Connection", "close")
 }
 
-// checkFraming rejects what leaves the end of a request in doubt and framing.Conn does not check.
+// checkFraming rejects the requests whose end is ambiguous and that framing.Conn does not reject.
 func checkFraming(r *http.Request) error {
 	if !r.ProtoAtLeast(1, 1) {
 		return errors.New("HTTP/1.1 is wanted")
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// isHealthCheck reports whether a request is a health check of the balancer itself, not a request of a client.
+// isHealthCheck reports whether a request is a health check of the balancer itself, not a request to be forwarded.
 func isHealthCheck(r *http.Request) bool {
 	return r.URL.Path == "/healthz" && r.Method == http.MethodGet && r.Header.Get("X-Request-Id") == ""
 }
@@ -169,7 +169,7 @@
 		f.post(reached)
 		<-reached
 	}
-	if cause, closes := f.closesConns(); closes { // it may have changed during the wait for the loop
+	if cause, closes := f.closeCause(); closes { // may have changed while waiting for the loop
 		f.closeAfterResponse(w, cause)
 	}
 	if f.lifecycle.shutdown.isActive() {
@@ -180,10 +180,10 @@
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 		return
 	}
-	_, _ = io.WriteString(w, "ok\n") // a client that has gone needs no response
+	_, _ = io.WriteString(w, "ok\n") // fails only if the client has disconnected
 }
 
-// barrier is an event that is closed when the loop reaches it.
+// barrier is an event without effect. The loop closes the channel when it reaches the event.
 type barrier chan struct{}
 
 func (b barrier) apply(*loop) { close(b) }
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -1,8 +1,9 @@
 package proxy
 
-// maxUpstreamConns bounds the connections to upstreams, and with them the attempts in flight. Where two processes may
-// overlap, each has a fixed part. Clients hold a third of the descriptors at both processes together, one for each request:
-// if the process that shuts down had more than half of those in flight, its successor's clients would find none.
+// maxUpstreamConns bounds the connections to upstreams, and with them the attempts in flight. With an inherited listener,
+// two processes may overlap and each gets a fixed share. Clients hold a third of the descriptors of both processes together,
+// one for each request: if the process that shuts down had more than half of these requests in flight, none would be left
+// for the clients of its successor.
 func (c *Config) maxUpstreamConns() int {
 	if c.inheritsListener() {
 		return c.Sockets / 6
@@ -10,7 +11,7 @@
 	return c.Sockets * 3 / 8
 }
 
-// maxClientConns bounds the connections of clients, and of whoever else connects to their listener.
+// maxClientConns bounds the connections that the client listener accepts, including those that are not from clients.
 func (c *Config) maxClientConns() int {
 	if c.inheritsListener() {
 		return c.Sockets * 2 / 5
@@ -18,8 +19,8 @@
 	return c.Sockets / 2
 }
 
-// SoftMemory is the heap size, in bytes, that the process aims at: 60 % of its memory limit, and half of that where another
-// process may run beside it.
+// SoftMemory returns the target size of the heap in bytes: 60 % of the memory limit, or half of that if another process may
+// run at the same time.
 func (c *Config) SoftMemory() int64 {
 	total := int64(c.MemoryMB) << 20 * 6 / 10
 	if c.inheritsListener() {
@@ -28,5 +29,5 @@
 	return total
 }
 
-// bodyBudgetBytes bounds the bytes that are buffered of all bodies at once.
+// bodyBudgetBytes bounds the total size, in bytes, of all body buffers.
 func (c *Config) bodyBudgetBytes() int64 { return c.SoftMemory() / 5 }
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// inheritedAcceptTimeout bounds an accept call on an inherited listener that another process has made blocking.
+// inheritedAcceptTimeout bounds an accept call on an inherited listener that another process has set to blocking mode.
 const inheritedAcceptTimeout = 50 * time.Millisecond
 
-// OpenListener returns the listener for clients: the one that the platform hands down if there is one, or else a new one.
+// OpenListener returns the listener for clients: the inherited one if ListenFD is set, otherwise a new one on Listen.
 func (c *Config) OpenListener() (net.Listener, error) {
 	if c.inheritsListener() {
 		return inheritListener(c.ListenFD)
@@ -25,10 +25,10 @@
 	return l, nil
 }
 
-// inheritListener takes over a descriptor of a listening socket.
+// inheritListener returns a listener on an inherited listening socket, and closes the descriptor fd.
 func inheritListener(fd int) (net.Listener, error) {
 	f := os.NewFile(uintptr(fd), "listener")
-	defer f.Close() // the listener uses a copy
+	defer f.Close() // net.FileListener duplicates the descriptor
 	if err := prepareInherited(fd); err != nil {
 		return nil, fmt.Errorf("RELAY_FD: descriptor %d: %w", fd, err)
 	}
@@ -39,33 +39,33 @@
 	return l, nil
 }
 
-// prepareInherited checks that a descriptor is of a listening socket, and bounds its accept calls.
+// prepareInherited checks that fd is a listening socket, and sets a time limit for its accept calls.
 func prepareInherited(fd int) error {
 	listening, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err != nil {
 		return err
 	}
 	if listening == 0 {
-		return errors.New("it does not listen")
+		return errors.New("not a listening socket")
 	}
-	// Whether the socket blocks is one flag for all processes that hold it. One that clears it, as os/exec does for a
-	// child, would leave an accept call here waiting for the next client, and closing the listener waits for that call.
+	// All processes that hold the socket share its O_NONBLOCK flag. If one of them clears it, as os/exec does for a child,
+	// an accept call here blocks until the next client connects, and closing the listener waits for that call.
 	timeout := syscall.NsecToTimeval(inheritedAcceptTimeout.Nanoseconds())
 	return syscall.SetsockoptTimeval(fd, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &timeout)
 }
 
-// inheritsListener reports whether the platform holds the clients' listener. At an upgrade another process then takes over
-// its queue, and for a time the two processes together have the limits of one.
+// inheritsListener reports whether the listening socket is inherited from the platform. In an upgrade, a successor process
+// then takes over its accept queue, and while both processes run they share the resource limits of one.
 func (c *Config) inheritsListener() bool { return c.ListenFD != 0 }
 
-// parseListenerFD parses RELAY_FD; 0: it is not set.
+// parseListenerFD parses the value of RELAY_FD. It returns 0 if the variable is not set.
 func parseListenerFD(text string) (int, error) {
 	if text == "" {
 		return 0, nil
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd <= 2 { // 0 to 2 are the standard streams
-		return 0, fmt.Errorf("RELAY_FD: %q is no descriptor of a listener", text)
+		return 0, fmt.Errorf("RELAY_FD: invalid file descriptor %q: expected an integer greater than 2", text)
 	}
 	return fd, nil
 }
--- a/internal/proxy/requestbody.go
+++ b/internal/proxy/requestbody.go
@@ -10,21 +10,21 @@
 	"sprucehill/internal/timelimit"
 )
 
-// minBodyRate is the pace, in bytes per second, that a client has to maintain while it sends a body: half of what the platform
-// promises for its clients.
+// minBodyRate is the rate, in bytes per second, at which a client has to send a body: half of the rate that the platform
+// guarantees for its clients.
 const minBodyRate = 32 << 10
 
-// requestBody reads a client's body and enforces its pace. Only the time in which the client sends nothing counts against
-// it, and each byte that it sends earns it more.
+// requestBody reads a request body and enforces the minimum rate at which the client sends it. The time spent waiting for
+// data uses up the client's credit, and each byte received adds to it.
 //
-// One goroutine reads it at a time. complete and failed may be looked at from others.
+// Only one goroutine at a time may call Read. complete and failed may be used from any goroutine.
 type requestBody struct {
 	body       io.Reader
 	control    *http.ResponseController
-	credit     time.Duration // for how long the client may still send nothing
-	complete   atomic.Bool   // the last byte has come
-	onComplete func()        // called once, with the last byte
-	failed     chan struct{} // closed when reading has failed
+	credit     time.Duration // how much longer a read may wait for data
+	complete   atomic.Bool   // the last byte has been read
+	onComplete func()        // called once, when the last byte has been read
+	failed     chan struct{} // closed when a read has failed
 	failOnce   sync.Once
 }
 
@@ -38,8 +38,8 @@
 	}
 }
 
-// allowFirstByte sets how long the body may take to begin where reading the head took headTime.
-func (b *requestBody) allowFirstByte(headTime time.Duration) {
+// setFirstByteTimeout sets how long the first byte of the body may take, given that reading the head took headTime.
+func (b *requestBody) setFirstByteTimeout(headTime time.Duration) {
 	b.credit = min(timelimit.ClientRead, max(timelimit.FirstBodyByte, timelimit.RequestSilence-headTime))
 }
 
@@ -53,7 +53,7 @@
 	b.credit = min(timelimit.ClientRead, b.credit-time.Since(began)+earned)
 	switch {
 	case err == io.EOF:
-		_ = b.control.SetReadDeadline(time.Time{}) // fails only on a closed connection, which the next read shows
+		_ = b.control.SetReadDeadline(time.Time{}) // fails only on a closed connection, where the next read fails too
 		b.complete.Store(true)
 		b.onComplete()
 	case err != nil:
--- a/internal/proxy/requestparse.go
+++ b/internal/proxy/requestparse.go
@@ -12,7 +12,7 @@
 	"sprucehill/internal/timelimit"
 )
 
-// Why a request is malformed. The texts are part of the response to the client.
+// Errors for malformed requests. The client receives the text as the body of the response.
 var (
 	errUnknownClass   = errors.New("X-Class names no known class")
 	errPathClass      = errors.New("the path does not begin with the class")
@@ -22,13 +22,13 @@
 	errGetWithBody    = errors.New("a GET has no body")
 )
 
-// parseRequest reads a client's request up to its end, or until as much of its body is buffered as may be; the rest is then
-// an upload. A malformed request never reaches the decision module. The request's body counts against the body budget,
-// except beside an error.
+// parseRequest validates a request and buffers its body. A request whose body exceeds what may be buffered becomes an
+// upload, whose remaining body is streamed. A malformed request is rejected here and never reaches the decision module. The
+// buffered body is reserved in the body budget unless an error is returned.
 func (f *frontend) parseRequest(w http.ResponseWriter, r *http.Request) (*request, *requestBody, error) {
-	conn := connOf(r)
+	conn := connOfRequest(r)
 	arrivedAt := conn.ArrivedAt()
-	class, err := f.classOf(r)
+	class, err := f.validatedClass(r)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -36,13 +36,13 @@
 	var buffered []byte
 	complete := true
 	if r.ContentLength != 0 {
-		body.allowFirstByte(arrivedAt - conn.HeadAt())
+		body.setFirstByteTimeout(arrivedAt - conn.HeadAt())
 		buffered, complete, err = f.bodyBudget.readBody(body, r.ContentLength, func() bool { return false })
 		if err != nil {
 			f.bodyBudget.release(cap(buffered))
 			return nil, nil, fmt.Errorf("body: %w", err)
 		}
-		arrivedAt = conn.ArrivedAt() // the deadline counts from the last byte
+		arrivedAt = conn.ArrivedAt() // the deadline counts from the last byte of the body
 	}
 	if class.Idempotency == balancer.Idempotent && len(buffered) > 0 {
 		f.bodyBudget.release(cap(buffered))
@@ -64,14 +64,15 @@
 			f.bodyBudget.release(cap(buffered))
 			return nil, nil, fmt.Errorf("body: %w", err)
 		}
-		f.makeUpload(parsed, body, r.ContentLength)
+		f.setUpload(parsed, body, r.ContentLength)
 	}
 	f.setAttributes(parsed, class, r)
 	return parsed, body, nil
 }
 
-// classOf checks the fields that a request must have, and returns its class.
-func (f *frontend) classOf(r *http.Request) (balancer.Class, error) {
+// validatedClass checks that the class, path, request id, method and idempotency key of a request fit together, and returns
+// its class.
+func (f *frontend) validatedClass(r *http.Request) (balancer.Class, error) {
 	class, known := f.classes[r.Header.Get("X-Class")]
 	if !known {
 		return class, errUnknownClass
@@ -97,8 +98,8 @@
 	return class, nil
 }
 
-// removeHopByHopFields removes the fields that the client meant for this connection only. Those that are always so are
-// left out by message.renderHead.
+// removeHopByHopFields removes the fields that the Connection header declares hop-by-hop. Fields that are always hop-by-hop
+// are omitted by message.renderHead.
 func removeHopByHopFields(header http.Header) {
 	for _, names := range header["Connection"] {
 		for name := range strings.SplitSeq(names, ",") {
@@ -107,38 +108,38 @@
 	}
 }
 
-// makeUpload turns a request into one whose body is forwarded as it comes.
-func (f *frontend) makeUpload(q *request, body *requestBody, contentLength int64) {
-	q.Upload = true
-	q.timeLeft = f.lifecycle.timeLeft
-	q.message.rest = body
-	q.message.contentLength = contentLength
+// setUpload turns a request into an upload, whose body is forwarded while it is received.
+func (f *frontend) setUpload(req *request, body *requestBody, contentLength int64) {
+	req.Upload = true
+	req.timeLeft = f.lifecycle.timeLeft
+	req.message.rest = body
+	req.message.contentLength = contentLength
 	body.onComplete = func() { f.metrics.inProgress.Add(1) }
 }
 
-// setAttributes sets what the decision module gets to know of a request.
-func (f *frontend) setAttributes(q *request, class balancer.Class, r *http.Request) {
+// setAttributes sets the attributes of a request that the decision module uses.
+func (f *frontend) setAttributes(req *request, class balancer.Class, r *http.Request) {
 	if class.Idempotency == balancer.IdempotentByKey {
-		q.window.duration = class.IdempotencyWindow
+		req.window.duration = class.IdempotencyWindow
 	}
-	q.Class = class.Name
-	q.Tenant = r.Header.Get("X-Tenant")
-	q.Retry = r.Header.Get("X-Retry") == "1"
-	timeout := min(class.Deadline, deadlineOf(r, class.Deadline))
-	q.Timeout = max(0, min(timeout-timelimit.DeadlineMargin, f.lifecycle.timeLeft(q.arrivedAt, timeout)))
+	req.Class = class.Name
+	req.Tenant = r.Header.Get("X-Tenant")
+	req.Retry = r.Header.Get("X-Retry") == "1"
+	timeout := min(class.Deadline, clientTimeout(r, class.Deadline))
+	req.Timeout = max(0, min(timeout-timelimit.DeadlineMargin, f.lifecycle.timeLeft(req.arrivedAt, timeout)))
 	costMicroseconds, err := strconv.ParseInt(r.Header.Get("X-Cost-Hint"), 10, 32)
 	if err == nil && costMicroseconds > 0 {
-		q.CostHint = time.Duration(costMicroseconds) * time.Microsecond
+		req.CostHint = time.Duration(costMicroseconds) * time.Microsecond
 	}
 	if cookie, err := r.Cookie("obj"); err == nil {
-		q.HasKey = true
-		q.Key = objectKey(cookie.Value)
+		req.HasKey = true
+		req.Key = objectKey(cookie.Value)
 	}
 }
 
-// deadlineOf is how long a client says that it waits, or fallback where it doesn't say so in a form that can be read. Zero
-// is a deadline too: it is over, and the client has to be answered at once.
-func deadlineOf(r *http.Request, fallback time.Duration) time.Duration {
+// clientTimeout returns how long the client says it waits for the response, or fallback if X-Deadline-Ms is missing or invalid.
+// Zero is valid: the deadline has passed, and the client is answered immediately.
+func clientTimeout(r *http.Request, fallback time.Duration) time.Duration {
 	milliseconds, err := strconv.ParseInt(r.Header.Get("X-Deadline-Ms"), 10, 32)
 	if err != nil || milliseconds < 0 {
 		return fallback
@@ -146,7 +147,7 @@
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
-// objectKey is the number that an object cookie stands for: its value in hexadecimal, or a hash of any other text.
+// objectKey returns the key in the value of an obj cookie: a hexadecimal number, or else a hash of the text.
 func objectKey(text string) uint64 {
 	key, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
@@ -155,7 +156,8 @@
 	return key
 }
 
-// originForm is a request's target without scheme and host, as upstreams get it.
+// originForm converts a request target from absolute form to origin form, without scheme and host. Other targets are
+// returned unchanged.
 func originForm(target string) string {
 	if strings.HasPrefix(target, "/") {
 		return target
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// maxResponseLength is the greatest length, in bytes, that a response may have: twice the longest that the platform's
-	// pages say occurs. A response that announces more is broken, and would break off once its beginning had been passed
-	// on.
+	// maxResponseLength is the maximum length, in bytes, of a response body: twice the longest that the platform's
+	// documentation says occurs. A response with a greater Content-Length is invalid, and is rejected because forwarding
+	// it would end with a truncated response at the client.
 	maxResponseLength = 64 << 20
-	// unsizedResponseHoldTime is how long a response of unknown length is buffered before what has come is passed on. Until
-	// it is complete it might be one that can be requested again, but delaying a long one costs its client time.
-	unsizedResponseHoldTime = 200 * time.Millisecond
+	// unknownLengthBufferTime is how long a response of unknown length is buffered before it is streamed. A response that turns
+	// out to be incomplete can be requested again only while it is buffered, but buffering delays a long one for the client.
+	unknownLengthBufferTime = 200 * time.Millisecond
 )
 
-// readResponse reads an upstream's response. The body of a long or slow one is left to be streamed. Of a response that is
-// not successful, the body is discarded.
+// readResponse reads an upstream's response. The rest of a long or slow body is left to be streamed. The body of an
+// unsuccessful response is discarded.
 func (d dialer) readResponse(c *upstreamConn) attemptResult {
 	c.readLimit.N = maxResponseRead
 	resp, err := readFinalHead(c.reader)
@@ -31,7 +31,7 @@
 		c.Close()
 		return attemptResult{status: balancer.Reset}
 	}
-	r := attemptResult{status: statusOf(resp), load: parseLoadReport(resp.Header.Get("X-Load"))}
+	r := attemptResult{status: attemptStatus(resp), load: parseLoadReport(resp.Header.Get("X-Load"))}
 	body, complete, err := d.readResponseBody(c, resp)
 	if err == nil && r.status == balancer.OK {
 		r.body = body
@@ -45,7 +45,7 @@
 		return attemptResult{status: balancer.Reset}
 	case !complete && r.status == balancer.OK:
 		r.stream = &responseStream{resp: resp, conn: c}
-	case !complete || resp.Close: // the rest of an error's body is of no use
+	case !complete || resp.Close: // the rest of an unsuccessful response is not read
 		c.Close()
 	default:
 		r.conn = c
@@ -53,7 +53,7 @@
 	return r
 }
 
-// readFinalHead reads the head of a response, and passes over the interim ones (1xx) before it.
+// readFinalHead reads the head of the final response, and skips interim (1xx) responses before it.
 func readFinalHead(in *bufio.Reader) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(in, nil)
@@ -63,35 +63,35 @@
 	}
 }
 
-// statusOf is the outcome that a response's head stands for.
-func statusOf(resp *http.Response) balancer.Status {
+// attemptStatus returns the outcome of an attempt by the head of its response.
+func attemptStatus(resp *http.Response) balancer.Status {
 	switch resp.StatusCode {
 	case http.StatusOK:
 		return balancer.OK
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		if resp.Header.Get("X-Not-Run") == "1" { // without that mark the request may have been executed
+		if resp.Header.Get("X-Not-Run") == "1" { // without this field the request may have been executed
 			return balancer.Rejected
 		}
 	}
 	return balancer.Error
 }
 
-// readResponseBody buffers a response's body, or the beginning of one that is to be streamed.
+// readResponseBody buffers a response body, or the beginning of one that will be streamed.
 func (d dialer) readResponseBody(c *upstreamConn, resp *http.Response) (body []byte, complete bool, err error) {
 	began := time.Now()
 	body, complete, err = d.bodyBudget.readBody(resp.Body, resp.ContentLength, func() bool {
 		if resp.ContentLength < 0 {
-			return time.Since(began) > unsizedResponseHoldTime
+			return time.Since(began) > unknownLengthBufferTime
 		}
 		return resp.ContentLength > maxBody
 	})
-	if err == nil && complete && c.readLimit.N <= 0 { // the limit has ended it, not the upstream
+	if err == nil && complete && c.readLimit.N <= 0 { // the read limit ended the body, not the upstream
 		err = io.ErrUnexpectedEOF
 	}
 	return body, complete, err
 }
 
-// parseLoadReport parses a load report: comma-separated name=value pairs. What can't be parsed is ignored.
+// parseLoadReport parses a load report: comma-separated name=value pairs. It ignores pairs that it can't parse.
 func parseLoadReport(text string) balancer.LoadReport {
 	var report balancer.LoadReport
 	for pair := range strings.SplitSeq(text, ",") {
--- a/internal/proxy/responsestream.go
+++ b/internal/proxy/responsestream.go
@@ -8,19 +8,19 @@
 	"sprucehill/internal/timelimit"
 )
 
-// errResponseTooLong says that the body of a response without a length is longer than that of any valid one.
+// errResponseTooLong reports that the body of a response of unknown length exceeds maxResponseLength.
 var errResponseTooLong = fmt.Errorf("response body exceeds %d bytes", maxResponseLength)
 
-// responseStream is the rest of a response. It belongs, with its connection, to whoever passes it on to the client.
+// responseStream is the unread rest of a response. The goroutine that forwards it to the client owns it and its connection.
 type responseStream struct {
 	resp      *http.Response
 	conn      *upstreamConn
 	endpoint  *endpoint
-	bytesRead int64 // of the body, by read
+	bytesRead int64 // bytes of the body that read has returned
 }
 
-// read reads the next part of the body. It fails if the upstream sends nothing for timelimit.UpstreamStall, or more than
-// maxResponseLength in all.
+// read reads the next part of the body. It fails if the upstream sends nothing for timelimit.UpstreamStall, or if more than
+// maxResponseLength bytes have been read in total.
 func (s *responseStream) read(p []byte) (n int, err error) {
 	if s.bytesRead > maxResponseLength {
 		return 0, errResponseTooLong
@@ -34,7 +34,8 @@
 	return n, err
 }
 
-// release returns the connection if it can be used again, and closes it otherwise. The body has been read to its end.
+// release returns the connection if it can be reused; otherwise it closes the connection and returns nil. The body must
+// have been read to its end.
 func (s *responseStream) release() *upstreamConn {
 	if s.resp.Close {
 		s.conn.Close()
--- a/internal/proxy/responsewriter.go
+++ b/internal/proxy/responsewriter.go
@@ -11,51 +11,51 @@
 	"sprucehill/internal/timelimit"
 )
 
-// delivery is how writing a response ended.
-type delivery uint8
+// writeOutcome is how writing a response ended.
+type writeOutcome uint8
 
 const (
-	brokenOff  delivery = iota // the upstream's response broke off in the middle
-	clientGone                 // the client disconnected
-	delivered                  // the response was written completely
+	truncated  writeOutcome = iota // the upstream's response ended early
+	clientGone                     // the client disconnected
+	delivered                      // the response was written completely
 )
 
-// write writes a response to the client. Only a streamed one can end other than delivered.
-func (x *exchange) write(a response) delivery {
+// write writes a response to the client. Only a streamed response can have an outcome other than delivered.
+func (x *exchange) write(resp response) writeOutcome {
 	header := x.writer.Header()
-	// A drain or shutdown that began while the request was in progress must not leave its connection open.
-	if cause, closes := x.frontend.closesConns(); closes {
+	// If a drain or shutdown began while the request was in progress, the connection must not stay open.
+	if cause, closes := x.frontend.closeCause(); closes {
 		x.frontend.closeAfterResponse(x.writer, cause)
 	}
-	if a.contentType != "" {
-		header.Set("Content-Type", a.contentType)
+	if resp.contentType != "" {
+		header.Set("Content-Type", resp.contentType)
 	} else {
-		header["Content-Type"] = nil // prevents net/http from guessing one
+		header["Content-Type"] = nil // prevents net/http from detecting a type
 	}
-	if a.retryAfter > 0 {
-		header.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
+	if resp.retryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(resp.retryAfter.Seconds(), 'f', 3, 64))
 	}
 	control := http.NewResponseController(x.writer)
 	extendWriteDeadline(control)
-	if a.stream != nil {
-		return x.writeStream(control, a)
+	if resp.stream != nil {
+		return x.writeStream(control, resp)
 	}
-	header.Set("Content-Length", strconv.Itoa(len(a.body)))
-	x.writer.WriteHeader(a.status)
-	_, _ = x.writer.Write(a.body) // a client that has gone can tell that the response is not complete
+	header.Set("Content-Length", strconv.Itoa(len(resp.body)))
+	x.writer.WriteHeader(resp.status)
+	_, _ = x.writer.Write(resp.body) // on an error the client detects by Content-Length that the response is incomplete
 	return delivered
 }
 
-// writeStream writes a streamed response and gives its upstream connection back to the loop.
-func (x *exchange) writeStream(control *http.ResponseController, a response) (result delivery) {
-	upstream := a.stream
+// writeStream writes a streamed response and returns its upstream connection to the loop.
+func (x *exchange) writeStream(control *http.ResponseController, resp response) (result writeOutcome) {
+	upstream := resp.stream
 	stopWatching := context.AfterFunc(x.httpRequest.Context(), func() {
-		if !connOf(x.httpRequest).HasFramingError() {
+		if !connOfRequest(x.httpRequest).HasFramingError() {
 			upstream.conn.SetReadDeadline(expiredDeadline)
 		}
 	})
 	defer func() {
-		// Where watching could not be stopped, a read deadline may still be set on the upstream's connection.
+		// If the function could not be stopped, it may still set a read deadline on the upstream connection.
 		stopped := stopWatching()
 		var reusable *upstreamConn
 		if result == delivered && stopped {
@@ -68,15 +68,15 @@
 	if n := upstream.resp.ContentLength; n >= 0 {
 		x.writer.Header().Set("Content-Length", strconv.FormatInt(n, 10))
 	}
-	x.writer.WriteHeader(a.status)
-	return x.copyStream(control, a.body, upstream)
+	x.writer.WriteHeader(resp.status)
+	return x.copyStream(control, resp.body, upstream)
 }
 
-// copyStream writes beginning and then what the upstream sends, each part as soon as it has come.
-func (x *exchange) copyStream(control *http.ResponseController, beginning []byte, upstream *responseStream) delivery {
+// copyStream writes the buffered part of a response and then the rest, each part as soon as the upstream has sent it.
+func (x *exchange) copyStream(control *http.ResponseController, buffered []byte, upstream *responseStream) writeOutcome {
 	buf := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(buf)
-	part := beginning
+	part := buffered
 	for {
 		extendWriteDeadline(control)
 		if _, err := x.writer.Write(part); err != nil {
@@ -90,7 +90,7 @@
 		switch {
 		case errors.Is(err, io.EOF):
 			if x.frontend.lifecycle.isEnding() {
-				connOf(x.httpRequest).EndAfterResponse()
+				connOfRequest(x.httpRequest).EndAfterResponse()
 			}
 			if _, err := x.writer.Write(part); err != nil {
 				return clientGone
@@ -99,13 +99,13 @@
 		case err != nil && x.httpRequest.Context().Err() != nil:
 			return clientGone
 		case err != nil:
-			return brokenOff
+			return truncated
 		}
 	}
 }
 
-// extendWriteDeadline gives the client another timelimit.ClientWrite for reading. That fails only on a closed connection,
-// which the next write shows.
+// extendWriteDeadline sets the write deadline to timelimit.ClientWrite from now. That fails only on a closed connection,
+// where the next write fails too.
 func extendWriteDeadline(control *http.ResponseController) {
 	_ = control.SetWriteDeadline(time.Now().Add(timelimit.ClientWrite))
 }
