--- a/internal/proxy/acceptfailure_test.go
+++ b/internal/proxy/acceptfailure_test.go
@@ -12,12 +12,12 @@
 	"sprucehill/internal/discovery"
 )
 
-// failingListener fails its first accept calls, or all of them once it is broken.
+// failingListener is a listener whose first accept calls fail, or all of them once it is broken.
 type failingListener struct {
 	recordingListener
 	mu       sync.Mutex // guards the fields below
-	failures []error    // of the next calls
-	broken   error      // of all calls; nil: it is not broken
+	failures []error    // the errors that the next calls return
+	broken   error      // the error that all calls return; nil if the listener is not broken
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
@@ -44,42 +44,42 @@
 	l.broken = err
 }
 
-// newBalancerOnFailing starts a balancer whose clients come through a listener that fails.
+// newBalancerOnFailing starts a balancer that accepts clients from a failing listener.
 func newBalancerOnFailing(t *testing.T, l *failingListener, members ...discovery.Entry) *testBalancer {
 	t.Helper()
-	return newBalancerOn(t, newTestDiscovery(t), func(x net.Listener) net.Listener {
-		l.recordingListener = x.(recordingListener)
+	return newBalancerOn(t, newTestDiscovery(t), func(inner net.Listener) net.Listener {
+		l.recordingListener = inner.(recordingListener)
 		return l
 	}, func(*Config) {}, members...)
 }
 
-// An accept call may fail for lack of memory or for an error of the connection that it should have returned. The balancer goes
-// on: it used to end with all requests in flight at the first such error that net/http does not know as temporary.
+// An accept call can fail for lack of memory or because of an error of the connection that it should return. The balancer must
+// continue to serve. Guards against ending, with all requests in flight, at an error that net/http does not treat as temporary.
 func TestServesAfterFailedAccept(t *testing.T) {
-	s := newTestUpstream(t, respondOK)
-	l := &failingListener{failures: []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN,
+	upstream := newTestUpstream(t, respondOK)
+	listener := &failingListener{failures: []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN,
 		syscall.EHOSTUNREACH, syscall.EMFILE, syscall.ECONNABORTED}}
-	b := newBalancerOnFailing(t, l, activeMember("s-00000001", s))
+	b := newBalancerOnFailing(t, listener, activeMember("s-00000001", upstream))
 	status, _ := b.do(t, b.newRequest("checkin", ""))
 	assertEqual(t, "status", status, 200)
 }
 
-// Where the listener itself is unusable the balancer ends with an error, but not before the requests that it has are answered.
+// If the listener itself is unusable, the balancer answers the accepted requests and then ends with an error.
 func TestBrokenListenerLosesNoRequest(t *testing.T) {
 	release := make(chan struct{})
-	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
-	l := &failingListener{}
-	b := newBalancerOnFailing(t, l, activeMember("s-00000001", s))
+	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
+	listener := &failingListener{}
+	b := newBalancerOnFailing(t, listener, activeMember("s-00000001", upstream))
 	first := b.doInBackground(b.newRequest("checkin", ""))
-	<-s.arrivals
-	l.setBroken(syscall.EBADF)
-	b.sendRaw(t, "checkin", "") // the accept call that waits returns with it; the next one fails
-	<-s.arrivals
+	<-upstream.arrivals
+	listener.setBroken(syscall.EBADF)
+	b.sendRaw(t, "checkin", "") // ends the pending accept call; the next call fails
+	<-upstream.arrivals
 	eventually(t, "the shutdown has begun", b.proxy.front.lifecycle.shutdown.isActive)
 	close(release)
 	assertEqual(t, "status", <-first, 200)
 	err := <-b.ended
-	b.ended <- nil // for the cleanup
+	b.ended <- nil // the cleanup waits for the end too
 	if !errors.Is(err, syscall.EBADF) {
 		t.Errorf("ended with %v", err)
 	}
--- a/internal/proxy/bodybudget_test.go
+++ b/internal/proxy/bodybudget_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Buffered bodies stay inside the budget: a body that finds no room is streamed, complete all the same, and every byte is
-// released.
+// Buffered bodies stay within the budget: a body that exceeds it is streamed and still delivered completely, and every
+// reserved byte is released.
 func TestBodyBudget(t *testing.T) {
 	b := newByteBudget(20 << 10)
 	for _, c := range []struct {
@@ -28,15 +28,15 @@
 		b.release(cap(body))
 	}
 	if _, _, err := b.readBody(patternReader(10), 20, func() bool { return false }); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("a short one: %v", err)
+		t.Errorf("body shorter than its length: got %v, want %v", err, io.ErrUnexpectedEOF)
 	}
 
-	s := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
+	upstream := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 60<<10)
 		_, err := io.Copy(c, patternReader(60<<10))
 		return err == nil
 	})
-	p := newBalancer(t, activeMember("s-00000001", s))
+	p := newBalancer(t, activeMember("s-00000001", upstream))
 	budget := p.proxy.loop.dialer.bodyBudget
 	all := budget.available.Load()
 	for _, available := range []int64{all, 8 << 10} {
@@ -46,9 +46,9 @@
 		status, body := p.do(t, r)
 		assertEqual(t, "status", status, 200)
 		assertEqual(t, "answer", len(body), 60<<10)
-		got, _ := io.ReadAll((<-s.arrivals).Body)
+		got, _ := io.ReadAll((<-upstream.arrivals).Body)
 		assertEqual(t, "body", len(got), 60<<10)
-		for deadline := time.Now().Add(failureTimeout); budget.available.Load() != available; { // the handler ends just after its response
+		for deadline := time.Now().Add(failureTimeout); budget.available.Load() != available; { // the handler returns shortly after its response
 			if time.Now().After(deadline) {
 				t.Fatalf("%d bytes were not released", available-budget.available.Load())
 			}
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -43,7 +43,7 @@
 	assertEqual(t, "management", c.Management, "") // none is configured
 }
 
-// The environment overrides the management address of the file.
+// RELAY_MANAGEMENT overrides the management address in the file.
 func TestManagementAddress(t *testing.T) {
 	text := strings.Replace(configText, `"name"`, `"management":"127.0.0.1:9000","name"`, 1)
 	for _, x := range []struct{ env, want string }{{"", "127.0.0.1:9000"}, {"127.0.0.1:9001", "127.0.0.1:9001"}} {
@@ -54,15 +54,15 @@
 		assertEqual(t, "management", c.Management, x.want)
 	}
 	if _, err := loadConfig(t, configText, map[string]string{"RELAY_MANAGEMENT": "9000"}); err == nil || !strings.Contains(err.Error(), "management") {
-		t.Errorf("a bad one: got %v", err)
+		t.Errorf("invalid management address: got error %v, want it to name the field", err)
 	}
 }
 
 func TestConfigErrorsNameTheField(t *testing.T) {
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
-		t.Errorf("no file: got %v", err)
+		t.Errorf("RELAY_CONFIG not set: got error %v, want it to name the variable", err)
 	}
-	for _, c := range []struct{ old, new, wants string }{
+	for _, c := range []struct{ old, new, wantInError string }{
 		{`{"name"`, `"name"`, "invalid character"},
 		{"127.0.0.1:7070", "", "listen"},
 		{"127.0.0.1:8500", "nowhere", "discovery"},
@@ -90,8 +90,8 @@
 		{`"127.0.0.1:7"`, `"here"`, "s-5be2a07c"},
 	} {
 		_, err := loadConfig(t, strings.Replace(configText, c.old, c.new, 1), nil)
-		if err == nil || !strings.Contains(err.Error(), c.wants) || !strings.Contains(err.Error(), "config.json") {
-			t.Errorf("%s: got %v, want it to name the file and %s", c.new, err, c.wants)
+		if err == nil || !strings.Contains(err.Error(), c.wantInError) || !strings.Contains(err.Error(), "config.json") {
+			t.Errorf("%s: got error %v, want it to name the file and %s", c.new, err, c.wantInError)
 		}
 	}
 }
@@ -103,17 +103,17 @@
 	other := n.idOf("5be2a07c.example")
 	assertEqual(t, "another form", other, hashID("5be2a07c.example"))
 	seen := map[balancer.EndpointID]string{}
-	for _, text := range []string{"s-7", "s-07", "s-007", "s-zz", "s-123456789", "", "s-"} { // the first three are the same number
+	for _, text := range []string{"s-7", "s-07", "s-007", "s-zz", "s-123456789", "", "s-"} { // the first three have the same numeric value
 		id := n.idOf(text)
 		if seen[id] != "" {
-			t.Errorf("%q and %q are mixed up", text, seen[id])
+			t.Errorf("%q and %q have the same id", text, seen[id])
 		}
 		seen[id] = text
 	}
 }
 
-// An upstream that started before this process is as far in its slow start as at other balancers; one that started long ago
-// is warm.
+// The start time of an upstream that started before this process is converted to the loop's clock, so that its slow start is as
+// advanced as at other balancers. An upstream that started long ago is warm.
 func TestEndpointStartIsOnTheLoopClock(t *testing.T) {
 	c, err := loadConfig(t, configText, nil)
 	if err != nil {
@@ -135,7 +135,7 @@
 	assertEqual(t, "none", parseLoadReport(""), balancer.LoadReport{})
 }
 
-// At the limit on connections an attempt can't be sent: the decision module gets that outcome, once, and no attempt stays
+// At the connection limit an attempt can't be sent: the decision module gets that outcome exactly once, and no attempt remains
 // in flight.
 func TestAttemptAtTheConnectionLimitFails(t *testing.T) {
 	c, err := loadConfig(t, configText, nil)
@@ -159,7 +159,7 @@
 	assertEqual(t, "connections", l.pool.open, 0)
 }
 
-// Keys that are not used are no mistake, and are named.
+// Unused keys are reported and are not an error.
 func TestUnusedKeys(t *testing.T) {
 	text := strings.Replace(configText, `"name"`, `"manage":"127.0.0.1:9000","beta":{"name":1},"name"`, 1)
 	for text, want := range map[string]string{configText: "", text: "beta manage"} {
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -13,9 +13,9 @@
 	"sprucehill/balancer"
 )
 
-// An upstream gets the time that the balancer will wait from the moment at which the attempt is written, however late its
-// connection comes up. It used to get the time that was left when the module had decided: 1.5 s too much where the
-// connection came up 1.5 s late.
+// The deadline that an upstream receives is the time for which the balancer still waits when the attempt is written, however
+// long the connection took to open. Guards against forwarding the time that was left at the decision of the module: 1.5 s too
+// much for a connection that opened 1.5 s late.
 func TestForwardedDeadlineIsTakenWhenTheAttemptIsWritten(t *testing.T) {
 	const (
 		budget  = 3 * time.Second
@@ -26,38 +26,38 @@
 		for _, upload := range []bool{false, true} {
 			for _, ownTimeout := range []time.Duration{0, timeout} {
 				t.Run(fmt.Sprintf("retry %v, upload %v, time-out %v", retry, upload, ownTimeout), func(t *testing.T) {
-					s, g := newTestUpstream(t, respondOK), newDialGate(t)
+					upstream, gate := newTestUpstream(t, respondOK), newDialGate(t)
 					l := newTestLoop(t, 10)
-					l.dialer.openConn = recordingOpener(g.open)
-					addEndpoint(l, 1, s)
+					l.dialer.openConn = recordingOpener(gate.open)
+					addEndpoint(l, 1, upstream)
 					r := l.requestFor(1, budget)
 					if upload {
 						r.uploadOf(strings.NewReader("rest"), 4)
 					}
-					if retry { // the first attempt was dropped while it waited for its connection
+					if retry { // the first attempt is dropped while it waits for its connection
 						l.Send(1, 1, 0)
 						r.attempts[0].drop()
-						close(g.next(t).connect)
+						close(gate.next(t).connect)
 						(<-l.events).apply(l)
 						l.CloseIdle(1)
 					}
 					began := l.now()
 					l.Send(1, 1, ownTimeout)
 					time.Sleep(late)
-					close(g.next(t).connect)
-					got := <-s.arrivals
+					close(gate.next(t).connect)
+					got := <-upstream.arrivals
 					ms, err := strconv.Atoi(got.Header.Get("X-Deadline-Ms"))
 					if err != nil {
 						t.Fatal(err)
 					}
-					wait := budget // of an upload, from its last byte
+					wait := budget // for an upload it starts at the last byte
 					if ownTimeout > 0 {
 						wait = ownTimeout - late
 					} else if !upload {
 						wait = r.deadline - began - late
 					}
 					if got := time.Duration(ms) * time.Millisecond; got > wait || got < wait/2 {
-						t.Errorf("got %v, want at most %v and over half of it", got, wait)
+						t.Errorf("forwarded deadline: got %v, want at most %v and at least half of it", got, wait)
 					}
 				})
 			}
@@ -65,8 +65,8 @@
 	}
 }
 
-// An attempt whose connection comes up after its time is over is not written, whether the time of its request is over or
-// its own time-out.
+// An attempt whose connection opens too late is not written, whether the deadline of its request or its own time-out has
+// passed.
 func TestAttemptWithNoTimeLeftIsNotWritten(t *testing.T) {
 	const short = 50 * time.Millisecond
 	for _, x := range []struct {
@@ -74,15 +74,15 @@
 		budget, timeout time.Duration
 		upload          bool
 	}{
-		{"the request's time", short, 0, false},
+		{"the request's deadline", short, 0, false},
 		{"its own time-out", time.Minute, short, false},
 		{"its own time-out, upload", time.Minute, short, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			s, g := newTestUpstream(t, respondOK), newDialGate(t)
+			upstream, gate := newTestUpstream(t, respondOK), newDialGate(t)
 			l := newTestLoop(t, 10)
-			l.dialer.openConn = recordingOpener(g.open)
-			addEndpoint(l, 1, s)
+			l.dialer.openConn = recordingOpener(gate.open)
+			addEndpoint(l, 1, upstream)
 			r := l.requestFor(1, x.budget)
 			if x.upload {
 				r.uploadOf(strings.NewReader("rest"), 4)
@@ -90,17 +90,17 @@
 			l.Send(1, 1, x.timeout)
 			assertEqual(t, "sent", r.undelivered, 1)
 			time.Sleep(2 * short) // no timer fires: the loop is not running
-			close(g.next(t).connect)
+			close(gate.next(t).connect)
 			e := (<-l.events).(attemptFinished)
 			assertEqual(t, "outcome", e.result.status, balancer.NotSent)
-			assertEqual(t, "its connection serves again", e.result.conn != nil, true)
+			assertEqual(t, "connection is reusable", e.result.conn != nil, true)
 			e.apply(l)
-			assertEqual(t, "requests at the upstream", len(s.arrivals), 0)
+			assertEqual(t, "requests at the upstream", len(upstream.arrivals), 0)
 		})
 	}
 }
 
-// requestFor adds a request to a loop, whose client waits for budget from now on.
+// requestFor adds a request whose client waits for budget from now on.
 func (l *loop) requestFor(id balancer.RequestID, budget time.Duration) *request {
 	r := l.addRequest(id)
 	r.Timeout, r.deadline = budget, l.now()+budget
@@ -108,7 +108,7 @@
 	return r
 }
 
-// uploadOf turns a request into one whose body is still coming.
+// uploadOf turns a request into an upload whose remaining body is read from rest.
 func (r *request) uploadOf(rest io.Reader, length int64) {
 	r.Upload, r.deadline = true, noDeadline
 	r.message.rest, r.message.contentLength = rest, length
@@ -116,39 +116,39 @@
 	clientLedger.put(r.message.header.Get("X-Request-Id"), &clientRequest{budget: r.Timeout})
 }
 
-// The time of a request that was sent behind another counts from its own last byte, although it waits for its turn. It used
-// to count from its turn, so that its upstream got too much time.
+// The deadline of a pipelined request counts from its own last byte, although the request waits until the one before it is
+// answered. Guards against counting from the end of that wait, which gives the upstream too much time.
 func TestPipelinedDeadlineCountsFromTheLastByte(t *testing.T) {
 	const wait = 400 * time.Millisecond
 	for _, x := range []struct {
-		name    string
-		inPiece bool // it comes in one piece with the first request
+		name       string
+		inOneWrite bool // it is sent in one write with the first request
 	}{
 		{"later", false},
 		{"in one piece", true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			s, g := newTestUpstream(t, respondOK), newDialGate(t)
-			b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) { c.openConn = g.open }, activeMember("s-00000001", s))
+			upstream, gate := newTestUpstream(t, respondOK), newDialGate(t)
+			b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) { c.openConn = gate.open }, activeMember("s-00000001", upstream))
 			var text bytes.Buffer
 			if err := b.newRequest("checkin", "").Write(&text); err != nil {
 				t.Fatal(err)
 			}
-			now, later := "", text.String()
-			if x.inPiece {
-				now, later = later, ""
+			sentFirst, sentLater := "", text.String()
+			if x.inOneWrite {
+				sentFirst, sentLater = sentLater, ""
 			}
-			c := b.sendRaw(t, "checkin", now)
-			up := g.next(t) // the first request waits for its connection
-			if _, err := io.WriteString(c, later); err != nil {
+			c := b.sendRaw(t, "checkin", sentFirst)
+			dial := gate.next(t) // the first request waits for its upstream connection
+			if _, err := io.WriteString(c, sentLater); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(wait)
-			close(up.connect)
-			g.openAllNow()
+			close(dial.connect)
+			gate.openAllNow()
 			in := bufio.NewReader(c)
 			for range 2 {
-				partialRequest{Conn: c, in: in}.answer(t) // the upstream checks its deadline against the ledger
+				partialRequest{Conn: c, in: in}.answer(t) // the upstream checks its deadline against clientLedger
 			}
 		})
 	}
--- a/internal/proxy/deadlineledger_test.go
+++ b/internal/proxy/deadlineledger_test.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// deadlineTolerance is how much more time than is left an upstream may be given, by the operators' rules.
+// deadlineTolerance is the amount by which the operators' rules let a forwarded deadline exceed the time that is left.
 const deadlineTolerance = 10 * time.Millisecond
 
-// clientLedger records until when the clients of the present test wait, by request id, and when each attempt was written.
-// The test upstreams check the deadline of each attempt against it.
+// clientLedger records how long the clients of the current test wait and when each attempt was written. The test upstreams
+// check the deadline of each attempt against it.
 var clientLedger = &deadlineLedger{requests: map[string]*clientRequest{}, written: map[writtenAttempt]time.Time{}}
 
-// deadlineLedger records requests as they came in and attempts as they were written. It may be used from any goroutine.
+// deadlineLedger records when requests were received and when attempts were written. It is safe for concurrent use.
 type deadlineLedger struct {
-	mu       sync.Mutex
-	requests map[string]*clientRequest
-	written  map[writtenAttempt]time.Time
+	mu       sync.Mutex                   // guards the fields below
+	requests map[string]*clientRequest    // by request id
+	written  map[writtenAttempt]time.Time // when each attempt was written
 }
 
-// writtenAttempt identifies an attempt by what it says on the wire.
+// writtenAttempt identifies an attempt by the request id and deadline that it carries.
 type writtenAttempt struct{ id, milliseconds string }
 
-// clientRequest is a request as it reached the balancer. The ledger's lock guards it.
+// clientRequest is a request as the balancer received it. It is guarded by the lock of the ledger.
 type clientRequest struct {
-	budget   time.Duration // from its last byte
-	lastByte time.Time     // when the latest byte came
+	budget   time.Duration // how long the client waits after the last byte
+	lastByte time.Time     // when the latest byte was received
 	complete bool
 }
 
-// add records a complete request that comes on no client connection.
+// add records a complete request that was not received on a client connection.
 func (l *deadlineLedger) add(id string, budget time.Duration) {
 	l.put(id, &clientRequest{budget: budget, lastByte: time.Now(), complete: true})
 }
@@ -43,21 +43,21 @@
 	l.requests[id] = r
 }
 
-// remaining is how long the client of a request waits after now; false: no client has sent it.
-func (l *deadlineLedger) remaining(id string, now time.Time) (time.Duration, bool) {
+// remaining returns how much longer than now the client of a request waits. ok is false if no client has sent the request.
+func (l *deadlineLedger) remaining(id string, now time.Time) (remaining time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.requests[id]
 	if r == nil {
 		return 0, false
 	}
-	if !r.complete { // its time has not begun
+	if !r.complete { // its deadline counts from the last byte, which is still to come
 		return r.budget, true
 	}
 	return r.budget - now.Sub(r.lastByte), true
 }
 
-// knows reports whether a request has reached the balancer.
+// knows reports whether the balancer has received a request.
 func (l *deadlineLedger) knows(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +72,7 @@
 	l.written[key] = time.Now()
 }
 
-// firstByteOf is when an attempt was written, as recorded by its connection: an upstream on a busy machine reads it later.
+// firstByteOf returns when the connection wrote an attempt. The upstream's own time would be too late on a busy machine.
 func (l *deadlineLedger) firstByteOf(r *http.Request) (time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,29 +80,29 @@
 	return at, ok
 }
 
-// check fails the test if an attempt gives its upstream more time than its client still waited at its first byte.
+// check fails the test if the deadline of an attempt exceeds the time that its client still waited when the attempt was written.
 func (l *deadlineLedger) check(tb testing.TB, r *http.Request) {
 	tb.Helper()
 	id := r.Header.Get("X-Request-Id")
 	if id == "" && (r.URL.Path == "/load" || r.URL.Path == "/healthz") {
-		return // a health check, which no client waits for
+		return // a health check has no client
 	}
 	milliseconds, err := strconv.Atoi(r.Header.Get("X-Deadline-Ms"))
 	if err != nil {
-		tb.Errorf("request %q: the time given to the upstream: %v", id, err)
+		tb.Errorf("request %q: X-Deadline-Ms at the upstream: %v", id, err)
 		return
 	}
 	given := time.Duration(milliseconds) * time.Millisecond
 	firstByte, recorded := l.firstByteOf(r)
 	if !recorded {
-		tb.Errorf("request %q came on a connection that records nothing", id)
+		tb.Errorf("request %q: the upstream connection did not record when it was written", id)
 		return
 	}
-	left, known := l.remaining(id, firstByte)
+	remaining, known := l.remaining(id, firstByte)
 	if !known {
-		tb.Errorf("an upstream got request %q, which no client sent", id)
+		tb.Errorf("request %q: received by an upstream, but not sent by a client", id)
 	}
-	if given > max(left, time.Millisecond)+deadlineTolerance {
-		tb.Errorf("request %s: its upstream has %v, its client waits for %v more", id, given, left)
+	if given > max(remaining, time.Millisecond)+deadlineTolerance {
+		tb.Errorf("request %q: forwarded deadline is %v, but its client waits only %v more", id, given, remaining)
 	}
 }
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -11,20 +11,21 @@
 	"sprucehill/internal/timelimit"
 )
 
-// A client that is silent, or stops in the middle of a request, has to get an error or a close within 3 s of connecting. It
-// used to have 5 s for the head and 10 s for the rest, and each such client held a descriptor for as long.
+// A client that sends nothing, or stops in the middle of a request, must get an error or a close within 3 s of connecting.
+// Guards against longer limits, such as 5 s for the head and 10 s for the body, for which each such client would hold a file
+// descriptor.
 func TestSlowClientsAreDisconnected(t *testing.T) {
 	if timelimit.ClientRead >= 3*time.Second {
-		t.Errorf("clients have %v", timelimit.ClientRead)
+		t.Errorf("timelimit.ClientRead: got %v, want less than 3 s", timelimit.ClientRead)
 	}
-	s := newTestUpstream(t, respondOK)
-	b := newBalancer(t, activeMember("s-00000001", s))
+	upstream := newTestUpstream(t, respondOK)
+	b := newBalancer(t, activeMember("s-00000001", upstream))
 	const head = "POST /checkin HTTP/1.1\r\nHost: x\r\nX-Request-Id: 00000000000000aa\r\nX-Class: checkin\r\n"
 	ends := map[string]chan error{}
 	const complete = head + "Content-Length: 0\r\n\r\n"
 	for _, sent := range []string{"", "PO", head, head + "Content-Length: 9\r\n\r\nbody", complete + "P", complete + "POST"} {
 		c := b.dialConn(t)
-		c.SetDeadline(time.Now().Add(2 * timelimit.ClientRead)) // only a failure takes that long
+		c.SetDeadline(time.Now().Add(2 * timelimit.ClientRead)) // reached only on a failure
 		if _, err := io.WriteString(c, sent); err != nil {
 			t.Fatal(err)
 		}
@@ -37,20 +38,20 @@
 	}
 	for sent, end := range ends {
 		if err := <-end; err != nil {
-			t.Errorf("after %q: %v, want a close", sent, err)
+			t.Errorf("after %q: got error %v, want the connection closed", sent, err)
 		}
 	}
-	assertEqual(t, "requests at the upstream", len(s.arrivals), 2) // the complete ones
+	assertEqual(t, "requests at the upstream", len(upstream.arrivals), 2) // only the complete requests
 }
 
-// Connections over the limit make room by closing the idle ones, the longest idle first, and are closed themselves only
-// where none has been idle for long. Clients that sent nothing used to hold descriptors without a limit.
+// A connection over the limit replaces the one that has been idle longest, and is closed itself only if none has been idle long
+// enough. Guards against clients that send nothing and hold an unlimited number of file descriptors.
 func TestClientConnectionsAreBounded(t *testing.T) {
 	now := time.Hour
 	f := newFrontend(&Config{Sockets: 6}, nil, newTestLoop(t, 0))
 	f.now = func() time.Duration { return now }
 	f.conns.now = f.now
-	open := func(s http.ConnState) net.Conn {
+	openConn := func(s http.ConnState) net.Conn {
 		c, peer := net.Pipe()
 		t.Cleanup(func() { c.Close(); peer.Close() })
 		framed := framing.NewConn(c, f.now, timelimit.ClientRead)
@@ -60,7 +61,7 @@
 		}
 		go io.WriteString(peer, "GET / HTTP/1.1\r\n\r\n")
 		if _, err := io.ReadFull(framed, make([]byte, 18)); err != nil {
-			return c // it was over the limit, and closed itself
+			return c // over the limit and closed
 		}
 		if f.conns.track(framed, http.StateActive); s == http.StateIdle {
 			f.conns.track(framed, s)
@@ -68,15 +69,15 @@
 		return c
 	}
 	closed := func(c net.Conn) bool { return c.SetDeadline(time.Time{}) != nil }
-	busy := open(http.StateActive)
+	busy := openConn(http.StateActive)
 	now += time.Second
-	idle := open(http.StateIdle)
+	idle := openConn(http.StateIdle)
 	now += time.Second
-	silent := open(http.StateNew)
+	silent := openConn(http.StateNew)
 	now += timelimit.EvictionMinIdle
-	first := open(http.StateActive) // over the limit: idle has been so for longest
-	second := open(http.StateActive)
-	third := open(http.StateActive) // none is left to make room
+	first := openConn(http.StateActive) // over the limit: replaces idle, which has been idle longest
+	second := openConn(http.StateActive)
+	third := openConn(http.StateActive) // over the limit: no idle connection is left
 	for name, c := range map[string]struct {
 		net.Conn
 		closed bool
--- a/internal/proxy/idleclose_test.go
+++ b/internal/proxy/idleclose_test.go
@@ -14,12 +14,12 @@
 	"sprucehill/internal/timelimit"
 )
 
-// heldReadListener accepts connections of which one read can be held back after its bytes have been taken from the network.
+// heldReadListener accepts connections. It can delay the return of one read that has taken bytes from the network.
 type heldReadListener struct {
 	net.Listener
-	armed atomic.Bool
-	taken chan struct{} // the bytes have been taken
-	back  chan struct{} // closed: the reader gets them
+	armed atomic.Bool   // the next read that returns bytes is delayed
+	taken chan struct{} // receives a value when the delayed read has taken its bytes
+	back  chan struct{} // closed by the test to let the delayed read return
 }
 
 func (r *heldReadListener) Accept() (net.Conn, error) {
@@ -42,7 +42,7 @@
 	return n, err
 }
 
-// allIdle reports whether there is a client connection, and all of them are between two requests.
+// allIdle reports whether there are client connections and all of them are between two requests.
 func (f *frontend) allIdle() bool {
 	f.conns.mu.Lock()
 	defer f.conns.mu.Unlock()
@@ -54,41 +54,41 @@
 	return len(f.conns.open) > 0
 }
 
-// A request comes at the very moment at which its idle connection is closed. Either the request was first, and the
-// connection stays open and the request is answered; or the close was, and the request, which its client sends again, is
-// not forwarded. It used to be, where its bytes had been taken from the network but not been scanned.
+// A request arrives while its idle connection is being closed. If the request is first, the connection stays open and the
+// request is answered. If the close is first, the request is not forwarded, since its client sends it again. Guards against
+// forwarding a request whose bytes had been taken from the network but not been scanned at the close.
 func TestRequestCrossingACloseIsNotForwarded(t *testing.T) {
 	for _, first := range []string{"close", "request"} {
 		for _, fresh := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s first, new connection %v", first, fresh), func(t *testing.T) {
-				s := newTestUpstream(t, respondOK)
-				r := &heldReadListener{taken: make(chan struct{}), back: make(chan struct{})}
-				b := newBalancerOn(t, newTestDiscovery(t), func(l net.Listener) net.Listener { r.Listener = l; return r },
-					func(*Config) {}, activeMember("s-00000001", s))
+				upstream := newTestUpstream(t, respondOK)
+				listener := &heldReadListener{taken: make(chan struct{}), back: make(chan struct{})}
+				b := newBalancerOn(t, newTestDiscovery(t), func(l net.Listener) net.Listener { listener.Listener = l; return listener },
+					func(*Config) {}, activeMember("s-00000001", upstream))
 				c, in := b.dial(t)
-				ask := func() {
+				sendRequest := func() {
 					if err := b.newRequest("checkin", "").Write(c); err != nil {
 						t.Fatal(err)
 					}
 				}
 				sent := 0
 				if !fresh {
-					ask()
+					sendRequest()
 					partialRequest{Conn: c, in: in}.answer(t)
 					sent++
 				}
 				f := b.proxy.front
 				eventually(t, "the connection is idle", f.allIdle)
-				r.armed.Store(true)
-				ask()
-				<-r.taken
+				listener.armed.Store(true)
+				sendRequest()
+				<-listener.taken
 				if first == "close" {
 					f.conns.closeIdle(0, closedByDrain)
 				}
-				close(r.back)
+				close(listener.back)
 				if first == "close" {
 					if _, err := in.ReadByte(); err == nil {
-						t.Error("an answer on a connection that was closed")
+						t.Error("got a response on a connection that was closed")
 					}
 				} else {
 					partialRequest{Conn: c, in: in}.answer(t)
@@ -99,14 +99,14 @@
 					return f.conns.count() == 0
 				})
 				b.awaitSettled(t)
-				assertEqual(t, "requests at the upstream", len(s.arrivals), sent)
+				assertEqual(t, "requests at the upstream", len(upstream.arrivals), sent)
 			})
 		}
 	}
 }
 
-// A drain that ends between the end of a streamed response and its connection's next request does not leave a connection on
-// which nothing is read.
+// If a drain ends between the end of a streamed response and the next request, the connection is closed. Guards against leaving
+// it open although nothing is read from it any more.
 func TestEndedConnectionClosesAfterDrain(t *testing.T) {
 	b := newBalancer(t)
 	client, conn := net.Pipe()
@@ -117,12 +117,12 @@
 	if _, err := io.ReadFull(c, make([]byte, len(head))); err != nil {
 		t.Fatal(err)
 	}
-	c.EndAfterResponse() // in a drain, which is over when the response is
+	c.EndAfterResponse() // as during a drain, which has ended when the response is complete
 	b.proxy.front.conns.track(c, http.StateActive)
 	b.proxy.front.conns.track(c, http.StateIdle)
 	client.SetReadDeadline(time.Now().Add(time.Second))
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the connection is open: %v", err)
+		t.Errorf("reading from the connection: got %v, want %v", err, io.EOF)
 	}
 	b.proxy.front.conns.track(c, http.StateClosed)
 }
--- a/internal/proxy/killdeadline_test.go
+++ b/internal/proxy/killdeadline_test.go
@@ -11,8 +11,8 @@
 	"sprucehill/internal/timelimit"
 )
 
-// SIGKILL comes some time after SIGTERM, and a late request that has not been answered by then is lost. A late request has
-// until just before that, however long its client would wait; one that came sooner has its own time.
+// SIGKILL follows SIGTERM after a known time, and a late request that has not been answered by then is lost. The deadline of a
+// late request is therefore shortly before SIGKILL, however long its client would wait; an earlier request keeps its own.
 func TestLateRequestIsAnsweredBeforeSIGKILL(t *testing.T) {
 	b := newBalancer(t)
 	f := b.proxy.front
@@ -38,12 +38,12 @@
 	assertEqual(t, "too late to be sent", resp.StatusCode, http.StatusServiceUnavailable)
 }
 
-// The time of an upload begins with its last byte, and what is left until SIGKILL counts from then, however early the
-// upload began. One that began before SIGTERM used to have its complete time after it, beyond SIGKILL.
+// The deadline of an upload counts from its last byte, and so does the limit by SIGKILL, however early the upload began. Guards
+// against giving an upload that began before SIGTERM its complete timeout, beyond SIGKILL.
 func TestUploadIsAnsweredBeforeSIGKILL(t *testing.T) {
 	release := make(chan struct{})
-	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
-	b := newBalancer(t, activeMember("s-00000001", s))
+	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
+	b := newBalancer(t, activeMember("s-00000001", upstream))
 	f := b.proxy.front
 	body, client := io.Pipe()
 	r := b.newRequest("checkin", "")
@@ -57,24 +57,24 @@
 		t.Fatal(err)
 	}
 	var q *request
-	b.await(t, "the upload is passed on", func(l *loop) bool {
+	b.await(t, "the upload is forwarded", func(l *loop) bool {
 		for _, q = range l.requests {
 			return len(q.attempts) > 0
 		}
 		return false
 	})
-	f.lifecycle.shutdown.startedAt.Store(int64(f.now() - time.Second)) // the shutdown has begun meanwhile
+	f.lifecycle.shutdown.startedAt.Store(int64(f.now() - time.Second)) // the shutdown begins while the body is sent
 	f.lifecycle.shutdown.begun.Store(true)
 	if _, err := client.Write([]byte{0}); err != nil {
 		t.Fatal(err)
 	}
 	client.Close()
-	<-s.arrivals
-	b.await(t, "its time has begun", func(*loop) bool { return q.deadline != noDeadline })
+	<-upstream.arrivals
+	b.await(t, "the deadline is set", func(*loop) bool { return q.deadline != noDeadline })
 	b.runInLoop(t, func(*loop) {
 		kill := time.Duration(f.lifecycle.shutdown.startedAt.Load()) + min(f.lifecycle.longestDeadline, timelimit.KillDeadlineCap) + timelimit.KillDelay
 		if q.deadline >= kill {
-			t.Errorf("it has until %v after the kill", q.deadline-kill)
+			t.Errorf("deadline is %v after SIGKILL, want it before", q.deadline-kill)
 		}
 	})
 	close(release)
--- a/internal/proxy/listener_test.go
+++ b/internal/proxy/listener_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// listeningSocket is a listening socket as held by the platform: each call of inherit returns a descriptor that a process
-// inherits.
+// listeningSocket opens a listening socket like the one that the platform holds. Each call of inherit returns a duplicate
+// descriptor, as a process inherits it.
 func listeningSocket(t *testing.T) (addr string, inherit func() int) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 		defer f.Close()
-		fd, err := syscall.Dup(int(f.Fd())) // the listener takes it over
+		fd, err := syscall.Dup(int(f.Fd())) // closed by inheritListener
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -34,43 +34,43 @@
 	}
 }
 
-// A successor takes over the queue of a listener that the platform holds. Its predecessor closes the listener at once and
-// keeps what it had accepted, and no client is rejected in between.
+// In an upgrade, the successor takes over the accept queue of the inherited listener. Its predecessor closes the listener at
+// once and answers what it has accepted, and no client is rejected in between.
 func TestUpgradeLosesNoRequest(t *testing.T) {
 	release := make(chan struct{})
-	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
+	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("X-Late") != "" {
 			<-release
 		}
 		return respondOK(c, r)
 	})
 	addr, inherit := listeningSocket(t)
-	first := newBalancerAt(t, inherit(), activeMember("s-00000001", s))
+	first := newBalancerAt(t, inherit(), activeMember("s-00000001", upstream))
 	first.url = "http://" + addr
-	late := make(chan int, 1)
+	lateStatus := make(chan int, 1)
 	go func() {
 		resp, err := first.client.Do(first.newRequest("checkin", "", "X-Late", "1"))
 		if err != nil {
-			late <- 0
+			lateStatus <- 0
 			return
 		}
 		resp.Body.Close()
-		late <- resp.StatusCode
+		lateStatus <- resp.StatusCode
 	}()
-	<-s.arrivals
-	second := newBalancerAt(t, inherit(), activeMember("s-00000001", s))
+	<-upstream.arrivals
+	second := newBalancerAt(t, inherit(), activeMember("s-00000001", upstream))
 	second.url = first.url
 	first.cancel()
-	for n := 0; ; n++ { // until the first has closed the listener, either may answer; from then on only the second
+	for n := 0; ; n++ { // until the first has closed the listener, either may answer; after that only the second
 		status, _ := second.doOnNewConn(t, second.newRequest("checkin", ""))
 		assertEqual(t, "status meanwhile", status, 200)
 		if second.metric(t, `svc_passed{category="checkin"}`) > 10 {
 			break
 		}
 	}
-	assertEqual(t, "responses of the first so far", len(late), 0)
+	assertEqual(t, "responses of the first so far", len(lateStatus), 0)
 	close(release)
-	assertEqual(t, "status of the request in flight", <-late, 200)
+	assertEqual(t, "status of the request in flight", <-lateStatus, 200)
 	first.awaitEnd(t)
 	before := second.metric(t, `svc_passed{category="checkin"}`)
 	for range 10 {
@@ -117,7 +117,7 @@
 	}
 }
 
-// Two processes that overlap stay inside the limits of one.
+// Two overlapping processes together stay within the limits of one.
 func TestOverlappingProcessesShareLimits(t *testing.T) {
 	c, err := loadConfig(t, configText, map[string]string{"RELAY_FD": "3"})
 	if err != nil {
@@ -126,27 +126,27 @@
 	alone := c
 	alone.ListenFD = 0
 	if two, one := 2*c.SoftMemory(), alone.SoftMemory(); two > one {
-		t.Errorf("memory: %d for both, %d for one", two, one)
+		t.Errorf("memory of two processes: got %d bytes, want at most %d", two, one)
 	}
-	const others = 32 // listeners, discovery, operators, standard streams at each
+	const others = 32 // descriptors of each process for listeners, discovery, operators and standard streams
 	if n := 2*(c.maxUpstreamConns()+others) + c.Sockets/3; n > c.Sockets {
-		t.Errorf("%d of %d descriptors", n, c.Sockets)
+		t.Errorf("descriptors of two processes: got %d, want at most %d", n, c.Sockets)
 	}
-	// Attempts of the process that shuts down used to take all but a few of the connections that clients have, so that
-	// requests for its successor were refused.
+	// Guards against attempts of the process that shuts down using almost all of the connections that clients may have, so that
+	// requests for its successor are refused.
 	if n := 2 * c.maxUpstreamConns(); n > c.Sockets/3 {
-		t.Errorf("%d attempts at both, %d connections of clients", n, c.Sockets/3)
+		t.Errorf("attempts of two processes: got %d, want at most the %d client connections", n, c.Sockets/3)
 	}
 }
 
-// A process that shuts down keeps no idle upstream connection: its successor needs their descriptors.
+// A process that shuts down closes idle upstream connections, because its successor needs their descriptors.
 func TestShutdownReleasesIdleConnections(t *testing.T) {
-	s := newTestUpstream(t, respondOK)
+	upstream := newTestUpstream(t, respondOK)
 	l := newTestLoop(t, 10)
-	p := addEndpoint(l, 1, s)
+	p := addEndpoint(l, 1, upstream)
 	addIdleConn(t, l, p, l.now())
 	late := addIdleConn(t, l, p, l.now())
-	p.idle = p.idle[:1] // the other is in use
+	p.idle = p.idle[:1] // the second connection is in use
 	releaseIdle{}.apply(l)
 	assertEqual(t, "idle", len(p.idle), 0)
 	l.pool.put(p, late)
--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -10,7 +10,7 @@
 	"sprucehill/internal/discovery"
 )
 
-// metric returns the value of a metric as an operator reads it.
+// metric returns the value of a metric from the text that operators read.
 func (b *testBalancer) metric(t *testing.T, id string) (n int) {
 	t.Helper()
 	var text strings.Builder
@@ -29,7 +29,7 @@
 	return 0
 }
 
-// doInBackground sends a request and gives the status of its answer later; 0: there was none.
+// doInBackground sends a request in a goroutine. The channel receives the status of the response, or 0 if there is none.
 func (b *testBalancer) doInBackground(r *http.Request) <-chan int {
 	status := make(chan int, 1)
 	go func() {
@@ -44,11 +44,11 @@
 	return status
 }
 
-// Every request is counted once, under the answer it got, and so is every attempt that was written.
+// Every request is counted once, under the response it received, and every attempt that was written is counted once.
 func TestMetricsCountAnswersAndAttempts(t *testing.T) {
 	release := make(chan struct{})
 	fails := 0
-	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
+	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 		switch {
 		case r.Header.Get("X-Wait") != "":
 			<-release
@@ -59,11 +59,11 @@
 		}
 		return respondOK(c, r)
 	})
-	stays := activeMember("s-00000001", s)
-	leaves := activeMember("s-00000002", s)
-	b := newBalancer(t, stays, drainingMember(leaves))
+	remaining := activeMember("s-00000001", upstream)
+	draining := activeMember("s-00000002", upstream)
+	b := newBalancer(t, remaining, drainingMember(draining))
 	<-b.discovery.calls
-	for _, class := range []string{"read", "pay", "checkin"} { // every class is there from the start
+	for _, class := range []string{"read", "pay", "checkin"} { // the metrics of every class exist from the start
 		for _, name := range []string{"passed", "dropped", "bad_gateway"} {
 			assertEqual(t, name, b.metric(t, `svc_`+name+`{category="`+class+`"}`), 0)
 		}
@@ -75,16 +75,16 @@
 		status, _ := b.do(t, b.newRequest("read", ""))
 		assertEqual(t, "status", status, 200)
 	}
-	fails = 1 // a request that may have been executed fails unless it is idempotent, which is retried
+	fails = 1 // a request that may have been executed is retried only if it is idempotent
 	status, _ := b.do(t, b.newRequest("checkin", "", "X-Fail", "1"))
 	assertEqual(t, "status", status, 502)
 	fails = 1
 	status, _ = b.do(t, b.newRequest("read", "", "X-Fail", "1"))
 	assertEqual(t, "status", status, 200)
-	status, _ = b.do(t, b.newRequest("pay", "", "X-Deadline-Ms", "1")) // too late to be sent
+	status, _ = b.do(t, b.newRequest("pay", "", "X-Deadline-Ms", "1")) // too little time to be sent
 	assertEqual(t, "status", status, 503)
 	waiting := b.doInBackground(b.newRequest("pay", "", "X-Wait", "1"))
-	for r := range s.arrivals {
+	for r := range upstream.arrivals {
 		if r.Header.Get("X-Wait") != "" {
 			break
 		}
@@ -99,8 +99,8 @@
 		assertEqual(t, id, b.metric(t, id), n)
 	}
 
-	b.discovery.answers <- discovery.List{Revision: 11, Complete: true, Members: []discovery.Entry{stays}}
-	<-b.discovery.calls // the list has been applied: the next call names its revision
+	b.discovery.answers <- discovery.List{Revision: 11, Complete: true, Members: []discovery.Entry{remaining}}
+	<-b.discovery.calls // the list has been applied: this call requests what follows its revision
 	status, _ = b.do(t, b.newRequest("read", ""))
 	assertEqual(t, "status", status, 200)
 	assertEqual(t, "listed later", b.metric(t, "svc_known_upstreams"), 1)
--- a/internal/proxy/recording_test.go
+++ b/internal/proxy/recording_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// recordingOpener opens upstream connections that record in the ledger when each attempt is written.
+// recordingOpener wraps open so that upstream connections record in clientLedger when each attempt is written.
 func recordingOpener(open dialFunc) dialFunc {
 	if open == nil {
 		open = net.DialTimeout
@@ -40,7 +40,7 @@
 	return c.Conn.(syscall.Conn).SyscallConn()
 }
 
-// fieldOf returns a field of a head; empty: the head has none.
+// fieldOf returns the value of a header field of a head, or an empty string if the head doesn't have the field.
 func fieldOf(head, name string) string {
 	for line := range strings.SplitSeq(head, "\r\n") {
 		if key, value, _ := strings.Cut(line, ":"); strings.EqualFold(key, name) {
@@ -50,7 +50,7 @@
 	return ""
 }
 
-// recordingListener accepts client connections that record their requests in the ledger.
+// recordingListener accepts client connections that record their requests in clientLedger.
 type recordingListener struct{ *net.TCPListener }
 
 func (l recordingListener) Accept() (net.Conn, error) {
@@ -61,14 +61,14 @@
 	return &recordingConn{TCPConn: c}, nil
 }
 
-// recordingConn is a client connection whose requests are recorded. Whoever reads it holds its lock.
+// recordingConn is a client connection whose requests are recorded.
 type recordingConn struct {
 	*net.TCPConn
-	mu       sync.Mutex
-	head     []byte // the present head, as far as it has come
-	request  *clientRequest
-	bodyLeft int    // bytes still to come of the present body; negative: it comes in chunks
-	tail     string // the end of a body in chunks
+	mu            sync.Mutex     // guards the fields below
+	head          []byte         // what has been read of the current head
+	request       *clientRequest // the request whose body is being read; nil while a head is read
+	bodyRemaining int            // bytes of the current body that are still to be read; negative if the body is chunked
+	tail          string         // the last bytes read of a chunked body
 }
 
 func (c *recordingConn) Read(p []byte) (int, error) {
@@ -79,7 +79,7 @@
 	return n, err
 }
 
-// record follows the requests that arrive.
+// record parses the bytes p, read at the time now, and records the requests in them.
 func (c *recordingConn) record(p []byte, now time.Time) {
 	for len(p) > 0 {
 		if c.request != nil {
@@ -97,30 +97,30 @@
 	}
 }
 
-// begin takes a complete head.
+// begin records a request whose head has been read completely.
 func (c *recordingConn) begin(head string, now time.Time) {
 	r := &clientRequest{budget: classDeadline, lastByte: now}
 	if ms, err := strconv.ParseInt(fieldOf(head, "X-Deadline-Ms"), 10, 32); err == nil && ms >= 0 {
 		r.budget = min(r.budget, time.Duration(ms)*time.Millisecond)
 	}
-	c.bodyLeft, _ = strconv.Atoi(fieldOf(head, "Content-Length"))
+	c.bodyRemaining, _ = strconv.Atoi(fieldOf(head, "Content-Length"))
 	if fieldOf(head, "Transfer-Encoding") != "" {
-		c.bodyLeft = -1
+		c.bodyRemaining = -1
 	}
-	if r.complete = c.bodyLeft == 0; !r.complete {
+	if r.complete = c.bodyRemaining == 0; !r.complete {
 		c.request, c.tail = r, ""
 	}
 	clientLedger.put(fieldOf(head, "X-Request-Id"), r)
 }
 
-// recordBody takes what has come of the present body, and returns how much of p that is.
+// recordBody records the bytes at the beginning of p that belong to the current body, and returns their number.
 func (c *recordingConn) recordBody(p []byte, now time.Time) int {
 	n := len(p)
 	var complete bool
-	if c.bodyLeft >= 0 {
-		n = min(n, c.bodyLeft)
-		c.bodyLeft -= n
-		complete = c.bodyLeft == 0
+	if c.bodyRemaining >= 0 {
+		n = min(n, c.bodyRemaining)
+		c.bodyRemaining -= n
+		complete = c.bodyRemaining == 0
 	} else {
 		c.tail += string(p)
 		complete = strings.HasPrefix(c.tail, "0\r\n\r\n") || strings.Contains(c.tail, "\r\n0\r\n") && strings.HasSuffix(c.tail, "\r\n\r\n")
--- a/internal/proxy/requestparse.go
+++ b/internal/proxy/requestparse.go
@@ -156,8 +156,8 @@
 	return key
 }
 
-// originForm converts a request target from absolute form to origin form, without scheme and host. Other targets are
-// returned unchanged.
+// originForm converts a request target from absolute form to origin form, without scheme and host. A target in another form,
+// or without a path and query, is returned unchanged.
 func originForm(target string) string {
 	if strings.HasPrefix(target, "/") {
 		return target
--- a/internal/proxy/requestparse_test.go
+++ b/internal/proxy/requestparse_test.go
@@ -12,14 +12,14 @@
 )
 
 func TestForwardsRequestUnchanged(t *testing.T) {
-	s := newTestUpstream(t, respondOK)
-	b := newBalancer(t, activeMember("s-00000001", s))
+	upstream := newTestUpstream(t, respondOK)
+	b := newBalancer(t, activeMember("s-00000001", upstream))
 	for _, class := range []string{"pay", "checkin"} {
 		q := b.newRequest(class, "body", "Connection", "X-Hop", "X-Hop", "1", "X-Extras", "a=1")
 		status, body := b.do(t, q)
 		assertEqual(t, "status", status, 200)
 		assertEqual(t, "answer", body, "done")
-		r := <-s.arrivals
+		r := <-upstream.arrivals
 		text, _ := io.ReadAll(r.Body)
 		assertEqual(t, "body", string(text), "body")
 		assertEqual(t, "method", r.Method, q.Method)
@@ -32,12 +32,12 @@
 			t.Errorf("X-Deadline-Ms: got %q, want under the client's", r.Header.Get("X-Deadline-Ms"))
 		}
 	}
-	assertEqual(t, "connections", s.opened(), 1)
+	assertEqual(t, "connections", upstream.opened(), 1)
 }
 
 func TestMalformedRequestsAreRejected(t *testing.T) {
-	s := newTestUpstream(t, respondOK)
-	b := newBalancer(t, activeMember("s-00000001", s))
+	upstream := newTestUpstream(t, respondOK)
+	b := newBalancer(t, activeMember("s-00000001", upstream))
 	get := b.newRequest("checkin", "")
 	get.Method = http.MethodGet
 	noID := b.newRequest("checkin", "")
@@ -60,28 +60,28 @@
 		status, _ := b.do(t, c.r)
 		assertEqual(t, c.name, status, c.status)
 	}
-	assertEqual(t, "requests at the upstream", len(s.arrivals), 0)
-	// A deadline that can't be parsed counts as the class's, and is no reason to reject the request.
+	assertEqual(t, "requests at the upstream", len(upstream.arrivals), 0)
+	// A deadline that can't be parsed is replaced by that of the class; the request is not rejected.
 	for _, deadline := range []string{"", "-5", "soon", "99999999999"} {
 		status, _ := b.do(t, b.newRequest("checkin", "", "X-Deadline-Ms", deadline))
 		assertEqual(t, "deadline "+deadline, status, 200)
 	}
 }
 
-// A client whose time is over gets its response at once, and nothing is forwarded for it. It used to be taken for one
-// without a deadline, and got no response before the deadline of its class.
+// A request with a deadline of zero is answered at once and not forwarded. Guards against treating it like a request without a
+// deadline, which is answered only by the deadline of its class.
 func TestDeadlineOfZeroIsAnsweredAtOnce(t *testing.T) {
-	s := newTestUpstream(t, respondOK)
-	b := newBalancer(t, activeMember("s-00000001", s))
+	upstream := newTestUpstream(t, respondOK)
+	b := newBalancer(t, activeMember("s-00000001", upstream))
 	for _, class := range []string{"read", "pay", "checkin"} {
 		status, _ := b.do(t, b.newRequest(class, "", "X-Deadline-Ms", "0"))
 		assertEqual(t, "status", status, http.StatusServiceUnavailable)
 	}
-	assertEqual(t, "requests at the upstream", len(s.arrivals), 0)
+	assertEqual(t, "requests at the upstream", len(upstream.arrivals), 0)
 }
 
-// Where the end of a request is in doubt, one reader's body is another reader's next request. Such a request is rejected,
-// and what stands behind its head never reaches an upstream as a request of its own.
+// If the end of a request is ambiguous, what one parser takes for its body another takes for the next request (request
+// smuggling). Such a request is rejected, and the bytes after its head never reach an upstream as a separate request.
 func TestAmbiguousFramingIsRejected(t *testing.T) {
 	const inner = "POST /checkin HTTP/1.1\r\nHost: x\r\nX-Request-Id: 00000000000000bb\r\nX-Class: checkin\r\n" +
 		"X-Deadline-Ms: 500\r\nContent-Length: 0\r\n\r\n"
@@ -92,8 +92,8 @@
 		{"health with chunks", "GET /healthz HTTP/1.1", "Content-Length: 150\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newTestUpstream(t, respondOK)
-			b := newBalancer(t, activeMember("s-00000001", s))
+			upstream := newTestUpstream(t, respondOK)
+			b := newBalancer(t, activeMember("s-00000001", upstream))
 			peer, in := b.dial(t)
 			head := c.line + "\r\nHost: x\r\n" + c.framing
 			if !strings.Contains(c.line, "/healthz") {
@@ -102,7 +102,7 @@
 			if strings.HasPrefix(c.line, "POST") {
 				head += "X-Class: checkin\r\n"
 			}
-			peer.SetDeadline(time.Now().Add(10 * time.Second)) // only a failure takes that long
+			peer.SetDeadline(time.Now().Add(10 * time.Second)) // reached only on a failure
 			if _, err := io.WriteString(peer, head+"\r\n"+c.body+inner); err != nil {
 				t.Fatal(err)
 			}
@@ -115,15 +115,16 @@
 			if second, err := http.ReadResponse(in, nil); err == nil {
 				t.Errorf("a second response: %s", second.Status)
 			}
-			assertEqual(t, "requests at the upstream", len(s.arrivals), 0)
+			assertEqual(t, "requests at the upstream", len(upstream.arrivals), 0)
 		})
 	}
 }
 
-// 100 Continue is sent before the body, trailers and chunk extensions are skipped, and a request may come byte by byte.
+// 100 Continue is sent before the body is read, trailers and chunk extensions are skipped, absolute-form targets are converted,
+// and a request may arrive one byte at a time.
 func TestHTTPForms(t *testing.T) {
-	s := newTestUpstream(t, respondOK)
-	b := newBalancer(t, activeMember("s-00000001", s))
+	upstream := newTestUpstream(t, respondOK)
+	b := newBalancer(t, activeMember("s-00000001", upstream))
 	c, in := b.dial(t)
 	io.WriteString(c, checkinHead+"Expect: 100-continue\r\nContent-Length: 4\r\n\r\n")
 	resp, err := http.ReadResponse(in, nil)
@@ -145,7 +146,7 @@
 		}
 		io.Copy(io.Discard, resp.Body)
 		assertEqual(t, "status", resp.StatusCode, 200)
-		r := <-s.arrivals
+		r := <-upstream.arrivals
 		text, _ := io.ReadAll(r.Body)
 		if i < 2 {
 			assertEqual(t, "body", string(text), "body")
@@ -154,11 +155,11 @@
 	}
 }
 
-// With a hung upstream, the client gets its one response by its deadline, and the request is not retried.
+// If the upstream hangs, the client gets a response by its deadline, and the request is not retried.
 func TestHungUpstreamFailsAtTheDeadline(t *testing.T) {
 	release := make(chan struct{})
-	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
-	b := newBalancer(t, activeMember("s-00000001", s), activeMember("s-00000002", s))
+	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
+	b := newBalancer(t, activeMember("s-00000001", upstream), activeMember("s-00000002", upstream))
 	defer close(release)
 	start := time.Now()
 	status, _ := b.do(t, b.newRequest("checkin", "", "X-Deadline-Ms", "200"))
@@ -166,7 +167,7 @@
 	if d := time.Since(start); d < 150*time.Millisecond || d > 2*time.Second {
 		t.Errorf("answered after %v, want about the deadline", d)
 	}
-	assertEqual(t, "requests at the upstream", len(s.arrivals), 1)
+	assertEqual(t, "requests at the upstream", len(upstream.arrivals), 1)
 }
 
 func TestHealthCheck(t *testing.T) {
--- a/internal/proxy/responsestream_test.go
+++ b/internal/proxy/responsestream_test.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// Nothing is held back: what has come of a response reaches the client while the upstream is still writing.
+// A long response is streamed: its beginning reaches the client while the upstream is still writing.
 func TestResponseIsStreamedAsItComes(t *testing.T) {
 	more := make(chan struct{})
-	s := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
+	upstream := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nfirst", 1<<20)
 		<-more
 		_, err := io.Copy(c, patternReader(1<<20-5))
 		return err == nil
 	})
-	b := newBalancer(t, activeMember("s-00000001", s))
+	b := newBalancer(t, activeMember("s-00000001", upstream))
 	resp, err := b.client.Do(b.newRequest("checkin", ""))
 	if err != nil {
 		t.Fatal(err)
@@ -38,33 +38,33 @@
 	}
 }
 
-// A response that breaks off in the middle is not retried, and its client can tell.
+// A request whose response is truncated after its beginning has been forwarded is not retried, and the client gets an error.
 func TestBrokenResponseIsVisibleToTheClient(t *testing.T) {
 	for _, head := range []string{"Content-Length: 1000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n20000\r\n"} {
-		s := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
+		upstream := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head)
 			io.Copy(c, patternReader(100_000))
 			return false
 		})
-		b := newBalancer(t, activeMember("s-00000001", s))
+		b := newBalancer(t, activeMember("s-00000001", upstream))
 		resp, err := b.client.Do(b.newRequest("read", ""))
 		if err == nil {
 			_, err = io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
 		}
 		if err == nil {
-			t.Errorf("%q: taken for complete", head)
+			t.Errorf("%q: the client took a truncated response for complete", head)
 		}
-		assertEqual(t, "requests at the upstream", len(s.arrivals), 1)
+		assertEqual(t, "requests at the upstream", len(upstream.arrivals), 1)
 	}
 }
 
-// A response that announces more than the greatest valid length is broken: nothing of it is passed on, and a request that
-// may be executed twice is retried. Its beginning used to reach the client, on a connection that then broke.
+// A response with a Content-Length above maxResponseLength is invalid: no part of it is forwarded, and an idempotent request is
+// retried. Guards against forwarding the beginning on a connection that is then aborted.
 func TestResponseOfExcessiveLengthIsNotForwarded(t *testing.T) {
 	for class, status := range map[string]int{"read": 200, "checkin": 502} {
 		first := true // one request at a time
-		s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
+		upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 			if !first {
 				return respondOK(c, r)
 			}
@@ -72,33 +72,33 @@
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nbeginning", maxResponseLength+1)
 			return false
 		})
-		b := newBalancer(t, activeMember("s-00000001", s))
+		b := newBalancer(t, activeMember("s-00000001", upstream))
 		got, _ := b.do(t, b.newRequest(class, ""))
 		assertEqual(t, class, got, status)
 		b.awaitSettled(t)
 	}
 }
 
-// The limit on what is read of one response does not end it: one of unknown length, behind a head that took most of the
-// limit, used to be served as complete where the limit cut it.
+// A response that reaches the read limit is an error, not a complete response. Guards against forwarding a truncated response of
+// unknown length as complete, if its head has used most of the limit.
 func TestReadLimitDoesNotEndAResponse(t *testing.T) {
-	s := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
+	upstream := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Long: "+strings.Repeat("x", maxResponseRead-10_000)+"\r\n\r\n")
 		io.Copy(c, patternReader(50_000))
 		return false
 	})
-	b := newBalancer(t, activeMember("s-00000001", s))
+	b := newBalancer(t, activeMember("s-00000001", upstream))
 	status, _ := b.do(t, b.newRequest("checkin", ""))
 	assertEqual(t, "status", status, 502)
 	b.awaitSettled(t)
 }
 
-// Clients that read nothing of large responses cost no more than the buffers of their connections.
+// If a client does not read a large response, no more of it is read from the upstream than fits the buffers of the connections.
 func TestStreamsApplyBackpressure(t *testing.T) {
 	var wrote [8]int64
 	done := make(chan int, 8)
 	next := 0
-	s := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
+	upstream := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
 		i := next
 		next++
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 64<<20)
@@ -107,33 +107,33 @@
 		done <- i
 		return false
 	})
-	b := newBalancer(t, activeMember("s-00000001", s))
+	b := newBalancer(t, activeMember("s-00000001", upstream))
 	for range 2 {
 		c, _ := b.dial(t)
 		io.WriteString(c, checkinHead+"Content-Length: 0\r\n\r\n")
 		if n := wrote[<-done]; n >= 32<<20 {
-			t.Errorf("%d bytes were taken from the upstream with nobody to read them", n)
+			t.Errorf("%d bytes were read from the upstream although the client reads nothing", n)
 		}
 	}
 }
 
-// A response of unknown length ends with the close of its connection. A reset is no such end: a request that may be
-// executed twice is retried, another one has failed, and a client that has got a part can tell that it is not complete.
+// A response of unknown length ends when the upstream closes the connection. A reset is an error instead: an idempotent request
+// is retried, any other request fails, and a client that has received a part of the response gets an error.
 func TestResetDoesNotEndAResponse(t *testing.T) {
 	for _, x := range []struct {
 		name, class string
 		size        int64
-		status      int // of a client that can be given another response or an error; 0: it has got a part
+		status      int // the status that the client gets; 0 if it has already received a part of the response
 	}{
-		{"short, may run twice", "read", 100, 200},
-		{"short, must not", "checkin", 100, 502},
-		{"nothing but the head", "checkin", 0, 502},
-		{"passed on as it comes", "read", 8 * maxBody, 0},
+		{"buffered, idempotent", "read", 100, 200},
+		{"buffered, not idempotent", "checkin", 100, 502},
+		{"only the head", "checkin", 0, 502},
+		{"streamed", "read", 8 * maxBody, 0},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			proceed := make(chan struct{})
 			first := true // one request at a time
-			s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
+			upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 				if !first {
 					return respondOK(c, r)
 				}
@@ -141,12 +141,12 @@
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
 				io.Copy(c, patternReader(x.size))
 				if x.status == 0 {
-					<-proceed // its client has the beginning; a reset discards what has not been read
+					<-proceed // the client has received the beginning; a reset discards what has not been read
 				}
 				c.(*net.TCPConn).SetLinger(0)
 				return false
 			})
-			b := newBalancer(t, activeMember("s-00000001", s))
+			b := newBalancer(t, activeMember("s-00000001", upstream))
 			resp, err := b.client.Do(b.newRequest(x.class, ""))
 			if err != nil {
 				t.Fatal(err)
@@ -158,7 +158,7 @@
 				}
 				close(proceed)
 				if _, err := io.Copy(io.Discard, resp.Body); err == nil {
-					t.Error("a part was taken for a complete answer")
+					t.Error("the client took a truncated response for complete")
 				}
 				return
 			}
@@ -167,19 +167,20 @@
 				t.Fatal(err)
 			}
 			assertEqual(t, "status", resp.StatusCode, x.status)
-			assertEqual(t, "the answer is the second one's", string(body) == "done", x.status == 200)
+			assertEqual(t, "response is that of the second attempt", string(body) == "done", x.status == 200)
 		})
 	}
 }
 
-// A response that never ends is broken off: a buffered one by its client's deadline; a streamed one after the stall timeout
-// without a byte, or when it is longer than any valid one. Its client gets an error, or can tell.
+// A response that never ends is aborted: a buffered one at the deadline of the request; a streamed one if no byte arrives within
+// timelimit.UpstreamStall, or if it exceeds maxResponseLength. The client gets an error response, or a truncated response that
+// it recognizes as such.
 func TestEndlessResponseIsBrokenOff(t *testing.T) {
 	const deadline = 300 * time.Millisecond
 	for _, x := range []struct {
 		name, beginning string
-		endless         bool // bytes go on and on
-		status          int  // 0: a part of the response is passed on
+		endless         bool // the upstream never stops sending
+		status          int  // the status that the client gets; 0 if a part of the response is forwarded
 	}{
 		{"nothing", "", false, http.StatusGatewayTimeout},
 		{"half a head", "HTTP/1.1 200 OK\r\nContent-Le", false, http.StatusGatewayTimeout},
@@ -189,7 +190,7 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			release := make(chan struct{})
-			s := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
+			upstream := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
 				io.WriteString(c, x.beginning)
 				if x.endless {
 					io.Copy(c, &patternSource{}) // until the connection is closed
@@ -198,7 +199,7 @@
 				}
 				return false
 			})
-			b := newBalancer(t, activeMember("s-00000001", s))
+			b := newBalancer(t, activeMember("s-00000001", upstream))
 			defer close(release)
 			resp, err := b.client.Do(b.newRequest("checkin", "", "X-Deadline-Ms", strconv.FormatInt(deadline.Milliseconds(), 10)))
 			if err != nil {
@@ -211,7 +212,7 @@
 				return
 			}
 			if err == nil || n < maxResponseLength {
-				t.Errorf("%d bytes were passed on, then %v; want a break behind %d", n, err, maxResponseLength)
+				t.Errorf("got %d bytes and error %v, want at least %d bytes and an error", n, err, maxResponseLength)
 			}
 		})
 	}
--- a/internal/proxy/secondresponse_test.go
+++ b/internal/proxy/secondresponse_test.go
@@ -6,24 +6,24 @@
 	"testing"
 )
 
-// An upstream may answer a request twice, the second time some milliseconds late. HTTP/1.1 does not say which request a
-// response belongs to; only the order does. A second response that comes while its connection is idle belongs to no
-// request, and the connection is not used again; one that comes after the next request has been written can't be told from
-// that request's own.
+// An upstream may answer a request twice, the second time some milliseconds later. In HTTP/1.1 only the order of responses shows
+// which request they belong to. If the second response arrives while the connection is idle, it belongs to no request and the
+// connection is not reused. If it arrives after the next request has been written, it can't be distinguished from the response to
+// that request.
 func TestSecondResponseOfAnUpstream(t *testing.T) {
 	for _, x := range []struct {
 		name      string
-		whileIdle bool     // the second response comes before the next request
-		answers   []string // of three requests, one after the other
-		connected int
+		whileIdle bool     // the second response arrives before the next request is written
+		answers   []string // the responses to three consecutive requests
+		connected int      // the number of upstream connections opened
 	}{
 		{"while the connection is idle", true, []string{"first", "second", "third"}, 2},
 		{"once the next request has been written", false, []string{"first", "again first", "third"}, 2},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			texts := map[string]string{}
-			var order []string // of requests by id, one at a time
-			s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
+			var order []string // the ids of the requests in the order in which the upstream received them
+			upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 				id := r.Header.Get("X-Request-Id")
 				order = append(order, id)
 				switch {
@@ -34,7 +34,7 @@
 				}
 				return writeOK(c, texts[id])
 			})
-			b := newBalancer(t, activeMember("s-00000001", s))
+			b := newBalancer(t, activeMember("s-00000001", upstream))
 			for i, text := range []string{"first", "second", "third"} {
 				r := b.newRequest("checkin", "")
 				texts[r.Header.Get("X-Request-Id")] = text
@@ -46,15 +46,15 @@
 					b.awaitUnreadBytes(t)
 				}
 			}
-			assertEqual(t, "connections", s.opened(), x.connected)
+			assertEqual(t, "connections", upstream.opened(), x.connected)
 		})
 	}
 }
 
-// awaitUnreadBytes waits until there are unread bytes on the one idle connection.
+// awaitUnreadBytes waits until there are unread bytes on the only idle upstream connection.
 func (b *testBalancer) awaitUnreadBytes(t *testing.T) {
 	t.Helper()
-	b.await(t, "bytes that belong to no request have come", func(l *loop) bool {
+	b.await(t, "unread bytes on the idle connection", func(l *loop) bool {
 		idle := l.endpoints[1].idle
 		if len(idle) != 1 {
 			return false
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// Large bodies of requests and responses pass through completely, in every framing, on connections that can be used again.
+// Large request and response bodies are forwarded completely, in every framing, and the client connection stays reusable.
 func TestLargeBodiesAreStreamed(t *testing.T) {
 	const size = 3 << 20
 	sums := make(chan [32]byte, 10)
-	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
+	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 		body, _ := io.ReadAll(r.Body)
 		sums <- sha256.Sum256(body)
 		switch r.Header.Get("X-Form") {
@@ -42,7 +42,7 @@
 		io.Copy(c, patternReader(size))
 		return false
 	})
-	b := newBalancer(t, activeMember("s-00000001", s))
+	b := newBalancer(t, activeMember("s-00000001", upstream))
 	for _, form := range []string{"length", "chunks", "close"} {
 		for _, length := range []int64{size, -1} {
 			r := b.newRequest("checkin", "", "X-Form", form)
@@ -57,18 +57,18 @@
 				t.Fatal(err)
 			}
 			content, _ := io.ReadAll(patternReader(size))
-			assertEqual(t, form+": the answer is the upstream's", bytes.Equal(answer, content), true)
-			assertEqual(t, form+": the body is the client's", <-sums, sha256.Sum256(content))
-			assertEqual(t, form+": known length", resp.ContentLength == size, form == "length")
-			assertEqual(t, form+": keeps", resp.Close, false)
+			assertEqual(t, form+": response body is unchanged", bytes.Equal(answer, content), true)
+			assertEqual(t, form+": request body is unchanged", <-sums, sha256.Sum256(content))
+			assertEqual(t, form+": response has a length", resp.ContentLength == size, form == "length")
+			assertEqual(t, form+": closes", resp.Close, false)
 		}
 	}
 	assertEqual(t, "passed", b.metric(t, `svc_passed{category="checkin"}`), 6)
 	assertEqual(t, "in progress", b.metric(t, "svc_in_progress"), 0)
 }
 
-// The time of an upload begins with its last byte: a slow one outlives its deadline, and its upstream gets its body as it
-// comes.
+// The deadline of an upload counts from its last byte: a slow upload may take longer than its deadline, and its body is forwarded
+// while it is received.
 func TestSlowUploadOutlivesItsDeadline(t *testing.T) {
 	began := make(chan struct{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -97,8 +97,8 @@
 	if _, err := io.CopyN(c, patternReader(maxBody+1), maxBody+1); err != nil {
 		t.Fatal(err)
 	}
-	<-began // the upstream has it while the client still sends
-	assertEqual(t, "in progress before it was taken", b.metric(t, "svc_in_progress"), 0)
+	<-began // the upstream receives the body while the client is still sending
+	assertEqual(t, "in progress before the last byte", b.metric(t, "svc_in_progress"), 0)
 	time.Sleep(100 * time.Millisecond) // past the deadline
 	if _, err := io.CopyN(c, patternReader(maxBody-1), maxBody-1); err != nil {
 		t.Fatal(err)
@@ -110,11 +110,11 @@
 	assertEqual(t, "status", resp.StatusCode, 200)
 }
 
-// A client that stops in the middle of a large body gets an error or a close, and the upstream never gets a complete
-// request.
+// A client that stops in the middle of a large body gets an error response and a close, and the upstream never receives a
+// complete request.
 func TestStalledUploadIsAborted(t *testing.T) {
-	s := newTestUpstream(t, respondOK)
-	b := newBalancer(t, activeMember("s-00000001", s))
+	upstream := newTestUpstream(t, respondOK)
+	b := newBalancer(t, activeMember("s-00000001", upstream))
 	c, in := b.dial(t)
 	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", checkinHead, 4*maxBody)
 	io.CopyN(c, patternReader(2*maxBody), 2*maxBody)
@@ -124,27 +124,27 @@
 	}
 	assertEqual(t, "status", resp.StatusCode, http.StatusRequestTimeout)
 	assertEqual(t, "closes", resp.Close, true)
-	assertEqual(t, "requests at the upstream", len(s.arrivals), 0)
+	assertEqual(t, "requests at the upstream", len(upstream.arrivals), 0)
 	assertEqual(t, "attempts written completely", b.metric(t, "svc_upstream_tries"), 0)
 }
 
-// Once a part of an upload has been consumed it is not sent again; before that it may be.
+// An upload is not retried once a part of its streamed body has been consumed; before that it may be.
 func TestUploadIsNotRetried(t *testing.T) {
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	dead.Close()
-	s := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
+	upstream := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	b := newBalancer(t, activeMember("s-00000001", s), activeMember("s-00000002", &testUpstream{addr: dead.Addr().String()}))
+	b := newBalancer(t, activeMember("s-00000001", upstream), activeMember("s-00000002", &testUpstream{addr: dead.Addr().String()}))
 	for range 3 { // a refused connection may be retried; an error response may not
 		r := b.newRequest("checkin", "")
 		r.Body, r.ContentLength = io.NopCloser(patternReader(4*maxBody)), -1
 		status, _ := b.do(t, r)
 		assertEqual(t, "status", status, http.StatusBadGateway)
 	}
-	assertEqual(t, "attempts at the upstream", len(s.arrivals), 3)
+	assertEqual(t, "attempts at the upstream", len(upstream.arrivals), 3)
 }
