--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -129,8 +129,8 @@
 }
 
 func TestParseLoadReport(t *testing.T) {
-	l := parseLoadReport("eps=0.5, util=0.61,latency_ms=14.5,other=3,inflight=x")
-	assertEqual(t, "load", l, balancer.LoadReport{Fields: balancer.HasErrors | balancer.HasUtilization | balancer.HasServiceTime,
+	report := parseLoadReport("eps=0.5, util=0.61,latency_ms=14.5,other=3,inflight=x")
+	assertEqual(t, "load", report, balancer.LoadReport{Fields: balancer.HasErrors | balancer.HasUtilization | balancer.HasServiceTime,
 		Errors: 0.5, Utilization: 0.61, ServiceTime: 14.5})
 	assertEqual(t, "none", parseLoadReport(""), balancer.LoadReport{})
 }
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -135,19 +135,19 @@
 // and forwarding the request when its connection opens.
 func TestDisconnectBehindUnreadBytesIsNoticed(t *testing.T) {
 	part := "GET /read/y HTTP/1.1\r\nHost: x\r\n"
-	for name, behind := range map[string]string{"a byte": "G", "part of a head": part, "a complete one": part + "\r\n",
+	for name, following := range map[string]string{"a byte": "G", "part of a head": part, "a complete one": part + "\r\n",
 		"many": strings.Repeat(part+"\r\n", 200), "much": strings.Repeat("x", 3<<20), "no head": "\r\n\r\n\x00"} {
 		for _, inOneWrite := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, in one piece %v", name, inOneWrite), func(t *testing.T) {
 				upstream, gate := newTestUpstream(t, respondOK), newDialGate(t)
 				b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) { c.openConn = gate.open }, activeMember("s-00000001", upstream))
-				sentFirst := behind[:min(len(behind), 1000)]
+				sentFirst := following[:min(len(following), 1000)]
 				if !inOneWrite {
 					sentFirst = ""
 				}
 				c := b.sendRaw(t, "pay", sentFirst)
 				gate.next(t) // the request waits for its upstream connection
-				if _, err := io.WriteString(c, behind[len(sentFirst):]); err != nil {
+				if _, err := io.WriteString(c, following[len(sentFirst):]); err != nil {
 					t.Fatal(err)
 				}
 				c.Close()
@@ -168,9 +168,9 @@
 // size of the buffer; a malformed one ends the connection after the response to the request before it.
 func TestPipelinedRequests(t *testing.T) {
 	for _, x := range []struct {
-		name   string
-		behind func(b *testBalancer) string
-		served int
+		name      string
+		following func(b *testBalancer) string
+		served    int
 	}{
 		{"three more", func(b *testBalancer) string {
 			var all bytes.Buffer
@@ -188,12 +188,12 @@
 			t.Run(fmt.Sprintf("%s, cut at %d", x.name, cut), func(t *testing.T) {
 				upstream, gate := newTestUpstream(t, respondOK), newDialGate(t)
 				b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) { c.openConn = gate.open }, activeMember("s-00000001", upstream))
-				behind := x.behind(b)
-				cut := min(cut, len(behind)-1) // the last byte is sent later, and read while watching for a disconnect
-				c := b.sendRaw(t, "read", behind[:cut])
+				following := x.following(b)
+				cut := min(cut, len(following)-1) // the last byte is sent later, and read while watching for a disconnect
+				c := b.sendRaw(t, "read", following[:cut])
 				gate.next(t)
-				for i := cut; i < len(behind); i += 7000 {
-					if _, err := io.WriteString(c, behind[i:min(len(behind), i+7000)]); err != nil {
+				for i := cut; i < len(following); i += 7000 {
+					if _, err := io.WriteString(c, following[i:min(len(following), i+7000)]); err != nil {
 						t.Fatal(err)
 					}
 				}
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -51,20 +51,20 @@
 	f := newFrontend(&Config{Sockets: 6}, nil, newTestLoop(t, 0))
 	f.now = func() time.Duration { return now }
 	f.conns.now = f.now
-	openConn := func(s http.ConnState) net.Conn {
+	openConn := func(state http.ConnState) net.Conn {
 		c, peer := net.Pipe()
 		t.Cleanup(func() { c.Close(); peer.Close() })
 		framed := framing.NewConn(c, f.now, timelimit.ClientRead)
 		f.conns.track(framed, http.StateNew)
-		if s == http.StateNew {
+		if state == http.StateNew {
 			return c
 		}
 		go io.WriteString(peer, "GET / HTTP/1.1\r\n\r\n")
 		if _, err := io.ReadFull(framed, make([]byte, 18)); err != nil {
 			return c // over the limit and closed
 		}
-		if f.conns.track(framed, http.StateActive); s == http.StateIdle {
-			f.conns.track(framed, s)
+		if f.conns.track(framed, http.StateActive); state == http.StateIdle {
+			f.conns.track(framed, state)
 		}
 		return c
 	}
