--- a/cmd/balancer/calls_test.go
+++ b/cmd/balancer/calls_test.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// callConnectTimeout bounds the opening of a connection for an operators' call.
+	// callConnectTimeout bounds the time for connecting to a management address.
 	callConnectTimeout = time.Second
-	// callTimeout bounds an operators' call.
+	// callTimeout bounds a management call once its connection is open.
 	callTimeout = 10 * time.Second
 )
 
-// openCall makes an operators' call, whose answer is then read from the connection.
-func openCall(address, line string) (net.Conn, error) {
+// openManagementCall sends a management call and returns the connection to read its answer from.
+func openManagementCall(address, line string) (net.Conn, error) {
 	c, err := net.DialTimeout("tcp", address, callConnectTimeout)
 	if err != nil {
 		return nil, err
@@ -28,9 +28,9 @@
 	return c, nil
 }
 
-// callManagement makes an operators' call and returns the first line of its answer, or "" if there is no answer.
+// callManagement makes a management call and returns the first line of its answer, or "" if there is no answer.
 func callManagement(address, line string) string {
-	c, err := openCall(address, line)
+	c, err := openManagementCall(address, line)
 	if err != nil {
 		return ""
 	}
@@ -42,9 +42,9 @@
 	return strings.TrimSpace(answer)
 }
 
-// readCall makes an operators' call and returns its complete answer.
-func readCall(address, line string) (string, error) {
-	c, err := openCall(address, line)
+// readManagementCall makes a management call and returns its complete answer.
+func readManagementCall(address, line string) (string, error) {
+	c, err := openManagementCall(address, line)
 	if err != nil {
 		return "", err
 	}
@@ -53,9 +53,9 @@
 	return string(answer), err
 }
 
-// callAll makes an operators' call and returns its answer of several lines, or the text of an error.
-func callAll(address, line string) string {
-	answer, err := readCall(address, line)
+// managementAnswerOrError makes a management call and returns its complete answer, or the text of the error if it fails.
+func managementAnswerOrError(address, line string) string {
+	answer, err := readManagementCall(address, line)
 	if err != nil {
 		return err.Error()
 	}
--- a/cmd/balancer/drain_test.go
+++ b/cmd/balancer/drain_test.go
@@ -355,7 +355,7 @@
 			t.Fatalf("exited: %v\n%s", err, &p.log)
 		default:
 		}
-		return strings.Contains(callAll(operators, "vars"), fmt.Sprintf("svc_known_upstreams %d\n", drainUpstreams))
+		return strings.Contains(managementAnswerOrError(operators, "vars"), fmt.Sprintf("svc_known_upstreams %d\n", drainUpstreams))
 	})
 	return p, address, operators
 }
@@ -370,5 +370,5 @@
 		}
 	}
 	line := fmt.Sprintf("svc_client_connections{state=\"active\"} %d\n", active)
-	waitFor(t, "the requests have begun", func() bool { return strings.Contains(callAll(operators, "vars"), line) })
+	waitFor(t, "the requests have begun", func() bool { return strings.Contains(managementAnswerOrError(operators, "vars"), line) })
 }
--- a/cmd/balancer/former_build_test.go
+++ b/cmd/balancer/former_build_test.go
@@ -61,7 +61,9 @@
 	}
 
 	running, management := start(exec.Command(former))
-	waitFor(t, "the list has come", func() bool { return strings.Contains(callAll(management, "vars"), "svc_known_upstreams 3\n") })
+	waitFor(t, "the list has come", func() bool {
+		return strings.Contains(managementAnswerOrError(management, "vars"), "svc_known_upstreams 3\n")
+	})
 	wantAnswer(t, management, "zone-leave "+leftZone, "YES left")
 	load := startTraffic(address, 4)
 	for _, next := range []struct {
--- a/cmd/balancer/former_state_test.go
+++ b/cmd/balancer/former_state_test.go
@@ -247,7 +247,7 @@
 // wantZoneLeft checks that leftZone is left, as zone-status shows it.
 func wantZoneLeft(t *testing.T, operators string) {
 	t.Helper()
-	if answer := callAll(operators, "zone-status"); !regexp.MustCompile(`(?m)^.*` + leftZone + `.*\bleft\b`).MatchString(answer) {
+	if answer := managementAnswerOrError(operators, "zone-status"); !regexp.MustCompile(`(?m)^.*` + leftZone + `.*\bleft\b`).MatchString(answer) {
 		t.Errorf("zone-status: %s is not left: %q", leftZone, answer)
 	}
 }
--- a/cmd/balancer/logqueue.go
+++ b/cmd/balancer/logqueue.go
@@ -9,27 +9,27 @@
 	"sprucehill/internal/timelimit"
 )
 
-// logQueueLength is how many lines of the log may wait for being written.
+// logQueueLength is the capacity of a logQueue in lines.
 const logQueueLength = 512
 
-// logQueue is a writer that never waits: a goroutine of its own writes the lines to their destination. Lines are lost while too
-// many wait, so whoever logs goes on where nobody reads the log. Once the queue has been written, a line reports how many were
-// lost.
+// logQueue is a writer that never blocks: a background goroutine writes the queued lines to the destination. Lines that come
+// while the queue is full are lost, so that a log that nobody reads doesn't block the process. Once the queue has been
+// written, a line reports how many were lost.
 type logQueue struct {
-	destination io.Writer
-	lines       chan []byte
-	lost        atomic.Int64       // lines that were lost and are not reported yet
-	flush       chan chan struct{} // requests that the goroutine closes a channel once all that was queued before is written
+	destination   io.Writer
+	lines         chan []byte
+	lost          atomic.Int64       // lost lines that have not been reported yet
+	flushRequests chan chan struct{} // the goroutine closes each received channel once all lines queued before are written
 }
 
-// newLogQueue returns a queue before a destination. Its goroutine ends with the process.
+// newLogQueue returns a queue that writes to destination. Its goroutine runs until the process exits.
 func newLogQueue(destination io.Writer) *logQueue {
-	q := &logQueue{destination: destination, lines: make(chan []byte, logQueueLength), flush: make(chan chan struct{})}
+	q := &logQueue{destination: destination, lines: make(chan []byte, logQueueLength), flushRequests: make(chan chan struct{})}
 	go q.run()
 	return q
 }
 
-// Write queues a line. It never fails.
+// Write queues a copy of a line, or counts the line as lost if the queue is full. It never blocks or fails.
 func (q *logQueue) Write(line []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), line...):
@@ -39,29 +39,30 @@
 	return len(line), nil
 }
 
-// Flush waits until what has been queued is written, timelimit.LogFlush at most.
+// Flush waits until all queued lines are written, but no longer than timelimit.LogFlush.
 func (q *logQueue) Flush() {
-	limit := time.NewTimer(timelimit.LogFlush)
-	defer limit.Stop()
+	timeout := time.NewTimer(timelimit.LogFlush)
+	defer timeout.Stop()
 	written := make(chan struct{})
 	select {
-	case q.flush <- written:
-	case <-limit.C:
+	case q.flushRequests <- written:
+	case <-timeout.C:
 		return
 	}
 	select {
 	case <-written:
-	case <-limit.C:
+	case <-timeout.C:
 	}
 }
 
+// run writes queued lines and serves flush requests.
 func (q *logQueue) run() {
 	for {
 		select {
 		case line := <-q.lines:
 			q.write(line)
 			q.logLost()
-		case written := <-q.flush:
+		case written := <-q.flushRequests:
 			q.writeQueued()
 			q.logLost()
 			q.writeQueued() // the line of logLost
@@ -77,10 +78,10 @@
 	}
 }
 
-// write writes a line. One that can't be written is lost: there is nowhere to log that.
+// write writes a line to the destination. It ignores a write error, because there is nowhere to log it.
 func (q *logQueue) write(line []byte) { _, _ = q.destination.Write(line) }
 
-// logLost logs how many lines were lost, once no line waits: the queue then has space for this one.
+// logLost logs how many lines were lost, if any. It does so only while the queue is empty and has space for that line.
 func (q *logQueue) logLost() {
 	if len(q.lines) > 0 {
 		return
--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -1,7 +1,7 @@
-// Command balancer is a load balancer for a fleet of HTTP servers. It is configured by the RELAY_ environment variables,
-// reads the address of discovery again on SIGHUP, and shuts down gracefully on SIGTERM.
+// Command balancer is a load balancer for a fleet of HTTP servers. It is configured through the RELAY_ environment variables,
+// reloads the discovery address on SIGHUP, and shuts down gracefully on SIGTERM.
 //
-// It ends with exit code 0 after SIGTERM, and with 1 and one line on standard error if it can't start or serve.
+// Its exit code is 0 after SIGTERM. If it can't start or serve, it writes one line to standard error and exits with 1.
 package main
 
 import (
@@ -26,16 +26,16 @@
 )
 
 const (
-	// maxCores is how many cores the program uses: the platform gives it one.
+	// maxCores is the value for GOMAXPROCS. The platform allots one core to the process.
 	maxCores = 1
-	// gcPercent is the heap growth, in percent, at which garbage is collected. Collecting later than Go's default of 100
-	// saves time and costs memory, which the soft memory limit bounds.
+	// gcPercent is the heap growth, in percent, that starts a garbage collection. A value above Go's default of 100 saves
+	// CPU time at the cost of memory, which the soft memory limit bounds.
 	gcPercent = 400
 )
 
 func main() {
 	queue := newLogQueue(os.Stderr)
-	log.SetOutput(queue) // also of the default logger of package slog
+	log.SetOutput(queue) // the default slog logger writes through package log, too
 	err := run(queue)
 	if err != nil {
 		fmt.Fprintln(queue, "balancer:", err)
@@ -46,10 +46,10 @@
 	}
 }
 
-// run serves until SIGTERM or an interrupt. The log goes to a writer that must not wait.
+// run starts the balancer and serves until SIGTERM or an interrupt. logWriter receives the log and must not block.
 func run(logWriter io.Writer) error {
 	reloadSignals := make(chan os.Signal, 1)
-	signal.Notify(reloadSignals, syscall.SIGHUP) // before all else: without it the signal would end the program
+	signal.Notify(reloadSignals, syscall.SIGHUP) // first of all, because an unhandled SIGHUP terminates the process
 	config, file, err := loadConfiguration(logWriter)
 	if err != nil {
 		return err
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// loadConfiguration reads the configuration and the fleet file, and sets the logger that the latter configures.
+// loadConfiguration reads the configuration and the fleet file, and installs the logger that the fleet file configures.
 func loadConfiguration(logWriter io.Writer) (proxy.Config, fleet.File, error) {
 	config, err := proxy.LoadConfig(os.Getenv)
 	if err != nil {
@@ -106,8 +106,8 @@
 	return config, file, nil
 }
 
-// openState opens the state folder, if the fleet file names one, and sets the configuration's StateWriter. The function that
-// it returns saves what is pending and releases the folder.
+// openState opens the state folder, if the fleet file names one, and sets config.StateWriter. closeState saves pending records
+// and releases the folder's lock.
 func openState(config *proxy.Config, file fleet.File) (closeState func(), err error) {
 	if file.State.Folder == "" {
 		return func() {}, nil
@@ -119,7 +119,7 @@
 		OrderKinds:  savedstate.OrderKinds,
 		Log:         slog.Info,
 	}
-	writer, err := durable.StartWriter(options, stateVersions())
+	writer, err := durable.StartWriter(options, recordVersions())
 	if err != nil {
 		return nil, fleetFileError(err)
 	}
@@ -127,35 +127,35 @@
 	return writer.Close, nil
 }
 
-// stateVersions returns the kinds of records that are read from the state folder, with the version of each: those of the
-// proxy and of the membership.
-func stateVersions() map[string]uint16 {
+// recordVersions maps each kind of record that this program reads from the state folder to its version. The kinds are those of
+// the proxy and of the membership.
+func recordVersions() map[string]uint16 {
 	versions := maps.Clone(savedstate.Kinds)
 	versions[kindMembers] = versionMembers
 	return versions
 }
 
-// fleetFileError names the fleet file in an error that its content caused.
+// fleetFileError adds the path of the fleet file to an error that the file's content caused.
 func fleetFileError(err error) error {
 	return fmt.Errorf("%s: %w", os.Getenv(fleet.EnvironmentVariable), err)
 }
 
-// limitResources sets the limits of the Go runtime for the process.
+// limitResources sets the core, garbage collection and memory limits of the Go runtime.
 func limitResources(config proxy.Config) {
 	runtime.GOMAXPROCS(maxCores)
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(config.SoftMemory())
 }
 
-// startManagement serves operators' calls at an address, if it is not empty, until the function that it returns is
-// called, which waits for the end. Calls are also answered while the proxy shuts down.
+// startManagement serves management calls at an address until stop is called, and stop returns once the server has ended. An
+// empty address disables the server. Calls are still answered while the proxy shuts down.
 func startManagement(address string, target management.Balancer) (stop func(), err error) {
 	if address == "" {
 		return func() {}, nil
 	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("listening for operators: %w", err)
+		return nil, fmt.Errorf("opening the management listener: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -171,8 +171,8 @@
 	}, nil
 }
 
-// reloadDiscovery reads the address of discovery again at each signal and sends it, until ctx ends. If the configuration
-// can't be read nothing changes.
+// reloadDiscovery reloads the discovery address on each signal and sends it to addresses, until ctx is done. If the
+// configuration can't be read, the current address stays in use.
 func reloadDiscovery(ctx context.Context, signals <-chan os.Signal, addresses chan<- string) {
 	for {
 		select {
--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -12,24 +12,24 @@
 	"testing"
 )
 
-// TestSmoke starts the program, waits until it is healthy and ends it by SIGTERM. Discovery is down throughout.
+// The program becomes healthy and exits on SIGTERM while discovery is unreachable.
 func TestSmoke(t *testing.T) {
 	startBalancer(t, freeAddress(t)).terminate(t)
 }
 
-// On SIGHUP the program reads the address of discovery again, from the file and not from the environment that it was
-// started with. A file that can't be read changes nothing, and the signal does not end the program.
+// On SIGHUP the program reloads the discovery address from the configuration file, not from the environment that it was started
+// with. An invalid file changes nothing, and the signal does not end the program.
 func TestReload(t *testing.T) {
 	polled := make(chan struct{}, 100)
-	registry := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	discovery := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		polled <- struct{}{}
 		<-r.Context().Done()
 	}))
-	defer registry.Close()
+	defer discovery.Close()
 	p := startBalancer(t, freeAddress(t))
 	writeFile(t, p.configPath, "{")
 	p.signal(t, syscall.SIGHUP)
-	p.writeConfig(t, "127.0.0.1:1", registry.Listener.Addr().String())
+	p.writeConfig(t, "127.0.0.1:1", discovery.Listener.Addr().String())
 	p.signal(t, syscall.SIGHUP)
 	select {
 	case <-polled:
@@ -41,17 +41,17 @@
 	p.terminate(t)
 }
 
-// Operators reach the program at its management address, and it still ends on SIGTERM while it drains.
+// The program answers management calls, and exits on SIGTERM also while it drains.
 func TestManagementCalls(t *testing.T) {
-	operators := freeAddress(t)
-	t.Setenv("RELAY_MANAGEMENT", operators)
+	management := freeAddress(t)
+	t.Setenv("RELAY_MANAGEMENT", management)
 	p := startBalancer(t, freeAddress(t))
 	for _, step := range []struct{ call, answer string }{
 		{"check", "YES serving"},
 		{"drain-on", "YES draining"},
 		{"check", "YES draining"},
 	} {
-		answer, err := readCall(operators, step.call)
+		answer, err := readManagementCall(management, step.call)
 		if err != nil || answer != step.answer+"\n" {
 			t.Errorf("%s: got %q, %v", step.call, answer, err)
 		}
@@ -59,7 +59,7 @@
 	p.terminate(t)
 }
 
-// A management address that is in use fails the start with one message.
+// If the management address is in use, the start fails with an error message and no panic.
 func TestManagementAddressInUse(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -68,15 +68,15 @@
 	defer l.Close()
 	p := newProcess(t, balancerCommand(t), configTemplate, freeAddress(t), freeAddress(t))
 	p.Env = append(p.Env, "RELAY_MANAGEMENT="+l.Addr().String())
-	out := wantStartFailure(t, p.Cmd, "listening for operators")
+	out := wantStartFailure(t, p.Cmd, "opening the management listener")
 	if strings.Contains(out, "panic") {
 		t.Errorf("panicked: %s", out)
 	}
 }
 
-// A bad fleet file fails the start with one line that names file and key.
+// With an invalid fleet file, the start fails with one line that names the file, the line and the key.
 func TestBadFleetFile(t *testing.T) {
-	p := startBalancer(t, freeAddress(t)) // it has a good configuration
+	p := startBalancer(t, freeAddress(t)) // its valid configuration is used again below
 	p.terminate(t)
 	fleet := filepath.Join(t.TempDir(), "fleet.toml")
 	writeFile(t, fleet, "[regions]\nr = \"z1\"\n")
@@ -88,14 +88,15 @@
 	}
 }
 
-// A missing configuration fails the start with a message that names its variable.
+// Without a configuration, the start fails with a message that names the environment variable.
 func TestMissingConfiguration(t *testing.T) {
 	cmd := balancerCommand(t)
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG=")
 	wantStartFailure(t, cmd, "RELAY_CONFIG")
 }
 
-// wantStartFailure runs a command that is to exit with 1 and a message, and returns its output without the last line feed.
+// wantStartFailure runs a command, checks that it exits with 1 and that its output contains message, and returns the output
+// without surrounding white space.
 func wantStartFailure(t *testing.T, cmd *exec.Cmd, message string) (output string) {
 	t.Helper()
 	out, err := cmd.CombinedOutput()
--- a/cmd/balancer/members.go
+++ b/cmd/balancer/members.go
@@ -19,54 +19,55 @@
 )
 
 const (
-	// kindMembers is the kind of the stored record of the membership.
+	// kindMembers is the kind of the membership record in the state folder.
 	kindMembers = "members"
-	// versionMembers is the version of its payload, a membershipRecord.
+	// versionMembers is the version of that record's payload, a membershipRecord in JSON.
 	versionMembers = 1
 )
 
-// membershipRecord is what outlives the process. A later process must take a higher incarnation, whatever its clock says,
-// and divides budgets by no smaller fleet until it has seen the fleet itself. The JSON keys are those of stored records.
+// membershipRecord is the membership state that is kept across restarts. A restarted process must take a higher incarnation
+// than its predecessor, whatever its clock says, and must not divide budgets by a smaller fleet size until it has observed the
+// fleet itself. The JSON keys are part of the stored format.
 type membershipRecord struct {
-	Incarnation uint64 `json:"incarnation"`
-	Balancers   int    `json:"balancers"` // divisor of budgets
+	Incarnation   uint64 `json:"incarnation"`
+	BudgetDivisor int    `json:"balancers"`
 }
 
-// membershipStore persists the membershipRecord. Without a writer it persists nothing.
+// membershipStore saves and loads the membershipRecord. If writer is nil, there is no state folder and nothing is saved.
 type membershipStore struct{ writer savedstate.Writer }
 
-// nextRecord returns the record to start with: the next incarnation, which is on disk when this returns unless that
-// failed, and the size of the fleet before.
+// nextRecord returns the record of this process: the next incarnation, and the budget divisor of the previous process. Unless
+// saving it fails, which is logged, the record is on disk when nextRecord returns.
 func (s membershipStore) nextRecord() membershipRecord {
 	next := membershipRecord{Incarnation: uint64(time.Now().UnixMilli())}
 	if s.writer == nil {
 		return next
 	}
-	last := s.load()
-	next.Incarnation = max(next.Incarnation, last.Incarnation+1)
-	next.Balancers = last.Balancers
+	previous := s.load()
+	next.Incarnation = max(next.Incarnation, previous.Incarnation+1)
+	next.BudgetDivisor = previous.BudgetDivisor
 	if err := s.saveSync(next); err != nil {
 		slog.Error("saving incarnation failed", "incarnation", next.Incarnation, "err", err)
 	}
 	return next
 }
 
-// load returns the record on disk, or an empty one if there is none or it is invalid.
+// load returns the saved record, or an empty one if there is none or it is invalid.
 func (s membershipStore) load() membershipRecord {
 	stored, ok := s.writer.Load(kindMembers)
 	if !ok {
 		return membershipRecord{}
 	}
-	var last membershipRecord
-	err := json.Unmarshal(stored.Payload, &last)
-	if err != nil || last.Balancers < 0 || last.Incarnation == math.MaxUint64 {
+	var record membershipRecord
+	err := json.Unmarshal(stored.Payload, &record)
+	if err != nil || record.BudgetDivisor < 0 || record.Incarnation == math.MaxUint64 {
 		slog.Error("record ignored", "kind", kindMembers, "generation", stored.Generation, "err", err)
 		return membershipRecord{}
 	}
-	return last
+	return record
 }
 
-// saveSync persists a record before it returns.
+// saveSync saves a record and returns once it is on disk.
 func (s membershipStore) saveSync(record membershipRecord) error {
 	payload, err := json.Marshal(record)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return s.writer.SaveSync(kindMembers, versionMembers, time.Now(), payload)
 }
 
-// save persists a record in the background.
+// save saves a record in the background.
 func (s membershipStore) save(record membershipRecord) {
 	if s.writer == nil {
 		return
@@ -84,43 +85,43 @@
 	s.writer.Save(kindMembers, versionMembers, time.Now(), encode)
 }
 
-// fleetMember is this balancer's part in the fleet. node is nil if the fleet file names no seeds.
+// fleetMember is this balancer's membership in the fleet. node is nil if the fleet file names no seeds.
 type fleetMember struct{ node *membership.Node }
 
-// joinFleet joins the fleet that the file names seeds of.
-func joinFleet(c *proxy.Config, file fleet.File, server *proxy.Proxy) (fleetMember, error) {
+// joinFleet joins the fleet through the seeds that the fleet file names. Without seeds it returns a fleetMember without a node.
+func joinFleet(config *proxy.Config, file fleet.File, server *proxy.Proxy) (fleetMember, error) {
 	if !file.Membership.Enabled() {
 		return fleetMember{}, nil
 	}
-	store := membershipStore{c.StateWriter}
+	store := membershipStore{config.StateWriter}
 	record := store.nextRecord()
 	node, err := membership.Start(membership.Options{
-		Self:         ownMember(c, file, record.Incarnation),
+		Self:         localMember(config, file, record.Incarnation),
 		Listen:       file.Membership.Listen,
 		Advertise:    file.Membership.Advertise,
 		Seeds:        file.Membership.Seeds,
 		KeyFile:      file.Membership.KeyFile,
-		Configured:   membership.Placement{Serving: c.Settings.Balancers, Rank: c.Settings.Rank},
-		PreviousSize: record.Balancers,
+		Configured:   membership.Placement{Serving: config.Settings.Balancers, Rank: config.Settings.Rank},
+		PreviousSize: record.BudgetDivisor,
 		Log:          slog.Info,
 		CurrentState: func() membership.State { return memberState(server) },
 		OnFleetSize: func(incarnation uint64, size membership.FleetSize) error {
-			store.save(membershipRecord{Incarnation: incarnation, Balancers: size.BudgetDivisor})
+			store.save(membershipRecord{Incarnation: incarnation, BudgetDivisor: size.BudgetDivisor})
 			return server.SetFleetSize(balancer.FleetSize{Balancers: size.RoutingDivisor, Rank: size.Rank, MaxBalancers: size.BudgetDivisor})
 		},
 	})
 	return fleetMember{node}, err
 }
 
-// ownMember is what this process publishes to the fleet.
-func ownMember(c *proxy.Config, file fleet.File, incarnation uint64) membership.Member {
-	region, zone, hasRegion := strings.Cut(c.Settings.Zone, "/")
+// localMember returns the member entry that this process publishes to the fleet.
+func localMember(config *proxy.Config, file fleet.File, incarnation uint64) membership.Member {
+	region, zone, hasRegion := strings.Cut(config.Settings.Zone, "/")
 	if !hasRegion {
 		region = ""
-		zone = c.Settings.Zone
+		zone = config.Settings.Zone
 	}
 	return membership.Member{
-		Name:        c.Name,
+		Name:        config.Name,
 		Incarnation: incarnation,
 		Zone:        zone,
 		Region:      region,
@@ -130,7 +131,7 @@
 	}
 }
 
-// memberState translates the balancer's state.
+// memberState maps the proxy's readiness to a membership state.
 func memberState(server *proxy.Proxy) membership.State {
 	switch _, state := server.Ready(); state {
 	case "serving":
@@ -143,7 +144,7 @@
 	return membership.Joining
 }
 
-// version is the start of the revision that the program was built from.
+// version returns the abbreviated VCS revision that the program was built from, or "unknown".
 func version() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
@@ -155,6 +156,7 @@
 	return "unknown"
 }
 
+// close leaves the fleet, if there is one.
 func (m fleetMember) close() {
 	if m.node == nil {
 		return
@@ -164,7 +166,7 @@
 	}
 }
 
-// managementTarget is what operators' calls reach: the proxy and the membership.
+// managementTarget executes management calls on the proxy and on the membership.
 type managementTarget struct {
 	*proxy.Proxy
 	member fleetMember
@@ -181,7 +183,7 @@
 	return t.member.node.Status().WriteMetrics(w)
 }
 
-// WriteMembers writes the members of the fleet as this balancer sees them.
+// WriteMembers writes this balancer's view of the fleet members.
 func (t managementTarget) WriteMembers(w io.Writer) error {
 	if t.member.node == nil {
 		return errors.New("there is no membership: the fleet file names no seeds")
--- a/cmd/balancer/members_test.go
+++ b/cmd/balancer/members_test.go
@@ -130,7 +130,7 @@
 
 // callMembers returns the answer to the management call members, without its END.
 func (p *peer) callMembers() ([]string, error) {
-	c, err := openCall(p.management, "members")
+	c, err := openManagementCall(p.management, "members")
 	if err != nil {
 		return nil, err
 	}
@@ -285,7 +285,7 @@
 
 // The stored record is read by later versions of the program, so its form must not change by accident.
 func TestMembershipRecordForm(t *testing.T) {
-	payload, err := json.Marshal(membershipRecord{Incarnation: 1 << 63, Balancers: 3})
+	payload, err := json.Marshal(membershipRecord{Incarnation: 1 << 63, BudgetDivisor: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
