--- a/cmd/balancer/drain_test.go
+++ b/cmd/balancer/drain_test.go
@@ -16,39 +16,41 @@
 )
 
 const (
-	// drainLimit is how long after drain-on a balancer has to have let its clients go.
-	drainLimit = 4 * time.Second
-	// recentRequest is how old a request has to be at drainLimit for its connection to be open still.
-	recentRequest = 2 * time.Second
-	// lateRequest is how long after drain-on no more requests are taken on connections from before.
-	lateRequest = time.Second
-	// drainUpstreams is how many upstreams there are: enough for each request to get its turn at once.
-	drainUpstreams = 16
-	// slowResponse is how long after the drain's beginning the responses come that are awaited then: late enough that a
-	// request behind them is a recent one at drainLimit.
-	slowResponse = 2500 * time.Millisecond
-	// lateHeadEnd is when, after the drain's beginning, a request is complete whose client is slow with its head.
-	lateHeadEnd = 2200 * time.Millisecond
-	// slowUploadPiece is how much of a body is sent at a time, and slowUploadPieces how often in slowResponse.
-	slowUploadPiece  = 16 << 10
-	slowUploadPieces = 10
+	// drainLimit is how long after drain-on a balancer must have closed its client connections. Only connections with a
+	// request that is at least minHeldRequestAge old may still be open then.
+	drainLimit        = 4 * time.Second
+	minHeldRequestAge = 2 * time.Second
+	// reuseGrace is how long after the start of a drain or shutdown a balancer may accept another request on a connection that
+	// has already had a response.
+	reuseGrace = time.Second
+	// drainUpstreamCount is the number of upstreams. There are enough for every request to be forwarded without queueing.
+	drainUpstreamCount = 16
+	// slowResponseDelay is how long after the start of a drain the pending responses arrive. A request that follows such a
+	// response is younger than minHeldRequestAge at drainLimit.
+	slowResponseDelay = 2500 * time.Millisecond
+	// slowHeadDelay is how long after the start of a drain a client that sends its request head slowly completes the request.
+	slowHeadDelay = 2200 * time.Millisecond
+	// A slow upload sends slowUploadPieces pieces of slowUploadPieceBytes each over slowResponseDelay.
+	slowUploadPieceBytes = 16 << 10
+	slowUploadPieces     = 10
 )
 
-// rawRequest is a request as it stands on the wire. The query tells slowUpstream how to answer.
+// rawRequest returns a request in wire format. The query tells slowUpstream how to answer.
 func rawRequest(query, deadlineMs, body string) string {
 	return fmt.Sprintf("POST /c/x?%s HTTP/1.1\r\nHost: b\r\nX-Request-Id: 00000000000000aa\r\nX-Class: c\r\n"+
 		"X-Deadline-Ms: %s\r\nContent-Length: %d\r\n\r\n%s", query, deadlineMs, len(body), body)
 }
 
-// hangingRequest is a request that slowUpstream does not answer in the time of a test.
+// hangingRequest is a request that slowUpstream doesn't answer before the test ends.
 var hangingRequest = rawRequest("delay=20s", "20000", "")
 
-// slowUpstream answers after the query's delay, and pauses in the middle of a body of the query's size. With "chunked" the
-// answer has no length; with "break" the connection breaks in the middle, with "abort" before the answer.
+// slowUpstream responds as the query says: after "delay", with a body of "size" bytes, and with a "pause" after the first half
+// of the body. "chunked" omits the Content-Length. "abort" closes the connection before the response, and "break" in the middle
+// of the body.
 func slowUpstream(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	_, _ = io.Copy(io.Discard, r.Body)
-	if !waitOrGone(r, query.Get("delay")) {
+	if !waitUnlessCanceled(r, query.Get("delay")) {
 		return
 	}
 	if query.Has("abort") {
@@ -64,14 +66,14 @@
 	if query.Has("break") {
 		panic(http.ErrAbortHandler)
 	}
-	if !waitOrGone(r, query.Get("pause")) {
+	if !waitUnlessCanceled(r, query.Get("pause")) {
 		return
 	}
 	_, _ = io.WriteString(w, half)
 }
 
-// waitOrGone waits for a duration, and reports whether the peer is still there.
-func waitOrGone(r *http.Request, text string) bool {
+// waitUnlessCanceled waits for a duration, and reports whether it passed before the request was canceled.
+func waitUnlessCanceled(r *http.Request, text string) bool {
 	duration, _ := time.ParseDuration(text)
 	select {
 	case <-time.After(duration):
@@ -81,29 +83,29 @@
 	}
 }
 
-// clientResponse is a response that a client has got.
+// clientResponse is a response that a client has received.
 type clientResponse struct {
-	sent   time.Time // when its request had been sent completely
-	status int
-	closes bool // the connection ends with it
+	requestSentAt time.Time // when the last byte of its request was sent
+	status        int
+	closes        bool // the balancer closes the connection after it
 }
 
 func (r clientResponse) String() string { return fmt.Sprintf("%d, closes %v", r.status, r.closes) }
 
-// persistentClient uses one connection for as long as the balancer keeps it: a request follows each response at once.
+// persistentClient uses one connection until the balancer closes it, and sends the next request as soon as it has a response.
 type persistentClient struct {
 	net.Conn
 	name string
 
-	mu        sync.Mutex // guards the fields below
-	first     string     // the first request, until it has a response that is no rejection
-	lastSent  time.Time  // when the last request was sent completely; zero: none was
-	closed    bool       // the balancer has closed the connection
-	responses []clientResponse
+	mu         sync.Mutex // guards the fields below
+	first      string     // the first request, until it has a response other than 503; empty afterwards
+	lastSentAt time.Time  // when the last byte of the latest request was sent; zero: no request is complete
+	closed     bool       // the balancer has closed the connection
+	responses  []clientResponse
 }
 
-// run reads responses, and sends a hanging request behind each that keeps the connection. The balancer may reject a first
-// request, while it knows nothing of its upstreams.
+// run reads responses, and sends a hanging request after each one that keeps the connection open. It repeats a first request
+// that gets a 503, because the balancer rejects requests until it has the endpoint list.
 func (c *persistentClient) run() {
 	defer func() {
 		c.mu.Lock()
@@ -126,7 +128,7 @@
 		}
 		c.mu.Lock()
 		c.first = ""
-		c.responses = append(c.responses, clientResponse{c.lastSent, response.StatusCode, response.Close})
+		c.responses = append(c.responses, clientResponse{c.lastSentAt, response.StatusCode, response.Close})
 		c.mu.Unlock()
 		if response.Close {
 			_, _ = in.ReadByte() // the end of the connection
@@ -136,80 +138,81 @@
 	}
 }
 
-// firstRequest is the first request, or "" once that has its response.
+// firstRequest returns the first request, or "" once it has been answered.
 func (c *persistentClient) firstRequest() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.first
 }
 
-// send sends a complete request, or the end of one. Where the connection has ended, the next read tells.
+// send sends a request, or the part that completes it. It ignores a write error: the next read fails as well.
 func (c *persistentClient) send(text string) {
 	c.mu.Lock()
-	c.lastSent = time.Now()
+	c.lastSentAt = time.Now()
 	c.mu.Unlock()
 	_, _ = io.WriteString(c, text)
 }
 
-// complaints returns what a drain that began at a time has missed.
-func (c *persistentClient) complaints(drainedAt time.Time) (complaints []string) {
-	complaints = c.takenLate(drainedAt)
+// drainViolations returns how the balancer broke the rules of a drain that started at drainedAt on this connection.
+func (c *persistentClient) drainViolations(drainedAt time.Time) (violations []string) {
+	violations = c.lateRequestViolations(drainedAt)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
-		return complaints
+		return violations
 	}
-	if c.lastSent.IsZero() {
-		return append(complaints, "the connection is held without a request")
+	if c.lastSentAt.IsZero() {
+		return append(violations, "the connection is open without a request")
 	}
-	if time.Since(c.lastSent) < recentRequest {
-		complaints = append(complaints, fmt.Sprintf("the connection is held for a request that came %v after drain-on",
-			c.lastSent.Sub(drainedAt).Round(time.Millisecond)))
+	if time.Since(c.lastSentAt) < minHeldRequestAge {
+		violations = append(violations, fmt.Sprintf("the connection is open for a request that was sent %v after drain-on",
+			c.lastSentAt.Sub(drainedAt).Round(time.Millisecond)))
 	}
-	return complaints
+	return violations
 }
 
-// takenLate returns which requests were taken behind another one after a time, when clients are sent away.
-func (c *persistentClient) takenLate(sentAway time.Time) (complaints []string) {
+// lateRequestViolations returns the requests, other than the first of the connection, that were sent more than reuseGrace after
+// the start of a drain or shutdown and got a response.
+func (c *persistentClient) lateRequestViolations(startedAt time.Time) (violations []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, response := range c.responses {
-		if after := response.sent.Sub(sentAway); i > 0 && after > lateRequest {
-			complaints = append(complaints, fmt.Sprintf("request %d of the connection came %v after, was taken and got %d",
+		if after := response.requestSentAt.Sub(startedAt); i > 0 && after > reuseGrace {
+			violations = append(violations, fmt.Sprintf("request %d of the connection was sent %v after the start, and got status %d",
 				i, after.Round(time.Millisecond), response.status))
 		}
 	}
-	return complaints
+	return violations
 }
 
-// drainClients are connections in each state that the beginning of a drain may meet: what is sent before it.
+// drainClients has one client for each state in which a connection may be when a drain starts.
 var drainClients = []struct {
 	name    string
-	before  string
-	partial bool // before does not end with a complete request
-	active  bool // a request's head has come, and its response is awaited
+	sent    string // before the drain starts
+	partial bool   // sent doesn't end with a complete request
+	active  bool   // the balancer has a request's head and owes its response
 }{
-	{name: "response awaited", before: rawRequest("delay=2500ms", "8000", ""), active: true},
-	{name: "failure at the deadline", before: rawRequest("delay=20s", "2500", ""), active: true},
-	{name: "response in parts", before: rawRequest("size=200000&pause=2500ms", "8000", ""), active: true},
-	{name: "response in parts without a length", before: rawRequest("size=200000&pause=2500ms&chunked", "8000", ""), active: true},
-	{name: "head in part", before: hangingRequest[:40], partial: true},
-	{name: "later head in part", before: rawRequest("", "8000", "") + hangingRequest[:40], partial: true},
-	{name: "silent", partial: true},
-	{name: "body in part", before: rawRequest("", "8000", "abcd")[:len(rawRequest("", "8000", "abcd"))-2], partial: true, active: true},
+	{name: "pending response", sent: rawRequest("delay=2500ms", "8000", ""), active: true},
+	{name: "request that fails at its deadline", sent: rawRequest("delay=20s", "2500", ""), active: true},
+	{name: "streamed response", sent: rawRequest("size=200000&pause=2500ms", "8000", ""), active: true},
+	{name: "streamed response without a length", sent: rawRequest("size=200000&pause=2500ms&chunked", "8000", ""), active: true},
+	{name: "partial head", sent: hangingRequest[:40], partial: true},
+	{name: "partial head of a second request", sent: rawRequest("", "8000", "") + hangingRequest[:40], partial: true},
+	{name: "no request", partial: true},
+	{name: "partial body", sent: rawRequest("", "8000", "abcd")[:len(rawRequest("", "8000", "abcd"))-2], partial: true, active: true},
 }
 
-// startDrainClients opens a connection for each of drainClients, and one that uploads.
+// startDrainClients starts each of drainClients, a client that uploads slowly and one that sends its request head slowly.
 func startDrainClients(t *testing.T, address string) []*persistentClient {
 	t.Helper()
 	var clients []*persistentClient
-	for _, x := range drainClients {
-		c := dialPersistent(t, address, x.name)
-		if x.partial {
-			_, _ = io.WriteString(c, x.before)
+	for _, client := range drainClients {
+		c := dialPersistent(t, address, client.name)
+		if client.partial {
+			_, _ = io.WriteString(c, client.sent)
 		} else {
-			c.first = x.before
-			c.send(x.before)
+			c.first = client.sent
+			c.send(client.sent)
 		}
 		go c.run()
 		clients = append(clients, c)
@@ -217,16 +220,16 @@
 	upload := dialPersistent(t, address, "upload")
 	go upload.sendSlowly()
 	go upload.run()
-	return append(clients, upload, startLateHead(t, address))
+	return append(clients, upload, startSlowHeadClient(t, address))
 }
 
-// startLateHead opens a connection whose first request is complete only lateHeadEnd after, and hangs then.
-func startLateHead(t *testing.T, address string) *persistentClient {
+// startSlowHeadClient opens a connection and sends the rest of its first request, a hanging one, only after slowHeadDelay.
+func startSlowHeadClient(t *testing.T, address string) *persistentClient {
 	t.Helper()
-	c := dialPersistent(t, address, "late head")
+	c := dialPersistent(t, address, "slow head")
 	_, _ = io.WriteString(c, hangingRequest[:40])
 	go func() {
-		time.Sleep(lateHeadEnd)
+		time.Sleep(slowHeadDelay)
 		c.send(hangingRequest[40:])
 	}()
 	go c.run()
@@ -243,73 +246,71 @@
 	return &persistentClient{Conn: conn, name: name}
 }
 
-// sendSlowly sends a body that is longer than what the balancer buffers, in pieces.
+// sendSlowly sends a request in pieces, with a body that is larger than the balancer's buffer.
 func (c *persistentClient) sendSlowly() {
-	body := strings.Repeat("y", slowUploadPiece*slowUploadPieces)
+	body := strings.Repeat("y", slowUploadPieceBytes*slowUploadPieces)
 	text := rawRequest("", "8000", body)
 	head := len(text) - len(body)
 	_, _ = io.WriteString(c, text[:head])
-	for rest := text[head:]; len(rest) > slowUploadPiece; rest = rest[slowUploadPiece:] {
-		_, _ = io.WriteString(c, rest[:slowUploadPiece])
-		time.Sleep(slowResponse / slowUploadPieces)
+	for rest := text[head:]; len(rest) > slowUploadPieceBytes; rest = rest[slowUploadPieceBytes:] {
+		_, _ = io.WriteString(c, rest[:slowUploadPieceBytes])
+		time.Sleep(slowResponseDelay / slowUploadPieces)
 	}
-	c.send(text[len(text)-slowUploadPiece:])
+	c.send(text[len(text)-slowUploadPieceBytes:])
 }
 
-// What happened: balancers that operators had drained still held client connections 4 s later, each with a request that
-// had come more than 3 s after the drain. Sequence: a request waits for an upstream that hangs; the drain begins; the
-// request is answered, or fails, without "Connection: close"; its client, which uses a connection for as long as it is
-// open, sends the next request on it before the next search for idle connections; that one hangs as well. Cause: whether a
-// response closes its connection was decided once, when its request came, so that a drain that began in the meantime did not
-// count. What settled it: the responses and ages that this test prints, and the log of the balancer, which has "drain
-// started", and 4 s later "drain limit passed" with the open connections.
+// Guards against client connections that are still open 4 s after a drain, each with a request that came more than 3 s after it.
+// Whether a response closes its connection was decided when its request arrived. If a drain started while the request waited for
+// an upstream that hung, the response lacked "Connection: close". The client sent its next request on that connection before the
+// next search for idle connections, and that request hung as well. The balancer then logs "drain limit passed" with the number
+// of open connections, 4 s after "drain started".
 func TestDrainReleasesConnectionsInUse(t *testing.T) {
-	p, address, operators, clients := startDrainScenario(t)
+	p, address, management, clients := startDrainScenario(t)
 	drainedAt := time.Now()
-	p.holdUp(t)
-	if answer := callManagement(operators, "drain-on"); answer != "YES draining" {
+	p.pause(t)
+	if answer := callManagement(management, "drain-on"); answer != "YES draining" {
 		t.Fatalf("drain-on got %q", answer)
 	}
-	time.Sleep(time.Until(drainedAt.Add(drainLimit - maxHoldUp)))
-	p.holdUp(t) // up to the limit
+	time.Sleep(time.Until(drainedAt.Add(drainLimit - maxPause)))
+	p.pause(t) // until drainLimit
 	time.Sleep(time.Until(drainedAt.Add(drainLimit)))
 	for _, c := range clients {
-		for _, complaint := range c.complaints(drainedAt) {
-			t.Errorf("%s: %s; responses %v", c.name, complaint, c.responses)
+		for _, violation := range c.drainViolations(drainedAt) {
+			t.Errorf("%s: %s; responses %v", c.name, violation, c.responses)
 		}
 	}
 	if err := checkHealth(address); err == nil {
-		t.Error("the health check is answered with yes")
+		t.Error("the health check succeeds during the drain")
 	}
 	p.Process.Kill()
 	if err := <-p.exited; err == nil {
-		t.Error("the process ended by itself")
+		t.Error("the process exited before it was killed")
 	}
 	if t.Failed() {
 		t.Logf("log:\n%s", &p.log)
 	}
 }
 
-// A shutdown meets the same connections, and the process is held up as it begins. Each request that is complete gets its
-// response, nothing that comes behind it is taken, and the process ends by itself soon after the last response.
+// A shutdown starts with the same connections as the drain test, and with a pause of the process. Each complete request gets its
+// response, no further request on its connection is accepted, and the process exits by itself soon after the last response.
 func TestShutdownReleasesConnectionsInUse(t *testing.T) {
 	p, _, _, clients := startDrainScenario(t)
 	terminatedAt := time.Now()
-	p.holdUp(t)
+	p.pause(t)
 	p.signal(t, syscall.SIGTERM)
 	select {
 	case err := <-p.exited:
 		if err != nil {
 			t.Errorf("exited with %v", err)
 		}
-	case <-time.After(time.Until(terminatedAt.Add(killDelay - maxHoldUp))):
-		t.Error("the process runs on, and might be held up until it is killed")
+	case <-time.After(time.Until(terminatedAt.Add(killDelay - maxPause))):
+		t.Error("the process still runs, and a pause could now last until it is killed")
 		p.Process.Kill()
 		t.Logf("killed: %v", <-p.exited)
 	}
 	for _, c := range clients {
-		for _, complaint := range c.takenLate(terminatedAt) {
-			t.Errorf("%s: %s; responses %v", c.name, complaint, c.responses)
+		for _, violation := range c.lateRequestViolations(terminatedAt) {
+			t.Errorf("%s: %s; responses %v", c.name, violation, c.responses)
 		}
 		if c.firstRequest() != "" {
 			t.Errorf("%s: no response", c.name)
@@ -320,55 +321,56 @@
 	}
 }
 
-// startDrainScenario starts a balancer and all clients of a drain, and waits until their requests have begun.
-func startDrainScenario(t *testing.T) (p *process, address, operators string, clients []*persistentClient) {
+// startDrainScenario starts a balancer and all clients of a drain test, and waits until their requests are active.
+func startDrainScenario(t *testing.T) (p *process, address, management string, clients []*persistentClient) {
 	t.Helper()
-	p, address, operators = startPatientBalancer(t, balancerCommand(t), slowUpstream)
+	p, address, management = startLongDeadlineBalancer(t, balancerCommand(t), slowUpstream)
 	clients = startDrainClients(t, address)
-	waitForActive(t, operators)
-	return p, address, operators, clients
+	waitForActiveRequests(t, management)
+	return p, address, management, clients
 }
 
-// holdUp stops the process for maxHoldUp, as a machine does that has no processor for it.
-func (p *process) holdUp(t *testing.T) {
+// pause suspends the process for maxPause, as a machine does that has no CPU time for it.
+func (p *process) pause(t *testing.T) {
 	t.Helper()
 	p.signal(t, syscall.SIGSTOP)
-	time.AfterFunc(maxHoldUp, func() { _ = p.Process.Signal(syscall.SIGCONT) }) // it may have ended
+	time.AfterFunc(maxPause, func() { _ = p.Process.Signal(syscall.SIGCONT) }) // it may have ended
 }
 
-// startPatientBalancer starts a balancer with long deadlines, which knows drainUpstreams upstreams.
-func startPatientBalancer(t *testing.T, command *exec.Cmd, upstream http.HandlerFunc) (p *process, address, operators string) {
+// startLongDeadlineBalancer starts a balancer with deadlines of 20 s, and waits until it knows drainUpstreamCount upstreams.
+func startLongDeadlineBalancer(t *testing.T, command *exec.Cmd, upstream http.HandlerFunc) (p *process, address, management string) {
 	t.Helper()
-	operators = freeAddress(t)
+	management = freeAddress(t)
 	var upstreams []endpoint
-	for i := range drainUpstreams {
+	for i := range drainUpstreamCount {
 		upstreams = append(upstreams, startUpstream(t, i, "127.0.0.1:0", upstream))
 	}
 	agent := startAgent(t, "127.0.0.1:0", upstreams)
 	address = freeAddress(t)
-	patient := strings.Replace(configTemplate, `"target_us":250000,"give_up_us":750000`, `"target_us":20000000,"give_up_us":20000000`, 1)
-	patient = strings.Replace(patient, `{"name":"n0"`, fmt.Sprintf(`{"name":"n0","management":%q`, operators), 1)
-	p = startConfigured(t, command, patient, address, agent, nil)
+	template := strings.Replace(configTemplate, `"target_us":250000,"give_up_us":750000`, `"target_us":20000000,"give_up_us":20000000`, 1)
+	template = strings.Replace(template, `{"name":"n0"`, fmt.Sprintf(`{"name":"n0","management":%q`, management), 1)
+	p = startConfigured(t, command, template, address, agent, nil)
 	waitFor(t, "the balancer knows its upstreams", func() bool {
 		select {
 		case err := <-p.exited:
 			t.Fatalf("exited: %v\n%s", err, &p.log)
 		default:
 		}
-		return strings.Contains(managementAnswerOrError(operators, "vars"), fmt.Sprintf("svc_known_upstreams %d\n", drainUpstreams))
+		return strings.Contains(managementAnswerOrError(management, "vars"), fmt.Sprintf("svc_known_upstreams %d\n", drainUpstreamCount))
 	})
-	return p, address, operators
+	return p, address, management
 }
 
-// waitForActive waits until the heads of all requests of drainClients, and that of the upload, have come.
-func waitForActive(t *testing.T, operators string) {
+// waitForActiveRequests waits until the balancer has the heads of the upload's request and of all requests that drainClients
+// marks as active.
+func waitForActiveRequests(t *testing.T, management string) {
 	t.Helper()
 	active := 1
-	for _, x := range drainClients {
-		if x.active {
+	for _, client := range drainClients {
+		if client.active {
 			active++
 		}
 	}
 	line := fmt.Sprintf("svc_client_connections{state=\"active\"} %d\n", active)
-	waitFor(t, "the requests have begun", func() bool { return strings.Contains(managementAnswerOrError(operators, "vars"), line) })
+	waitFor(t, "the requests are active", func() bool { return strings.Contains(managementAnswerOrError(management, "vars"), line) })
 }
--- a/cmd/balancer/members_test.go
+++ b/cmd/balancer/members_test.go
@@ -16,55 +16,55 @@
 	"sprucehill/internal/membership"
 )
 
-// peer is one balancer process of a fleet with membership.
+// peer is a balancer process in a fleet with membership.
 type peer struct {
 	name       string
-	management string // address of the management calls
-	listen     string // address of membership
+	management string // management address
+	listen     string // membership address
 	cmd        *exec.Cmd
 	log        *os.File
 }
 
-// peerFleet starts balancer processes. The first two are to listen at its seeds.
+// peerFleet starts the balancer processes of a fleet. The first two must listen on the seed addresses.
 type peerFleet struct {
 	t          *testing.T
-	program    string // path
+	program    string // path of the balancer binary
 	dir        string
-	seeds      []string // two addresses
+	seeds      []string // two membership addresses
 	persistent bool     // the processes of each name share a state folder
-	all        []*peer
+	peers      []*peer
 }
 
 func newPeerFleet(t *testing.T) *peerFleet {
 	t.Helper()
 	if os.Getenv("RUN") != "" {
-		t.Skip("this needs the program itself, not a shell about it")
+		t.Skip("RUN is set: this test needs the balancer process itself, not a shell that starts it")
 	}
 	f := &peerFleet{t: t, program: balancerCommand(t).Path, dir: t.TempDir(), seeds: []string{freeAddress(t), freeAddress(t)}}
 	t.Cleanup(func() {
-		for _, p := range f.all {
-			f.end(p)
+		for _, p := range f.peers {
+			f.killAndShowLog(p)
 		}
 	})
 	return f
 }
 
-// end kills a process and, after a failure, logs the end of its log.
-func (f *peerFleet) end(p *peer) {
-	const shownLogSize = 3000
+// killAndShowLog kills a process and, if the test has failed, shows the end of the process's log.
+func (f *peerFleet) killAndShowLog(p *peer) {
+	const shownLogBytes = 3000
 	p.cmd.Process.Signal(syscall.SIGCONT)
 	p.cmd.Process.Kill()
 	p.cmd.Wait()
 	if text, _ := os.ReadFile(p.log.Name()); f.t.Failed() {
-		f.t.Logf("%s:\n%s", p.name, text[max(0, len(text)-shownLogSize):])
+		f.t.Logf("%s:\n%s", p.name, text[max(0, len(text)-shownLogBytes):])
 	}
 	p.log.Close()
 }
 
-// start starts a process under a name; listen is its address of membership.
+// start starts a process with a name and a membership address.
 func (f *peerFleet) start(name, listen string) *peer {
 	f.t.Helper()
-	number := len(f.all)
+	number := len(f.peers)
 	path := func(file string) string { return filepath.Join(f.dir, fmt.Sprint(number, file)) }
 	p := &peer{name: name, management: freeAddress(f.t), listen: listen}
 	writeFile(f.t, path("config.json"), fmt.Sprintf(configTemplate, freeAddress(f.t), freeAddress(f.t)))
@@ -84,11 +84,11 @@
 	if err := p.cmd.Start(); err != nil {
 		f.t.Fatal(err)
 	}
-	f.all = append(f.all, p)
+	f.peers = append(f.peers, p)
 	return p
 }
 
-// fleetFile is the fleet file of a process.
+// fleetFile returns the content of a process's fleet file.
 func (f *peerFleet) fleetFile(name, listen string) string {
 	text := fmt.Sprintf("[membership]\nlisten = %q\nseeds = [%q, %q]\n", listen, f.seeds[0], f.seeds[1])
 	if f.persistent {
@@ -97,38 +97,39 @@
 	return text
 }
 
-// kill ends a process without notice.
+// kill ends a process with SIGKILL, so that it can't leave the fleet first.
 func (p *peer) kill() { p.cmd.Process.Kill() }
 
-// stop asks a process to shut down gracefully.
+// stop starts a graceful shutdown.
 func (p *peer) stop() { p.cmd.Process.Signal(syscall.SIGTERM) }
 
-// freeze stops a process's execution until unfreeze.
-func (p *peer) freeze() { p.cmd.Process.Signal(syscall.SIGSTOP) }
+// suspend halts a process until resume.
+func (p *peer) suspend() { p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-func (p *peer) unfreeze() { p.cmd.Process.Signal(syscall.SIGCONT) }
+func (p *peer) resume() { p.cmd.Process.Signal(syscall.SIGCONT) }
 
-// view asks a process what it sees. names are those of the members, separated by blanks; empty if it does not answer.
-func (p *peer) view() (s membership.Status, names string) {
+// queryMembers returns a process's membership status and the names of the members that it sees, separated by spaces. names is
+// empty if the process doesn't answer.
+func (p *peer) queryMembers() (status membership.Status, names string) {
 	lines, err := p.callMembers()
 	if err != nil {
 		return membership.Status{}, ""
 	}
-	s, _, err = membership.ReadStatus(lines)
+	status, _, err = membership.ReadStatus(lines)
 	if err != nil {
-		return s, ""
+		return status, ""
 	}
-	var all []string
-	for _, m := range s.View.Members {
-		all = append(all, m.Name)
+	var memberNames []string
+	for _, m := range status.View.Members {
+		memberNames = append(memberNames, m.Name)
 	}
-	return s, strings.Join(all, " ")
+	return status, strings.Join(memberNames, " ")
 }
 
-// membersCallTimeout bounds a call of members.
+// membersCallTimeout bounds the management call members.
 const membersCallTimeout = 5 * time.Second
 
-// callMembers returns the answer to the management call members, without its END.
+// callMembers returns the lines of the answer to the management call members, without the END that closes it.
 func (p *peer) callMembers() ([]string, error) {
 	c, err := openManagementCall(p.management, "members")
 	if err != nil {
@@ -148,27 +149,27 @@
 	return lines[:last], nil
 }
 
-// waitForView waits until all of some processes see the names.
-func (f *peerFleet) waitForView(names string, by ...*peer) {
+// waitForView waits until each of the peers sees exactly the members of these names.
+func (f *peerFleet) waitForView(names string, peers ...*peer) {
 	f.t.Helper()
 	f.waitFor("all see "+names, func() bool {
-		return !slices.ContainsFunc(by, func(p *peer) bool {
-			_, seen := p.view()
+		return !slices.ContainsFunc(peers, func(p *peer) bool {
+			_, seen := p.queryMembers()
 			return seen != names
 		})
 	})
 }
 
-// waitFor waits for at most a minute until a condition holds.
+// waitFor waits until a condition holds, and fails the test after a minute.
 func (f *peerFleet) waitFor(what string, condition func() bool) {
 	f.t.Helper()
-	const limit = time.Minute
+	const timeout = time.Minute
 	const pollInterval = 50 * time.Millisecond
-	deadline := time.Now().Add(limit)
+	deadline := time.Now().Add(timeout)
 	for !condition() {
 		if time.Now().After(deadline) {
 			f.logViews()
-			f.t.Fatalf("not within %v: %s", limit, what)
+			f.t.Fatalf("not within %v: %s", timeout, what)
 		}
 		time.Sleep(pollInterval)
 	}
@@ -176,13 +177,13 @@
 
 func (f *peerFleet) logViews() {
 	f.t.Helper()
-	for _, p := range f.all {
-		s, names := p.view()
-		f.t.Logf("%s sees %q: %+v", p.name, names, s)
+	for _, p := range f.peers {
+		status, names := p.queryMembers()
+		f.t.Logf("%s sees %q: %+v", p.name, names, status)
 	}
 }
 
-// Real processes discover each other and notice one that is killed, frozen, stopped, duplicated or upgraded.
+// Balancer processes discover each other, and detect that one of them is killed, suspended, stopped, duplicated or upgraded.
 func TestProcessesDiscoverEachOther(t *testing.T) {
 	f := newPeerFleet(t)
 	a := f.start("a", f.seeds[0])
@@ -191,19 +192,19 @@
 	d := f.start("d", freeAddress(t))
 	f.waitForView("a b c d", a, b, c, d)
 	f.waitFor("the fleet size is four", func() bool {
-		s, _ := a.view()
+		s, _ := a.queryMembers()
 		return s.FleetSize.RoutingDivisor == 4 && s.FleetSize.BudgetDivisor == 4
 	})
 
 	d.kill()
 	f.waitForView("a b c", a, b, c)
-	if s, _ := a.view(); s.FleetSize.BudgetDivisor != 4 {
-		t.Errorf("the divisor of budgets is %d just after one of four was lost", s.FleetSize.BudgetDivisor)
+	if s, _ := a.queryMembers(); s.FleetSize.BudgetDivisor != 4 {
+		t.Errorf("just after one of four members was lost, the budget divisor is %d, want 4", s.FleetSize.BudgetDivisor)
 	}
 
-	c.freeze()
+	c.suspend()
 	f.waitForView("a b", a, b)
-	c.unfreeze()
+	c.resume()
 	f.waitForView("a b c", a, b, c)
 
 	d = f.start("d", d.listen)
@@ -216,38 +217,39 @@
 	f.waitForView("a c d", newerC, newerA, d)
 }
 
-// startDuplicate starts a second process under the name of one in the fleet a b c d. The older is fenced and serves on.
+// startDuplicate starts a second process with the name of one in the fleet a b c d, and checks that the older process is fenced
+// and keeps serving.
 func startDuplicate(f *peerFleet, older *peer) (newer *peer) {
 	f.t.Helper()
 	newer = f.start(older.name, freeAddress(f.t))
-	f.waitFor("the older process of two is fenced, the newer is not", func() bool {
-		olderStatus, names := older.view()
-		newerStatus, _ := newer.view()
+	f.waitFor("of two processes with one name the older is fenced, the newer is not", func() bool {
+		olderStatus, names := older.queryMembers()
+		newerStatus, _ := newer.queryMembers()
 		return olderStatus.Fenced && names == "a b c d" && !newerStatus.Fenced && newerStatus.Self.Name == older.name
 	})
 	if answer := callManagement(older.management, "check"); !strings.HasPrefix(answer, "YES") {
-		f.t.Errorf("the older process does not serve on: %q", answer)
+		f.t.Errorf("the older process does not keep serving: check got %q", answer)
 	}
 	return newer
 }
 
-// upgrade replaces the first member of the fleet a b c d by a new process at the same address of membership, which is taken
-// until the old process has ended.
+// upgrade replaces the first member of the fleet a b c d by a new process with the same membership address, which is in use
+// until the old process has exited.
 func upgrade(f *peerFleet, old *peer, others []*peer, observer *peer) (successor *peer) {
 	f.t.Helper()
 	successor = f.start(old.name, old.listen)
 	f.waitFor("the successor answers", func() bool { return strings.HasPrefix(callManagement(successor.management, "check"), "YES") })
 	old.stop()
 	f.waitForView("a b c d", append(others, successor)...)
-	f.waitFor("the successor counts", func() bool {
-		seen, _ := observer.view()
-		own, _ := successor.view()
+	f.waitFor("the successor has replaced the old process", func() bool {
+		seen, _ := observer.queryMembers()
+		own, _ := successor.queryMembers()
 		return len(seen.View.Members) == 4 && own.Self.Incarnation > 0 && seen.View.Members[0].Incarnation == own.Self.Incarnation
 	})
 	return successor
 }
 
-// A process that is restarted alone divides budgets by the fleet that was there, and has a higher incarnation.
+// A process that restarts while all others are down divides budgets by the previous fleet size, and takes a higher incarnation.
 func TestRestartRestoresFleetSize(t *testing.T) {
 	f := newPeerFleet(t)
 	f.persistent = true
@@ -262,28 +264,28 @@
 			return strings.Contains(string(text), `"balancers":3`)
 		})
 	})
-	before, _ := a.view()
-	for _, p := range f.all {
+	before, _ := a.queryMembers()
+	for _, p := range f.peers {
 		p.kill()
 		p.cmd.Wait()
 	}
 	restarted := f.start("a", a.listen)
 	var after membership.Status
-	f.waitFor("it answers", func() bool {
-		s, names := restarted.view()
+	f.waitFor("the restarted process answers", func() bool {
+		s, names := restarted.queryMembers()
 		after = s
 		return names == "a"
 	})
-	// It has seen the fleet itself after 10 s; from then on the divisor of budgets falls by 1 a second.
+	// After 10 s the process relies on what it has seen of the fleet: from then on the budget divisor falls by 1 per second.
 	if after.FleetSize.BudgetDivisor < 2 || after.FleetSize.RoutingDivisor != 1 {
-		t.Errorf("alone its fleet size is %+v, three were there", after.FleetSize)
+		t.Errorf("restarted alone, the process has fleet size %+v; the previous fleet had 3 members", after.FleetSize)
 	}
 	if after.Self.Incarnation <= before.Self.Incarnation {
-		t.Errorf("incarnation %d after %d", after.Self.Incarnation, before.Self.Incarnation)
+		t.Errorf("incarnation after the restart is %d, want one above %d", after.Self.Incarnation, before.Self.Incarnation)
 	}
 }
 
-// The stored record is read by later versions of the program, so its form must not change by accident.
+// Later versions of the program read the stored record, so its format must not change by accident.
 func TestMembershipRecordForm(t *testing.T) {
 	payload, err := json.Marshal(membershipRecord{Incarnation: 1 << 63, BudgetDivisor: 3})
 	if err != nil {
@@ -294,13 +296,14 @@
 	}
 }
 
-// An address that is not this machine's ends the start with an error that names the section and the address.
+// If the membership address doesn't belong to this machine, the start fails with an error that names the section of the fleet
+// file and the address.
 func TestInvalidListenAddressIsReported(t *testing.T) {
 	f := newPeerFleet(t)
 	p := f.start("a", "192.0.2.1:7946")
 	err := p.cmd.Wait()
 	text, _ := os.ReadFile(p.log.Name())
 	if err == nil || !strings.Contains(string(text), "membership") || !strings.Contains(string(text), "192.0.2.1:7946") {
-		t.Errorf("%v: %s", err, text)
+		t.Errorf("got %v, %s", err, text)
 	}
 }
--- a/cmd/balancer/process_test.go
+++ b/cmd/balancer/process_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// config is a configuration with its address for clients and that of discovery left open.
+// configTemplate is a configuration with two verbs, for the listen address and for the discovery address.
 const configTemplate = `{"name":"n0","listen":"%s","discovery":"%s","seed":"8c1f30d27a5be964",
 "limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"revision":1,"complete":true,"members":[]},
 "settings":{"az":"z1","balancers":1,"membership_mode":"on_request","weights":"nominal","worth_by":"work",
@@ -23,8 +23,8 @@
 "profiles":[{"name":"c","target_us":250000,"give_up_us":750000,"repeat":"non_idempotent","worth":1}],
 "reporting":{"via":"piggyback"}}}`
 
-// program returns the command that starts the balancer: the deployed one if RUN has it, from the root of the repository,
-// or else a program that is built here.
+// balancerCommand returns the command that starts the balancer: the shell command in RUN, executed in the root of the
+// repository, or, if RUN is not set, a binary that is built here.
 func balancerCommand(t *testing.T) *exec.Cmd {
 	t.Helper()
 	if run := os.Getenv("RUN"); run != "" {
@@ -39,14 +39,14 @@
 	return exec.Command(path)
 }
 
-// loopbackHosts counts the hosts that freeAddress has given away.
-var loopbackHosts atomic.Uint32
+// loopbackHostCount is the number of hosts that freeAddress has returned.
+var loopbackHostCount atomic.Uint32
 
-// freeAddress returns an address on which nothing listens. Its host is one of 127.64.0.0/10 that no other address of this
-// process has: between this call and the use of the address, nothing else can take its port.
+// freeAddress returns an address on which nothing listens. It has a host of 127.64.0.0/10 of its own, which this process uses for
+// no other address, so that nothing else can take the port before the caller does.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	n := loopbackHosts.Add(1)
+	n := loopbackHostCount.Add(1)
 	host := net.IPv4(127, byte(64+os.Getpid()%64), byte(n>>8), byte(n)).String()
 	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -57,38 +57,38 @@
 }
 
 const (
-	// processTimeout bounds the life of a process of a test.
+	// processTimeout bounds the lifetime of a process under test.
 	processTimeout = 30 * time.Second
-	// healthPollInterval is how often a process that starts is asked whether it is healthy.
+	// healthPollInterval is the interval between health checks of a process that is starting.
 	healthPollInterval = 10 * time.Millisecond
-	// inheritedListenerFD is the descriptor of the first file that a child process inherits.
+	// inheritedListenerFD is the descriptor that the first of exec.Cmd.ExtraFiles has in the child process.
 	inheritedListenerFD = "3"
 )
 
-// process is a running balancer.
+// process is a balancer process under test.
 type process struct {
 	*exec.Cmd
-	template   string // of the configuration
+	template   string // of the configuration, see configTemplate
 	configPath string
 	log        bytes.Buffer
-	exited     chan error       // gets the error of Wait
-	deadline   <-chan time.Time // of the process's whole life
+	exited     chan error       // receives the result of Wait
+	deadline   <-chan time.Time // fires when processTimeout has passed
 }
 
-// startBalancer starts the balancer with an address of discovery and waits until it is healthy.
+// startBalancer starts the balancer with a discovery address and waits until it is healthy.
 func startBalancer(t *testing.T, discovery string) *process {
 	t.Helper()
 	return startProcess(t, balancerCommand(t), freeAddress(t), discovery, nil)
 }
 
-// startProcess starts a command of any build at an address for clients and waits until it is healthy. The process
-// inherits the listener of that address if there is one.
+// startProcess starts a balancer command of any build with the given listen address and waits until it is healthy. If listener
+// is not nil, the process inherits it.
 func startProcess(t *testing.T, cmd *exec.Cmd, listen, discovery string, listener *os.File) *process {
 	t.Helper()
 	return startConfigured(t, cmd, configTemplate, listen, discovery, listener)
 }
 
-// startConfigured is startProcess with another configuration than configTemplate.
+// startConfigured is like startProcess, with a configuration template other than configTemplate.
 func startConfigured(t *testing.T, cmd *exec.Cmd, template, listen, discovery string, listener *os.File) *process {
 	t.Helper()
 	p := newProcess(t, cmd, template, listen, discovery)
@@ -103,7 +103,7 @@
 	return p
 }
 
-// newProcess writes a command's configuration and sets its environment; it does not start it.
+// newProcess writes the configuration of a command and sets its environment. It doesn't start the command.
 func newProcess(t *testing.T, cmd *exec.Cmd, template, listen, discovery string) *process {
 	t.Helper()
 	p := &process{
@@ -156,13 +156,13 @@
 	return nil
 }
 
-// writeConfig writes the configuration that the process reads.
+// writeConfig writes the process's configuration file.
 func (p *process) writeConfig(t *testing.T, listen, discovery string) {
 	t.Helper()
 	writeFile(t, p.configPath, fmt.Sprintf(p.template, listen, discovery))
 }
 
-// writeFile writes a file that only the test's own user may read.
+// writeFile writes a file that only the user of the test may read.
 func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -178,7 +178,7 @@
 	}
 }
 
-// terminate ends the process by SIGTERM and checks that it exits with 0.
+// terminate sends SIGTERM to the process and checks that it exits with 0.
 func (p *process) terminate(t *testing.T) {
 	t.Helper()
 	p.signal(t, syscall.SIGTERM)
