--- a/cmd/balancer/drain_test.go
+++ b/cmd/balancer/drain_test.go
@@ -345,11 +345,11 @@
 	for i := range drainUpstreamCount {
 		upstreams = append(upstreams, startUpstream(t, i, "127.0.0.1:0", upstream))
 	}
-	agent := startAgent(t, "127.0.0.1:0", upstreams)
+	discovery := startFakeDiscovery(t, "127.0.0.1:0", upstreams)
 	address = freeAddress(t)
 	template := strings.Replace(configTemplate, `"target_us":250000,"give_up_us":750000`, `"target_us":20000000,"give_up_us":20000000`, 1)
 	template = strings.Replace(template, `{"name":"n0"`, fmt.Sprintf(`{"name":"n0","management":%q`, management), 1)
-	p = startConfigured(t, command, template, address, agent, nil)
+	p = startConfigured(t, command, template, address, discovery, nil)
 	waitFor(t, "the balancer knows its upstreams", func() bool {
 		select {
 		case err := <-p.exited:
--- a/cmd/balancer/former_build_test.go
+++ b/cmd/balancer/former_build_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// The former build is the last one before the program was renamed. A fleet is upgraded from it to this one, and back if
-// need be, so the two have to read each other's state and share a listener.
+// The former build is the last one before the program was renamed. Fleets are upgraded from it to this build, and may be rolled
+// back, so the two builds must be able to read each other's state and to share a listener.
 const (
 	formerCommit  = "9eb547869db38f4e533212985510e654a129777b"
 	formerPackage = "./cmd/olivearch"
@@ -24,7 +24,7 @@
 	tree := filepath.Join(t.TempDir(), "former")
 	out, err := exec.Command("git", "worktree", "add", "--detach", tree, formerCommit).CombinedOutput()
 	if err != nil {
-		t.Fatalf("commit %.12s, the former build, can't be checked out; this test needs the repository with its history: %v\n%s",
+		t.Fatalf("checking out commit %.12s, the former build, which needs the repository's history: %v\n%s",
 			formerCommit, err, out)
 	}
 	t.Cleanup(func() {
@@ -42,14 +42,14 @@
 	return program
 }
 
-// A fleet is upgraded from the former build to this one and back, under an address that the platform holds. No request
-// is lost, and orders hold over both.
+// A balancer is upgraded from the former build to this one and rolled back, on a listener that the platform keeps open. No
+// request fails, and an operator's zone drain stays in force.
 func TestUpgradesFromFormerBuildAndBack(t *testing.T) {
 	former := buildFormer(t)
-	address, listener := holdListener(t)
+	address, listener := openSharedListener(t)
 	var served atomic.Int64
 	endpoints := startUpstreams(t, []string{"127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"}, &served)
-	agent := startAgent(t, "127.0.0.1:0", endpoints)
+	discovery := startFakeDiscovery(t, "127.0.0.1:0", endpoints)
 	fleet := filepath.Join(t.TempDir(), "fleet.toml")
 	state := filepath.Join(t.TempDir(), "state")
 	if err := os.WriteFile(fleet, fmt.Appendf(nil, "[state]\nfolder = %q\nevery = %q\n", state, saveInterval), 0o600); err != nil {
@@ -57,27 +57,27 @@
 	}
 	t.Setenv("RELAY_FLEET", fleet)
 	start := func(cmd *exec.Cmd) (p *process, management string) {
-		return startOnListener(t, cmd, address, agent, listener)
+		return startOnListener(t, cmd, address, discovery, listener)
 	}
 
 	running, management := start(exec.Command(former))
-	waitFor(t, "the list has come", func() bool {
+	waitFor(t, "the balancer has the endpoint list", func() bool {
 		return strings.Contains(managementAnswerOrError(management, "vars"), "svc_known_upstreams 3\n")
 	})
-	wantAnswer(t, management, "zone-leave "+leftZone, "YES left")
+	wantAnswer(t, management, "zone-leave "+drainedZone, "YES left")
 	load := startTraffic(address, 4)
 	for _, next := range []struct {
 		name string
 		cmd  *exec.Cmd
 	}{{"this build", balancerCommand(t)}, {"the former build again", exec.Command(former)}} {
-		load.waitForMore(t, 100)
+		load.waitForAnswers(t, 100)
 		successor, management := start(next.cmd)
-		load.waitForMore(t, 100)
+		load.waitForAnswers(t, 100)
 		running.terminate(t)
-		load.waitForMore(t, 100)
-		wantZoneLeft(t, management)
+		load.waitForAnswers(t, 100)
+		wantZoneDrained(t, management)
 		if t.Failed() {
-			t.Logf("upgrade to %s:\n%s\nbefore it:\n%s", next.name, &successor.log, &running.log)
+			t.Logf("log of %s:\n%s\nlog of its predecessor:\n%s", next.name, &successor.log, &running.log)
 		}
 		running = successor
 	}
--- a/cmd/balancer/former_state_test.go
+++ b/cmd/balancer/former_state_test.go
@@ -21,39 +21,40 @@
 	"sprucehill/internal/durable"
 )
 
-// The recorded list names these addresses, so the upstreams have to be there when it is read. They are loopback
-// addresses that nothing else is likely to use.
+// The recorded state has these addresses, so the test has to serve its upstreams there. They are loopback addresses that nothing
+// else is likely to use.
 const (
-	agentAddress = "127.83.71.1:18500"
-	recordedSite = "former"
-	leftZone     = "z2"
-	saveInterval = "100ms"
+	discoveryAddress = "127.83.71.1:18500"
+	recordedSite     = "former"
+	drainedZone      = "z2"
+	saveInterval     = "100ms"
 )
 
 var upstreamAddresses = []string{"127.83.71.2:18501", "127.83.71.3:18501", "127.83.71.4:18501"}
 
 var recordFormerState = flag.Bool("record-former-state", false, "record "+formerState+" again, with the former build")
 
-// newRecordedBalancer returns a balancer with the configuration under which the state was recorded, on a state folder,
-// and its address for clients.
+// newRecordedBalancer returns a balancer on a state folder, with the configuration under which the state was recorded, and its
+// listen address.
 func newRecordedBalancer(t *testing.T, folder string) (b *statefulBalancer, address string) {
 	t.Helper()
 	b = newStatefulBalancer(t)
 	address = freeAddress(t)
 	b.stateFolder = folder
 	fleet := fmt.Sprintf("[state]\nfolder = %q\nsite = %q\nevery = %q\n", folder, recordedSite, saveInterval)
-	b.writeFiles(t, fmt.Sprintf(configTemplate, address, agentAddress), fleet)
+	b.writeFiles(t, fmt.Sprintf(configTemplate, address, discoveryAddress), fleet)
 	return b, address
 }
 
-// learntPayload is what of a learnt record has to outlive the change of builds. The keys are those on disk.
+// learntPayload is the part of a learnt record's payload that both builds must be able to read. The JSON keys are part of the
+// stored format.
 type learntPayload struct {
 	Names     []string          `json:"names"`
 	Knowledge balancer.Snapshot `json:"knowledge"`
 }
 
-// newestRecord is the newest record of a kind in a folder; without a payload: there is none. Every record there must be
-// readable.
+// newestRecord returns the newest record of a kind in a folder, or one without a payload if there is none. It fails the test if
+// any record there can't be read or is quarantined.
 func newestRecord(t *testing.T, folder, kind string) (newest durable.Record) {
 	t.Helper()
 	opened, err := durable.OpenFolder(folder)
@@ -66,10 +67,10 @@
 	}
 	for _, file := range found {
 		if errors.Is(file.Err, fs.ErrNotExist) {
-			continue // a running program has removed it since, for a newer one
+			continue // the running program has replaced it by a newer one
 		}
 		if file.Err != nil || file.Quarantined {
-			t.Errorf("%s: set aside: %v, %v", file.Name, file.Quarantined, file.Err)
+			t.Errorf("%s: quarantined: %v, error: %v", file.Name, file.Quarantined, file.Err)
 		}
 		if file.Record.Kind == kind && (newest.Payload == nil || file.Record.Generation > newest.Generation) {
 			newest = file.Record
@@ -78,7 +79,7 @@
 	return newest
 }
 
-// newestLearnt is the newest learnt record in a folder.
+// newestLearnt returns the newest learnt record in a folder and its payload.
 func newestLearnt(t *testing.T, folder string) (durable.Record, learntPayload) {
 	t.Helper()
 	var learnt learntPayload
@@ -92,7 +93,7 @@
 	return record, learnt
 }
 
-// terminate ends a program by SIGTERM.
+// terminate sends SIGTERM to a program and checks that it exits with 0.
 func terminate(t *testing.T, cmd *exec.Cmd) {
 	t.Helper()
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -103,15 +104,15 @@
 	}
 }
 
-// wantAnswer makes an operators' call and compares its answer.
-func wantAnswer(t *testing.T, operators, line, want string) {
+// wantAnswer makes a management call and checks the first line of its answer.
+func wantAnswer(t *testing.T, management, line, want string) {
 	t.Helper()
-	if answer := callManagement(operators, line); answer != want {
+	if answer := callManagement(management, line); answer != want {
 		t.Errorf("%s: got %q, want %q", line, answer, want)
 	}
 }
 
-// recordState has the former build serve upstreams and obey orders, and keeps its state folder as formerState.
+// recordState runs the former build with upstreams, requests and operator orders, and copies its state folder to formerState.
 func recordState(t *testing.T) {
 	t.Helper()
 	folder := filepath.Join(t.TempDir(), "state")
@@ -119,9 +120,9 @@
 	b.program = buildFormer(t)
 	var served atomic.Int64
 	endpoints := startUpstreams(t, upstreamAddresses, &served)
-	startAgent(t, agentAddress, endpoints)
+	startFakeDiscovery(t, discoveryAddress, endpoints)
 	cmd, _ := b.start(t)
-	waitFor(t, "the list has come", func() bool { return newestRecord(t, folder, "list").Payload != nil })
+	waitFor(t, "the endpoint list is saved", func() bool { return newestRecord(t, folder, "list").Payload != nil })
 	client := &http.Client{}
 	defer client.CloseIdleConnections()
 	for id := range uint64(200) {
@@ -129,10 +130,10 @@
 			t.Error(err)
 		}
 	}
-	wantAnswer(t, b.management, "zone-leave "+leftZone, "YES left")
+	wantAnswer(t, b.management, "zone-leave "+drainedZone, "YES left")
 	wantAnswer(t, b.management, "drain-on", "YES draining")
 	before, _ := newestLearnt(t, folder)
-	waitFor(t, "what was learnt is saved", func() bool {
+	waitFor(t, "the learnt record is saved", func() bool {
 		after, learnt := newestLearnt(t, folder)
 		return after.Generation > before.Generation+1 && len(learnt.Names) == len(endpoints)
 	})
@@ -143,7 +144,7 @@
 	copyState(t, folder, formerState)
 }
 
-// copyState copies a state folder, without its lock.
+// copyState copies the files of a state folder, except for its lock.
 func copyState(t *testing.T, from, to string) {
 	t.Helper()
 	if err := os.MkdirAll(to, 0o700); err != nil {
@@ -167,9 +168,9 @@
 	}
 }
 
-// redateLearnt saves the newest learnt record again with the present time in it: what was learnt counts for nothing
-// once it is a few minutes old. Every other byte of the payload stays as the former build wrote it.
-func redateLearnt(t *testing.T, folder string) (durable.Record, learntPayload) {
+// updateLearntTime saves the newest learnt record again with the current time in its payload, because statistics have
+// no weight once they are a few minutes old. Every other byte of the payload stays as the former build wrote it.
+func updateLearntTime(t *testing.T, folder string) (durable.Record, learntPayload) {
 	t.Helper()
 	record := newestRecord(t, folder, "learnt")
 	opened, err := durable.OpenFolder(folder)
@@ -184,7 +185,7 @@
 	now := time.Now()
 	takenAt := regexp.MustCompile(`"At":\d+`)
 	if n := len(takenAt.FindAll(record.Payload, -1)); n != 1 {
-		t.Fatalf("%d times in %s, want one", n, record.Payload)
+		t.Fatalf("got %d times in the payload %s, want 1", n, record.Payload)
 	}
 	payload := takenAt.ReplaceAll(record.Payload, fmt.Appendf(nil, `"At":%d`, now.UnixNano()))
 	if err := store.Save(record.Kind, record.Version, now, payload); err != nil {
@@ -193,7 +194,7 @@
 	return newestLearnt(t, folder)
 }
 
-// A state folder that the former build wrote is read by this one, and what this one writes back is read again.
+// This build reads a state folder that the former build wrote, and reads it again after it has saved its own records there.
 func TestReadsStateOfFormerBuild(t *testing.T) {
 	if *recordFormerState {
 		t.Run("record", recordState)
@@ -204,28 +205,28 @@
 	if list.Payload == nil || orders.Payload == nil {
 		t.Fatalf("the recorded folder lacks a kind: list %d bytes, orders %d bytes", len(list.Payload), len(orders.Payload))
 	}
-	former, formerLearnt := redateLearnt(t, folder)
+	former, formerLearnt := updateLearntTime(t, folder)
 	var served atomic.Int64
-	startUpstreams(t, upstreamAddresses, &served) // nobody is at the agent's address: the list is the recorded one
+	startUpstreams(t, upstreamAddresses, &served) // discovery is unreachable, so the endpoint list is the recorded one
 
 	b, address := newRecordedBalancer(t, folder)
 	cmd, check := b.start(t)
 	if check != "YES draining" {
-		t.Errorf("started with the order to drain: %q", check)
+		t.Errorf("after a start with a saved drain order: check got %q", check)
 	}
-	wantZoneLeft(t, b.management)
+	wantZoneDrained(t, b.management)
 	wantLogged(t, b.log.Name(),
 		fmt.Sprintf(`endpoint list restored.* endpoints=%d revision=%d`, len(upstreamAddresses), listRevision),
 		fmt.Sprintf(`endpoint statistics restored.* endpoints=%d`, len(upstreamAddresses)),
-		`operator orders restored.* serial=2 drain=true drained_zones=`+leftZone)
-	waitFor(t, "what was learnt is saved again", func() bool {
+		`operator orders restored.* serial=2 drain=true drained_zones=`+drainedZone)
+	waitFor(t, "the learnt record is saved again", func() bool {
 		record, _ := newestLearnt(t, folder)
-		return record.Generation > former.Generation+1 // the first one is of the moment before the restoration
+		return record.Generation > former.Generation+1 // the first record is saved before the recorded statistics are restored
 	})
 	_, learnt := newestLearnt(t, folder)
 	wantSameLearnt(t, learnt, formerLearnt)
 	if err := sendRequest(http.DefaultClient, address, 1); err != nil || served.Load() != 1 {
-		t.Errorf("an upstream of the recorded list served %d requests, want 1: %v", served.Load(), err)
+		t.Errorf("the upstreams of the recorded list served %d requests, want 1; error: %v", served.Load(), err)
 	}
 	wantAnswer(t, b.management, "drain-off", "YES serving")
 	terminate(t, cmd)
@@ -236,23 +237,24 @@
 	}
 	cmd, check = b.start(t)
 	if check != "YES serving" {
-		t.Errorf("started after drain-off: %q", check)
+		t.Errorf("after a restart with a saved drain-off: check got %q", check)
 	}
-	wantZoneLeft(t, b.management)
-	wantLogged(t, b.log.Name(), `operator orders restored.* serial=3 drain=false drained_zones=`+leftZone)
+	wantZoneDrained(t, b.management)
+	wantLogged(t, b.log.Name(), `operator orders restored.* serial=3 drain=false drained_zones=`+drainedZone)
 	terminate(t, cmd)
-	newestRecord(t, folder, "list") // and with it that every record is readable
+	newestRecord(t, folder, "list") // checks that every record is readable
 }
 
-// wantZoneLeft checks that leftZone is left, as zone-status shows it.
-func wantZoneLeft(t *testing.T, operators string) {
+// wantZoneDrained checks that zone-status shows drainedZone as left.
+func wantZoneDrained(t *testing.T, management string) {
 	t.Helper()
-	if answer := managementAnswerOrError(operators, "zone-status"); !regexp.MustCompile(`(?m)^.*` + leftZone + `.*\bleft\b`).MatchString(answer) {
-		t.Errorf("zone-status: %s is not left: %q", leftZone, answer)
+	if answer := managementAnswerOrError(management, "zone-status"); !regexp.MustCompile(`(?m)^.*` + drainedZone + `.*\bleft\b`).MatchString(answer) {
+		t.Errorf("zone-status: %s is not left: %q", drainedZone, answer)
 	}
 }
 
-// wantLogged checks that each pattern matches a line of a log and that no state was passed over or set aside.
+// wantLogged checks that each pattern matches the log, and that the log has no message of a record that was ignored, quarantined
+// or not loaded.
 func wantLogged(t *testing.T, path string, patterns ...string) {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -264,32 +266,32 @@
 			t.Errorf("the log has no %s", pattern)
 		}
 	}
-	for _, trouble := range []string{"passed over", "set aside", "not read", "record ignored", "record quarantined", "quarantine failed", "state load timed out", "state folder listing failed"} {
-		if strings.Contains(string(text), trouble) {
-			t.Errorf("the log has %q", trouble)
+	for _, message := range []string{"passed over", "set aside", "not read", "record ignored", "record quarantined", "quarantine failed", "state load timed out", "state folder listing failed"} {
+		if strings.Contains(string(text), message) {
+			t.Errorf("the log has %q", message)
 		}
 	}
 }
 
-// wantSameLearnt checks that figures that don't fade are as they were. Those that do are left out.
+// wantSameLearnt checks that the statistics that don't decay with time are unchanged. It ignores those that decay.
 func wantSameLearnt(t *testing.T, got, want learntPayload) {
 	t.Helper()
 	if g, w := fmt.Sprint(got.Names), fmt.Sprint(want.Names); g != w {
-		t.Errorf("learnt of %s, want %s", g, w)
+		t.Errorf("got statistics of the endpoints %s, want %s", g, w)
 	}
 	if want.Knowledge.Latency <= 0 || got.Knowledge.Latency != want.Knowledge.Latency {
-		t.Errorf("usual latency %v, want %v and over 0", got.Knowledge.Latency, want.Knowledge.Latency)
+		t.Errorf("got latency %v, want %v and above 0", got.Knowledge.Latency, want.Knowledge.Latency)
 	}
 	if g, w := fmt.Sprint(got.Knowledge.ClassLatency), fmt.Sprint(want.Knowledge.ClassLatency); g != w {
-		t.Errorf("latencies of classes %s, want %s", g, w)
+		t.Errorf("got class latencies %s, want %s", g, w)
 	}
 	if len(got.Knowledge.Endpoints) != len(want.Knowledge.Endpoints) {
-		t.Fatalf("%d upstreams, want %d", len(got.Knowledge.Endpoints), len(want.Knowledge.Endpoints))
+		t.Fatalf("got %d endpoints, want %d", len(got.Knowledge.Endpoints), len(want.Knowledge.Endpoints))
 	}
 	for i, endpoint := range got.Knowledge.Endpoints {
 		former := want.Knowledge.Endpoints[i]
 		if former.Latency <= 0 || endpoint.Latency != former.Latency || endpoint.BaselineLatency != former.BaselineLatency {
-			t.Errorf("%s: latency %v and lowest %v, want %v and %v", got.Names[i], endpoint.Latency, endpoint.BaselineLatency,
+			t.Errorf("%s: got latency %v and baseline %v, want %v and %v", got.Names[i], endpoint.Latency, endpoint.BaselineLatency,
 				former.Latency, former.BaselineLatency)
 		}
 	}
--- a/cmd/balancer/logmessages_test.go
+++ b/cmd/balancer/logmessages_test.go
@@ -14,21 +14,21 @@
 	"testing"
 )
 
-// logLevels has the level of each function by whose name a package logs. Packages that get a log function get slog.Info.
+// logLevels maps the names of log functions to levels. The log function that packages take as an option is slog.Info.
 var logLevels = map[string]string{
 	"Debug": "debug", "Info": "info", "info": "info", "Log": "info", "log": "info", "Warn": "warn", "Error": "error",
 }
 
-// logMessage is a message as the code or the page has it.
+// logMessage is a log message as the code or the documentation has it.
 type logMessage struct {
-	keys     map[string]bool
-	moreKeys bool // it has keys that can't be read off the call
+	keys         map[string]bool
+	hasOtherKeys bool // it also has keys that can't be read from the source of the call
 }
 
-// logMessages maps level and text, separated by a blank, to messages.
+// logMessages maps a level and a text, separated by a space, to the message.
 type logMessages map[string]*logMessage
 
-// add adds keys to a message, and the message if it is new.
+// add adds keys to a message, which it creates if needed.
 func (m logMessages) add(level, text string, keys []string) *logMessage {
 	name := level + " " + text
 	if m[name] == nil {
@@ -40,7 +40,7 @@
 	return m[name]
 }
 
-// The table of log messages on the page for on-call staff has each message of the code with its level and keys, and no other.
+// The table of log messages in docs/on-call.md has each message of the code with its level and keys, and no others.
 func TestLogMessagesAreDocumented(t *testing.T) {
 	documented := documentedMessages(t)
 	logged := logMessages{}
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	for _, folder := range append(folders, ".") {
-		addMessagesOf(t, folder, logged)
+		addPackageMessages(t, folder, logged)
 	}
 	for name, message := range logged {
 		row := documented[name]
@@ -63,8 +63,8 @@
 			}
 		}
 		for key := range row.keys {
-			if !message.keys[key] && !message.moreKeys {
-				t.Errorf("%s: no line has the key %s", name, key)
+			if !message.keys[key] && !message.hasOtherKeys {
+				t.Errorf("%s: the table has the key %s, but no log call does", name, key)
 			}
 		}
 	}
@@ -75,7 +75,7 @@
 	}
 }
 
-// documentedMessages reads the section "Log messages" of the page for on-call staff.
+// documentedMessages reads the section "Log messages" of docs/on-call.md.
 func documentedMessages(t *testing.T) logMessages {
 	t.Helper()
 	page, err := os.ReadFile("../../docs/on-call.md")
@@ -100,8 +100,8 @@
 	return messages
 }
 
-// addMessagesOf adds the messages that a package's files log.
-func addMessagesOf(t *testing.T, folder string, messages logMessages) {
+// addPackageMessages adds the messages that the package in a folder logs.
+func addPackageMessages(t *testing.T, folder string, messages logMessages) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "*.go"))
 	if err != nil {
@@ -116,14 +116,14 @@
 			t.Fatal(err)
 		}
 		for _, declaration := range file.Decls {
-			addMessagesOfDeclaration(t, file, declaration, messages)
+			addDeclarationMessages(t, file, declaration, messages)
 		}
 	}
 }
 
-// addMessagesOfDeclaration adds the messages that a function or a table of functions logs. A function that passes on its own
-// parameter logs for its callers.
-func addMessagesOfDeclaration(t *testing.T, file *ast.File, declaration ast.Decl, messages logMessages) {
+// addDeclarationMessages adds the messages that a function or a table of functions logs. It skips calls that log a parameter of
+// the function: those messages belong to the function's callers.
+func addDeclarationMessages(t *testing.T, file *ast.File, declaration ast.Decl, messages logMessages) {
 	t.Helper()
 	ast.Inspect(declaration, func(node ast.Node) bool {
 		call, ok := node.(*ast.CallExpr)
@@ -134,23 +134,23 @@
 		if !ok || isParameter(declaration, call.Args[0]) {
 			return true
 		}
-		texts := textsOf(declaration, call.Args[0])
+		texts := constantTexts(declaration, call.Args[0])
 		if len(texts) == 0 {
-			t.Errorf("%s: a text that is not constant is logged", file.Name.Name)
+			t.Errorf("package %s logs a message that is not constant", file.Name.Name)
 		}
 		for _, text := range texts {
 			if call.Ellipsis.IsValid() {
 				list := call.Args[len(call.Args)-1]
-				messages.add(level, text, keysOfList(declaration, list)).moreKeys = true
+				messages.add(level, text, listKeys(declaration, list)).hasOtherKeys = true
 				continue
 			}
-			messages.add(level, text, keysOf(call.Args[1:]))
+			messages.add(level, text, constantKeys(call.Args[1:]))
 		}
 		return true
 	})
 }
 
-// calledName is the name of the function or method that a call calls, or empty for a function of another package than slog.
+// calledName returns the name of the called function or method, or "" for a function of an imported package other than slog.
 func calledName(file *ast.File, call *ast.CallExpr) string {
 	if called, ok := call.Fun.(*ast.Ident); ok {
 		return called.Name
@@ -162,7 +162,7 @@
 	return called.Sel.Name
 }
 
-// isOtherPackage reports whether an expression is the name of a package that a file imports, other than slog.
+// isOtherPackage reports whether an expression is the name of an imported package other than slog.
 func isOtherPackage(file *ast.File, expression ast.Expr) bool {
 	name, ok := expression.(*ast.Ident)
 	return ok && name.Name != "slog" && slices.ContainsFunc(file.Imports, func(spec *ast.ImportSpec) bool {
@@ -179,18 +179,19 @@
 	})
 }
 
-// textsOf returns the constant texts that an expression may be: itself, or what is assigned to the variable.
-func textsOf(declaration ast.Decl, expression ast.Expr) (texts []string) {
-	for _, value := range append(assignedTo(declaration, expression), expression) {
-		if text, ok := literal(value); ok {
+// constantTexts returns the constant texts that an expression can have: its own value, or those assigned to the variable.
+func constantTexts(declaration ast.Decl, expression ast.Expr) (texts []string) {
+	for _, value := range append(assignedValues(declaration, expression), expression) {
+		if text, ok := stringLiteral(value); ok {
 			texts = append(texts, text)
 		}
 	}
 	return texts
 }
 
-// assignedTo returns the values that a declaration assigns to a variable, except those that begin with the variable itself.
-func assignedTo(declaration ast.Decl, variable ast.Expr) (values []ast.Expr) {
+// assignedValues returns the expressions that a declaration assigns to a variable. Of an append to the variable itself it returns
+// only the appended values.
+func assignedValues(declaration ast.Decl, variable ast.Expr) (values []ast.Expr) {
 	name, ok := variable.(*ast.Ident)
 	if !ok {
 		return nil
@@ -201,15 +202,15 @@
 			return true
 		}
 		if assigned, ok := assignment.Lhs[0].(*ast.Ident); ok && assigned.Name == name.Name {
-			values = append(values, withoutAppend(assignment.Rhs[0], name.Name))
+			values = append(values, appendedValues(assignment.Rhs[0], name.Name))
 		}
 		return true
 	})
 	return values
 }
 
-// withoutAppend returns what an append to a variable adds to it, or else the expression itself.
-func withoutAppend(expression ast.Expr, variable string) ast.Expr {
+// appendedValues returns the values that an append to a variable adds, as a composite literal, or else the expression itself.
+func appendedValues(expression ast.Expr, variable string) ast.Expr {
 	call, ok := expression.(*ast.CallExpr)
 	if !ok || len(call.Args) == 0 {
 		return expression
@@ -220,33 +221,33 @@
 	return &ast.CompositeLit{Elts: call.Args[1:]}
 }
 
-// keysOfList returns the literal keys of a list of keys and values: what is assigned to the variable, and what a function adds
-// behind its first argument.
-func keysOfList(declaration ast.Decl, list ast.Expr) (keys []string) {
+// listKeys returns the literal keys of a list of keys and values. The list is a composite literal, a variable, or a call that
+// adds its further arguments to the list in its first argument.
+func listKeys(declaration ast.Decl, list ast.Expr) (keys []string) {
 	if call, ok := list.(*ast.CallExpr); ok && len(call.Args) > 0 {
-		return append(keysOfList(declaration, call.Args[0]), keysOf(call.Args[1:])...)
+		return append(listKeys(declaration, call.Args[0]), constantKeys(call.Args[1:])...)
 	}
 	if composite, ok := list.(*ast.CompositeLit); ok {
-		return keysOf(composite.Elts)
+		return constantKeys(composite.Elts)
 	}
-	for _, value := range assignedTo(declaration, list) {
-		keys = append(keys, keysOfList(declaration, value)...)
+	for _, value := range assignedValues(declaration, list) {
+		keys = append(keys, listKeys(declaration, value)...)
 	}
 	return keys
 }
 
-// keysOf returns the keys among the arguments behind a message: each first of two.
-func keysOf(arguments []ast.Expr) (keys []string) {
+// constantKeys returns the literal keys of alternating keys and values.
+func constantKeys(arguments []ast.Expr) (keys []string) {
 	for i := 0; i < len(arguments); i += 2 {
-		if key, ok := literal(arguments[i]); ok {
+		if key, ok := stringLiteral(arguments[i]); ok {
 			keys = append(keys, key)
 		}
 	}
 	return keys
 }
 
-// literal returns the value of a literal string.
-func literal(expression ast.Expr) (value string, ok bool) {
+// stringLiteral returns the value of a string literal.
+func stringLiteral(expression ast.Expr) (value string, ok bool) {
 	basic, ok := expression.(*ast.BasicLit)
 	if !ok || basic.Kind != token.STRING {
 		return "", false
--- a/cmd/balancer/standin_test.go
+++ b/cmd/balancer/standin_test.go
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// listRevision is the revision of the only list that the stand-in agent has.
+// listRevision is the revision of the only endpoint list that the fake discovery serves.
 const listRevision = 7
 
-// endpoint is an entry of the stand-in agent's list.
+// endpoint is an entry of an endpointList.
 type endpoint struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -26,15 +26,15 @@
 	Size     float64 `json:"size"`
 }
 
-// endpointList is an answer of the stand-in agent.
+// endpointList is a response of the fake discovery.
 type endpointList struct {
 	Revision uint64     `json:"revision"`
 	Complete bool       `json:"complete"`
 	Members  []endpoint `json:"members"`
 }
 
-// serveHTTP serves at an address until the test ends.
-func serveHTTP(t *testing.T, address string, handler http.HandlerFunc) (actual string) {
+// serveHTTP serves on an address until the test ends, and returns the address with the actual port.
+func serveHTTP(t *testing.T, address string, handler http.HandlerFunc) (listenAddress string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -45,7 +45,7 @@
 	go func() {
 		defer close(served)
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			t.Errorf("stand-in server: %v", err)
+			t.Errorf("HTTP server of the test: %v", err)
 		}
 	}()
 	t.Cleanup(func() {
@@ -55,8 +55,8 @@
 	return listener.Addr().String()
 }
 
-// startAgent starts a stand-in discovery agent, which has one list and no news.
-func startAgent(t *testing.T, address string, endpoints []endpoint) (actual string) {
+// startFakeDiscovery starts a discovery server with one endpoint list that never changes.
+func startFakeDiscovery(t *testing.T, address string, endpoints []endpoint) (listenAddress string) {
 	t.Helper()
 	return serveHTTP(t, address, func(w http.ResponseWriter, r *http.Request) {
 		answer := endpointList{Revision: listRevision, Complete: true, Members: endpoints}
@@ -76,7 +76,7 @@
 	})
 }
 
-// startUpstreams starts an upstream at each address, the last of them in leftZone, and returns their entries for the list.
+// startUpstreams starts an upstream on each address, the last of them in drainedZone, and returns their list entries.
 func startUpstreams(t *testing.T, addresses []string, served *atomic.Int64) []endpoint {
 	t.Helper()
 	var endpoints []endpoint
@@ -86,21 +86,21 @@
 			fmt.Fprint(w, "served")
 		})
 		if i == len(addresses)-1 {
-			entry.Locality = leftZone
+			entry.Locality = drainedZone
 		}
 		endpoints = append(endpoints, entry)
 	}
 	return endpoints
 }
 
-// startUpstream starts the upstream of an index at an address, and returns its entry for the list.
+// startUpstream starts the upstream with an index on an address, and returns its list entry.
 func startUpstream(t *testing.T, index int, address string, handler http.HandlerFunc) endpoint {
 	t.Helper()
 	actual := serveHTTP(t, address, handler)
 	return endpoint{ID: fmt.Sprintf("s-%08x", index+1), HostPort: actual, Locality: "z1", Phase: "up", Size: 1}
 }
 
-// sendRequest sends a request to a balancer. An error says what else than the upstream's answer came.
+// sendRequest sends a request to a balancer, and returns an error unless it gets the response of an upstream.
 func sendRequest(client *http.Client, balancerAddress string, id uint64) error {
 	request, err := http.NewRequest(http.MethodPost, "http://"+balancerAddress+"/c/x", nil)
 	if err != nil {
@@ -119,27 +119,27 @@
 		return err
 	}
 	if response.StatusCode != http.StatusOK || body.String() != "served" {
-		return fmt.Errorf("answered %s, %q", response.Status, body.String())
+		return fmt.Errorf("got %s with body %q, want 200 with body \"served\"", response.Status, body.String())
 	}
 	return nil
 }
 
-// waitFor waits until a condition holds.
+// waitFor waits until a condition holds, and fails the test after 20 s.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	limit := time.After(20 * time.Second)
+	timeout := time.After(20 * time.Second)
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	for !holds() {
 		select {
 		case <-tick.C:
-		case <-limit:
+		case <-timeout:
 			t.Fatalf("not in time: %s", what)
 		}
 	}
 }
 
-// traffic sends requests without a pause until it is stopped.
+// traffic sends requests continuously until it is stopped.
 type traffic struct {
 	answered atomic.Int64
 	mu       sync.Mutex
@@ -148,45 +148,45 @@
 	senders  sync.WaitGroup
 }
 
-// startTraffic starts senders to a balancer's address.
+// startTraffic starts a number of senders, each of which sends requests to a balancer one after the other.
 func startTraffic(balancerAddress string, senders int) *traffic {
-	x := &traffic{stop: make(chan struct{})}
+	tr := &traffic{stop: make(chan struct{})}
 	var ids atomic.Uint64
 	for range senders {
-		x.senders.Go(func() {
+		tr.senders.Go(func() {
 			client := &http.Client{Transport: &http.Transport{}, Timeout: processTimeout}
 			defer client.CloseIdleConnections()
 			tick := time.NewTicker(5 * time.Millisecond)
 			defer tick.Stop()
 			for {
 				select {
-				case <-x.stop:
+				case <-tr.stop:
 					return
 				case <-tick.C:
 				}
 				if err := sendRequest(client, balancerAddress, ids.Add(1)); err != nil {
-					x.mu.Lock()
-					x.failures = append(x.failures, err)
-					x.mu.Unlock()
+					tr.mu.Lock()
+					tr.failures = append(tr.failures, err)
+					tr.mu.Unlock()
 					continue
 				}
-				x.answered.Add(1)
+				tr.answered.Add(1)
 			}
 		})
 	}
-	return x
+	return tr
 }
 
-// waitForMore waits for so many answers from now on.
-func (x *traffic) waitForMore(t *testing.T, answers int64) {
+// waitForAnswers waits until a number of further requests have been answered.
+func (tr *traffic) waitForAnswers(t *testing.T, answers int64) {
 	t.Helper()
-	goal := x.answered.Load() + answers
-	waitFor(t, fmt.Sprintf("%d answers more", answers), func() bool { return x.answered.Load() >= goal })
+	goal := tr.answered.Load() + answers
+	waitFor(t, fmt.Sprintf("%d more answers", answers), func() bool { return tr.answered.Load() >= goal })
 }
 
-// end stops the senders and returns what failed.
-func (x *traffic) end() []error {
-	close(x.stop)
-	x.senders.Wait()
-	return x.failures
+// end stops the senders and returns the errors of failed requests.
+func (tr *traffic) end() []error {
+	close(tr.stop)
+	tr.senders.Wait()
+	return tr.failures
 }
--- a/cmd/balancer/state_test.go
+++ b/cmd/balancer/state_test.go
@@ -17,21 +17,21 @@
 var killCount = flag.Int("kills", 40, "how often TestOrdersOutliveKills kills the program")
 
 const (
-	// answerPollInterval is how often a call is repeated until it has the answer that a test waits for.
+	// answerPollInterval is the interval at which a call is repeated until it gets the expected answer.
 	answerPollInterval = 2 * time.Millisecond
-	// maxLoggedBytes is how much of a balancer's log a failed test shows.
+	// maxLoggedBytes is how much of the end of a balancer's log a failed test shows.
 	maxLoggedBytes = 6000
-	// unprivilegedUser is the user "nobody".
-	unprivilegedUser = 65534
+	// unprivilegedUID is the user ID of "nobody".
+	unprivilegedUID = 65534
 )
 
-// statefulBalancer starts a balancer any number of times on one state folder.
+// statefulBalancer is a balancer that a test starts any number of times on one state folder.
 type statefulBalancer struct {
 	program, configPath, fleetPath string
 	stateFolder                    string
-	management                     string // address for operators' calls
+	management                     string // management address
 	log                            *os.File
-	user                           int // that the balancer runs as; 0: the test's own
+	uid                            int // user ID that the balancer runs as; 0: that of the test
 }
 
 // newStatefulBalancer writes the configuration of a balancer with a state folder, which does not exist yet.
@@ -46,7 +46,7 @@
 		management:  freeAddress(t),
 	}
 	if os.Getenv("RUN") != "" {
-		t.Skip("this needs the program itself, not a shell about it")
+		t.Skip("RUN is set: this test needs the balancer process itself, not a shell that starts it")
 	}
 	b.writeFiles(t, fmt.Sprintf(configTemplate, freeAddress(t), freeAddress(t)), fmt.Sprintf("[state]\nfolder = %q\nsite = \"test\"\n", b.stateFolder))
 	var err error
@@ -78,14 +78,14 @@
 	return cmd
 }
 
-// start starts the balancer and waits until it is ready; it returns the answer to check.
+// start starts the balancer, waits until it is ready and returns its answer to the management call check.
 func (b *statefulBalancer) start(t *testing.T) (cmd *exec.Cmd, check string) {
 	t.Helper()
 	cmd = b.command()
 	cmd.Stdout = b.log
 	cmd.Stderr = b.log
-	if b.user != 0 {
-		cmd.SysProcAttr = &syscall.SysProcAttr{Credential: &syscall.Credential{Uid: uint32(b.user), Gid: uint32(b.user)}}
+	if b.uid != 0 {
+		cmd.SysProcAttr = &syscall.SysProcAttr{Credential: &syscall.Credential{Uid: uint32(b.uid), Gid: uint32(b.uid)}}
 	}
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -98,20 +98,20 @@
 		}
 		if time.Now().After(limit) {
 			kill(cmd)
-			t.Fatalf("never ready: %q", check)
+			t.Fatalf("not ready after %v: check got %q", processTimeout, check)
 		}
 		time.Sleep(answerPollInterval)
 	}
 }
 
-// kill ends a process by SIGKILL.
+// kill ends a process with SIGKILL and waits for its exit.
 func kill(cmd *exec.Cmd) {
 	cmd.Process.Kill()
 	cmd.Wait()
 }
 
-// orderDuration repeats the order that is in force already and returns how long its answer took. That is what an order
-// takes on this machine now: a disk under load needs tens of times what an idle one does.
+// orderDuration repeats the order that is already in force and returns how long its answer took. The duration has to be measured
+// at each kill, because an order takes tens of times longer on a disk under load than on an idle one.
 func (b *statefulBalancer) orderDuration(t *testing.T, check string) time.Duration {
 	t.Helper()
 	order := "drain-off"
@@ -125,25 +125,25 @@
 	return time.Since(start)
 }
 
-// An order that got a YES is in force after SIGKILL at any moment; one that got no answer may be or not. The moments of
-// the kills are spread over twice the duration of an order, so that some come before its answer also if the disk is slow.
+// An order that was answered with YES is in force after the process is killed at any time. An order without an answer may or may
+// not be. The kills are spread over twice the duration of an order, so that some precede its answer even on a slow disk.
 func TestOrdersOutliveKills(t *testing.T) {
 	const seed = 3
 	rng := rand.New(rand.NewPCG(seed, 0))
 	b := newStatefulBalancer(t)
-	allowed := map[string]bool{"YES serving": true} // answers to check after the next start
+	allowedAnswers := map[string]bool{"YES serving": true} // to the call check after the next start
 	confirmed := 0
 	for i := range *killCount {
 		cmd, check := b.start(t)
-		if !allowed[check] {
-			t.Errorf("seed %d, start %d: %q, want one of %v", seed, i, check, allowed)
+		if !allowedAnswers[check] {
+			t.Errorf("seed %d, start %d: %q, want one of %v", seed, i, check, allowedAnswers)
 		}
-		allowed = map[string]bool{check: true}
+		allowedAnswers = map[string]bool{check: true}
 		order, want := "drain-on", "YES draining"
 		if rng.IntN(2) == 0 {
 			order, want = "drain-off", "YES serving"
 		}
-		b.orderDuration(t, check) // the first order of a process takes longer than the others
+		b.orderDuration(t, check) // not measured: the first order of a process takes longer than the others
 		delay := time.Duration(rng.Int64N(int64(2 * b.orderDuration(t, check))))
 		killed := make(chan struct{})
 		go func() {
@@ -154,9 +154,9 @@
 		switch answer := callManagement(b.management, order); answer {
 		case want:
 			confirmed++
-			allowed = map[string]bool{want: true}
-		case "": // killed before it answered
-			allowed[want] = true
+			allowedAnswers = map[string]bool{want: true}
+		case "": // the process was killed before it answered
+			allowedAnswers[want] = true
 		default:
 			t.Errorf("seed %d, start %d: %s got %q", seed, i, order, answer)
 		}
@@ -164,12 +164,12 @@
 		cmd.Wait()
 	}
 	if confirmed < *killCount/4 {
-		t.Errorf("%d of %d orders got a YES: too few to show anything", confirmed, *killCount)
+		t.Errorf("only %d of %d orders got a YES: fewer than a quarter show nothing", confirmed, *killCount)
 	}
 	t.Logf("%d kills, %d orders got a YES, all of them in force afterwards", *killCount, confirmed)
 }
 
-// A folder that can't be used fails the start with one line that names the fleet file.
+// With an unusable state folder, the start fails with a message of at most two lines that names the fleet file.
 func TestUnusableStateFolder(t *testing.T) {
 	b := newStatefulBalancer(t)
 	dir := t.TempDir()
@@ -184,33 +184,33 @@
 	}
 }
 
-// diskFault is a way in which a disk fails to save the orders, and how it recovers.
+// diskFault makes saving orders fail, and ends the fault again.
 type diskFault struct {
-	name         string
-	answer       string // part of the answer to an order during the fault
-	inject, heal func(stateFolder string) error
+	name           string
+	answer         string // part of the answer to an order during the fault
+	inject, remove func(stateFolder string) error
 }
 
-// ordersTemporary is the file that an order is written to before it gets its name.
-func ordersTemporary(stateFolder string) string { return filepath.Join(stateFolder, "orders.new") }
+// ordersTemporaryFile returns the path that orders are written to before the file is renamed.
+func ordersTemporaryFile(stateFolder string) string { return filepath.Join(stateFolder, "orders.new") }
 
 var diskFaults = []diskFault{
 	{
 		name:   "full",
 		answer: "no space left",
-		inject: func(folder string) error { // a write to the device /dev/full fails with ENOSPC
-			return syscall.Mknod(ordersTemporary(folder), syscall.S_IFCHR|0o600, 1<<8|7)
+		inject: func(folder string) error { // a write to the device of /dev/full fails with ENOSPC
+			return syscall.Mknod(ordersTemporaryFile(folder), syscall.S_IFCHR|0o600, 1<<8|7)
 		},
-		heal: func(string) error { return nil }, // the balancer itself removes what it failed to write
+		remove: func(string) error { return nil }, // the balancer removes the file that it failed to write
 	},
 	{
 		name:   "hangs",
 		answer: "not kept",
-		inject: func(folder string) error { // opening a pipe that nobody reads from waits
-			return syscall.Mkfifo(ordersTemporary(folder), 0o600)
+		inject: func(folder string) error { // opening a named pipe for writing blocks until there is a reader
+			return syscall.Mkfifo(ordersTemporaryFile(folder), 0o600)
 		},
-		heal: func(folder string) error {
-			reader, err := os.OpenFile(ordersTemporary(folder), os.O_RDONLY|syscall.O_NONBLOCK, 0)
+		remove: func(folder string) error {
+			reader, err := os.OpenFile(ordersTemporaryFile(folder), os.O_RDONLY|syscall.O_NONBLOCK, 0)
 			if err == nil {
 				time.AfterFunc(time.Minute, func() { reader.Close() })
 			}
@@ -221,29 +221,29 @@
 		name:   "read-only",
 		answer: "not kept",
 		inject: func(folder string) error { return os.Chmod(folder, 0o500) },
-		heal:   func(folder string) error { return os.Chmod(folder, 0o700) },
+		remove: func(folder string) error { return os.Chmod(folder, 0o700) },
 	},
 }
 
-// A disk that is full, hangs or is read-only costs what would be saved, but no service: orders are carried out, their
-// answers say that they were not saved, and orders are saved again once the disk has recovered.
+// A disk that is full, hangs or is read-only doesn't interrupt service: orders take effect, their answers say that they were not
+// saved, and orders are saved again once the disk has recovered.
 func TestDiskFaultsCostNoService(t *testing.T) {
 	for _, fault := range diskFaults {
-		t.Run(fault.name, func(t *testing.T) { wantServiceDespite(t, fault) })
+		t.Run(fault.name, func(t *testing.T) { testDiskFault(t, fault) })
 	}
 }
 
-// wantServiceDespite checks that a disk fault costs no service.
-func wantServiceDespite(t *testing.T, fault diskFault) {
+// testDiskFault checks that orders take effect during a disk fault and are saved after it.
+func testDiskFault(t *testing.T, fault diskFault) {
 	t.Helper()
 	b := newStatefulBalancer(t)
-	if os.Getuid() == 0 && fault.name == "read-only" { // permissions do not bind root
+	if os.Getuid() == 0 && fault.name == "read-only" { // root may write in spite of the permissions
 		b.runUnprivileged(t)
 	}
 	cmd, _ := b.start(t)
 	defer func() { kill(cmd) }()
 	if err := fault.inject(b.stateFolder); errors.Is(err, syscall.EPERM) {
-		t.Skip("this needs the right to make a device: ", err)
+		t.Skip("this test needs the permission to create a device: ", err)
 	} else if err != nil {
 		t.Fatal(err)
 	}
@@ -251,20 +251,20 @@
 		t.Errorf("an order that can't be saved got %q", answer)
 	}
 	if answer := callManagement(b.management, "check"); answer != "YES draining" {
-		t.Errorf("it was not carried out: %q", answer)
+		t.Errorf("the order that can't be saved has no effect: check got %q", answer)
 	}
-	if err := fault.heal(b.stateFolder); err != nil {
+	if err := fault.remove(b.stateFolder); err != nil {
 		t.Fatal(err)
 	}
 	b.waitUntilSaved(t, "drain-on", "YES draining")
 	kill(cmd)
 	var check string
 	if cmd, check = b.start(t); check != "YES draining" {
-		t.Errorf("after a restart: %q", check)
+		t.Errorf("after a restart: check got %q", check)
 	}
 }
 
-// waitUntilSaved repeats an order until it has the answer that says that it is saved.
+// waitUntilSaved repeats an order until its answer says that it is saved.
 func (b *statefulBalancer) waitUntilSaved(t *testing.T, order, want string) {
 	t.Helper()
 	limit := time.Now().Add(processTimeout)
@@ -276,10 +276,10 @@
 	}
 }
 
-// runUnprivileged has the balancer run as another user, who can read its files and owns its state folder.
+// runUnprivileged makes the balancer run as unprivilegedUID, who can read its files and owns its state folder.
 func (b *statefulBalancer) runUnprivileged(t *testing.T) {
 	t.Helper()
-	b.user = unprivilegedUser
+	b.uid = unprivilegedUID
 	for _, path := range []string{b.program, b.configPath} {
 		for dir := filepath.Dir(path); dir != os.TempDir(); dir = filepath.Dir(dir) {
 			if err := os.Chmod(dir, 0o755); err != nil {
@@ -287,7 +287,7 @@
 			}
 		}
 	}
-	err := errors.Join(os.Mkdir(b.stateFolder, 0o700), os.Chown(b.stateFolder, b.user, -1),
+	err := errors.Join(os.Mkdir(b.stateFolder, 0o700), os.Chown(b.stateFolder, b.uid, -1),
 		os.Chmod(b.configPath, 0o644), os.Chmod(b.fleetPath, 0o644))
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/balancer/upgrade_test.go
+++ b/cmd/balancer/upgrade_test.go
@@ -10,12 +10,13 @@
 	"testing"
 )
 
-// holdListener opens a listener as the platform does, which keeps it during upgrades and passes it on as a descriptor.
-func holdListener(t *testing.T) (address string, listener *os.File) {
+// openSharedListener opens a listener as the platform does, which keeps it open during upgrades and passes it to each process as
+// a file descriptor.
+func openSharedListener(t *testing.T) (address string, listener *os.File) {
 	t.Helper()
-	var plain net.ListenConfig
-	plain.SetMultipathTCP(false) // a multipath socket ignores the receive timeout that bounds the balancer's accept calls
-	original, err := plain.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	var listenConfig net.ListenConfig
+	listenConfig.SetMultipathTCP(false) // a multipath socket ignores the receive timeout that bounds the balancer's accept calls
+	original, err := listenConfig.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,8 +29,8 @@
 	return original.Addr().String(), listener
 }
 
-// startOnListener starts a command on a shared listener and waits until that very process serves, which its management
-// address tells: its predecessor answers health checks at the shared address, too.
+// startOnListener starts a command on a shared listener and waits until that process serves. It asks at the management address,
+// because the predecessor may answer a health check at the shared address.
 func startOnListener(t *testing.T, cmd *exec.Cmd, address, discovery string, listener *os.File) (p *process, management string) {
 	t.Helper()
 	management = freeAddress(t)
@@ -39,13 +40,13 @@
 	return p, management
 }
 
-// The program is upgraded twice on a listener that the platform holds. Each successor serves before its predecessor gets
-// SIGTERM. A successor that fails to start changes nothing, and files left in $TMPDIR do not matter to either.
+// The program is upgraded twice on a listener that the platform keeps open. Each successor serves before its predecessor gets
+// SIGTERM. A successor that fails to start changes nothing, and files left in $TMPDIR affect neither of them.
 func TestUpgrades(t *testing.T) {
-	address, listener := holdListener(t)
-	temporary := t.TempDir()
-	t.Setenv("TMPDIR", temporary)
-	writeFile(t, filepath.Join(temporary, "stale"), "left behind")
+	address, listener := openSharedListener(t)
+	temporaryFolder := t.TempDir()
+	t.Setenv("TMPDIR", temporaryFolder)
+	writeFile(t, filepath.Join(temporaryFolder, "stale"), "left behind")
 	discovery := freeAddress(t)
 	running, _ := startOnListener(t, balancerCommand(t), address, discovery, listener)
 	for range 2 {
@@ -61,7 +62,7 @@
 	running.terminate(t)
 }
 
-// wantFailureWithoutListener checks that a successor whose descriptor is no listener fails with a message.
+// wantFailureWithoutListener checks that a successor fails with an error message if its RELAY_FD is not a listener.
 func wantFailureWithoutListener(t *testing.T, configPath string) {
 	t.Helper()
 	cmd := balancerCommand(t)
