--- a/cmd/balancer/drain_test.go
+++ b/cmd/balancer/drain_test.go
@@ -131,7 +131,7 @@
 		c.responses = append(c.responses, clientResponse{c.lastSentAt, response.StatusCode, response.Close})
 		c.mu.Unlock()
 		if response.Close {
-			_, _ = in.ReadByte() // the end of the connection
+			_, _ = in.ReadByte() // returns when the balancer closes the connection
 			return
 		}
 		c.send(hangingRequest)
@@ -334,7 +334,7 @@
 func (p *process) pause(t *testing.T) {
 	t.Helper()
 	p.signal(t, syscall.SIGSTOP)
-	time.AfterFunc(maxPause, func() { _ = p.Process.Signal(syscall.SIGCONT) }) // it may have ended
+	time.AfterFunc(maxPause, func() { _ = p.Process.Signal(syscall.SIGCONT) }) // the process may have exited
 }
 
 // startLongDeadlineBalancer starts a balancer with deadlines of 20 s, and waits until it knows drainUpstreamCount upstreams.
--- a/cmd/balancer/drainsoak_test.go
+++ b/cmd/balancer/drainsoak_test.go
@@ -50,12 +50,12 @@
 	management string
 	done       chan struct{} // closed at the end of the run
 
-	mu             sync.Mutex // guards the fields below
-	forwarded      map[string]int
-	disconnectedAt map[string]time.Time // by request: when its client disconnected
+	mu             sync.Mutex           // guards the fields below
+	forwarded      map[string]int       // by request ID: how often it was forwarded
+	disconnectedAt map[string]time.Time // by request ID: when its client disconnected
 	lastID         int
-	connectUntil   time.Time // clients open no connections from then on; zero: no limit
-	responses      map[int]int
+	connectUntil   time.Time   // clients open no connections from then on; zero: no limit
+	responses      map[int]int // by status
 	violations     []string
 }
 
@@ -326,7 +326,7 @@
 }
 
 // drainAndTerminate drains the balancer, ends the drain for about half of the seeds, and sends SIGTERM, with pauses of the
-// process up to then. It returns an error with all violations.
+// process up to then. It returns an error with all violations, or that of a management call or signal that failed.
 func (s *drainSoak) drainAndTerminate(clients []*soakClient) error {
 	rng := rand.New(rand.NewPCG(s.seed, 0))
 	stopPauses := s.startPauses(rand.New(rand.NewPCG(s.seed, 1)))
@@ -396,7 +396,13 @@
 	for seed := *firstSeed; seed < *firstSeed+*seedCount; seed++ {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			s := &drainSoak{seed: seed, done: make(chan struct{}), forwarded: map[string]int{}, disconnectedAt: map[string]time.Time{}, responses: map[int]int{}}
+			s := &drainSoak{
+				seed:           seed,
+				done:           make(chan struct{}),
+				forwarded:      map[string]int{},
+				disconnectedAt: map[string]time.Time{},
+				responses:      map[int]int{},
+			}
 			command := exec.Command(program.Path, program.Args[1:]...)
 			command.Dir = program.Dir
 			s.process, s.address, s.management = startLongDeadlineBalancer(t, command, s.serveUpstream)
--- a/cmd/balancer/former_state_test.go
+++ b/cmd/balancer/former_state_test.go
@@ -266,7 +266,10 @@
 			t.Errorf("the log has no %s", pattern)
 		}
 	}
-	for _, message := range []string{"passed over", "set aside", "not read", "record ignored", "record quarantined", "quarantine failed", "state load timed out", "state folder listing failed"} {
+	for _, message := range []string{
+		"passed over", "set aside", "not read", "record ignored", "record quarantined", "quarantine failed", "state load timed out",
+		"state folder listing failed",
+	} {
 		if strings.Contains(string(text), message) {
 			t.Errorf("the log has %q", message)
 		}
--- a/cmd/balancer/stalledlog_test.go
+++ b/cmd/balancer/stalledlog_test.go
@@ -70,6 +70,6 @@
 		lines.Scan()
 	}
 	if lines.Scan(); !strings.HasSuffix(lines.Text(), fmt.Sprintf(`level=WARN msg="log lines lost" count=%d`, lost)) {
-		t.Errorf("got %q", lines.Text())
+		t.Errorf("got %q, want a line that reports %d lost lines", lines.Text(), lost)
 	}
 }
--- a/cmd/balancer/standin_test.go
+++ b/cmd/balancer/standin_test.go
@@ -142,7 +142,7 @@
 // traffic sends requests continuously until it is stopped.
 type traffic struct {
 	answered atomic.Int64
-	mu       sync.Mutex
+	mu       sync.Mutex // guards failures
 	failures []error
 	stop     chan struct{}
 	senders  sync.WaitGroup
--- a/cmd/balancer/state_test.go
+++ b/cmd/balancer/state_test.go
@@ -48,7 +48,8 @@
 	if os.Getenv("RUN") != "" {
 		t.Skip("RUN is set: this test needs the balancer process itself, not a shell that starts it")
 	}
-	b.writeFiles(t, fmt.Sprintf(configTemplate, freeAddress(t), freeAddress(t)), fmt.Sprintf("[state]\nfolder = %q\nsite = \"test\"\n", b.stateFolder))
+	b.writeFiles(t, fmt.Sprintf(configTemplate, freeAddress(t), freeAddress(t)),
+		fmt.Sprintf("[state]\nfolder = %q\nsite = \"test\"\n", b.stateFolder))
 	var err error
 	b.log, err = os.Create(filepath.Join(dir, "log"))
 	if err != nil {
@@ -90,13 +91,13 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	limit := time.Now().Add(processTimeout)
+	deadline := time.Now().Add(processTimeout)
 	for {
 		check = callManagement(b.management, "check")
 		if strings.HasPrefix(check, "YES") {
 			return cmd, check
 		}
-		if time.Now().After(limit) {
+		if time.Now().After(deadline) {
 			kill(cmd)
 			t.Fatalf("not ready after %v: check got %q", processTimeout, check)
 		}
@@ -267,9 +268,9 @@
 // waitUntilSaved repeats an order until its answer says that it is saved.
 func (b *statefulBalancer) waitUntilSaved(t *testing.T, order, want string) {
 	t.Helper()
-	limit := time.Now().Add(processTimeout)
+	deadline := time.Now().Add(processTimeout)
 	for answer := ""; answer != want; answer = callManagement(b.management, order) {
-		if time.Now().After(limit) {
+		if time.Now().After(deadline) {
 			t.Fatalf("orders are not saved on a disk that has recovered: %q", answer)
 		}
 		time.Sleep(50 * time.Millisecond)
--- a/cmd/balancer/upgrade_test.go
+++ b/cmd/balancer/upgrade_test.go
@@ -69,6 +69,6 @@
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+configPath, "RELAY_FD=9")
 	out, err := cmd.CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "RELAY_FD") || strings.Contains(string(out), "panic") {
-		t.Errorf("a successor without its listener: %v, %s", err, out)
+		t.Errorf("a successor whose RELAY_FD is not a listener got %v, %s; want an error that names RELAY_FD", err, out)
 	}
 }
