--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -11,39 +11,40 @@
 	"sprucehill/internal/timelimit"
 )
 
-// The stages of an attempt. The loop may drop an attempt that waits for its connection; one that has been claimed for
-// writing counts as sent.
+// The stages of an attempt. The loop can drop an attempt that is still waiting for its connection. A claimed attempt is
+// about to be written and counts as sent.
 const (
 	attemptWaiting int32 = iota
 	attemptClaimed
 	attemptDropped
 )
 
-// noDeadline is the deadline of an attempt or request whose time has not begun.
+// noDeadline is the deadline of an attempt or request whose timeout has not started to run.
 const noDeadline time.Duration = math.MaxInt64
 
-// attempt is one send of a request to one upstream. The loop makes it; a goroutine of its own runs it on a connection.
+// attempt is one transmission of a request to one upstream. The loop creates it; a separate goroutine runs it on a
+// connection.
 type attempt struct {
 	request  *request
-	message  message // a copy of the request's, which the loop drops once the request is closed
-	index    int     // index among the request's attempts
+	message  message // copied from the request, whose own message the loop clears once the request is closed
+	index    int     // position in request.attempts
 	endpoint *endpoint
 	sentAt   time.Duration // on the loop's clock
 	address  string        // host:port of the upstream
 	// deadline is when the balancer stops waiting for the attempt, on the loop's clock. It is noDeadline for an upload
-	// without a time-out of its own, whose time begins with its last byte.
+	// without a per-attempt timeout: its time starts to run when its last byte has been written.
 	deadline         time.Duration
-	head             []byte        // what goes on the wire before the body; rendered once the attempt is claimed
+	head             []byte        // request line and header; rendered once the attempt is claimed
 	stage            atomic.Int32  // one of the stages above
-	abandoned        atomic.Bool   // the loop has abandoned it: its connection has to be closed
-	onBodyWritten    func()        // of an upload: called when its last byte has been written
+	abandoned        atomic.Bool   // set when the loop has abandoned the attempt: its connection must be closed
+	onBodyWritten    func()        // uploads only: called when the last byte has been written
 	conn             *upstreamConn // the loop may use it only once the attempt is claimed
-	outcomeDelivered bool          // belongs to the loop: the decision module has had the outcome
+	outcomeDelivered bool          // used by the loop only: the decision module has been given the outcome
 }
 
-// remaining is for how long after now, on the loop's clock, the balancer will wait for the attempt's response. For an
-// upload that is the request's complete timeout until the last byte has been written, unless the attempt's own time-out or
-// the end of the process comes first.
+// remaining returns how long after now, on the loop's clock, the balancer will wait for the attempt's response. Until the
+// last byte of an upload has been written, that is the request's complete timeout, unless the attempt's own timeout or the
+// end of the process comes first.
 func (a *attempt) remaining(now time.Duration) time.Duration {
 	remaining := a.deadline - now
 	if a.request.Upload {
@@ -52,66 +53,66 @@
 	return remaining
 }
 
-// drop prevents an attempt from being sent if writing it has not begun. It reports whether it did so.
+// drop prevents the attempt from being sent, unless it has been claimed for writing. It reports whether the attempt was
+// dropped.
 func (a *attempt) drop() bool { return a.stage.CompareAndSwap(attemptWaiting, attemptDropped) }
 
-// claim takes the attempt for writing at the time now, and returns how long its upstream has for it. It fails if the
-// attempt has been dropped, and drops it if its connection came up too late: no time remains for it, or it would be a retry
-// that upstreams no longer recognize as one.
+// claim reserves the attempt for writing at the time now, and returns how long its upstream has to respond. It fails if the
+// attempt has been dropped. It drops the attempt and fails if the connection was established too late: no time remains, or
+// the idempotency window has ended, so that upstreams would no longer recognize the attempt as a retry.
 func (a *attempt) claim(now time.Duration) (remaining time.Duration, ok bool) {
-	w := &a.request.window
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	window := &a.request.window
+	window.mu.Lock()
+	defer window.mu.Unlock()
 	remaining = a.remaining(now)
-	if remaining <= 0 || w.isOver(now) {
+	if remaining <= 0 || window.isOver(now) {
 		a.drop()
 	}
 	if !a.stage.CompareAndSwap(attemptWaiting, attemptClaimed) {
 		return 0, false
 	}
-	if w.duration > 0 {
-		w.executions = append(w.executions, possibleExecution{attempt: a, startedAt: now})
+	if window.duration > 0 {
+		window.executions = append(window.executions, possibleExecution{attempt: a, startedAt: now})
 	}
 	return remaining, true
 }
 
-// idempotencyWindow is the time within which upstreams recognize the retries of an idempotent request. The decision module
-// checks it when it starts an attempt, but an attempt may wait for its connection until after the window's end. Its zero
-// value bounds nothing.
+// idempotencyWindow is the time within which upstreams recognize retries of an idempotent request. The decision module
+// checks it when it starts an attempt; it is checked again before writing, since an attempt may wait for its connection
+// until after the end of the window. The zero value imposes no limit.
 type idempotencyWindow struct {
-	duration   time.Duration // from the first attempt that may have been executed; 0: no bound
+	duration   time.Duration // counted from the start of each possible execution; 0: no limit
 	mu         sync.Mutex    // guards executions
 	executions []possibleExecution
 }
 
-// possibleExecution is an attempt that may have been executed, and when its first byte was about to be written, on the
-// loop's clock.
+// possibleExecution records an attempt that the upstream may have executed.
 type possibleExecution struct {
 	attempt   *attempt
-	startedAt time.Duration
+	startedAt time.Duration // just before its first byte was written, on the loop's clock
 }
 
-// isOver reports whether the window of an earlier attempt has ended. The caller has the lock.
+// isOver reports whether the window of any earlier possible execution has ended. The caller must hold w.mu.
 func (w *idempotencyWindow) isOver(now time.Duration) bool {
 	return slices.ContainsFunc(w.executions, func(x possibleExecution) bool {
 		return timelimit.Window{Start: x.startedAt, Length: w.duration}.IsOver(now)
 	})
 }
 
-// exclude removes an attempt that has certainly not been executed: it bounds no other.
+// exclude removes an attempt that was certainly not executed, so that it does not limit other attempts.
 func (w *idempotencyWindow) exclude(a *attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.executions = slices.DeleteFunc(w.executions, func(x possibleExecution) bool { return x.attempt == a })
 }
 
-// attemptResult is how an attempt or a health check ended.
+// attemptResult is the result of an attempt or a health check.
 type attemptResult struct {
 	status       balancer.Status
 	load         balancer.LoadReport
-	body         []byte          // of a successful response; reserved in the body budget
+	body         []byte          // of a successful response; its capacity is reserved in the body budget
 	contentType  string          // the body's Content-Type
-	conn         *upstreamConn   // the connection if it can be used again; nil: it has been closed, or belongs to stream
-	bodyConsumed bool            // of an upload: a part of its body has been consumed, so it can't be sent again
-	stream       *responseStream // the rest of a response that is streamed
+	conn         *upstreamConn   // the connection if it can be reused; nil: it has been closed, or is owned by stream
+	bodyConsumed bool            // uploads only: part of the body has been read from the client, so the request can't be sent again
+	stream       *responseStream // the rest of a streamed response; nil: body is complete
 }
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// A request with an idempotency key that may have been executed is retried only for as long as its upstreams deduplicate
-// retries. The decision module asks for a retry in time, but its connection may come up later; it used to be sent all the
-// same. Where nothing may have been executed, nothing is bounded.
+// A request with an idempotency key that may have been executed is retried only while its upstreams deduplicate retries.
+// Guards against a retry that the decision module starts in time, but whose connection opens after the idempotency window
+// has ended. The window does not apply if no earlier attempt can have been executed.
 func TestRetryIsNotSentAfterItsIdempotencyWindow(t *testing.T) {
 	for _, x := range []struct {
 		name, memory string
 		mayHaveRun   bool
 		sent         int // requests, in all
 	}{
-		{"up in time", `"memory_span_us":9000000`, true, 2},
-		{"up too late", `"memory_span_us":700000`, true, 1},
-		{"up late, but nothing has run", `"memory_span_us":700000`, false, 2},
+		{"connected in time", `"memory_span_us":9000000`, true, 2},
+		{"connected too late", `"memory_span_us":700000`, true, 1},
+		{"connected late, but nothing was executed", `"memory_span_us":700000`, false, 2},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			first := true // one connection at a time
@@ -44,7 +44,7 @@
 			var arrived time.Duration // just after the first attempt was written
 			b.runInLoop(t, func(l *loop) { arrived = l.now() })
 			second := g.next(t)
-			b.await(t, "the short time is over", func(l *loop) bool { return l.now() >= arrived+700*time.Millisecond })
+			b.await(t, "the shorter idempotency window has ended", func(l *loop) bool { return l.now() >= arrived+700*time.Millisecond })
 			close(second.connect)
 			in := bufio.NewReader(c)
 			resp, err := http.ReadResponse(in, nil)
@@ -59,8 +59,8 @@
 	}
 }
 
-// Two attempts of one request, in either order: the one that is written later is bounded by the one before, unless that has
-// certainly not been executed.
+// Of two attempts of one request, the one written later is limited by the idempotency window of the one written first,
+// whatever their index, unless the first was certainly not executed.
 func TestIdempotencyWindowBoundsLaterAttempts(t *testing.T) {
 	const span = time.Second
 	for _, excluded := range []bool{false, true} {
@@ -69,12 +69,12 @@
 			r.window.duration = span
 			older, newer := &attempt{request: r, deadline: noDeadline}, &attempt{request: r, index: 1, deadline: noDeadline}
 			_, newerClaimed := newer.claim(time.Hour)
-			assertEqual(t, "the newer, first", newerClaimed, true)
+			assertEqual(t, "claimed: second attempt, written first", newerClaimed, true)
 			if excluded {
 				r.window.exclude(newer)
 			}
 			_, olderClaimed := older.claim(time.Hour + after)
-			assertEqual(t, "the older, later", olderClaimed, excluded || after < span)
+			assertEqual(t, "claimed: first attempt, written second", olderClaimed, excluded || after < span)
 			assertEqual(t, "dropped", older.stage.Load() == attemptDropped, !excluded && after >= span)
 		}
 	}
--- a/internal/proxy/attemptwriter.go
+++ b/internal/proxy/attemptwriter.go
@@ -15,25 +15,25 @@
 // copyBufferSize is the size, in bytes, of the buffers through which bodies are streamed.
 const copyBufferSize = 16 << 10
 
-// errClientBody says that the client's body broke off, so the fault is not the upstream's.
+// errClientBody means that the client did not send its complete body. The upstream is not at fault.
 var errClientBody = errors.New("the client's body is incomplete")
 
-// copyBuffers are *[copyBufferSize]byte for streaming bodies.
+// copyBuffers is a pool of *[copyBufferSize]byte for streaming bodies.
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// Parts of the chunked encoding.
+// Delimiters of the chunked transfer encoding.
 var (
 	crlf      = []byte("\r\n")
 	lastChunk = []byte("0\r\n\r\n")
 )
 
-// writeProgress is how far an attempt has been written.
+// writeProgress describes how much of an attempt has been written.
 type writeProgress struct {
-	complete     bool // its last byte has been written
-	bodyConsumed bool // of an upload: a part behind the buffered one has been read from the client
+	complete     bool // the last byte has been written
+	bodyConsumed bool // uploads only: bytes beyond the buffered part have been read from the client
 }
 
-// writeAttempt writes an attempt's head and body, an upload as it comes from the client.
+// writeAttempt writes an attempt's head and body. The body of an upload is streamed from the client.
 func writeAttempt(a *attempt, c *upstreamConn) (writeProgress, error) {
 	if a.message.rest != nil {
 		return writeUpload(a, c)
@@ -44,6 +44,8 @@
 	return writeProgress{complete: n == size}, err
 }
 
+// writeUpload writes an attempt's head and the buffered part of its body, then streams the rest from the client. Each write
+// to the upstream must finish within timelimit.UpstreamStall.
 func writeUpload(a *attempt, c *upstreamConn) (progress writeProgress, err error) {
 	m := &a.message
 	part := net.Buffers{a.head, m.body}
@@ -56,7 +58,7 @@
 		if err := c.SetWriteDeadline(time.Now().Add(timelimit.UpstreamStall)); err != nil {
 			return progress, err
 		}
-		if a.abandoned.Load() { // abandoned in the meantime: its expired deadline has just been replaced
+		if a.abandoned.Load() { // checked after SetWriteDeadline, which may have replaced the expired deadline set by abandon
 			return progress, os.ErrDeadlineExceeded
 		}
 		if _, err := part.WriteTo(c); err != nil {
@@ -78,7 +80,7 @@
 	}
 }
 
-// writeLastPart writes the end of an upload, and reports whether its last byte has been written.
+// writeLastPart writes the last part of an upload and reports whether its last byte has been written.
 func writeLastPart(m *message, part net.Buffers, c *upstreamConn) (complete bool, err error) {
 	if m.isChunked() {
 		part = append(part, lastChunk)
@@ -91,7 +93,7 @@
 	return err == nil, err
 }
 
-// chunk is p in the chunked encoding.
+// chunk returns p as one chunk of the chunked transfer encoding.
 func chunk(p []byte) net.Buffers {
 	size := strconv.AppendInt(nil, int64(len(p)), 16)
 	return net.Buffers{size, crlf, p, crlf}
--- a/internal/proxy/clock.go
+++ b/internal/proxy/clock.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// clock is Unix time at its start, and goes on by the monotonic clock. Times that discovery gives need no conversion, also
-// those from before this process, and setting the system's clock does not move it.
+// clock gives the Unix time, read once when the clock is created and advanced by the monotonic clock from then on. Times
+// received from discovery need no conversion, even those before the start of this process, and changes to the system clock
+// do not affect it.
 type clock struct {
-	origin time.Time     // when the clock was made
+	origin time.Time     // when the clock was created
 	epoch  time.Duration // origin as Unix time
 }
 
@@ -14,5 +15,5 @@
 	return clock{origin: origin, epoch: time.Duration(origin.UnixNano())}
 }
 
-// now returns the time since 1970. It may be called from any goroutine.
+// now returns the time since the Unix epoch. It may be called from any goroutine.
 func (c clock) now() time.Duration { return c.epoch + time.Since(c.origin) }
--- a/internal/proxy/connpool.go
+++ b/internal/proxy/connpool.go
@@ -8,27 +8,28 @@
 	"sprucehill/internal/timelimit"
 )
 
-// evictEvery is the interval between two searches for connections that have been idle for too long.
-const evictEvery = time.Second
+// evictionInterval is the interval between two scans for connections past the idle timeout.
+const evictionInterval = time.Second
 
-// connPool holds the idle connections to upstreams and bounds how many connections there are, idle, in use and being
-// opened together. The lists of idle connections are fields of the endpoints. It belongs to the loop and is used on the
-// loop's goroutine only. It opens nothing itself: whoever got no idle connection dials on a goroutine of its own, and
-// returns what came of it with put. Connections are closed on goroutines of their own, since that may block.
+// connPool holds the idle connections to upstreams and limits the total number of connections that are idle, in use or
+// being opened. The lists of idle connections are fields of the endpoints. The pool is owned by the loop and used on the
+// loop's goroutine only. It does not dial: a caller that gets no idle connection dials on another goroutine, and returns
+// the result with put. Connections are closed on separate goroutines, since closing may block.
 type connPool struct {
-	endpoints    endpointTable // the loop's
-	open         int           // connections to upstreams, open or being opened
+	endpoints    endpointTable // shared with the loop
+	open         int           // number of connections to upstreams, open or being opened
 	maxOpen      int
 	idleTimeout  time.Duration
 	nextEviction time.Duration // on the loop's clock
-	// releasing is set for good once another process needs the descriptors of idle connections: put closes all then.
+	// releasing is set, and never reset, once another process needs the file descriptors of idle connections. From then on
+	// put closes every connection.
 	releasing bool
 	now       func() time.Duration
 }
 
-// get returns an idle connection to an endpoint, or nil with capacity reserved for opening a new one. ok is false where
-// there is neither. A connection past the idle timeout is not used, also between two evictions: what is written while
-// its upstream closes it ends as a reset, which some classes may not send again.
+// get returns an idle connection to an endpoint, or nil and reserved capacity to open a new one. ok is false if there is
+// neither. A connection past the idle timeout is not used even if it has not been evicted yet: a request that is written
+// while the upstream closes the connection ends with a reset, and requests of some classes must not be retried then.
 func (p *connPool) get(e *endpoint) (c *upstreamConn, ok bool) {
 	if c := p.takeIdle(e); c != nil {
 		return c, true
@@ -36,8 +37,8 @@
 	return nil, p.reserve()
 }
 
-// takeIdle removes and returns the endpoint's most recently used idle connection, or nil. Where that one is past the
-// idle timeout all are, and all are closed.
+// takeIdle removes and returns the endpoint's most recently used idle connection, or nil. If that one is past the idle
+// timeout, so are all others, and all are closed.
 func (p *connPool) takeIdle(e *endpoint) *upstreamConn {
 	if len(e.idle) == 0 {
 		return nil
@@ -57,8 +58,8 @@
 	return timelimit.Window{Start: c.idleSince, Length: p.idleTimeout}.IsOver(now)
 }
 
-// reserve counts a connection that is about to be opened. At the limit, the connection that has been idle for longest,
-// at whatever endpoint, is closed for it; false: none is idle.
+// reserve counts a connection that is about to be opened. At the limit it closes the connection that has been idle for
+// longest at any endpoint, and returns false if there is no idle connection.
 func (p *connPool) reserve() bool {
 	if p.open >= p.maxOpen && !p.closeLongestIdle() {
 		return false
@@ -67,8 +68,8 @@
 	return true
 }
 
-// closeLongestIdle closes the connection that has been idle for longest. Of two that have been so equally long it is
-// the one at the endpoint with the lower ID. It returns false where none is idle.
+// closeLongestIdle closes the connection that has been idle for longest; ties go to the endpoint with the lower ID. It
+// returns false if there is no idle connection.
 func (p *connPool) closeLongestIdle() bool {
 	var longest *endpoint
 	for _, e := range p.endpoints {
@@ -84,7 +85,7 @@
 	return true
 }
 
-// idleLonger reports whether the oldest idle connection of a goes before that of b. Both have one.
+// idleLonger reports whether the oldest idle connection of a is to be closed before that of b. Both must have one.
 func idleLonger(a, b *endpoint) bool {
 	if a.idle[0].idleSince != b.idle[0].idleSince {
 		return a.idle[0].idleSince < b.idle[0].idleSince
@@ -92,17 +93,17 @@
 	return a.id < b.id
 }
 
-// put returns a connection after use, or the capacity that was reserved for it where c is nil: it has been closed, or
-// was never opened.
+// put returns a connection to the pool after use. A nil c returns only the reserved capacity: the connection has been
+// closed, or was never opened.
 func (p *connPool) put(e *endpoint, c *upstreamConn) {
 	switch {
 	case c == nil:
 		p.open--
-	case c.abandoned: // abandoned while its response came
+	case c.abandoned: // its attempt was abandoned while the response arrived
 		p.close(c)
 	case p.releasing || e.state != balancer.Active || c.RemoteAddr().String() != e.address:
 		p.close(c)
-	case c.SetDeadline(time.Time{}) != nil: // a time-out may have been set while the response came
+	case c.SetDeadline(time.Time{}) != nil: // clears a deadline that was set while the response arrived
 		p.close(c)
 	default:
 		c.idleSince = p.now()
@@ -110,7 +111,7 @@
 	}
 }
 
-// close closes connections on a goroutine of its own. They must not be in an endpoint's list any more, or leave it now.
+// close closes connections on a separate goroutine. The caller must remove them from their endpoint's idle list.
 func (p *connPool) close(conns ...*upstreamConn) {
 	p.open -= len(conns)
 	if len(conns) == 0 {
@@ -129,7 +130,7 @@
 	e.idle = nil
 }
 
-// release closes all idle connections, and from then on each connection after its use.
+// release closes all idle connections, and makes put close every connection from then on.
 func (p *connPool) release() {
 	p.releasing = true
 	for _, e := range p.endpoints {
@@ -137,16 +138,17 @@
 	}
 }
 
-// evictIdleIfDue runs evictIdle at its interval.
+// evictIdleIfDue runs evictIdle if the interval since the last run has passed.
 func (p *connPool) evictIdleIfDue(now time.Duration) {
 	if now < p.nextEviction {
 		return
 	}
-	p.nextEviction = now + evictEvery
+	p.nextEviction = now + evictionInterval
 	p.evictIdle(now)
 }
 
-// evictIdle closes connections past the idle timeout. Each endpoint has its least recently used connection first.
+// evictIdle closes the connections past the idle timeout. Each endpoint's idle list starts with the least recently used
+// connection.
 func (p *connPool) evictIdle(now time.Duration) {
 	for _, e := range p.endpoints {
 		n := 0
@@ -155,7 +157,7 @@
 		}
 		if n > 0 {
 			p.close(e.idle[:n]...)
-			e.idle = append([]*upstreamConn(nil), e.idle[n:]...) // the closing goroutine reads the old array
+			e.idle = append([]*upstreamConn(nil), e.idle[n:]...) // a new array: the closing goroutine still reads the old one
 		}
 	}
 }
--- a/internal/proxy/connpool_test.go
+++ b/internal/proxy/connpool_test.go
@@ -8,8 +8,9 @@
 	"sprucehill/balancer"
 )
 
-// Idle connections to other upstreams once took all the capacity there was: attempts failed unsent, and the module took
-// their upstreams for unreachable. Where none is idle an attempt is not sent, which is no upstream's fault.
+// At the connection limit an idle connection to another upstream is closed. Guards against idle connections that use up the
+// whole limit: attempts then failed unsent, and the decision module considered their upstreams unreachable. If no
+// connection is idle, the attempt ends as not sent, which does not count against the upstream.
 func TestIdleConnectionIsClosedAtTheLimit(t *testing.T) {
 	one := newTestUpstream(t, respondOK)
 	two := newTestUpstream(t, respondOK)
@@ -33,12 +34,13 @@
 	assertEqual(t, "connections", l.pool.open, 2)
 	oldest.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if _, err := oldest.Read(make([]byte, 1)); err == nil {
-		t.Error("bytes on a closed connection")
+		t.Error("read from a connection that should be closed succeeded")
 	}
 }
 
-// An idle connection was once used for up to a second after its idle timeout, until the next eviction: its upstream may
-// close it just then, and a class that must not run twice can't be retried. Attempts and health checks open another.
+// Attempts and health checks open a new connection instead of using one past its idle timeout. Guards against using it
+// until the next eviction, up to a second later: the upstream may be closing it, and a request of a class that must not be
+// executed twice can't be retried then.
 func TestIdleConnectionIsNotUsedPastTheIdleTimeout(t *testing.T) {
 	tests := []struct {
 		name string
@@ -56,7 +58,7 @@
 				p := addEndpoint(l, 1, s)
 				older := addIdleConn(t, l, p, l.now()-2*l.pool.idleTimeout)
 				addIdleConn(t, l, p, l.now()-test.age(l))
-				l.pool.nextEviction = l.now() + time.Hour // not yet
+				l.pool.nextEviction = l.now() + time.Hour // no eviction during the test
 				if healthCheck {
 					l.HealthCheck(1)
 				} else {
@@ -75,7 +77,7 @@
 				if !test.used {
 					older.SetReadDeadline(time.Now().Add(10 * time.Second))
 					if _, err := older.Read(make([]byte, 1)); err == nil {
-						t.Error("bytes on a closed connection")
+						t.Error("read from a connection that should be closed succeeded")
 					}
 				}
 			})
--- a/internal/proxy/debuglog.go
+++ b/internal/proxy/debuglog.go
@@ -5,5 +5,6 @@
 	"log/slog"
 )
 
-// debugLogged reports whether debug lines are written. Check this before a debug line: its values cost time.
+// debugLogged reports whether debug messages are logged. Check it before calling slog.Debug, to avoid computing the
+// attributes for nothing.
 func debugLogged() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
--- a/internal/proxy/decisionlog.go
+++ b/internal/proxy/decisionlog.go
@@ -6,7 +6,7 @@
 	"sprucehill/balancer"
 )
 
-// Log writes an event of the decision module to the log: a constant message, and its values as attributes.
+// Log logs an event of the decision module as a constant message with the event's values as attributes.
 func (l *loop) Log(event balancer.LogEvent) {
 	switch e := event.(type) {
 	case balancer.EndpointUnresponsive:
@@ -20,6 +20,6 @@
 	case balancer.DiscoveryCallFailed:
 		slog.Info("discovery call failed", "retry_in", e.RetryIn)
 	default:
-		slog.Info("decision of unknown type", "event", event)
+		slog.Info("decision event of unknown type", "event", event)
 	}
 }
--- a/internal/proxy/decisionlog_test.go
+++ b/internal/proxy/decisionlog_test.go
@@ -10,7 +10,7 @@
 	"sprucehill/balancer"
 )
 
-// Each event of the decision module is logged under a constant message, with its values as attributes.
+// Each event of the decision module is logged as a constant message with the event's values as attributes.
 func TestDecisionEventsAreLoggedWithAttributes(t *testing.T) {
 	l := &loop{endpoints: endpointTable{7: {id: 7, address: "192.0.2.7:80"}}}
 	for _, test := range []struct {
@@ -37,14 +37,14 @@
 	}
 }
 
-// logRecord is a line of the log: its message, and keys with their values as in slog.Info.
+// logRecord is a log record. Keys and values alternate in keys, as in the arguments of slog.Info.
 type logRecord struct {
 	level slog.Level
 	text  string
 	keys  []any
 }
 
-// captureLog makes a recorder the default logger until the test ends.
+// captureLog replaces the default logger until the test ends, and returns the records that are logged meanwhile.
 func captureLog(t *testing.T) *[]logRecord {
 	t.Helper()
 	var records []logRecord
@@ -54,7 +54,7 @@
 	return &records
 }
 
-// recordingHandler keeps the lines of the log.
+// recordingHandler is a slog.Handler that collects all records.
 type recordingHandler struct{ records *[]logRecord }
 
 func (h recordingHandler) Enabled(context.Context, slog.Level) bool { return true }
--- a/internal/proxy/dialer.go
+++ b/internal/proxy/dialer.go
@@ -9,30 +9,30 @@
 	"sprucehill/internal/metrics"
 )
 
-// This file carries out one attempt on one connection. http.Transport is not used for it: it may write a request again by
-// itself when a reused connection breaks, it closes the connection of an attempt that is abandoned, and it does not report
-// whether the last byte was written. Responses are still parsed by net/http.
+// This file runs one attempt on one connection. It does not use http.Transport, which may resend a request by itself when a
+// reused connection breaks, closes the connection of an abandoned attempt, and does not report whether the last byte was
+// written. Responses are still parsed by net/http.
 
 // dialFunc opens a connection to an address within timeout.
 type dialFunc func(network, address string, timeout time.Duration) (net.Conn, error)
 
 // dialer runs attempts and health checks on connections to upstreams. It has no state of its own; each run is a blocking
-// call on a goroutine of the caller's.
+// call on the caller's goroutine.
 type dialer struct {
 	openConn        dialFunc
-	timeout         time.Duration        // for opening a connection, and for the response to a health check or a broken-off upload
-	attemptsWritten *metrics.Counter     // attempts whose last byte has been written
-	bodyBudget      *byteBudget          // of buffered bodies
+	timeout         time.Duration        // for opening a connection, and for the response to a health check or an interrupted upload
+	attemptsWritten *metrics.Counter     // counts attempts whose last byte has been written
+	bodyBudget      *byteBudget          // limits the bytes of buffered bodies
 	now             func() time.Duration // the loop's clock
 }
 
-// connect returns the idle connection if it can still be used, or else a new one. idle may be nil.
+// connect returns the idle connection if it can still be used, and opens a new one otherwise. idle may be nil.
 func (d dialer) connect(idle *upstreamConn, address string) (*upstreamConn, error) {
 	if idle != nil {
 		if idle.checkIdle() == nil {
 			return idle, nil
 		}
-		idle.Close() // nothing was written to it: another connection serves as well
+		idle.Close() // nothing has been written to it, so using another connection is safe
 	}
 	c, err := d.openConn("tcp", address, d.timeout)
 	if err != nil {
@@ -41,14 +41,14 @@
 	return newUpstreamConn(c), nil
 }
 
-// runAttempt makes the attempt: it is written at most once, whatever happens.
+// runAttempt sends the attempt and reads the response. The attempt is written at most once.
 func (d dialer) runAttempt(a *attempt) attemptResult {
 	c, err := d.connect(a.conn, a.address)
 	if err != nil {
 		return attemptResult{status: balancer.ConnectFailed}
 	}
 	a.conn = c
-	remaining, ok := a.claim(d.now()) // after the wait for the connection
+	remaining, ok := a.claim(d.now()) // now, since the connection may have taken long to open
 	if !ok {
 		return attemptResult{status: balancer.NotSent, conn: c}
 	}
@@ -70,8 +70,8 @@
 	return r
 }
 
-// afterPartialWrite is the result of an attempt whose last byte was certainly not written, so that it has not been
-// executed.
+// afterPartialWrite returns the result of an attempt whose last byte was certainly not written, so that the upstream can't
+// have executed it.
 func (d dialer) afterPartialWrite(a *attempt, c *upstreamConn, sent writeProgress, err error) attemptResult {
 	if errors.Is(err, errClientBody) {
 		c.Close()
@@ -81,7 +81,7 @@
 		c.Close()
 		return attemptResult{status: balancer.ConnectFailed}
 	}
-	// The upstream may have said why it takes no more of the upload.
+	// The upstream may have sent a response that says why it stopped reading the upload.
 	c.SetReadDeadline(time.Now().Add(d.timeout))
 	r := d.readResponse(c)
 	if r.status != balancer.Rejected {
--- a/internal/proxy/dialer_test.go
+++ b/internal/proxy/dialer_test.go
@@ -13,13 +13,13 @@
 	"sprucehill/internal/metrics"
 )
 
-// testDialer returns a dialer whose clock stands still.
+// testDialer returns a dialer whose clock is stopped at one hour.
 func testDialer() dialer {
 	return dialer{openConn: recordingOpener(nil), timeout: time.Second, attemptsWritten: &metrics.Counter{}, bodyBudget: newByteBudget(1 << 20),
 		now: func() time.Duration { return time.Hour }}
 }
 
-// directAttempt returns an attempt for a testDialer, of a request whose client waits for a second.
+// directAttempt returns an attempt for a testDialer, of a request with a timeout of one second.
 func directAttempt(m message, address string, c *upstreamConn) *attempt {
 	if m.header == nil {
 		m.header = http.Header{}
@@ -29,8 +29,8 @@
 	return &attempt{request: &request{}, message: m, endpoint: &endpoint{}, address: address, conn: c, deadline: time.Hour + time.Second}
 }
 
-// http.Transport writes a GET, or a request with an idempotency key, again by itself when a kept connection breaks. What
-// has been written once may be written again only if the decision module asks for it.
+// An attempt is written at most once; only the decision module may retry it. http.Transport would resend a GET, or a
+// request with an idempotency key, by itself when a persistent connection breaks.
 func TestAttemptIsWrittenAtMostOnce(t *testing.T) {
 	for _, class := range []string{"checkin", "pay"} {
 		t.Run(class, func(t *testing.T) {
@@ -80,7 +80,7 @@
 	assertEqual(t, "first", r.status, balancer.OK)
 	<-closed
 	if _, err := r.conn.reader.Peek(1); err == nil { // waits for the upstream's close
-		t.Fatal("bytes on an idle connection")
+		t.Fatal("got bytes on an idle connection, want its end")
 	}
 	assertEqual(t, "second", run(r.conn).status, balancer.OK)
 	assertEqual(t, "connections", s.opened(), 2)
@@ -104,12 +104,12 @@
 		{"503 that may have run", raw("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", true), balancer.Error, true},
 		{"503 not run", raw("HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), balancer.Rejected, true},
 		{"504 not run", raw("HTTP/1.1 504 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), balancer.Rejected, true},
-		{"502 not run is not in the table", raw("HTTP/1.1 502 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), balancer.Error, true},
-		{"closed without an answer", raw("", false), balancer.Reset, false},
+		{"502 not run does not count as rejected", raw("HTTP/1.1 502 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), balancer.Error, true},
+		{"closed without a response", raw("", false), balancer.Reset, false},
 		{"cut short", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", false), balancer.Reset, false},
 		{"cut short in chunks", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", false), balancer.Reset, false},
 		{"a head of 2 MB", raw("HTTP/1.1 200 OK\r\n"+strings.Repeat("X-Pad: "+strings.Repeat("x", 1000)+"\r\n", 2000)+"Content-Length: 2\r\n\r\nab", false), balancer.Reset, false},
-		{"1xx on and on", raw(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 80000)+"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", false), balancer.Reset, false},
+		{"80000 responses with 1xx", raw(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 80000)+"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", false), balancer.Reset, false},
 		{"no HTTP", raw("what?\r\n\r\n", false), balancer.Reset, false},
 		{"a large error", raw("HTTP/1.1 500 X\r\nContent-Length: 65537\r\n\r\n"+strings.Repeat("x", maxBody+1), true), balancer.Error, false},
 		{"503 not run, large", raw("HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nConnection: close\r\n\r\n"+strings.Repeat("x", maxBody+1), false), balancer.Rejected, false},
@@ -135,17 +135,17 @@
 	d := testDialer()
 	assertEqual(t, "refused", d.runAttempt(&attempt{address: l.Addr().String()}).status, balancer.ConnectFailed)
 
-	// An attempt that still waits for its connection when its request ends, or its upstream is removed, is not sent any more.
+	// An attempt that is waiting for its connection when its request ends or its upstream is removed is not sent.
 	s := newTestUpstream(t, respondOK)
 	a := directAttempt(message{requestLine: "POST /x", host: "x"}, s.addr, nil)
 	assertEqual(t, "dropped", a.drop(), true)
 	r := d.runAttempt(a)
 	assertEqual(t, "status", r.status, balancer.NotSent)
-	assertEqual(t, "still of use", r.conn != nil && r.conn.checkIdle() == nil, true)
+	assertEqual(t, "connection is reusable", r.conn != nil && r.conn.checkIdle() == nil, true)
 	assertEqual(t, "requests written", len(s.arrivals), 0)
 }
 
-// A refused connection proves that the request was not executed: it is retried at another upstream.
+// A refused connection shows that the request was not executed, so it is retried at another upstream.
 func TestRefusedConnectionIsRetriedElsewhere(t *testing.T) {
 	dead, alive := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -161,15 +161,15 @@
 	}
 }
 
-// A connection that does not come up has not carried its request: after the connect timeout of the settings the request is
-// retried at another upstream, even one that must not be executed twice.
+// If a connection is not established within the connect timeout of the settings, the request is retried at another
+// upstream. That is safe even if it must not be executed twice, since nothing has been sent.
 func TestConnectTimeoutIsRetriedElsewhere(t *testing.T) {
 	dead, alive := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
 	b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) {
 		connectTimeout := c.Links.ConnectTimeout
 		c.openConn = func(network, address string, timeout time.Duration) (net.Conn, error) {
 			if timeout != connectTimeout {
-				t.Errorf("a connection has %v to come up, the settings say %v", timeout, connectTimeout)
+				t.Errorf("connect timeout %v, want %v from the settings", timeout, connectTimeout)
 			}
 			if address == dead.addr {
 				time.Sleep(timeout)
@@ -182,5 +182,5 @@
 		status, _ := b.do(t, b.newRequest("checkin", ""))
 		assertEqual(t, "status", status, 200)
 	}
-	assertEqual(t, "requests at the one that can be reached", len(alive.arrivals), 4)
+	assertEqual(t, "requests at the reachable upstream", len(alive.arrivals), 4)
 }
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -41,14 +41,14 @@
 				return
 			}
 			t.Cleanup(func() { c.Close() })
-			go a.converse(c)
+			go a.readCalls(c)
 		}
 	}()
 	return a
 }
 
-// converse reads the calls of a connection.
-func (a *agent) converse(c net.Conn) {
+// readCalls reads the calls of a connection.
+func (a *agent) readCalls(c net.Conn) {
 	in := bufio.NewReader(c)
 	for {
 		r, err := http.ReadRequest(in)
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -13,12 +13,12 @@
 // module has returned.
 
 // Send makes an attempt of a request at an endpoint. timeout bounds the attempt; 0: the request's deadline alone does.
-func (l *loop) Send(id balancer.RequestID, up balancer.EndpointID, timeout time.Duration) {
-	r := l.requests[id]
-	endpoint := l.endpoints[up]
+func (l *loop) Send(requestID balancer.RequestID, endpointID balancer.EndpointID, timeout time.Duration) {
+	r := l.requests[requestID]
+	endpoint := l.endpoints[endpointID]
 	if r == nil || endpoint == nil { // the module knows both from the loop
-		slog.Info("attempt skipped: request or endpoint unknown", "request_serial", id,
-			"endpoint", l.endpoints.addressOf(up), "endpoint_id", up)
+		slog.Info("attempt skipped: request or endpoint unknown", "request_serial", requestID,
+			"endpoint", l.endpoints.addressOf(endpointID), "endpoint_id", endpointID)
 		return
 	}
 	now := l.now()
@@ -63,8 +63,8 @@
 
 // Reject answers a client that a retry is harmless, after retryAfter if that is over 0 and the settings allow such advice. An
 // idempotent request may have been executed.
-func (l *loop) Reject(id balancer.RequestID, retryAfter time.Duration) {
-	r := l.requests[id]
+func (l *loop) Reject(requestID balancer.RequestID, retryAfter time.Duration) {
+	r := l.requests[requestID]
 	if r == nil {
 		return
 	}
@@ -78,8 +78,8 @@
 }
 
 // Fail answers a client that its request has failed; it may have been executed.
-func (l *loop) Fail(id balancer.RequestID) {
-	r := l.requests[id]
+func (l *loop) Fail(requestID balancer.RequestID) {
+	r := l.requests[requestID]
 	if r == nil {
 		return
 	}
@@ -91,8 +91,8 @@
 }
 
 // Cancel stops waiting for a request's attempt, counted from 0.
-func (l *loop) Cancel(id balancer.RequestID, attempt int) {
-	r := l.requests[id]
+func (l *loop) Cancel(requestID balancer.RequestID, attempt int) {
+	r := l.requests[requestID]
 	if r != nil && attempt >= 0 && attempt < len(r.attempts) {
 		l.postpone(r.attempts[attempt], balancer.Cancelled)
 	}
@@ -100,8 +100,8 @@
 
 // HealthCheck checks an endpoint and, where the settings have load reports, fetches its load report. It does
 // nothing where there is no capacity for another connection.
-func (l *loop) HealthCheck(up balancer.EndpointID) {
-	endpoint := l.endpoints[up]
+func (l *loop) HealthCheck(endpointID balancer.EndpointID) {
+	endpoint := l.endpoints[endpointID]
 	if endpoint == nil || endpoint.state != balancer.Active {
 		return
 	}
@@ -120,8 +120,8 @@
 }
 
 // CloseIdle closes the idle connections to an endpoint.
-func (l *loop) CloseIdle(up balancer.EndpointID) {
-	if endpoint := l.endpoints[up]; endpoint != nil {
+func (l *loop) CloseIdle(endpointID balancer.EndpointID) {
+	if endpoint := l.endpoints[endpointID]; endpoint != nil {
 		l.pool.closeIdle(endpoint)
 	}
 }
--- a/internal/proxy/endpointids.go
+++ b/internal/proxy/endpointids.go
@@ -26,16 +26,16 @@
 }
 
 // idOf returns the number of a text, a new one if it has none yet.
-func (n *endpointIDs) idOf(text string) balancer.EndpointID {
-	if id, ok := n.ids[text]; ok {
+func (e *endpointIDs) idOf(text string) balancer.EndpointID {
+	if id, ok := e.ids[text]; ok {
 		return id
 	}
 	id := preferredID(text)
-	for i := 0; n.taken[id]; i++ {
+	for i := 0; e.taken[id]; i++ {
 		id = hashID(text + "#" + strconv.Itoa(i))
 	}
-	n.ids[text] = id
-	n.taken[id] = true
+	e.ids[text] = id
+	e.taken[id] = true
 	return id
 }
 
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -30,19 +30,19 @@
 
 // update applies an entry of discovery's list, an endpoint that it adds included, and returns the endpoint; nil: a
 // removed one that was not known. stale tells that idle connections to it must not be used any more.
-func (t endpointTable) update(u balancer.Endpoint, address string) (e *endpoint, stale bool) {
-	e = t[u.ID]
+func (t endpointTable) update(entry balancer.Endpoint, address string) (e *endpoint, stale bool) {
+	e = t[entry.ID]
 	if e == nil {
-		if u.State == balancer.Removed {
+		if entry.State == balancer.Removed {
 			return nil, false
 		}
-		e = &endpoint{id: u.ID, inFlight: map[*attempt]struct{}{}}
-		t[u.ID] = e
+		e = &endpoint{id: entry.ID, inFlight: map[*attempt]struct{}{}}
+		t[entry.ID] = e
 	}
-	e.state = u.State
+	e.state = entry.State
 	moved := address != e.address && e.address != ""
-	stale = u.State != balancer.Active || moved
-	if u.State != balancer.Removed {
+	stale = entry.State != balancer.Active || moved
+	if entry.State != balancer.Removed {
 		e.address = address
 	}
 	return e, stale
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -167,5 +167,5 @@
 	l.metrics.skippedEndpoints.Set(skipped)
 	l.saver.SaveSnapshot(l.balancer, now)
 	l.report.zones.update(now, l.balancer.ZoneStatuses(now), l.settings.Zone, slog.Info)
-	l.report.nextAt = now + publishEvery
+	l.report.nextAt = now + publishInterval
 }
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -8,8 +8,8 @@
 	"sprucehill/internal/metrics"
 )
 
-// publishEvery is how often the loop sets the gauges that only it can.
-const publishEvery = 200 * time.Millisecond
+// publishInterval is how often the loop sets the gauges that only it can.
+const publishInterval = 200 * time.Millisecond
 
 // loopReport is what the loop reports from time to time beside its metrics. It belongs to the loop's goroutine, except for the
 // method write of zones.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -20,16 +20,16 @@
 	config  Config
 	loop    *loop
 	front   *frontend
-	end     context.CancelFunc // ends the loop and what it has started
+	cancel  context.CancelFunc // ends the loop and what it has started
 	serving atomic.Bool
 }
 
 // New returns a balancer for the clients of listener. It serves nobody before Run, but takes operators' orders; a drain that an
 // earlier process was ordered is in force from the beginning.
 func New(c Config, listener net.Listener) *Proxy {
-	life, end := context.WithCancel(context.Background())
-	p := &Proxy{config: c, end: end}
-	p.loop = newLoop(life, &p.config)
+	ctx, cancel := context.WithCancel(context.Background())
+	p := &Proxy{config: c, cancel: cancel}
+	p.loop = newLoop(ctx, &p.config)
 	p.front = newFrontend(&p.config, listener, p.loop)
 	if p.loop.saver.CurrentOrders().Drain {
 		p.front.startDrain() // before operators can order otherwise
@@ -39,23 +39,23 @@
 
 // Run serves clients until ctx ends, and then until every request that has arrived is answered. Each address from moves
 // is that of discovery from then on.
-func (p *Proxy) Run(ctx context.Context, moves <-chan string) error {
-	defer p.end()
+func (p *Proxy) Run(ctx context.Context, discoveryAddresses <-chan string) error {
+	defer p.cancel()
 	if err := p.loop.start(&p.config); err != nil {
 		return err
 	}
 	go p.loop.run()
-	served := make(chan error, 1)
-	go func() { served <- p.front.serve() }()
+	serveResult := make(chan error, 1)
+	go func() { serveResult <- p.front.serve() }()
 	p.serving.Store(true)
 	for {
 		select {
-		case err := <-served: // the listener has failed; what has been accepted is still owed its response
+		case err := <-serveResult: // the listener has failed; what has been accepted is still owed its response
 			slog.Error("listener failed, shutting down", "err", err)
 			p.front.shutDown()
 			p.saveLastSnapshot()
 			return err
-		case address := <-moves:
+		case address := <-discoveryAddresses:
 			p.loop.post(discoveryMoved{address})
 		case <-ctx.Done():
 			p.front.shutDown()
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -61,7 +61,7 @@
 		slog.Debug("attempt ended", "request_id", req.message.header.Get("X-Request-Id"), "attempt", a.index,
 			"endpoint", a.address, "status", r.status, "elapsed", (now - a.sentAt).Round(time.Millisecond), "request_closed", req.closed)
 	}
-	if neverRan(r.status) {
+	if certainlyNotExecuted(r.status) {
 		req.window.exclude(a)
 	}
 	answered = r.status == balancer.OK && !req.closed
@@ -84,8 +84,8 @@
 	return answered
 }
 
-// neverRan reports whether a status makes certain that the upstream has not executed the request.
-func neverRan(status balancer.Status) bool {
+// certainlyNotExecuted reports whether a status makes certain that the upstream has not executed the request.
+func certainlyNotExecuted(status balancer.Status) bool {
 	return status == balancer.Rejected || status == balancer.ConnectFailed || status == balancer.NotSent
 }
 
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -167,8 +167,8 @@
 	endsUnsent   attemptEnd = "unsent"
 )
 
-// endsTrial is a loop with one request that has two attempts in flight.
-type endsTrial struct {
+// requestEndTrial is a loop with one request that has two attempts in flight.
+type requestEndTrial struct {
 	loop        *loop
 	endpoint    *endpoint
 	request     *request
@@ -177,12 +177,12 @@
 	answers     int
 }
 
-func newEndsTrial(t *testing.T, ends ...attemptEnd) *endsTrial {
+func newRequestEndTrial(t *testing.T, ends ...attemptEnd) *requestEndTrial {
 	t.Helper()
 	l := newTestLoop(t, 10)
 	endpoint := &endpoint{id: 1, address: "pipe", state: balancer.Active, inFlight: map[*attempt]struct{}{}}
 	l.endpoints[1] = endpoint
-	trial := &endsTrial{loop: l, endpoint: endpoint, request: l.addRequest(1), bytesBefore: l.dialer.bodyBudget.available.Load()}
+	trial := &requestEndTrial{loop: l, endpoint: endpoint, request: l.addRequest(1), bytesBefore: l.dialer.bodyBudget.available.Load()}
 	for _, end := range ends {
 		trial.addAttempt(t, end)
 	}
@@ -190,7 +190,7 @@
 }
 
 // addAttempt adds an attempt that is in flight, with the result that it will have.
-func (x *endsTrial) addAttempt(t *testing.T, end attemptEnd) {
+func (x *requestEndTrial) addAttempt(t *testing.T, end attemptEnd) {
 	t.Helper()
 	mine, other := net.Pipe()
 	t.Cleanup(func() { other.Close() })
@@ -220,11 +220,11 @@
 	x.results = append(x.results, r)
 }
 
-// endsTrialSteps is how many steps there are.
-const endsTrialSteps = 5
+// requestEndSteps is how many steps there are.
+const requestEndSteps = 5
 
 // step does one of the things that end a request.
-func (x *endsTrial) step(number int) {
+func (x *requestEndTrial) step(number int) {
 	switch number {
 	case 0, 1:
 		attemptFinished{x.request.attempts[number], x.results[number]}.apply(x.loop)
@@ -238,8 +238,8 @@
 	x.loop.deliverOutcomes()
 }
 
-// drain takes the answers that the frontend would not: the client disconnected as they came.
-func (x *endsTrial) drain() {
+// discardReplies takes the answers that the frontend would not: the client disconnected as they came.
+func (x *requestEndTrial) discardReplies() {
 	for len(x.request.reply) > 0 {
 		a := <-x.request.reply
 		x.answers++
@@ -251,7 +251,7 @@
 }
 
 // check fails the test if there was more than one answer, or something is still counted or in memory.
-func (x *endsTrial) check(t *testing.T) {
+func (x *requestEndTrial) check(t *testing.T) {
 	t.Helper()
 	l := x.loop
 	if x.answers > 1 {
@@ -272,13 +272,13 @@
 	trials := 0
 	for _, first := range ends {
 		for _, second := range ends {
-			permutations(endsTrialSteps, func(order []int) {
+			permutations(requestEndSteps, func(order []int) {
 				trials++
-				trial := newEndsTrial(t, first, second)
+				trial := newRequestEndTrial(t, first, second)
 				for _, number := range order {
 					trial.step(number)
 				}
-				trial.drain()
+				trial.discardReplies()
 				trial.check(t)
 				if t.Failed() {
 					t.Fatalf("%s and %s, order %v", first, second, order)
--- a/internal/proxy/zonemetrics.go
+++ b/internal/proxy/zonemetrics.go
@@ -21,9 +21,9 @@
 // zoneMetrics is the status of the zones as the loop last had it, and the log of their changes. update belongs to the
 // loop's goroutine; write may be called from any.
 type zoneMetrics struct {
-	last     atomic.Pointer[zoneReport]
-	logged   int           // changes in the present window, those that were too many included
-	windowAt time.Duration // when the present window began, on the loop's clock
+	last            atomic.Pointer[zoneReport]
+	changesInWindow int           // changes in the present window, those that were too many included
+	windowStart     time.Duration // when the present window began, on the loop's clock
 }
 
 // zoneReport is the status of the zones at one time. It is not changed once it has been stored.
@@ -60,12 +60,12 @@
 
 // mayLog counts a change and reports whether the window has capacity for it.
 func (z *zoneMetrics) mayLog(now time.Duration) bool {
-	if now-z.windowAt >= zoneLogWindow {
-		z.windowAt = now
-		z.logged = 0
+	if now-z.windowStart >= zoneLogWindow {
+		z.windowStart = now
+		z.changesInWindow = 0
 	}
-	z.logged++
-	return z.logged <= maxZoneLogs
+	z.changesInWindow++
+	return z.changesInWindow <= maxZoneLogs
 }
 
 // zoneMetric is a metric that each zone has.
@@ -78,12 +78,12 @@
 	{"svc_zone_state", func(_ *zoneReport, zone balancer.ZoneStatus) int { return int(zone.State) }},
 	{"svc_zone_share", func(_ *zoneReport, zone balancer.ZoneStatus) int { return int(1000*zone.Share + 0.5) }}, // per mille
 	{"svc_zone_tries", func(_ *zoneReport, zone balancer.ZoneStatus) int { return zone.Attempts }},
-	{"svc_zone_crossing", attemptsFromElsewhere},
+	{"svc_zone_crossing", crossZoneAttempts},
 	{"svc_zone_spilled", func(_ *zoneReport, zone balancer.ZoneStatus) int { return zone.Spilled }},
 }
 
-// attemptsFromElsewhere counts the attempts at a zone that is not the balancer's own.
-func attemptsFromElsewhere(r *zoneReport, zone balancer.ZoneStatus) int {
+// crossZoneAttempts counts the attempts at a zone that is not the balancer's own.
+func crossZoneAttempts(r *zoneReport, zone balancer.ZoneStatus) int {
 	if zone.Name == r.home {
 		return 0
 	}
--- a/internal/proxy/zonemetrics_test.go
+++ b/internal/proxy/zonemetrics_test.go
@@ -89,14 +89,14 @@
 	if by := answeredBy(t, b, 60); by["a"] == 0 {
 		t.Errorf("reinstated: served by %v", by)
 	}
-	zoneMetricsFollow(t, b)
+	awaitZoneMetrics(t, b)
 	done, _ = b.proxy.ReinstateZone("z1")
 	assertEqual(t, "zone-return again", done, false)
 }
 
-// zoneMetricsFollow waits until the metrics show that z1, the home zone, is reinstated, and which attempts went to
+// awaitZoneMetrics waits until the metrics show that z1, the home zone, is reinstated, and which attempts went to
 // another zone.
-func zoneMetricsFollow(t *testing.T, b *testBalancer) {
+func awaitZoneMetrics(t *testing.T, b *testBalancer) {
 	t.Helper()
 	var got string
 	defer func() {
