--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -94,8 +94,8 @@
 
 // isOver reports whether the window of any earlier possible execution has ended. The caller must hold w.mu.
 func (w *idempotencyWindow) isOver(now time.Duration) bool {
-	return slices.ContainsFunc(w.executions, func(x possibleExecution) bool {
-		return timelimit.Window{Start: x.startedAt, Length: w.duration}.IsOver(now)
+	return slices.ContainsFunc(w.executions, func(execution possibleExecution) bool {
+		return timelimit.Window{Start: execution.startedAt, Length: w.duration}.IsOver(now)
 	})
 }
 
@@ -103,7 +103,7 @@
 func (w *idempotencyWindow) exclude(a *attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.executions = slices.DeleteFunc(w.executions, func(x possibleExecution) bool { return x.attempt == a })
+	w.executions = slices.DeleteFunc(w.executions, func(execution possibleExecution) bool { return execution.attempt == a })
 }
 
 // attemptResult is the result of an attempt or a health check.
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -14,13 +14,13 @@
 	"sprucehill/internal/discovery"
 )
 
-// agent is a discovery agent whose answers a test writes byte by byte, for one connection and call at a time.
+// agent is a discovery agent whose responses are written by the test as raw bytes, one call at a time.
 type agent struct {
 	addr  string
 	calls chan agentCall
 }
 
-// agentCall is a call that an agent has received, to be answered on its connection.
+// agentCall is a call that an agent has received. The test writes the response to its connection.
 type agentCall struct {
 	net.Conn
 	query string
@@ -47,7 +47,7 @@
 	return a
 }
 
-// readCalls reads the calls of a connection.
+// readCalls reads the calls of a connection and sends them to a.calls.
 func (a *agent) readCalls(c net.Conn) {
 	in := bufio.NewReader(c)
 	for {
@@ -59,7 +59,7 @@
 	}
 }
 
-// newBalancerOfAgent starts a balancer that follows an agent.
+// newBalancerOfAgent starts a balancer that uses an agent for discovery.
 func newBalancerOfAgent(t *testing.T, a *agent, change func(*Config), members ...discovery.Entry) *testBalancer {
 	t.Helper()
 	return newBalancerWith(t, newTestDiscovery(t), func(c *Config) {
@@ -68,7 +68,7 @@
 	}, members...)
 }
 
-// chunked is a body in chunks of n bytes.
+// chunked returns a body in the chunked transfer encoding, in chunks of n bytes.
 func chunked(body string, n int) string {
 	var text strings.Builder
 	for ; len(body) > n; body = body[n:] {
@@ -78,7 +78,7 @@
 	return text.String()
 }
 
-// A list is read in every form that HTTP and JSON have for it.
+// An endpoint list is read however HTTP frames it, JSON formats it and the network splits it.
 func TestEndpointListIsReadInEveryForm(t *testing.T) {
 	s := newTestUpstream(t, respondOK)
 	list := discovery.List{Revision: 12, Members: []discovery.Entry{drainingMember(activeMember("s-00000001", s)), activeMember("s-00000002", s)}}
@@ -94,7 +94,7 @@
 	lengthOf := func(body []byte) string { return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body) }
 	for name, x := range map[string]struct {
 		text   string
-		pieces int // bytes a piece; 0: in one
+		pieces int // bytes per write; 0: a single write
 		closes bool
 	}{
 		"plain":               {lengthOf(plain), 0, false},
@@ -135,16 +135,16 @@
 	}
 }
 
-// A watch may end without an answer, by a close, a reset, or half an answer. It is reopened, and the complete list that the
-// agent then gives counts: an upstream that it leaves out is removed, also where that still answers.
+// A watch that ends without a complete response, by a close, a reset or a partial response, is reopened, and the complete
+// list that the agent then sends is applied: an upstream that is not in it is removed even if it still responds.
 func TestBrokenWatchIsReopened(t *testing.T) {
 	for _, mode := range []string{"pushed", "on_request"} {
 		for name, end := range map[string]func(c agentCall){
-			"closed":                 func(c agentCall) { c.Close() },
-			"reset":                  func(c agentCall) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
-			"half an answer":         func(c agentCall) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"rev"); c.Close() },
-			"half a line":            func(c agentCall) { io.WriteString(c, "HTTP/1.1 200 O"); c.Close() },
-			"an answer with no list": func(c agentCall) { io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n") },
+			"closed":                  func(c agentCall) { c.Close() },
+			"reset":                   func(c agentCall) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
+			"partial response":        func(c agentCall) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"rev"); c.Close() },
+			"partial status line":     func(c agentCall) { io.WriteString(c, "HTTP/1.1 200 O"); c.Close() },
+			"response without a list": func(c agentCall) { io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n") },
 		} {
 			t.Run(mode+", "+name, func(t *testing.T) {
 				removed := newTestUpstream(t, respondOK)
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -9,18 +9,18 @@
 	"sprucehill/internal/timelimit"
 )
 
-// drainSweepInterval is the time between two looks for idle connections during a drain.
+// drainSweepInterval is the time between two scans for idle connections during a drain.
 const drainSweepInterval = 100 * time.Millisecond
 
-// drainSweep is the search for idle connections during a drain.
+// drainSweep is the periodic closing of idle connections during a drain.
 type drainSweep struct {
-	mu   sync.Mutex         // guards stop, and with it the beginning and end of a drain
-	stop context.CancelFunc // ends closeIdleWhileDraining; nil: no drain has begun
+	mu   sync.Mutex         // guards stop, and serializes startDrain and endDrain
+	stop context.CancelFunc // stops closeIdleWhileDraining; nil: no drain is in progress
 }
 
-// startDrain sends clients away, unless a drain has begun already. While draining, health checks fail, responses close their
-// connections, and idle connections are closed once no more clients are expected. The listener stays open for those that
-// come anyway.
+// startDrain starts a drain, unless one is in progress. During a drain health checks fail, responses close their
+// connections, and idle connections are closed after timelimit.DrainIdleGrace. The listener stays open for clients that
+// still connect.
 func (f *frontend) startDrain() {
 	f.drainSweep.mu.Lock()
 	defer f.drainSweep.mu.Unlock()
@@ -34,7 +34,7 @@
 	go f.closeIdleWhileDraining(ctx)
 }
 
-// endDrain accepts clients again, if a drain has begun.
+// endDrain ends the drain, if one is in progress, and returns to normal service.
 func (f *frontend) endDrain() {
 	f.drainSweep.mu.Lock()
 	defer f.drainSweep.mu.Unlock()
@@ -47,8 +47,8 @@
 	f.drainSweep.stop = nil
 }
 
-// closeIdleWhileDraining closes idle connections, after timelimit.DrainIdleGrace, until ctx ends. It reports which connections are
-// open after timelimit.Drain.
+// closeIdleWhileDraining closes idle connections from timelimit.DrainIdleGrace on until ctx ends. After timelimit.Drain it
+// logs the connections that are still open.
 func (f *frontend) closeIdleWhileDraining(ctx context.Context) {
 	grace := time.After(timelimit.DrainIdleGrace)
 	report := time.After(timelimit.Drain)
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// A drain sends clients away: health checks fail, responses close their connections, and idle connections are closed, also
-// those that have never sent anything. Requests are still served, and everything is as before once the drain ends.
+// During a drain health checks fail, responses close their connections, and idle connections are closed, including those
+// that have never sent anything. Requests are still served. When the drain ends, normal service resumes.
 func TestDrainAndResume(t *testing.T) {
 	s := newTestUpstream(t, respondOK)
 	b := newBalancer(t, activeMember("s-00000001", s))
@@ -28,7 +28,7 @@
 	assertEqual(t, "status before", status, 200)
 	assertEqual(t, "closes before", closes, false)
 
-	for range 2 { // it may be repeated
+	for range 2 { // repeating the order has no further effect
 		done, state := b.proxy.StartDrain()
 		assertEqual(t, "drain-on", done, true)
 		assertEqual(t, "state", state, "draining")
@@ -63,7 +63,7 @@
 	assertEqual(t, "status after", status, 200)
 	assertEqual(t, "closes after", closes, false)
 
-	b.proxy.StartDrain() // the balancer still shuts down cleanly
+	b.proxy.StartDrain() // a draining balancer shuts down cleanly
 	b.cancel()
 	b.awaitEnd(t)
 	ready, _ := b.proxy.Ready()
@@ -82,7 +82,7 @@
 	return resp.StatusCode, resp.Close
 }
 
-// healthRequest is a health check of the balancer.
+// healthRequest returns a health check of the balancer.
 func (b *testBalancer) healthRequest(t *testing.T) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodGet, b.url+"/healthz", nil)
@@ -92,7 +92,8 @@
 	return r
 }
 
-// A request that comes so late in a drain that it would count as a recent one at the drain's limit is answered before that.
+// A request that arrives late in a drain, so that it would still be recent at the drain's limit, is answered before the
+// limit.
 func TestTimeBeforeDrainLimit(t *testing.T) {
 	const ms = time.Millisecond
 	f := &frontend{}
@@ -105,7 +106,7 @@
 		{2500 * ms, 20000 * ms, 1150 * ms},
 		{2500 * ms, 300 * ms, 300 * ms},
 		{3700 * ms, 20000 * ms, 0},
-		{4000 * ms, 20000 * ms, 20000 * ms}, // behind the limit
+		{4000 * ms, 20000 * ms, 20000 * ms}, // after the limit
 	} {
 		for _, draining := range []bool{false, true} {
 			f.lifecycle.drain.begun.Store(draining)
@@ -119,7 +120,7 @@
 	}
 }
 
-// Orders that operators give at the same moment end in one state, and the order that outlives the process is that state's.
+// After concurrent drain orders, the saved order agrees with the state of the balancer.
 func TestConcurrentDrainOrdersAgree(t *testing.T) {
 	b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) { c.StateWriter = newMemoryWriter() })
 	for round := range 2000 {
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -8,15 +8,16 @@
 	"sprucehill/balancer"
 )
 
-// This file has the methods of balancer.Effects. The decision module calls them on the loop's goroutine, from inside its own
-// event methods, so none of them may call back into the module. An outcome that is known at once is postponed until the
+// This file implements balancer.Effects. The decision module calls these methods on the loop's goroutine from inside its own
+// event methods, so none of them may call back into the module. An outcome that is known immediately is queued until the
 // module has returned.
 
-// Send makes an attempt of a request at an endpoint. timeout bounds the attempt; 0: the request's deadline alone does.
+// Send starts an attempt of a request at an endpoint. The attempt ends after timeout, or, if timeout is 0, only at the
+// request's deadline.
 func (l *loop) Send(requestID balancer.RequestID, endpointID balancer.EndpointID, timeout time.Duration) {
 	r := l.requests[requestID]
 	endpoint := l.endpoints[endpointID]
-	if r == nil || endpoint == nil { // the module knows both from the loop
+	if r == nil || endpoint == nil { // not expected: the module learns of both from the loop
 		slog.Info("attempt skipped: request or endpoint unknown", "request_serial", requestID,
 			"endpoint", l.endpoints.addressOf(endpointID), "endpoint_id", endpointID)
 		return
@@ -25,7 +26,7 @@
 	a := l.newAttempt(r, endpoint, now, timeout)
 	if !l.connect(a, now) {
 		a.drop()
-		l.postpone(a, balancer.NotSent) // the endpoint is not at fault
+		l.postpone(a, balancer.NotSent) // does not count against the endpoint
 		return
 	}
 	endpoint.inFlight[a] = struct{}{}
@@ -33,7 +34,7 @@
 	go l.runAttempt(a)
 }
 
-// newAttempt adds an attempt to a request, with a timer if it may take less time than the request.
+// newAttempt adds an attempt to a request, and sets a timer if its timeout ends before the request's deadline.
 func (l *loop) newAttempt(r *request, endpoint *endpoint, now, timeout time.Duration) *attempt {
 	a := &attempt{request: r, index: len(r.attempts), endpoint: endpoint, sentAt: now, address: endpoint.address, deadline: r.deadline}
 	r.attempts = append(r.attempts, a)
@@ -48,8 +49,8 @@
 	return a
 }
 
-// connect gives an attempt an idle connection, or capacity for a new one. It returns false where there is neither, or
-// the attempt can't be made any more.
+// connect assigns an attempt an idle connection, or reserves capacity for a new one. It returns false if there is neither,
+// or if the attempt can no longer be sent.
 func (l *loop) connect(a *attempt, now time.Duration) (ok bool) {
 	if a.request.closed || a.remaining(now) <= 0 || a.endpoint.state != balancer.Active {
 		return false
@@ -58,11 +59,11 @@
 	return ok
 }
 
-// runAttempt carries out an attempt and posts its result. It runs on a goroutine of its own.
+// runAttempt runs an attempt and posts its result. It is called on a goroutine of its own.
 func (l *loop) runAttempt(a *attempt) { l.post(attemptFinished{a, l.dialer.runAttempt(a)}) }
 
-// Reject answers a client that a retry is harmless, after retryAfter if that is over 0 and the settings allow such advice. An
-// idempotent request may have been executed.
+// Reject sends a client 503, which tells it that a retry is safe. The response has a Retry-After field if retryAfter is
+// positive and the settings allow it. An idempotent request may have been executed nevertheless.
 func (l *loop) Reject(requestID balancer.RequestID, retryAfter time.Duration) {
 	r := l.requests[requestID]
 	if r == nil {
@@ -77,7 +78,7 @@
 	})
 }
 
-// Fail answers a client that its request has failed; it may have been executed.
+// Fail sends a client an error response. The request may have been executed.
 func (l *loop) Fail(requestID balancer.RequestID) {
 	r := l.requests[requestID]
 	if r == nil {
@@ -90,7 +91,7 @@
 	l.answerRequest(r, response{status: status})
 }
 
-// Cancel stops waiting for a request's attempt, counted from 0.
+// Cancel stops waiting for an attempt of a request; attempt is its index from 0.
 func (l *loop) Cancel(requestID balancer.RequestID, attempt int) {
 	r := l.requests[requestID]
 	if r != nil && attempt >= 0 && attempt < len(r.attempts) {
@@ -98,8 +99,8 @@
 	}
 }
 
-// HealthCheck checks an endpoint and, where the settings have load reports, fetches its load report. It does
-// nothing where there is no capacity for another connection.
+// HealthCheck checks an endpoint and, if load reports are enabled in the settings, fetches its load report. It does
+// nothing if there is no capacity for another connection.
 func (l *loop) HealthCheck(endpointID balancer.EndpointID) {
 	endpoint := l.endpoints[endpointID]
 	if endpoint == nil || endpoint.state != balancer.Active {
@@ -114,7 +115,7 @@
 	go l.runHealthCheck(check)
 }
 
-// runHealthCheck carries out a health check and posts its result. It runs on a goroutine of its own.
+// runHealthCheck runs a health check and posts its result. It is called on a goroutine of its own.
 func (l *loop) runHealthCheck(check *healthCheck) {
 	l.post(healthCheckFinished{check, l.dialer.checkHealth(check)})
 }
@@ -126,7 +127,7 @@
 	}
 }
 
-// WatchEndpoints starts a watch of discovery, in place of one that runs.
+// WatchEndpoints starts a watch of discovery, and replaces a running one.
 func (l *loop) WatchEndpoints() {
 	l.discovery.StopWatch()
 	l.discovery.StartWatch()
@@ -138,7 +139,7 @@
 // FetchEndpoints polls discovery once for the complete list.
 func (l *loop) FetchEndpoints() { l.discovery.Fetch() }
 
-// SetTimer has the module's OnTimer called with the token.
+// SetTimer schedules a call of the module's OnTimer with the token.
 func (l *loop) SetTimer(after time.Duration, token uint64) {
 	l.setTimer(timer{at: l.now() + max(after, 0), token: token})
 }
--- a/internal/proxy/endpointids.go
+++ b/internal/proxy/endpointids.go
@@ -8,14 +8,14 @@
 	"sprucehill/balancer"
 )
 
-// endpointIDs maps discovery's IDs, which are texts, to the decision module's, which are numbers. It belongs to the
-// loop and is used on the loop's goroutine only. An ID keeps its number while the process lives.
+// endpointIDs maps the textual IDs of discovery to the numeric IDs of the decision module. It is owned by the loop and used
+// on the loop's goroutine only. The mapping of a textual ID does not change during the life of the process.
 //
-// The module orders endpoints by these numbers, so all balancers must come to the same ones: "s-" and up to eight
-// hexadecimal digits gives that number, any other text its FNV-1a hash. Where two texts come to one number, the later
-// one is hashed again with a count behind it until a number is free. The entries of a list get their numbers in the
-// order of their IDs, so balancers differ at most in which of two such texts came first: their hash rings differ then,
-// but no two endpoints are ever confused.
+// The module orders endpoints by their numeric IDs, so all balancers must compute the same ones: "s-" and up to eight
+// hexadecimal digits gives that number, any other text its FNV-1a hash. On a collision, the text that is mapped later is
+// hashed again with a counter appended until the number is free. The entries of a list are mapped in the order of their
+// IDs, so balancers can differ only in which of two colliding texts was mapped first. Their hash rings differ then, but
+// two endpoints never share a number.
 type endpointIDs struct {
 	ids   map[string]balancer.EndpointID
 	taken map[balancer.EndpointID]bool
@@ -25,7 +25,7 @@
 	return &endpointIDs{ids: map[string]balancer.EndpointID{}, taken: map[balancer.EndpointID]bool{}}
 }
 
-// idOf returns the number of a text, a new one if it has none yet.
+// idOf returns the numeric ID of a textual ID, and assigns one if it has none yet.
 func (e *endpointIDs) idOf(text string) balancer.EndpointID {
 	if id, ok := e.ids[text]; ok {
 		return id
@@ -39,7 +39,7 @@
 	return id
 }
 
-// preferredID is the number that a text gets where that is free.
+// preferredID returns the numeric ID that a textual ID gets unless it is taken.
 func preferredID(text string) balancer.EndpointID {
 	digits, ok := strings.CutPrefix(text, "s-")
 	if !ok {
@@ -52,9 +52,9 @@
 	return balancer.EndpointID(number)
 }
 
-// hashID returns the FNV-1a hash of a text.
+// hashID returns the FNV-1a hash of a textual ID.
 func hashID(text string) balancer.EndpointID {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(text)) // a hash's Write never fails
+	_, _ = h.Write([]byte(text)) // hash.Hash.Write never returns an error
 	return balancer.EndpointID(h.Sum32())
 }
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -4,23 +4,23 @@
 	"sprucehill/balancer"
 )
 
-// endpoint is what the loop knows of an upstream: its address, its state and its connections.
+// endpoint is the loop's record of an upstream: its address, its state and its connections.
 type endpoint struct {
 	id       balancer.EndpointID
 	address  string // host:port
 	state    balancer.EndpointState
-	idle     []*upstreamConn // the most recently used last; the connection pool's
+	idle     []*upstreamConn // the most recently used last; managed by the connection pool
 	inFlight map[*attempt]struct{}
 }
 
 // endpointTable is the loop's table of upstreams. It is used on the loop's goroutine only. An endpoint that discovery
-// has removed stays in it until its last attempt has ended.
+// has removed stays in the table until its last attempt has ended.
 type endpointTable map[balancer.EndpointID]*endpoint
 
-// unknownAddress stands in the log for the address of an endpoint that is not in the table.
+// unknownAddress is logged as the address of an endpoint that is not in the table.
 const unknownAddress = "unknown"
 
-// addressOf returns the address (host:port) of an endpoint for the log.
+// addressOf returns the address (host:port) of an endpoint for logging.
 func (t endpointTable) addressOf(id balancer.EndpointID) string {
 	if e := t[id]; e != nil {
 		return e.address
@@ -28,8 +28,8 @@
 	return unknownAddress
 }
 
-// update applies an entry of discovery's list, an endpoint that it adds included, and returns the endpoint; nil: a
-// removed one that was not known. stale tells that idle connections to it must not be used any more.
+// update applies an entry of discovery's list, which may add an endpoint, and returns the endpoint. It returns nil if the
+// entry removes an endpoint that is not in the table. stale reports that idle connections to it must no longer be used.
 func (t endpointTable) update(entry balancer.Endpoint, address string) (e *endpoint, stale bool) {
 	e = t[entry.ID]
 	if e == nil {
@@ -48,7 +48,7 @@
 	return e, stale
 }
 
-// removeUnlisted marks all endpoints but those listed as removed, and returns them.
+// removeUnlisted marks all endpoints that are not listed as removed, and returns them.
 func (t endpointTable) removeUnlisted(listed map[balancer.EndpointID]bool) []*endpoint {
 	var removed []*endpoint
 	for id, e := range t {
@@ -60,8 +60,8 @@
 	return removed
 }
 
-// dropMisdirected drops the attempts that wait for a connection to an endpoint that is not active any more, or to an
-// address that it has left: another upstream may have that address now. It returns them.
+// dropMisdirected drops and returns the attempts that are waiting for a connection to an endpoint that is no longer active,
+// or to a former address of an endpoint: another upstream may have that address now.
 func (t endpointTable) dropMisdirected() []*attempt {
 	var dropped []*attempt
 	for _, e := range t {
--- a/internal/proxy/endpointupdate.go
+++ b/internal/proxy/endpointupdate.go
@@ -7,7 +7,7 @@
 	"sprucehill/internal/discovery"
 )
 
-// onEndpointUpdate handles an answer of discovery, or the failure of a call.
+// onEndpointUpdate handles a response of discovery, or the failure of a call.
 func (l *loop) onEndpointUpdate(update discovery.Update) {
 	defer update.MarkApplied()
 	switch {
@@ -25,8 +25,8 @@
 	l.deliverOutcomes()
 }
 
-// applyFromPreviousDiscovery applies an answer of the service before the last move. It counts until the present service
-// has answered; the revisions of the two have nothing to do with each other.
+// applyFromPreviousDiscovery applies a response of the discovery service that was used before the last change of address.
+// Its responses are valid until the current service has responded. The revisions of the two services are unrelated.
 func (l *loop) applyFromPreviousDiscovery(update discovery.Update) {
 	if update.Err != nil || l.discovery.HasAccepted() {
 		return
@@ -36,12 +36,12 @@
 	l.applyEndpointList(updateMode(list), list)
 }
 
-// acceptEndpointUpdate applies an answer of the present service.
+// acceptEndpointUpdate applies a response of the current discovery service.
 func (l *loop) acceptEndpointUpdate(update discovery.Update) {
 	list := update.List
 	if list.Revision < l.discovery.Revision() {
 		slog.Info("discovery revisions restarted", "revision", list.Revision, "current_revision", l.discovery.Revision())
-		if !list.Complete { // these are changes of a list that the loop does not have: the next call gets the complete list
+		if !list.Complete { // changes relative to a list that the loop does not have: the next call fetches the complete list
 			list.Revision = 0
 		}
 	}
@@ -50,7 +50,7 @@
 	l.discovery.ContinueFromRevision()
 }
 
-// updateMode is how the decision module takes an answer of discovery.
+// updateMode returns the mode in which the decision module applies a response of discovery.
 func updateMode(list discovery.List) balancer.UpdateMode {
 	if list.Complete {
 		return balancer.UpdateComplete
@@ -58,8 +58,8 @@
 	return balancer.UpdateDelta
 }
 
-// applyEndpointList applies a list: first to the endpoint table, so that nothing goes to an endpoint that drains, then
-// to the decision module, which may send at once.
+// applyEndpointList applies a list, first to the endpoint table and then to the decision module. The module may send
+// requests immediately, and the table must be current by then so that none goes to a draining endpoint.
 func (l *loop) applyEndpointList(mode balancer.UpdateMode, list discovery.List) {
 	l.discovery.SetRevision(list.Revision)
 	endpoints := l.updateEndpoints(mode, list)
@@ -70,13 +70,13 @@
 	l.endpoints.forgetRemoved()
 }
 
-// updateEndpoints applies a list to the endpoint table and returns its entries as the decision module takes them.
+// updateEndpoints applies a list to the endpoint table and returns its entries in the form of the decision module.
 func (l *loop) updateEndpoints(mode balancer.UpdateMode, list discovery.List) []balancer.Endpoint {
 	endpoints := make([]balancer.Endpoint, 0, len(list.Members))
 	listed := make(map[balancer.EndpointID]bool, len(list.Members))
 	for i := range list.Members {
 		entry := &list.Members[i]
-		endpoint := entry.ToEndpoint(l.ids.idOf(entry.ID))
+		endpoint := entry.ToEndpoint(l.endpointIDs.idOf(entry.ID))
 		endpoint.Zone = qualifyZone(l.localities, endpoint.Zone)
 		endpoints = append(endpoints, endpoint)
 		listed[endpoint.ID] = true
--- a/internal/proxy/endpointupdate_test.go
+++ b/internal/proxy/endpointupdate_test.go
@@ -8,8 +8,9 @@
 	"sprucehill/internal/discovery"
 )
 
-// A list gives an endpoint another address, or takes it away, while an attempt waits for its connection: the attempt is
-// dropped, and nothing of it goes to the old address. Once, where only the address had changed, it was sent there.
+// If a list changes an endpoint's address, drains it or removes it while an attempt is waiting for its connection, the
+// attempt is dropped and nothing is sent to the old address. Guards against an attempt that was sent to the old address if
+// only the address had changed.
 func TestMovedEndpointGetsNothingAtItsOldAddress(t *testing.T) {
 	for _, phase := range []string{"up", "draining", "removed"} {
 		t.Run(phase, func(t *testing.T) {
@@ -29,8 +30,8 @@
 			b.discovery.answers <- list
 			<-b.discovery.calls // the list has been applied
 			second := dials.next(t)
-			assertEqual(t, "goes on to", second.address, after.addr)
-			close(first.connect) // after the list
+			assertEqual(t, "address of the next attempt", second.address, after.addr)
+			close(first.connect) // after the list has been applied
 			close(second.connect)
 			if _, err := io.ReadAtLeast(client, make([]byte, 12), 12); err != nil {
 				t.Fatal(err)
@@ -42,7 +43,7 @@
 	}
 }
 
-// A list's entries change the endpoint table, and report which endpoints' idle connections no longer fit.
+// The entries of a list update the endpoint table, and update reports which endpoints' idle connections are stale.
 func TestEndpointTableUpdate(t *testing.T) {
 	const address, other = "127.0.0.1:1", "127.0.0.1:2"
 	tests := []struct {
@@ -51,8 +52,8 @@
 		state   balancer.EndpointState
 		address string
 		stale   bool
-		stays   bool   // in the table, also after forgetRemoved
-		at      string // its address then
+		stays   bool   // in the table after forgetRemoved
+		at      string // its address after the update
 	}{
 		{"new", nil, balancer.Active, address, false, true, address},
 		{"new and removed", nil, balancer.Removed, "", false, false, ""},
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -6,19 +6,20 @@
 	"sprucehill/balancer"
 )
 
-// This file has the events that the loop dispatches: first those of a request, in the order of its life, then those of
-// the process. Each apply runs on the loop's goroutine.
+// This file has the events that the loop dispatches: first those of a request, in the order of its life cycle, then those
+// of the process. Each apply runs on the loop's goroutine.
 
-// requestArrived hands over a client's request whose body has come or, of an upload, has begun to.
+// requestArrived passes a client's request to the loop. Its body has been received completely or, if it is an upload, in
+// part.
 type requestArrived struct{ request *request }
 
 func (e requestArrived) apply(l *loop) {
 	r := e.request
-	r.ID = balancer.RequestID(l.nextSerial()) // one of its own: those that clients send need not be unique
+	r.ID = balancer.RequestID(l.nextSerial()) // IDs that clients send need not be unique
 	now := l.now()
 	l.requests[r.ID] = r
 	if r.Upload {
-		r.deadline = noDeadline // until it has been written
+		r.deadline = noDeadline // until its last byte has been written: see bodySent
 	} else {
 		r.deadline = r.arrivedAt + r.Timeout
 		r.Timeout = max(0, r.deadline-now)
@@ -27,7 +28,7 @@
 	l.balancer.OnRequest(now, r.Request)
 }
 
-// bodySent reports that the last byte of an upload is on its way to the upstream: its request's time begins.
+// bodySent reports that the last byte of an upload has been written to the upstream. The request's timeout starts to run.
 type bodySent struct{ attempt *attempt }
 
 func (e bodySent) apply(l *loop) {
@@ -43,7 +44,7 @@
 	l.balancer.OnBodySent(now, r.ID, a.index)
 }
 
-// attemptFinished is the end of an attempt's work on its connection, with the result of that.
+// attemptFinished reports that an attempt has finished on its connection, with its result.
 type attemptFinished struct {
 	attempt *attempt
 	result  attemptResult
@@ -51,17 +52,17 @@
 
 func (e attemptFinished) apply(l *loop) {
 	a := e.attempt
-	a.message = message{} // a timer may refer to the attempt for long
+	a.message = message{} // a pending timer may keep the attempt in memory for long
 	a.head = nil
 	endpoint := a.endpoint
 	delete(endpoint.inFlight, a)
 	switch {
 	case e.result.stream == nil:
 		l.pool.put(endpoint, e.result.conn)
-	case a.outcomeDelivered || a.request.closed: // nobody wants the rest of the response
+	case a.outcomeDelivered || a.request.closed: // the rest of the response is not needed
 		e.result.stream.endpoint = endpoint
 		l.pool.close(e.result.stream.conn)
-	default: // whoever passes the rest on returns the connection, with streamFinished
+	default: // the connection is returned by streamFinished, after the rest has been forwarded
 		e.result.stream.endpoint = endpoint
 	}
 	if answered := l.deliverResult(a, e.result); !answered {
@@ -70,8 +71,7 @@
 	l.endpoints.forget(endpoint)
 }
 
-// streamFinished is the end of a response that was passed on while it came, with its connection if that can serve
-// again.
+// streamFinished reports the end of a streamed response, with its connection if that can be reused.
 type streamFinished struct {
 	endpoint *endpoint
 	conn     *upstreamConn
@@ -79,7 +79,7 @@
 
 func (e streamFinished) apply(l *loop) { l.pool.put(e.endpoint, e.conn) }
 
-// clientDisconnected reports that a request's client has closed its connection, or will not send the rest of the body.
+// clientDisconnected reports that a request's client has disconnected, or will not send the rest of the body.
 type clientDisconnected struct{ request *request }
 
 func (e clientDisconnected) apply(l *loop) {
@@ -89,7 +89,7 @@
 		l.balancer.OnClientDisconnected(l.now(), r.ID)
 	}
 	select {
-	case a := <-r.reply: // it came too late to be passed on
+	case a := <-r.reply: // too late to be forwarded
 		l.dialer.bodyBudget.release(cap(a.body))
 		if a.stream != nil {
 			l.pool.close(a.stream.conn)
@@ -98,7 +98,7 @@
 	}
 }
 
-// healthCheckFinished is the end of a health check, with its result.
+// healthCheckFinished reports the result of a health check.
 type healthCheckFinished struct {
 	check  *healthCheck
 	result attemptResult
@@ -116,13 +116,13 @@
 	})
 }
 
-// releaseIdle has the loop close idle connections, now and from now on: a process that takes over from this one
-// shares the limit on descriptors.
+// releaseIdle makes the loop close its idle connections, and keep none from then on: the successor process shares the limit
+// on file descriptors.
 type releaseIdle struct{}
 
 func (releaseIdle) apply(l *loop) { l.pool.release() }
 
-// loopCall runs a function on the loop's goroutine; done is closed after it.
+// loopCall runs a function on the loop's goroutine, and closes done when the function has returned.
 type loopCall struct {
 	do   func(l *loop)
 	done chan struct{}
@@ -133,7 +133,7 @@
 	e.do(l)
 }
 
-// discoveryMoved gives the address of discovery from now on.
+// discoveryMoved reports a new address of discovery.
 type discoveryMoved struct{ address string }
 
 func (e discoveryMoved) apply(l *loop) {
--- a/internal/proxy/fakes_test.go
+++ b/internal/proxy/fakes_test.go
@@ -16,7 +16,7 @@
 	"sprucehill/internal/discovery"
 )
 
-// testUpstream is an upstream whose responses a test writes byte by byte.
+// testUpstream is an upstream whose responses are written by the test as raw bytes.
 type testUpstream struct {
 	addr     string
 	arrivals chan *http.Request // complete requests, each with its body
@@ -25,7 +25,7 @@
 	ended    int // connections that have ended
 }
 
-// newTestUpstream starts an upstream. answer writes any response; it returns false to close the connection.
+// newTestUpstream starts an upstream. answer writes the response to a request; it returns false to close the connection.
 func newTestUpstream(tb testing.TB, answer func(c net.Conn, r *http.Request) bool) *testUpstream {
 	tb.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,7 +49,7 @@
 	return s
 }
 
-// serveConn reads the requests of a connection, checks their deadlines, and has them answered.
+// serveConn reads the requests of a connection, checks their deadlines, and calls answer for each.
 func (s *testUpstream) serveConn(tb testing.TB, c net.Conn, answer func(net.Conn, *http.Request) bool) {
 	tb.Helper()
 	defer func() {
@@ -77,32 +77,35 @@
 	}
 }
 
-// awaitConnsEnded waits until that many connections have come and ended: all that was written to them has been read.
+// awaitConnsEnded waits until the given number of connections have been accepted and have ended. All that was written to
+// them has been read then.
 func (s *testUpstream) awaitConnsEnded(t *testing.T, conns int) {
 	t.Helper()
-	eventually(t, fmt.Sprintf("%d connections have come and ended", conns), func() bool {
+	eventually(t, fmt.Sprintf("%d connections have been accepted and have ended", conns), func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.conns == conns && s.ended == conns
 	})
 }
 
+// opened returns the number of connections that have been accepted.
 func (s *testUpstream) opened() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.conns
 }
 
-// writeOK writes a response, and reports whether the connection may be used again.
+// writeOK writes a successful response and reports whether that succeeded, so that the connection can be reused.
 func writeOK(c net.Conn, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	return err == nil
 }
 
-// respondOK answers every request.
+// respondOK is an answer function that serves every request.
 func respondOK(c net.Conn, _ *http.Request) bool { return writeOK(c, "done") }
 
-// testDiscovery is a discovery service. A call is answered with what the test puts into answers.
+// testDiscovery is a discovery service. Each call is answered with the next list that the test sends to answers, or with
+// 503 if that has revision 0.
 type testDiscovery struct {
 	addr    string
 	calls   chan string // the query of each call
@@ -131,30 +134,30 @@
 	return g
 }
 
-// watchQuery is the query of a watch call from a revision on.
+// watchQuery returns the query of a watch call for the changes since a revision.
 func watchQuery(since int) string {
 	return fmt.Sprintf("since=%d&timeout_ms=%d", since, discovery.WatchTimeout.Milliseconds())
 }
 
-// activeMember is an endpoint that takes requests.
+// activeMember returns the list entry of an active endpoint.
 func activeMember(id string, s *testUpstream) discovery.Entry {
 	return discovery.Entry{ID: id, HostPort: s.addr, Locality: "z1", Phase: "up", Size: 1}
 }
 
-// drainingMember is m while it drains.
+// drainingMember returns m in the phase draining.
 func drainingMember(m discovery.Entry) discovery.Entry { m.Phase = "draining"; return m }
 
-// dialGate holds connections to upstreams back until the test lets each of them open.
+// dialGate blocks each dial to an upstream until the test releases it.
 type dialGate struct {
-	dials   chan *pendingDial // each connection that is asked for
-	openAll chan struct{}     // closed: all connections open
+	dials   chan *pendingDial // every dial, in order
+	openAll chan struct{}     // closed by openAllNow: dials are no longer blocked
 	once    sync.Once
 }
 
-// pendingDial is a connection that is held back.
+// pendingDial is a dial that is blocked by a dialGate.
 type pendingDial struct {
 	address string
-	connect chan struct{} // closed by the test: the connection opens
+	connect chan struct{} // closed by the test to let the dial proceed
 }
 
 func newDialGate(t *testing.T) *dialGate {
@@ -164,36 +167,37 @@
 	return g
 }
 
-// next returns the next connection that is asked for.
+// next waits for the next dial and returns it.
 func (g *dialGate) next(t *testing.T) *pendingDial {
 	t.Helper()
 	select {
 	case d := <-g.dials:
 		return d
 	case <-time.After(failureTimeout):
-		t.Fatal("no connection was asked for")
+		t.Fatalf("no connection was dialed within %v", failureTimeout)
 		return nil
 	}
 }
 
-// openUntil opens each connection that is asked for until a condition holds, and returns how many there were.
-func (g *dialGate) openUntil(t *testing.T, is func() bool) (opened int) {
+// openUntil releases each dial until a condition holds, and returns how many it released.
+func (g *dialGate) openUntil(t *testing.T, condition func() bool) (opened int) {
 	t.Helper()
-	eventually(t, "the connections that are asked for are open", func() bool {
+	eventually(t, "the condition holds while dials are released", func() bool {
 		select {
 		case d := <-g.dials:
 			close(d.connect)
 			opened++
 		default:
 		}
-		return is()
+		return condition()
 	})
 	return opened
 }
 
-// openAllNow lets all connections open, present and future ones.
+// openAllNow releases all present and future dials.
 func (g *dialGate) openAllNow() { g.once.Do(func() { close(g.openAll) }) }
 
+// open is a dialFunc that blocks until its dial is released.
 func (g *dialGate) open(network, address string, timeout time.Duration) (net.Conn, error) {
 	d := &pendingDial{address, make(chan struct{})}
 	g.dials <- d
@@ -204,10 +208,10 @@
 	return net.DialTimeout(network, address, timeout)
 }
 
-// patternReader is a reader of n bytes that don't repeat.
+// patternReader returns a reader of n bytes of a patternSource.
 func patternReader(n int64) io.Reader { return io.LimitReader(&patternSource{}, n) }
 
-// patternSource is an endless reader of bytes that don't repeat.
+// patternSource is an endless reader of pseudo-random bytes from a linear congruential generator.
 type patternSource struct{ n byte }
 
 func (c *patternSource) Read(p []byte) (int, error) {
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -19,7 +19,7 @@
 	"sprucehill/internal/wire"
 )
 
-// settingsText has a class of each kind of idempotency. Discovery is polled again at once after a failure.
+// settingsText has a class of each kind of idempotency. After a failure discovery is polled again immediately.
 const settingsText = `{"az":"z1","balancers":1,"granularity_us":1000,"membership_mode":"on_request","weights":"nominal",
 "worth_by":"work","limits":{"max_attempts":3,"cancel":true,"connect_timeout_us":500000,"keepalive_us":60000000},
 "obligations":{"ask_within_us":320000,"cold_from":0.3,"ramp_time_us":9000000,"tip_after_us":1500000,"tip_multiple":3.0},
@@ -28,14 +28,14 @@
 {"name":"checkin","target_us":2000000,"give_up_us":4000000,"repeat":"non_idempotent","worth":1}],
 "reporting":{"via":"piggyback"}}`
 
-// classDeadline is the longest that a client of settingsText waits.
+// classDeadline is the deadline of the classes in settingsText.
 const classDeadline = 4 * time.Second
 
-// failureTimeout is how long a test waits for what has to come. Only a failure takes that long.
+// failureTimeout is how long a test waits for an expected event. Only a failing test waits that long.
 const failureTimeout = 30 * time.Second
 
-// balancers is how many are running in the present test; tests of this package run one at a time.
-var balancers int
+// runningBalancers is the number of balancers running in the current test. The tests of this package run one at a time.
+var runningBalancers int
 
 // testBalancer is a running balancer.
 type testBalancer struct {
@@ -54,19 +54,19 @@
 	return newBalancerAt(tb, 0, members...)
 }
 
-// newBalancerAt starts a balancer on an inherited listener, or on one of its own if fd is 0.
+// newBalancerAt starts a balancer on the inherited listener with descriptor fd, or on a new listener if fd is 0.
 func newBalancerAt(tb testing.TB, fd int, members ...discovery.Entry) *testBalancer {
 	tb.Helper()
 	return newBalancerWith(tb, newTestDiscovery(tb), func(c *Config) { c.ListenFD = fd }, members...)
 }
 
-// newBalancerWith starts a balancer that uses the given discovery service and a changed configuration.
+// newBalancerWith starts a balancer that uses the given discovery service and a configuration modified by change.
 func newBalancerWith(tb testing.TB, g *testDiscovery, change func(*Config), members ...discovery.Entry) *testBalancer {
 	tb.Helper()
 	return newBalancerOn(tb, g, func(l net.Listener) net.Listener { return l }, change, members...)
 }
 
-// newBalancerOn starts a balancer whose clients come through what listen makes of its listener.
+// newBalancerOn starts a balancer whose listener is wrapped by listen.
 func newBalancerOn(tb testing.TB, g *testDiscovery, listen func(net.Listener) net.Listener, change func(*Config), members ...discovery.Entry) *testBalancer {
 	tb.Helper()
 	f := configFile{Name: "n0", Listen: "127.0.0.1:0", Discovery: g.addr, Seed: "8c1f30d27a5be964",
@@ -87,27 +87,27 @@
 	b := &testBalancer{url: "http://" + l.Addr().String(), discovery: g, cancel: cancel, ended: make(chan error, 1), moves: make(chan string),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}}
 	b.proxy = New(c, listen(l))
-	balancers++
+	runningBalancers++
 	go func() { b.ended <- b.proxy.Run(ctx, b.moves) }()
 	tb.Cleanup(func() {
 		b.client.CloseIdleConnections()
 		cancel()
 		b.awaitEnd(tb)
-		if balancers--; balancers == 0 && !tb.Failed() {
+		if runningBalancers--; runningBalancers == 0 && !tb.Failed() {
 			assertNothingRuns(tb)
 		}
 	})
 	return b
 }
 
-// withSettings returns a change of the configuration: settingsText with texts replaced. Each pair is a text and its
-// replacement.
+// withSettings returns a configuration change that sets the settings to settingsText with replacements. Each pair is a text
+// and its replacement.
 func withSettings(t *testing.T, pairs ...string) func(*Config) {
 	t.Helper()
 	text := settingsText
 	for i := 0; i < len(pairs); i += 2 {
 		if !strings.Contains(text, pairs[i]) {
-			t.Fatalf("the settings have no %q", pairs[i])
+			t.Fatalf("settingsText does not contain %q", pairs[i])
 		}
 		text = strings.Replace(text, pairs[i], pairs[i+1], 1)
 	}
@@ -125,10 +125,10 @@
 	if err := <-b.ended; err != nil {
 		tb.Error(err)
 	}
-	b.ended <- nil // for whoever waits next
+	b.ended <- nil // for later calls
 }
 
-// assertNothingRuns waits until no goroutine of a balancer is left.
+// assertNothingRuns waits until all goroutines of balancers have ended.
 func assertNothingRuns(tb testing.TB) {
 	tb.Helper()
 	text := make([]byte, 1<<20)
@@ -146,14 +146,14 @@
 			return
 		}
 		if time.Now().After(limit) {
-			tb.Fatalf("still running:\n%s", left)
+			tb.Fatalf("goroutine still running:\n%s", left)
 		}
 	}
 }
 
 var lastID int
 
-// newRequest returns a well-formed request of a class.
+// newRequest returns a well-formed request of a class. Headers are pairs of a name and a value.
 func (b *testBalancer) newRequest(class, body string, headers ...string) *http.Request {
 	lastID++
 	method := http.MethodPost
@@ -176,7 +176,7 @@
 	return r
 }
 
-// do sends a request and returns the complete response.
+// do sends a request and returns the status and body of the response.
 func (b *testBalancer) do(tb testing.TB, r *http.Request) (int, string) {
 	tb.Helper()
 	resp, err := b.client.Do(r)
@@ -191,29 +191,29 @@
 	return resp.StatusCode, string(body)
 }
 
-// doOnNewConn sends a request on a connection of its own.
+// doOnNewConn sends a request on a new connection, which is closed after the response.
 func (b *testBalancer) doOnNewConn(t *testing.T, r *http.Request) (int, string) {
 	t.Helper()
 	r.Close = true
 	return b.do(t, r)
 }
 
-// sendRaw writes a request without a body, and the bytes behind it, on a connection of its own, and leaves the response to the test.
-func (b *testBalancer) sendRaw(t *testing.T, class, behind string) net.Conn {
+// sendRaw writes a request without a body, followed by the bytes of behind, on a new connection. The test reads the response.
+func (b *testBalancer) sendRaw(t *testing.T, class, trailing string) net.Conn {
 	t.Helper()
 	c := b.dialConn(t)
 	var text bytes.Buffer
 	if err := b.newRequest(class, "").Write(&text); err != nil {
 		t.Fatal(err)
 	}
-	text.WriteString(behind)
+	text.WriteString(trailing)
 	if _, err := c.Write(text.Bytes()); err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// dial opens a raw connection to a balancer, and a reader of it.
+// dial opens a raw connection to a balancer, and returns it with a buffered reader.
 func (b *testBalancer) dial(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c := b.dialConn(t)
@@ -234,12 +234,12 @@
 
 const checkinHead = "POST /checkin/x HTTP/1.1\r\nHost: x\r\nX-Request-Id: 00000000000000aa\r\nX-Class: checkin\r\nX-Deadline-Ms: 4000\r\n"
 
-// runInLoop runs a function on the event loop, between two events.
+// runInLoop runs a function on the event loop, between two events, and waits for it to return.
 func (b *testBalancer) runInLoop(t *testing.T, do func(l *loop)) {
 	t.Helper()
-	asked := loopCall{do, make(chan struct{})}
-	b.proxy.loop.post(asked)
-	<-asked.done
+	call := loopCall{do, make(chan struct{})}
+	b.proxy.loop.post(call)
+	<-call.done
 }
 
 // assertEqual fails the test if got is not want.
@@ -250,21 +250,21 @@
 	}
 }
 
-// eventually waits until a condition holds. Only a failure takes long.
-func eventually(tb testing.TB, what string, is func() bool) {
+// eventually waits until a condition holds. It fails the test after failureTimeout.
+func eventually(tb testing.TB, what string, condition func() bool) {
 	tb.Helper()
-	for limit := time.Now().Add(failureTimeout); !is(); time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(failureTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			tb.Fatalf("never came true: %s", what)
+			tb.Fatalf("condition not met within %v: %s", failureTimeout, what)
 		}
 	}
 }
 
 // await waits until a condition holds on the event loop.
-func (b *testBalancer) await(t *testing.T, what string, is func(l *loop) bool) {
+func (b *testBalancer) await(t *testing.T, what string, condition func(l *loop) bool) {
 	t.Helper()
 	eventually(t, what, func() (done bool) {
-		b.runInLoop(t, func(l *loop) { done = is(l) })
+		b.runInLoop(t, func(l *loop) { done = condition(l) })
 		return done
 	})
 }
@@ -273,18 +273,18 @@
 func (b *testBalancer) awaitSettled(t *testing.T) {
 	t.Helper()
 	b.await(t, "no request, no attempt, all connections idle", func(l *loop) bool {
-		idle, out := 0, 0
+		idle, inFlight := 0, 0
 		for _, p := range l.endpoints {
-			idle, out = idle+len(p.idle), out+len(p.inFlight)
+			idle, inFlight = idle+len(p.idle), inFlight+len(p.inFlight)
 		}
-		return len(l.requests) == 0 && out == 0 && idle == l.pool.open && len(l.pendingOutcomes) == 0
+		return len(l.requests) == 0 && inFlight == 0 && idle == l.pool.open && len(l.pendingOutcomes) == 0
 	})
-	eventually(t, "no bytes held, no requests in progress", func() bool {
+	eventually(t, "no body bytes reserved, no requests in progress", func() bool {
 		return b.proxy.loop.dialer.bodyBudget.available.Load() == b.proxy.config.bodyBudgetBytes() && b.metric(t, "svc_in_progress") == 0
 	})
 }
 
-// awaitRequestsClosed waits until every client has its response, or has been seen to disconnect.
+// awaitRequestsClosed waits until every request has been answered, or its client's disconnect has been detected.
 func (b *testBalancer) awaitRequestsClosed(t *testing.T) {
 	t.Helper()
 	b.await(t, "every request is closed", func(l *loop) bool {
@@ -301,10 +301,10 @@
 // awaitClientsClosed waits until no client connection is open.
 func (b *testBalancer) awaitClientsClosed(t *testing.T) {
 	t.Helper()
-	eventually(t, "no client's connection is open", func() bool { return b.proxy.front.conns.count() == 0 })
+	eventually(t, "no client connection is open", func() bool { return b.proxy.front.conns.count() == 0 })
 }
 
-// attemptsOut is how many attempts are in flight.
+// attemptsOut returns the number of attempts in flight.
 func (b *testBalancer) attemptsOut(t *testing.T) (out int) {
 	t.Helper()
 	b.runInLoop(t, func(l *loop) {
--- a/internal/proxy/healthcheck.go
+++ b/internal/proxy/healthcheck.go
@@ -13,16 +13,16 @@
 	loadPath   = "/load"
 )
 
-// healthCheck is one health check of an upstream.
+// healthCheck is a single health check of an upstream.
 type healthCheck struct {
 	endpoint *endpoint
 	sentAt   time.Duration // on the loop's clock
 	address  string        // host:port
-	withLoad bool          // request a load report, and not only whether the upstream serves
-	conn     *upstreamConn // an idle connection; nil: a new one is opened
+	withLoad bool          // request a load report instead of the health status only
+	conn     *upstreamConn // an idle connection; nil: open a new one
 }
 
-// checkHealth makes a health check.
+// checkHealth sends a health check and reads the response.
 func (d dialer) checkHealth(check *healthCheck) attemptResult {
 	c, err := d.connect(check.conn, check.address)
 	if err != nil {
@@ -39,7 +39,7 @@
 	}
 	r := d.readResponse(c)
 	d.bodyBudget.release(cap(r.body))
-	if r.stream != nil { // no report is that long
+	if r.stream != nil { // longer than any valid load report
 		c.Close()
 		return attemptResult{status: balancer.Error}
 	}
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -7,7 +7,7 @@
 	"sprucehill/internal/timelimit"
 )
 
-// phase is a drain or a shutdown. Its methods may be called from any goroutine.
+// phase records whether a drain or shutdown is in progress and when it began. Its methods may be called from any goroutine.
 type phase struct {
 	begun     atomic.Bool
 	startedAt atomic.Int64 // when it last began, a time.Duration on the loop's clock
@@ -25,19 +25,19 @@
 // isActive reports whether the phase has begun and not ended.
 func (p *phase) isActive() bool { return p.begun.Load() }
 
-// snapshot returns the phase as it is now.
+// snapshot returns the current state of the phase.
 func (p *phase) snapshot() timelimit.Phase {
 	return timelimit.Phase{Begun: p.begun.Load(), At: time.Duration(p.startedAt.Load())}
 }
 
-// lifecycle is how far the balancer is on its way to an end of its service. Its methods may be called from any goroutine.
+// lifecycle records whether the balancer is draining or shutting down. Its methods may be called from any goroutine.
 type lifecycle struct {
 	longestDeadline time.Duration // of all classes
-	drain           phase         // operators have ordered a drain
-	shutdown        phase         // the process ends
+	drain           phase         // ordered by an operator
+	shutdown        phase         // the process is terminating
 }
 
-// schedule returns what bounds the time of requests now.
+// schedule returns the limits that currently apply to the time of requests.
 func (l *lifecycle) schedule() timelimit.Schedule {
 	return timelimit.Schedule{
 		LongestDeadline: l.longestDeadline,
@@ -46,13 +46,14 @@
 	}
 }
 
-// timeLeft returns how much of timeout is left to a request that arrived at the given time on the loop's clock, before
-// whatever ends its connection first: the limit of a drain, or SIGKILL.
+// timeLeft returns how much of timeout remains for a request that arrived at the given time on the loop's clock. The limit
+// of a drain and the SIGKILL that ends a shutdown may shorten it.
 func (l *lifecycle) timeLeft(arrivedAt, timeout time.Duration) time.Duration {
 	return l.schedule().Remaining(arrivedAt, timeout)
 }
 
-// closeCause returns why client connections are closed now. closes is false where neither a drain nor a shutdown has begun.
+// closeCause returns why client connections are currently being closed. closes is false if neither a drain nor a shutdown
+// has begun.
 func (l *lifecycle) closeCause() (cause closeCause, closes bool) {
 	switch {
 	case l.shutdown.isActive():
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -14,38 +14,39 @@
 	"sprucehill/internal/timelimit"
 )
 
-// eventQueueLength is how many events may wait for the loop before those who post them wait too.
+// eventQueueLength is the number of events that can be queued for the loop before post blocks.
 const eventQueueLength = 1024
 
-// event is something that happened outside of the loop. apply is called on the loop's goroutine.
+// event is something that happened outside the loop. apply is called on the loop's goroutine.
 type event interface{ apply(l *loop) }
 
-// loop is the event loop round the decision module. It owns the module, the table of requests, the endpoints with their
-// connections, and the timers, all of which are used on its goroutine only: the one that calls run, and start before
-// that. Other goroutines reach it through post and the discovery watcher's updates; now may be called from any. It never
-// waits for anything but its channels: what may block runs on goroutines of its own and comes back as an event.
+// loop is the event loop that drives the decision module. It owns the module, the table of requests, the endpoints with
+// their connections, and the timers. They are used only on the loop's goroutine, the one that calls start and then run.
+// Other goroutines communicate with it through post and the discovery watcher's updates; now may be called from any
+// goroutine. The loop waits only on its channels: blocking operations run on other goroutines, which post their results as
+// events.
 type loop struct {
-	ctx      context.Context // ends the loop and what it has started
+	ctx      context.Context // ends the loop and the goroutines that it has started
 	balancer *balancer.Balancer
 	settings balancer.Settings
 	events   chan event
 
 	clock clock
 
-	serial   uint64 // the last that was given to a request or a timer
+	serial   uint64 // the last serial assigned to a request or a timer
 	requests map[balancer.RequestID]*request
 	timers   timerQueue
-	// The outcomes that are not delivered yet, in the order in which they came up.
+	// Outcomes that have not been delivered yet, in the order in which they occurred.
 	pendingOutcomes []pendingOutcome
 	dialer          dialer
 
 	endpoints endpointTable
 	pool      *connPool
 
-	ids        *endpointIDs
-	localities map[string]string // zones without a region, to region/zone
-	discovery  *discovery.Watcher
-	saver      *savedstate.Saver
+	endpointIDs *endpointIDs
+	localities  map[string]string // maps a zone without a region to region/zone
+	discovery   *discovery.Watcher
+	saver       *savedstate.Saver
 
 	metrics *proxyMetrics
 	report  loopReport
@@ -55,15 +56,15 @@
 
 func newLoop(ctx context.Context, c *Config) *loop {
 	l := &loop{
-		ctx:        ctx,
-		settings:   c.Settings,
-		events:     make(chan event, eventQueueLength),
-		clock:      newClock(),
-		requests:   map[balancer.RequestID]*request{},
-		endpoints:  endpointTable{},
-		ids:        newEndpointIDs(),
-		localities: c.Localities,
-		metrics:    newProxyMetrics(c.Settings.Classes),
+		ctx:         ctx,
+		settings:    c.Settings,
+		events:      make(chan event, eventQueueLength),
+		clock:       newClock(),
+		requests:    map[balancer.RequestID]*request{},
+		endpoints:   endpointTable{},
+		endpointIDs: newEndpointIDs(),
+		localities:  c.Localities,
+		metrics:     newProxyMetrics(c.Settings.Classes),
 	}
 	l.dialer = newDialer(c, l.metrics.attemptsWritten, l.now)
 	l.pool = &connPool{
@@ -76,7 +77,7 @@
 		Writer:    c.StateWriter,
 		Discovery: c.Discovery,
 		Known:     c.Known,
-		IDOf:      l.ids.idOf,
+		IDOf:      l.endpointIDs.idOf,
 		Log:       slog.Info,
 	})
 	l.discovery = discovery.NewWatcher(ctx, c.Discovery, l.saver.Initial().Revision)
@@ -87,7 +88,7 @@
 	return l
 }
 
-// newDialer returns what opens connections to upstreams and carries out attempts on them.
+// newDialer returns the dialer for a configuration, which opens connections with net.DialTimeout by default.
 func newDialer(c *Config, attemptsWritten *metrics.Counter, now func() time.Duration) dialer {
 	open := c.openConn
 	if open == nil {
@@ -96,19 +97,19 @@
 	return dialer{openConn: open, timeout: c.Links.ConnectTimeout, attemptsWritten: attemptsWritten, bodyBudget: newByteBudget(c.bodyBudgetBytes()), now: now}
 }
 
-// now is the loop's clock.
+// now returns the time on the loop's clock.
 func (l *loop) now() time.Duration { return l.clock.now() }
 
-// post hands an event to the loop. It may wait for the loop, which never waits for who posts.
+// post sends an event to the loop. It blocks while the queue is full; the loop never waits for a goroutine that posts.
 func (l *loop) post(e event) { l.events <- e }
 
-// nextSerial returns the next number in the common order of requests and timers.
+// nextSerial returns the next serial. Requests and timers share one sequence.
 func (l *loop) nextSerial() uint64 {
 	l.serial++
 	return l.serial
 }
 
-// start makes the decision module and gives it the endpoints and the state from before. It belongs before run.
+// start creates the decision module and restores the saved endpoints and state. It must be called before run.
 func (l *loop) start(c *Config) error {
 	module, err := balancer.New(c.Settings, c.Seed, l.now(), l)
 	if err != nil {
@@ -117,14 +118,14 @@
 	l.balancer = module
 	l.applyEndpointList(balancer.UpdateCached, l.saver.Initial())
 	l.saver.Restore(l.balancer, l.now)
-	if !c.Settings.PollDiscovery { // lists that are pushed come without the module's asking
+	if !c.Settings.PollDiscovery { // in push mode the module does not ask for lists
 		l.WatchEndpoints()
 	}
 	return nil
 }
 
-// run dispatches events until the context ends. Updates from discovery go before all other events: nothing may be sent
-// to an endpoint whose draining this process has been notified of.
+// run dispatches events until the context ends. Updates from discovery take precedence over all other events: nothing may
+// be sent to an endpoint once this process has been notified that it is draining.
 func (l *loop) run() {
 	wake := time.NewTimer(0)
 	for {
@@ -150,7 +151,7 @@
 	}
 }
 
-// dispatch applies an event, after an update from discovery that came meanwhile.
+// dispatch applies an event, and before it an update from discovery that arrived in the meantime.
 func (l *loop) dispatch(e event) {
 	if len(l.discovery.Updates()) > 0 {
 		l.onEndpointUpdate(<-l.discovery.Updates())
@@ -159,13 +160,13 @@
 	l.deliverOutcomes()
 }
 
-// publish sets the gauges that only the loop can, and saves a snapshot of the decision module. The module's own timers
-// make the loop run often enough for it.
+// publish updates the gauges that are computed on the loop, and saves a snapshot of the decision module. No timer is set
+// for it: the module's own timers wake the loop often enough.
 func (l *loop) publish(now time.Duration) {
 	known, skipped := l.balancer.EndpointCounts(now)
 	l.metrics.knownEndpoints.Set(known)
 	l.metrics.skippedEndpoints.Set(skipped)
 	l.saver.SaveSnapshot(l.balancer, now)
 	l.report.zones.update(now, l.balancer.ZoneStatuses(now), l.settings.Zone, slog.Info)
-	l.report.nextAt = now + publishInterval
+	l.report.nextDue = now + publishInterval
 }
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -11,8 +11,8 @@
 	"sprucehill/balancer"
 )
 
-// newTestLoop returns a loop that does not run: the test calls its methods one by one, and what it is to be notified of
-// waits in its events.
+// newTestLoop returns a loop that is not running: the test calls its methods, and posted events stay queued in its events
+// channel.
 func newTestLoop(t *testing.T, maxConns int) *loop {
 	t.Helper()
 	c := testConfig(t)
@@ -27,7 +27,7 @@
 	return l
 }
 
-// testConfig is the configuration of a loop that does not run.
+// testConfig returns the configuration of a loop that is not running.
 func testConfig(t *testing.T) Config {
 	t.Helper()
 	f := configFile{Name: "n0", Listen: "127.0.0.1:1", Discovery: "127.0.0.1:1", Seed: "1", Settings: json.RawMessage(settingsText)}
@@ -57,7 +57,7 @@
 	return r
 }
 
-// addIdleConn opens a connection to an endpoint that counts as idle since a time.
+// addIdleConn opens a connection to an endpoint and adds it to the pool as idle since the given time.
 func addIdleConn(t *testing.T, l *loop, p *endpoint, at time.Duration) *upstreamConn {
 	t.Helper()
 	c, err := l.dialer.connect(nil, p.address)
--- a/internal/proxy/loopstall_test.go
+++ b/internal/proxy/loopstall_test.go
@@ -11,7 +11,7 @@
 	"sprucehill/internal/savedstate"
 )
 
-// slowDisk is a folder whose syncs take long.
+// slowDisk is a folder whose syncs are delayed.
 type slowDisk struct {
 	*durable.Folder
 	wait time.Duration
@@ -27,6 +27,7 @@
 	return slowFile{f, d.wait}, err
 }
 
+// slowFile is a file of a slowDisk.
 type slowFile struct {
 	durable.File
 	wait time.Duration
@@ -37,52 +38,53 @@
 	return f.File.Sync()
 }
 
-// BenchmarkLoopStall measures for how long the event loop is not available, with a disk whose syncs take 50 ms and without
-// saved state. An operation is a second, in which the loop is called once a millisecond beside requests.
+// BenchmarkLoopStall measures how long the event loop takes to respond, with saved state on a disk whose syncs take 50 ms and
+// without saved state. One operation takes about a second, in which the loop is called once a millisecond and serves a
+// request every ten calls.
 func BenchmarkLoopStall(b *testing.B) {
-	for _, on := range []bool{false, true} {
-		b.Run(fmt.Sprintf("state=%v", on), func(b *testing.B) {
+	for _, saveState := range []bool{false, true} {
+		b.Run(fmt.Sprintf("state=%v", saveState), func(b *testing.B) {
 			var members []discovery.Entry
 			for i := range 12 {
 				members = append(members, activeMember(fmt.Sprintf("s-%08x", i+1), newTestUpstream(b, respondOK)))
 			}
-			x := newBalancerWith(b, newTestDiscovery(b), func(c *Config) {
-				if !on {
+			balancer := newBalancerWith(b, newTestDiscovery(b), func(c *Config) {
+				if !saveState {
 					return
 				}
 				folder, err := durable.OpenFolder(b.TempDir())
 				if err != nil {
 					b.Fatal(err)
 				}
-				k := durable.StartWriterOn(slowDisk{folder, 50 * time.Millisecond}, durable.Options{Owner: "b", MinInterval: 200 * time.Millisecond,
+				writer := durable.StartWriterOn(slowDisk{folder, 50 * time.Millisecond}, durable.Options{Owner: "b", MinInterval: 200 * time.Millisecond,
 					Log: func(string, ...any) {}}, savedstate.Kinds)
-				b.Cleanup(k.Close)
-				c.StateWriter = k
+				b.Cleanup(writer.Close)
+				c.StateWriter = writer
 			}, members...)
-			var longest, all []time.Duration
+			var longest, durations []time.Duration
 			for b.Loop() {
-				var most time.Duration
+				var operationLongest time.Duration
 				for i := range 1000 {
 					if i%10 == 0 {
-						x.do(b, x.newRequest("checkin", ""))
+						balancer.do(b, balancer.newRequest("checkin", ""))
 					}
-					at := time.Now()
-					if err := x.proxy.callLoop(func(*loop) {}); err != nil {
+					start := time.Now()
+					if err := balancer.proxy.callLoop(func(*loop) {}); err != nil {
 						b.Fatal(err)
 					}
-					took := time.Since(at)
-					most, all = max(most, took), append(all, took)
-					time.Sleep(time.Millisecond - min(took, time.Millisecond))
+					duration := time.Since(start)
+					operationLongest, durations = max(operationLongest, duration), append(durations, duration)
+					time.Sleep(time.Millisecond - min(duration, time.Millisecond))
 				}
-				longest = append(longest, most)
+				longest = append(longest, operationLongest)
 			}
-			at := func(xs []time.Duration, p float64) float64 {
-				slices.Sort(xs)
-				return float64(xs[int(p*float64(len(xs)-1))].Microseconds())
+			percentile := func(values []time.Duration, p float64) float64 {
+				slices.Sort(values)
+				return float64(values[int(p*float64(len(values)-1))].Microseconds())
 			}
-			b.ReportMetric(at(longest, 0.5), "longest-p50-us")
-			b.ReportMetric(at(longest, 0.99), "longest-p99-us")
-			b.ReportMetric(at(all, 0.99), "p99-us")
+			b.ReportMetric(percentile(longest, 0.5), "longest-p50-us")
+			b.ReportMetric(percentile(longest, 0.99), "longest-p99-us")
+			b.ReportMetric(percentile(durations, 0.99), "p99-us")
 		})
 	}
 }
--- a/internal/proxy/message.go
+++ b/internal/proxy/message.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// notForwarded names the header fields that belong to one connection only, and those that are written anew.
+// notForwarded has the hop-by-hop header fields, and those that renderHead writes itself.
 var notForwarded = map[string]bool{
 	"Connection":          true,
 	"Content-Length":      true,
@@ -27,23 +27,25 @@
 	"X-Deadline-Ms":       true,
 }
 
-// headBuffers are *bytes.Buffer for rendering heads.
+// headBuffers is a pool of *bytes.Buffer for rendering heads.
 var headBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// message is a client's request as it is forwarded: method, target, end-to-end header fields and body are unchanged.
+// message is a client's request in the form in which it is forwarded: method, target, end-to-end header fields and body
+// are unchanged.
 type message struct {
 	requestLine   string // method and target
 	header        http.Header
 	host          string
 	body          []byte    // the complete body, or the buffered part of an upload
-	rest          io.Reader // of an upload: what follows body; nil: body is complete
-	contentLength int64     // of an upload: its Content-Length; -1: unknown
+	rest          io.Reader // uploads only: what follows body; nil: body is complete
+	contentLength int64     // uploads only: the Content-Length; -1: unknown
 }
 
 // isChunked reports whether the message is an upload of unknown length.
 func (m *message) isChunked() bool { return m.rest != nil && m.contentLength < 0 }
 
-// renderHead renders the message without its body, for an attempt whose response the balancer waits for that long.
+// renderHead renders the request line and header for an attempt. remaining, the time that the balancer waits for the
+// response, is sent as X-Deadline-Ms.
 func (m *message) renderHead(remaining time.Duration) []byte {
 	b := headBuffers.Get().(*bytes.Buffer)
 	defer headBuffers.Put(b)
@@ -54,7 +56,7 @@
 	b.WriteString("\r\nX-Deadline-Ms: ")
 	b.WriteString(strconv.FormatInt(max(1, remaining.Milliseconds()), 10))
 	b.WriteString("\r\n")
-	_ = m.header.WriteSubset(b, notForwarded) // writing to a buffer never fails
+	_ = m.header.WriteSubset(b, notForwarded) // a bytes.Buffer never returns a write error
 	switch {
 	case m.isChunked():
 		b.WriteString("Transfer-Encoding: chunked\r\n")
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -8,37 +8,37 @@
 	"sprucehill/internal/metrics"
 )
 
-// publishInterval is how often the loop sets the gauges that only it can.
+// publishInterval is the interval at which the loop updates the gauges that are computed on it.
 const publishInterval = 200 * time.Millisecond
 
-// loopReport is what the loop reports from time to time beside its metrics. It belongs to the loop's goroutine, except for the
-// method write of zones.
+// loopReport is the state of the loop's periodic reports. It is used on the loop's goroutine only, except for the method
+// zones.write.
 type loopReport struct {
-	zones  zoneMetrics
-	nextAt time.Duration // when the next report is due, on the loop's clock
+	zones   zoneMetrics
+	nextDue time.Duration // when the next report is due, on the loop's clock
 }
 
 // isDue reports whether the next report is due at the time now.
-func (r *loopReport) isDue(now time.Duration) bool { return now >= r.nextAt }
+func (r *loopReport) isDue(now time.Duration) bool { return now >= r.nextDue }
 
-// proxyMetrics is what the balancer reports to its operators. Each count is taken where the fact occurs, so its methods
-// may be called from any goroutine.
+// proxyMetrics has the balancer's metrics. They are updated by the goroutine on which the counted event occurs, so the
+// methods may be called from any goroutine.
 type proxyMetrics struct {
 	set              metrics.Set
-	classes          map[string]classCounters // by the class's name; not changed after newProxyMetrics
-	attemptsWritten  *metrics.Counter         // attempts of which the last byte was written to an upstream
-	inProgress       *metrics.Gauge           // requests that have arrived completely and have not ended
+	classes          map[string]classCounters // by class name; not changed after newProxyMetrics
+	attemptsWritten  *metrics.Counter         // attempts whose last byte was written to an upstream
+	inProgress       *metrics.Gauge           // requests that have been received completely and have not ended
 	knownEndpoints   *metrics.Gauge           // endpoints in the list
-	skippedEndpoints *metrics.Gauge           // those of them that the decision module avoids
+	skippedEndpoints *metrics.Gauge           // endpoints in the list that the decision module avoids
 	conns            connMetrics
 }
 
-// classCounters counts the requests of a class by their one final answer.
+// classCounters counts the requests of a class by how they ended. Each request is counted once.
 type classCounters struct {
-	passed     *metrics.Counter // an upstream's response, passed on completely
-	dropped    *metrics.Counter // rejected: certainly not executed
-	badGateway *metrics.Counter // all others; they may have been executed
-	abandoned  *metrics.Counter // the client left before the answer, or did not send its body completely
+	passed     *metrics.Counter // an upstream's response was forwarded completely
+	dropped    *metrics.Counter // rejected with status 503: not executed, or safe to execute again
+	badGateway *metrics.Counter // all other responses; the request may have been executed
+	abandoned  *metrics.Counter // the client disconnected before the response, or did not send its body completely
 }
 
 func newProxyMetrics(classes []balancer.Class) *proxyMetrics {
@@ -60,11 +60,11 @@
 	return m
 }
 
-// countAbandoned counts a request whose client left before its answer, or did not send its body completely.
+// countAbandoned counts a request whose client disconnected before the response, or did not send its body completely.
 func (m *proxyMetrics) countAbandoned(class string) { m.classes[class].abandoned.Inc() }
 
-// countAnswer counts a request under the answer that its client got. complete is false where the
-// response broke off: the request has failed.
+// countAnswer counts a request by the response that was sent to its client. complete is false if the response was
+// interrupted; the request then counts as failed.
 func (m *proxyMetrics) countAnswer(class string, status int, complete bool) {
 	counters := m.classes[class]
 	switch {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -15,30 +15,31 @@
 	"sprucehill/internal/timelimit"
 )
 
-// Proxy is one balancer with its clients, upstreams and discovery. Its methods may be called from any goroutine.
+// Proxy is a balancer with its connections to clients, upstreams and discovery. Its methods may be called from any
+// goroutine.
 type Proxy struct {
 	config  Config
 	loop    *loop
 	front   *frontend
-	cancel  context.CancelFunc // ends the loop and what it has started
+	cancel  context.CancelFunc // ends the loop and the goroutines that it has started
 	serving atomic.Bool
 }
 
-// New returns a balancer for the clients of listener. It serves nobody before Run, but takes operators' orders; a drain that an
-// earlier process was ordered is in force from the beginning.
+// New returns a balancer for the clients of listener. It does not serve requests before Run, but accepts operators' orders.
+// A drain that was ordered in an earlier process is in effect from the start.
 func New(c Config, listener net.Listener) *Proxy {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &Proxy{config: c, cancel: cancel}
 	p.loop = newLoop(ctx, &p.config)
 	p.front = newFrontend(&p.config, listener, p.loop)
 	if p.loop.saver.CurrentOrders().Drain {
-		p.front.startDrain() // before operators can order otherwise
+		p.front.startDrain() // before an operator's order can arrive
 	}
 	return p
 }
 
-// Run serves clients until ctx ends, and then until every request that has arrived is answered. Each address from moves
-// is that of discovery from then on.
+// Run serves clients until ctx ends, and then until every accepted request is answered. Each address received from
+// discoveryAddresses replaces the address of discovery.
 func (p *Proxy) Run(ctx context.Context, discoveryAddresses <-chan string) error {
 	defer p.cancel()
 	if err := p.loop.start(&p.config); err != nil {
@@ -50,7 +51,7 @@
 	p.serving.Store(true)
 	for {
 		select {
-		case err := <-serveResult: // the listener has failed; what has been accepted is still owed its response
+		case err := <-serveResult: // the listener has failed; accepted requests must still be answered
 			slog.Error("listener failed, shutting down", "err", err)
 			p.front.shutDown()
 			p.saveLastSnapshot()
@@ -65,13 +66,13 @@
 	}
 }
 
-// saveLastSnapshot saves a snapshot of the decision module at the end.
+// saveLastSnapshot saves a snapshot of the decision module before the process ends.
 func (p *Proxy) saveLastSnapshot() {
-	// A loop that is too busy for it has saved most of that shortly before.
+	// If the loop is too busy to respond, the last periodic snapshot is recent enough.
 	_ = p.callLoop(func(l *loop) { l.saver.SaveLastSnapshot(l.balancer, l.now()) })
 }
 
-// Ready reports whether clients are accepted. A balancer that drains still serves those that come.
+// Ready reports whether clients are accepted, and the state of the balancer. A draining balancer still accepts clients.
 func (p *Proxy) Ready() (ready bool, state string) {
 	switch {
 	case !p.serving.Load():
@@ -84,22 +85,23 @@
 	return true, "serving"
 }
 
-// StartDrain sends clients away without ending the process. done is false where the order may not outlive the process.
+// StartDrain drains the balancer without ending the process. done is false if the order could not be saved and may not
+// outlive the process.
 func (p *Proxy) StartDrain() (done bool, state string) {
 	p.front.startDrain()
 	return p.saveDrainOrder()
 }
 
-// EndDrain accepts clients again. done is false where the order may not outlive the process.
+// EndDrain ends a drain. done is false if the order could not be saved and may not outlive the process.
 func (p *Proxy) EndDrain() (done bool, state string) {
 	p.front.endDrain()
 	return p.saveDrainOrder()
 }
 
-// saveDrainOrder saves whether the balancer drains now, and returns its state.
+// saveDrainOrder saves whether the balancer is draining, and returns its state.
 func (p *Proxy) saveDrainOrder() (done bool, state string) {
 	_, state = p.Ready()
-	// Of orders at the same moment, the one that is saved last saves the state that all of them have led to.
+	// The state is read inside the update: of concurrent orders, the last to be saved saves the state that results from all.
 	err := p.loop.saver.UpdateOrders(func(o *savedstate.Orders) { o.Drain = p.front.lifecycle.drain.isActive() })
 	if err != nil {
 		return false, state + ", " + err.Error()
@@ -107,10 +109,10 @@
 	return true, state
 }
 
-// errBusy says that the loop has not come to a call in time. The function may still be run.
+// errBusy means that the loop did not complete a call within timelimit.LoopCall. The function may still run later.
 var errBusy = errors.New("the balancer is too busy to answer")
 
-// callLoop has the loop run a function on its goroutine, and waits for that.
+// callLoop runs a function on the loop's goroutine and waits for it to return.
 func (p *Proxy) callLoop(do func(l *loop)) error {
 	call := loopCall{do, make(chan struct{})}
 	timeout := time.NewTimer(timelimit.LoopCall)
@@ -128,22 +130,23 @@
 	}
 }
 
-// DrainZone sends no new requests to a zone. If it is not done, or the order may not outlive the process, state says why.
+// DrainZone stops sending new requests to a zone. If that fails, or the order could not be saved and may not outlive the
+// process, done is false and state gives the reason.
 func (p *Proxy) DrainZone(name string) (done bool, state string) {
-	drained := false // the loop's own until it has answered
+	drained := false // must not be read before callLoop has succeeded
 	err := p.callLoop(func(l *loop) { drained = l.balancer.DrainZone(l.now(), name) })
 	if err != nil {
 		return false, err.Error()
 	}
-	if !drained { // operators' answers call a drained zone left
+	if !drained { // replies to operators call a drained zone left
 		return false, "it is not known, or the last that is not left"
 	}
 	return p.saveZoneOrder("left", func(o *savedstate.Orders) { o.DrainZone(name) })
 }
 
-// ReinstateZone returns a drained zone to service step by step. Its results are as those of DrainZone.
+// ReinstateZone returns a drained zone to service step by step. Its results are those of DrainZone.
 func (p *Proxy) ReinstateZone(name string) (done bool, state string) {
-	reinstated := false // the loop's own until it has answered
+	reinstated := false // must not be read before callLoop has succeeded
 	err := p.callLoop(func(l *loop) { reinstated = l.balancer.ReinstateZone(l.now(), name) })
 	if err != nil {
 		return false, err.Error()
@@ -154,7 +157,7 @@
 	return p.saveZoneOrder("returning", func(o *savedstate.Orders) { o.ReinstateZone(name) })
 }
 
-// saveZoneOrder saves what an order for a zone changes. The zone is in the given state now.
+// saveZoneOrder saves the change made by an order for a zone. state is the zone's new state.
 func (p *Proxy) saveZoneOrder(state string, change func(*savedstate.Orders)) (done bool, text string) {
 	err := p.loop.saver.UpdateOrders(change)
 	if err != nil {
@@ -163,7 +166,7 @@
 	return true, state
 }
 
-// WriteZones writes what each zone is to the balancer, one to a line.
+// WriteZones writes the status of each zone, one per line.
 func (p *Proxy) WriteZones(w io.Writer) error {
 	var zones []balancer.ZoneStatus
 	err := p.callLoop(func(l *loop) { zones = l.balancer.ZoneStatuses(l.now()) })
@@ -180,12 +183,12 @@
 	return nil
 }
 
-// SetFleetSize sets how many balancers there are from now on.
+// SetFleetSize sets the number of balancers in the fleet.
 func (p *Proxy) SetFleetSize(f balancer.FleetSize) error {
 	return p.callLoop(func(l *loop) { l.balancer.OnFleetSizeChanged(l.now(), f) })
 }
 
-// WriteMetrics writes the balancer's metrics, one to a line.
+// WriteMetrics writes the balancer's metrics, one per line.
 func (p *Proxy) WriteMetrics(w io.Writer) error {
 	if err := p.loop.metrics.set.Write(w); err != nil {
 		return err
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -8,25 +8,25 @@
 	"sprucehill/balancer"
 )
 
-// request is a client's request. The frontend fills it in and hands it over with the event that it has arrived; from
-// then on it belongs to the loop.
+// request is a client's request. The frontend creates it and passes it to the loop with requestArrived; from then on it is
+// owned by the loop.
 type request struct {
 	balancer.Request
 	message   message
-	arrivedAt time.Duration // when its last byte came, or of an upload the last byte that is buffered; on the loop's clock
-	reply     chan response // has capacity for the one answer
-	deadline  time.Duration // on the loop's clock; noDeadline: an upload of which a part has still to be written
+	arrivedAt time.Duration // when its last byte, or the last buffered byte of an upload, was received; on the loop's clock
+	reply     chan response // buffered, with capacity for the one response
+	deadline  time.Duration // on the loop's clock; noDeadline: an upload that has not been written completely
 	window    idempotencyWindow
-	// timeLeft returns how much of timeout is left to an upload whose last byte is written at writtenAt, on the loop's clock.
-	// Nil for others.
+	// timeLeft returns how much of timeout remains for an upload whose last byte is written at writtenAt, on the loop's clock.
+	// It is nil for other requests.
 	timeLeft    func(writtenAt, timeout time.Duration) time.Duration
-	attempts    []*attempt // in the order in which they were made
-	undelivered int        // attempts whose result has not been given to the decision module
-	closed      bool       // it has been answered, or its client has disconnected
+	attempts    []*attempt // in the order in which they were started
+	undelivered int        // number of attempts whose result has not been given to the decision module
+	closed      bool       // the request has been answered, or its client has disconnected
 }
 
-// pendingOutcome is an attempt's outcome that came up inside a call of the decision module, which must not be called
-// while it calls. It is delivered as soon as that call has returned.
+// pendingOutcome is an attempt's outcome that occurred during a call of the decision module. The module is not reentrant,
+// so the outcome is delivered as soon as that call has returned.
 type pendingOutcome struct {
 	attempt *attempt
 	status  balancer.Status
@@ -37,8 +37,8 @@
 	l.pendingOutcomes = append(l.pendingOutcomes, pendingOutcome{a, status})
 }
 
-// deliverOutcomes gives the decision module the outcomes that came up while it was calling. What that makes it do may
-// add to them.
+// deliverOutcomes gives the pending outcomes to the decision module. The module's reactions may add further outcomes,
+// which are delivered too.
 func (l *loop) deliverOutcomes() {
 	for len(l.pendingOutcomes) > 0 {
 		outcome := l.pendingOutcomes[0]
@@ -48,8 +48,8 @@
 	l.pendingOutcomes = nil
 }
 
-// deliverResult gives the decision module an attempt's one result, and the client the response where there is one and
-// the request is still open: answered reports that. Results after the first are ignored.
+// deliverResult gives the result of an attempt to the decision module. If the attempt succeeded and the request is still
+// open, it also answers the client, and answered is true. Only the first result of an attempt counts.
 func (l *loop) deliverResult(a *attempt, r attemptResult) (answered bool) {
 	if a.outcomeDelivered {
 		return false
@@ -84,13 +84,13 @@
 	return answered
 }
 
-// certainlyNotExecuted reports whether a status makes certain that the upstream has not executed the request.
+// certainlyNotExecuted reports whether a status implies that the upstream has not executed the request.
 func certainlyNotExecuted(status balancer.Status) bool {
 	return status == balancer.Rejected || status == balancer.ConnectFailed || status == balancer.NotSent
 }
 
-// endAttempt stops waiting for an attempt. One that was never written counts as not sent, whatever the status. The
-// connection of one that was written is closed, which tells the upstream to stop and frees the capacity.
+// endAttempt stops waiting for an attempt. An attempt that has not been claimed for writing ends as not sent, whatever the
+// status. Otherwise its connection is closed, which tells the upstream to stop and frees the capacity.
 func (l *loop) endAttempt(a *attempt, status balancer.Status) {
 	if a.outcomeDelivered {
 		return
@@ -105,10 +105,10 @@
 	l.deliverResult(a, attemptResult{status: status})
 }
 
-// expireAttempt ends an attempt whose time is over.
+// expireAttempt ends an attempt that has timed out.
 func (l *loop) expireAttempt(a *attempt) { l.endAttempt(a, balancer.Timeout) }
 
-// answerRequest gives a client its one answer; later ones are ignored.
+// answerRequest sends the response to a request. Later responses to the same request are ignored.
 func (l *loop) answerRequest(r *request, a response) {
 	if r.closed {
 		return
@@ -117,8 +117,9 @@
 	l.closeRequest(r)
 }
 
-// closeRequest records that the client gets nothing more. Attempts that still wait for a connection are dropped: nobody
-// would get their response, whether or not the settings allow cancelling what has been sent.
+// closeRequest marks a request as closed: its client gets no further response. Attempts that are waiting for a connection
+// are dropped, since their response could not be used. That holds even if the settings do not allow cancelling attempts
+// that have been sent.
 func (l *loop) closeRequest(r *request) {
 	r.closed = true
 	for _, a := range r.attempts {
@@ -129,8 +130,8 @@
 	l.releaseRequest(r)
 }
 
-// releaseRequest deletes a request that is closed and has no attempt in flight. Its timer stays until the deadline, but
-// does not refer to its body any more.
+// releaseRequest deletes a request that is closed and has no attempt in flight. Its timer stays in the queue until the
+// deadline, so its message is cleared to free the body.
 func (l *loop) releaseRequest(r *request) {
 	if r.closed && r.undelivered == 0 {
 		delete(l.requests, r.ID)
--- a/internal/proxy/requests_test.go
+++ b/internal/proxy/requests_test.go
@@ -12,19 +12,20 @@
 	"sprucehill/balancer"
 )
 
-// deadlineRecorder is a connection that only records its deadline.
+// deadlineRecorder is a connection that only records the last deadline set.
 type deadlineRecorder struct {
 	net.Conn
-	at time.Time
+	deadline time.Time
 }
 
-func (d *deadlineRecorder) SetDeadline(t time.Time) error     { d.at = t; return nil }
-func (d *deadlineRecorder) SetReadDeadline(t time.Time) error { d.at = t; return nil }
+func (d *deadlineRecorder) SetDeadline(t time.Time) error     { d.deadline = t; return nil }
+func (d *deadlineRecorder) SetReadDeadline(t time.Time) error { d.deadline = t; return nil }
 
-// An attempt that is given up closes its connection, which ends every wait on it: that tells the upstream to stop, and
-// the capacity is needed. Connections that waited for late responses once held a quarter of it for 3 s each.
+// Abandoning an attempt closes its connection by a deadline that ends pending reads and writes: that tells the upstream to
+// stop and frees the capacity. Guards against connections that wait for late responses, which used up a quarter of the
+// capacity for 3 s each.
 func TestAbandonedAttemptClosesItsConnection(t *testing.T) {
-	for _, closed := range []bool{false, true} { // its request may be retried, or has been answered
+	for _, closed := range []bool{false, true} { // the request may still be retried, or has been answered
 		l := newTestLoop(t, 2)
 		p := &endpoint{id: 1, inFlight: map[*attempt]struct{}{}}
 		d := &deadlineRecorder{}
@@ -33,14 +34,14 @@
 		a.request.closed = closed
 		a.stage.Store(attemptClaimed)
 		l.endAttempt(a, balancer.Cancelled)
-		if d.at.IsZero() || d.at.After(time.Now()) {
-			t.Errorf("request closed %v: deadline %v, want one that has passed", closed, d.at)
+		if d.deadline.IsZero() || d.deadline.After(time.Now()) {
+			t.Errorf("request closed %v: deadline %v, want one that has passed", closed, d.deadline)
 		}
 	}
 }
 
-// The timer of a closed request stays until its deadline. It once kept the body in memory all that time, although the
-// byte budget had been given it back.
+// The timer of a closed request stays queued until the deadline. Guards against a timer that keeps the body in memory until
+// then although its bytes have been released to the body budget.
 func TestClosedRequestReleasesItsBody(t *testing.T) {
 	release := make(chan struct{})
 	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
@@ -53,7 +54,7 @@
 	a := r.attempts[0]
 	<-s.arrivals
 	l.Fail(1)
-	assertEqual(t, "held while an attempt is out", len(r.message.body), 4)
+	assertEqual(t, "body bytes while an attempt is in flight", len(r.message.body), 4)
 	close(release)
 	for e := range l.events {
 		e.apply(l)
@@ -61,9 +62,9 @@
 			break
 		}
 	}
-	assertEqual(t, "held by the request", r.message.body == nil, true)
-	assertEqual(t, "held by the attempt", a.message.body == nil && a.head == nil, true)
-	for { // its timer fires all the same, and finds nothing left to do
+	assertEqual(t, "body released by the request", r.message.body == nil, true)
+	assertEqual(t, "body released by the attempt", a.message.body == nil && a.head == nil, true)
+	for { // its timer still fires, without effect
 		pending, ok := l.timers.popDue(math.MaxInt64)
 		if !ok {
 			break
@@ -74,8 +75,8 @@
 	}
 }
 
-// writeRecorder is a connection that records when its sending begins and ends. After an error its reader goes on only
-// when the test closes read.
+// writeRecorder is a connection that records when writing starts and ends. After a read error, Read returns only when the
+// test closes read.
 type writeRecorder struct {
 	*net.TCPConn
 	events chan string
@@ -107,8 +108,9 @@
 	return c.TCPConn.Close()
 }
 
-// An attempt that is given up has ended at its upstream before the next one is sent: where the settings have no hedged
-// requests two must not be in flight at once. Once its connection was closed by its reader, whenever that came to it.
+// An abandoned attempt has ended for its upstream before the retry is sent: without hedged requests in the settings, two
+// attempts must not be in flight at once. Guards against leaving the close of the connection to its reader, which may come
+// later than the retry.
 func TestAbandonedAttemptEndsBeforeTheRetryIsSent(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
@@ -139,7 +141,7 @@
 	assertEqual(t, "then", <-events, "sent")
 }
 
-// permutations calls do with every order of the numbers below n.
+// permutations calls do with every permutation of the numbers from 0 to n-1.
 func permutations(n int, do func(order []int)) {
 	var extend func(order, rest []int)
 	extend = func(order, rest []int) {
@@ -157,7 +159,7 @@
 	extend(nil, all)
 }
 
-// attemptEnd is how an attempt of an endsTrial ends.
+// attemptEnd is the way in which an attempt of a requestEndTrial ends.
 type attemptEnd string
 
 const (
@@ -172,9 +174,9 @@
 	loop        *loop
 	endpoint    *endpoint
 	request     *request
-	results     []attemptResult // of the attempts, once they have ended
-	bytesBefore int64           // free in the byte budget
-	answers     int
+	results     []attemptResult // results with which the attempts will end
+	bytesBefore int64           // available in the body budget before the trial
+	responses   int
 }
 
 func newRequestEndTrial(t *testing.T, ends ...attemptEnd) *requestEndTrial {
@@ -189,7 +191,7 @@
 	return trial
 }
 
-// addAttempt adds an attempt that is in flight, with the result that it will have.
+// addAttempt adds an attempt in flight and the result with which it will end.
 func (x *requestEndTrial) addAttempt(t *testing.T, end attemptEnd) {
 	t.Helper()
 	mine, other := net.Pipe()
@@ -220,10 +222,10 @@
 	x.results = append(x.results, r)
 }
 
-// requestEndSteps is how many steps there are.
+// requestEndSteps is the number of steps of a requestEndTrial.
 const requestEndSteps = 5
 
-// step does one of the things that end a request.
+// step performs one of the steps, each of which ends the request or one of its attempts.
 func (x *requestEndTrial) step(number int) {
 	switch number {
 	case 0, 1:
@@ -238,11 +240,11 @@
 	x.loop.deliverOutcomes()
 }
 
-// discardReplies takes the answers that the frontend would not: the client disconnected as they came.
+// discardReplies releases the responses that the frontend has not received because the client disconnected.
 func (x *requestEndTrial) discardReplies() {
 	for len(x.request.reply) > 0 {
 		a := <-x.request.reply
-		x.answers++
+		x.responses++
 		x.loop.dialer.bodyBudget.release(cap(a.body))
 		if a.stream != nil {
 			x.loop.pool.close(a.stream.conn)
@@ -250,12 +252,12 @@
 	}
 }
 
-// check fails the test if there was more than one answer, or something is still counted or in memory.
+// check fails the test if there was more than one response, or if anything has not been released.
 func (x *requestEndTrial) check(t *testing.T) {
 	t.Helper()
 	l := x.loop
-	if x.answers > 1 {
-		t.Errorf("%d answers", x.answers)
+	if x.responses > 1 {
+		t.Errorf("%d responses, want at most 1", x.responses)
 	}
 	assertEqual(t, "bytes in the budget", l.dialer.bodyBudget.available.Load(), x.bytesBefore)
 	assertEqual(t, "connections", l.pool.open, len(x.endpoint.idle))
@@ -264,9 +266,9 @@
 	assertEqual(t, "requests", len(l.requests), 0)
 }
 
-// Two attempts of a request end, the first one's time-out fires, the request fails, and its client disconnects, in every
-// order. The attempts each end with a response, one that is passed on as it comes, a reset, or unsent. There is at most
-// one answer, and nothing stays counted or in memory.
+// Two attempts of a request end, the timeout of the first fires, the request fails, and its client disconnects, in every
+// order. Each attempt ends with a buffered response, a streamed response, a reset, or unsent. There is at most one response
+// to the client, and all resources are released.
 func TestRequestEndsInEveryOrder(t *testing.T) {
 	ends := []attemptEnd{endsAnswered, endsStreamed, endsReset, endsUnsent}
 	trials := 0
--- a/internal/proxy/savedstate_test.go
+++ b/internal/proxy/savedstate_test.go
@@ -12,7 +12,7 @@
 	"sprucehill/internal/savedstate"
 )
 
-// memoryWriter is a savedstate.Writer in memory. When it is full, saving fails.
+// memoryWriter is an in-memory savedstate.Writer. If full is set, saving fails.
 type memoryWriter struct {
 	mu      sync.Mutex
 	records map[string]durable.Record
@@ -35,7 +35,7 @@
 	if err != nil {
 		return
 	}
-	_ = s.SaveSync(kind, version, at, text) // a real one has no way to report it either
+	_ = s.SaveSync(kind, version, at, text) // Save has no way to report the error
 }
 
 func (s *memoryWriter) SaveSync(kind string, version uint16, at time.Time, payload []byte) error {
@@ -50,6 +50,7 @@
 
 func (s *memoryWriter) MarkRecovered() {}
 
+// stop shuts the balancer down and waits until it has ended.
 func (b *testBalancer) stop(t *testing.T) {
 	t.Helper()
 	b.client.CloseIdleConnections()
@@ -60,18 +61,18 @@
 	b.ended <- nil
 }
 
-// A balancer that is restarted serves by the saved list while discovery does not answer, knows what it had learnt, and
-// does what operators had ordered.
+// A restarted balancer uses the saved endpoint list while discovery does not answer, restores the measurements of the
+// decision module, and carries out the saved operators' orders.
 func TestStateSurvivesARestart(t *testing.T) {
 	s := newTestUpstream(t, respondOK)
 	writer := newMemoryWriter()
 	g := newTestDiscovery(t)
 	withWriter := func(c *Config) { c.StateWriter = writer }
 	b := newBalancerWith(t, g, withWriter, activeMember("s-00000009", newTestUpstream(t, respondOK)))
-	select { // discovery has another list than the configuration
+	select { // a list that differs from that of the configuration
 	case g.answers <- discovery.List{Revision: 12, Complete: true, Members: []discovery.Entry{activeMember("s-00000001", s)}}:
 	case <-time.After(30 * time.Second):
-		t.Fatal("discovery was not asked")
+		t.Fatal("discovery was not called within 30 s")
 	}
 	for range 20 {
 		b.do(t, b.newRequest("checkin", ""))
@@ -84,30 +85,30 @@
 		t.Errorf("drain-on: %v, %s", done, state)
 	}
 	b.stop(t)
-	again := newBalancerWith(t, g, withWriter, activeMember("s-00000009", newTestUpstream(t, respondOK)))
+	restarted := newBalancerWith(t, g, withWriter, activeMember("s-00000009", newTestUpstream(t, respondOK)))
 	served := len(s.arrivals)
-	if status, _ := again.do(t, again.newRequest("checkin", "")); status != 200 || len(s.arrivals) != served+1 {
-		t.Errorf("restarted while discovery does not answer: %d, by the upstream of the saved list: %v", status, len(s.arrivals) > served)
+	if status, _ := restarted.do(t, restarted.newRequest("checkin", "")); status != 200 || len(s.arrivals) != served+1 {
+		t.Errorf("restarted while discovery does not answer: status %d, served by the upstream of the saved list: %v", status, len(s.arrivals) > served)
 	}
-	if _, state := again.proxy.Ready(); state != "draining" {
+	if _, state := restarted.proxy.Ready(); state != "draining" {
 		t.Errorf("restarted: %s, want draining", state)
 	}
-	var lat float64
-	if err := again.proxy.callLoop(func(l *loop) { lat = l.balancer.TakeSnapshot(l.now()).Latency }); err != nil || lat == 0 {
-		t.Errorf("restarted: %v, usual latency %v", err, lat)
+	var latency float64
+	if err := restarted.proxy.callLoop(func(l *loop) { latency = l.balancer.TakeSnapshot(l.now()).Latency }); err != nil || latency == 0 {
+		t.Errorf("restarted: restored latency %v, error %v; want a latency above 0", latency, err)
 	}
-	if done, _ := again.proxy.EndDrain(); !done {
+	if done, _ := restarted.proxy.EndDrain(); !done {
 		t.Error("drain-off")
 	}
-	again.stop(t)
-	last := newBalancerWith(t, g, withWriter)
-	if _, state := last.proxy.Ready(); state == "draining" {
-		t.Error("drained though drain-off got its YES")
+	restarted.stop(t)
+	restartedAgain := newBalancerWith(t, g, withWriter)
+	if _, state := restartedAgain.proxy.Ready(); state == "draining" {
+		t.Error("restarted after a confirmed drain-off: still draining")
 	}
 }
 
-// On a disk that takes nothing, orders are carried out but not confirmed, since they would not outlive the process, and
-// service goes on.
+// If the disk is full, orders are carried out but reported as failed, since they would not outlive the process, and
+// requests are still served.
 func TestOrdersOnAFullDisk(t *testing.T) {
 	writer := newMemoryWriter()
 	writer.full = true
@@ -119,11 +120,11 @@
 		t.Errorf("drain-on: %v, %s", done, state)
 	}
 	if _, state := b.proxy.Ready(); state != "draining" {
-		t.Errorf("the order is not carried out: %s", state)
+		t.Errorf("state %q after drain-on, want draining", state)
 	}
 }
 
-// Saved state that can't be decoded is ignored, and the configuration counts.
+// Saved state that can't be decoded is ignored, and the configuration is used instead.
 func TestUndecodableStateIsIgnored(t *testing.T) {
 	writer := newMemoryWriter()
 	for kind, text := range map[string]string{savedstate.KindList: `{"discovery":1}`, savedstate.KindSnapshot: `{"names":["a"],"knowledge":{}}`, savedstate.KindOrders: "[]"} {
@@ -136,13 +137,13 @@
 		t.Errorf("served with %d", status)
 	}
 	if _, state := b.proxy.Ready(); state != "serving" {
-		t.Errorf("%s", state)
+		t.Errorf("state %q, want serving", state)
 	}
 }
 
-// A balancer that knows its upstreams from before delays its first call to discovery by a time of its own. Where lists are
-// pushed it must still have the answer within the grace for draining endpoints, since a drain that the agent knows of
-// counts as notified at once; the delay was once up to 250 ms whatever the grace.
+// A balancer that has restored its endpoint list delays its first call to discovery by a random time. In push mode it must
+// still get the response within the grace period for draining endpoints, since a drain that the agent knows of counts as
+// notified from the start. Guards against a delay of up to 250 ms whatever the grace period.
 func TestFirstDiscoveryCallIsWithinTheDrainGrace(t *testing.T) {
 	const grace = 100 * time.Millisecond
 	const list = `{"discovery":"127.0.0.1:1","list":{"revision":12,"complete":true,` +
@@ -166,7 +167,7 @@
 			c.Settings.PollDiscovery = test.polls
 			c.Settings.Obligations.DrainGrace = grace
 			l := newLoop(t.Context(), &c)
-			assertEqual(t, "knows its upstreams from before", l.saver.IsRestored(), true)
+			assertEqual(t, "endpoint list restored", l.saver.IsRestored(), true)
 			if delay := l.discovery.FirstCallDelay(); delay > test.longest {
 				t.Errorf("polls %v, seed %d: %v before the first call, want at most %v", test.polls, seed, delay, test.longest)
 			}
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -7,12 +7,12 @@
 	"sprucehill/internal/timelimit"
 )
 
-// shutdownSweepInterval is the time between two looks for idle connections during a shutdown.
+// shutdownSweepInterval is the time between two scans for idle connections during a shutdown.
 const shutdownSweepInterval = 10 * time.Millisecond
 
-// shutDown shuts the frontend down without losing a request: it accepts the connections that are still on their way, closes
-// the listener and idle connections, and returns once every accepted request has been answered. An inherited listener is
-// closed at once: the connections in its queue, and those still to come, belong to the successor process.
+// shutDown shuts the frontend down without losing a request. It accepts the connections that are still being established,
+// closes the listener and idle connections, and returns once every accepted request has been answered. An inherited
+// listener is closed immediately: queued and future connections are accepted by the successor process.
 func (f *frontend) shutDown() {
 	f.lifecycle.shutdown.begin(f.now())
 	slog.Info("shutting down", "connections", f.conns.count())
@@ -24,13 +24,13 @@
 	if !f.acceptor.inherited {
 		f.acceptor.listener.CloseWhenDrained()
 	}
-	<-f.acceptor.ended // from here on the last accepted connection counts among the open ones
+	<-f.acceptor.ended // from here on conns includes the last accepted connection
 	f.awaitClients()
 }
 
-// awaitClients closes idle connections until none is open, or until the time limit closes the rest.
+// awaitClients closes idle connections until no connection is open. At the time limit it closes the rest.
 func (f *frontend) awaitClients() {
-	// http.Server.Shutdown is no substitute: it also closes a persistent connection on which a part of the next request has arrived.
+	// http.Server.Shutdown can't be used: it also closes a persistent connection that has received part of the next request.
 	limit := time.After(f.lifecycle.longestDeadline + timelimit.ShutdownLimit)
 	sweep := time.NewTicker(shutdownSweepInterval)
 	defer sweep.Stop()
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -15,14 +15,15 @@
 	"sprucehill/internal/timelimit"
 )
 
-// partialRequest is a client connection on which one request has been answered and a part of the next one's head has come.
+// partialRequest is a client connection on which one request has been answered and part of the next request's head has been
+// sent.
 type partialRequest struct {
 	net.Conn
 	in   *bufio.Reader
 	rest string
 }
 
-// sendPartialRequest opens a connection with a partial request, and waits until the part has been read.
+// sendPartialRequest opens a connection with a partial request, and waits until the balancer has read it.
 func (b *testBalancer) sendPartialRequest(t *testing.T) partialRequest {
 	t.Helper()
 	x := partialRequest{Conn: b.sendRaw(t, "checkin", "")}
@@ -37,11 +38,11 @@
 		t.Fatal(err)
 	}
 	x.rest = text.String()[half:]
-	eventually(t, "the head has been read in part", b.proxy.front.anyPartialRequest)
+	eventually(t, "part of the head has been read", b.proxy.front.anyPartialRequest)
 	return x
 }
 
-// anyPartialRequest reports whether a later request has come in part on some connection.
+// anyPartialRequest reports whether part of a request has been read on a connection that net/http considers idle.
 func (f *frontend) anyPartialRequest() bool {
 	f.conns.mu.Lock()
 	defer f.conns.mu.Unlock()
@@ -58,21 +59,21 @@
 	t.Helper()
 	resp, err := http.ReadResponse(x.in, nil)
 	if err != nil {
-		t.Fatalf("a request that had begun got no response: %v", err)
+		t.Fatalf("partial request got no response: %v", err)
 	}
 	io.Copy(io.Discard, resp.Body)
 	assertEqual(t, "status", resp.StatusCode, http.StatusOK)
 }
 
-// end sends the rest of the request.
-func (x partialRequest) end(t *testing.T) {
+// sendRest sends the rest of the partial request.
+func (x partialRequest) sendRest(t *testing.T) {
 	t.Helper()
 	if _, err := io.WriteString(x, x.rest); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Requests that have been accepted are answered after SIGTERM, and connections that are still on their way are served.
+// After SIGTERM accepted requests are still answered, and connections that are being established are still served.
 func TestShutdownLosesNoRequest(t *testing.T) {
 	release := make(chan struct{})
 	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
@@ -98,7 +99,7 @@
 	}()
 	<-s.arrivals
 	b.cancel()
-	for { // on new connections, until one shows that the shutdown has begun
+	for { // send requests on new connections until a response shows that the shutdown has begun
 		r := b.newRequest("checkin", "")
 		resp, err := (&http.Client{Transport: &http.Transport{}}).Do(r)
 		if err != nil {
@@ -112,7 +113,7 @@
 	}
 	close(release)
 	if g := <-late; g.err != nil || g.status != 200 {
-		t.Errorf("the request in flight ended with %v, %v", g.status, g.err)
+		t.Errorf("request in flight: status %v, error %v", g.status, g.err)
 	}
 	b.awaitEnd(t)
 	if _, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://")); err == nil {
@@ -120,8 +121,8 @@
 	}
 }
 
-// A connection on which nothing was ever sent neither keeps a balancer from shutting down nor takes the requests in flight
-// with it.
+// A connection on which nothing was ever sent does not delay the shutdown, and closing it does not affect requests in
+// flight.
 func TestShutdownClosesUnusedConnections(t *testing.T) {
 	release := make(chan struct{})
 	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
@@ -144,14 +145,14 @@
 	<-s.arrivals
 	b.cancel()
 	if _, err := unused.Read(make([]byte, 1)); err == nil {
-		t.Error("bytes on an unused connection")
+		t.Error("got bytes on an unused connection, want its end")
 	}
 	close(release)
 	assertEqual(t, "status of the request in flight", <-status, 200)
 }
 
-// A request that comes in pieces on a kept connection, and has begun when the shutdown begins, is answered. Its connection
-// used to be closed as an idle one.
+// A request on a persistent connection that has been received in part when the shutdown begins is answered. Guards against
+// closing its connection as idle.
 func TestShutdownAwaitsPartialRequest(t *testing.T) {
 	s := newTestUpstream(t, respondOK)
 	b := newBalancer(t, activeMember("s-00000001", s))
@@ -161,13 +162,13 @@
 	for range 3 {
 		b.proxy.front.conns.closeIdle(0, closedByDrain)
 	}
-	x.end(t)
+	x.sendRest(t)
 	x.answer(t)
 	b.awaitEnd(t)
 	assertEqual(t, "open connections", b.proxy.front.conns.count(), 0)
 }
 
-// The same while draining, and where a connection has to make room.
+// A connection with a partial request is not closed by a drain either, nor evicted at the connection limit.
 func TestPartialRequestKeepsItsConnection(t *testing.T) {
 	s := newTestUpstream(t, respondOK)
 	b := newBalancer(t, activeMember("s-00000001", s))
@@ -175,7 +176,7 @@
 	x := b.sendPartialRequest(t)
 	f.conns.closeIdle(0, closedByDrain)
 	f.conns.mu.Lock()
-	for c, status := range f.conns.open { // it entered its state long ago
+	for c, status := range f.conns.open { // backdated, so that the connection could be evicted
 		status.since -= 2 * timelimit.EvictionMinIdle
 		f.conns.open[c] = status
 	}
@@ -184,18 +185,18 @@
 	other, peer := net.Pipe()
 	defer other.Close()
 	defer peer.Close()
-	f.conns.track(framing.NewConn(other, f.now, timelimit.ClientRead), http.StateNew) // over the limit: it is closed itself
+	f.conns.track(framing.NewConn(other, f.now, timelimit.ClientRead), http.StateNew) // over the limit, with no idle connection to evict: it is closed itself
 	if _, err := peer.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the new connection: %v, want its end", err)
 	}
 	f.conns.mu.Lock()
 	f.conns.max = 100
 	f.conns.mu.Unlock()
-	x.end(t)
+	x.sendRest(t)
 	x.answer(t)
 }
 
-// pausedListener is a listener that accepts nothing until the test resumes it. It reports when it has been asked to end.
+// pausedListener is a listener that accepts nothing until the test closes resume. It closes ending when it is told to end.
 type pausedListener struct {
 	recordingListener
 	resume  chan struct{}
@@ -218,8 +219,8 @@
 	return l.TCPListener.Close()
 }
 
-// A balancer that is slow to accept when its shutdown begins accepts the connections in its listener's queue, and answers
-// their requests. They used to be reset when the listener closed.
+// A balancer that has not yet accepted the connections in its listener's queue when the shutdown begins accepts them and
+// answers their requests. Guards against connections that are reset when the listener closes.
 func TestShutdownAcceptsQueuedConnections(t *testing.T) {
 	s := newTestUpstream(t, respondOK)
 	l := &pausedListener{resume: make(chan struct{}), ending: make(chan struct{})}
--- a/internal/proxy/startdelay.go
+++ b/internal/proxy/startdelay.go
@@ -6,12 +6,12 @@
 	"sprucehill/balancer"
 )
 
-// longestStartDelay is how long, at most, a balancer that knows its upstreams from before waits before its first call
-// to discovery: of many that start at once each waits for a time of its own.
+// longestStartDelay is the maximum random delay before the first call to discovery of a balancer that has restored its
+// endpoint list. It spreads the calls of many balancers that start at once.
 const longestStartDelay = 250 * time.Millisecond
 
-// maxStartDelay bounds the wait before the first call to discovery. Where lists are pushed, a drain that the agent knows
-// of counts as notified from the first moment, so the call has to be answered within the grace for draining endpoints.
+// maxStartDelay returns the maximum delay before the first call to discovery. In push mode, a drain that the agent knows of
+// counts as notified from the start, so the call must be answered within the grace period for draining endpoints.
 func maxStartDelay(s balancer.Settings) time.Duration {
 	if s.PollDiscovery {
 		return longestStartDelay
--- a/internal/proxy/timers.go
+++ b/internal/proxy/timers.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// timer is a pending wake-up of the event loop. It belongs to an attempt (its time-out), to a request (its deadline),
-// or, where both are nil, to the decision module, which gets its token back.
+// timer is a pending timer of the event loop. It is the timeout of an attempt, the deadline of a request or, if both are
+// nil, a timer of the decision module, which gets the token back.
 type timer struct {
 	at      time.Duration // on the loop's clock
-	serial  uint64        // timers that are due at the same moment fire in the order in which they were set
+	serial  uint64        // orders timers that are due at the same time by when they were set
 	token   uint64
 	request *request
 	attempt *attempt
 }
 
-// timerQueue is a heap of timers, the next one first. It belongs to the loop and is used on the loop's goroutine only.
-// Timers are never removed before they fire: one whose request or attempt has ended by then has no effect.
+// timerQueue is a heap of timers ordered by due time. It is owned by the loop and used on the loop's goroutine only. Timers
+// are never removed before they fire; a timer whose request or attempt has ended by then has no effect.
 type timerQueue []timer
 
-// Len is part of heap.Interface.
+// Len implements heap.Interface.
 func (q timerQueue) Len() int { return len(q) }
 
-// Less is part of heap.Interface.
+// Less implements heap.Interface.
 func (q timerQueue) Less(i, j int) bool {
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
@@ -30,18 +30,18 @@
 	return q[i].serial < q[j].serial
 }
 
-// Swap is part of heap.Interface.
+// Swap implements heap.Interface.
 func (q timerQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is part of heap.Interface; use add.
+// Push implements heap.Interface; use add instead.
 func (q *timerQueue) Push(x any) { *q = append(*q, x.(timer)) }
 
-// Pop is part of heap.Interface; use popDue.
+// Pop implements heap.Interface; use popDue instead.
 func (q *timerQueue) Pop() any {
 	old := *q
 	last := len(old) - 1
 	t := old[last]
-	old[last] = timer{} // or the array would refer to its request
+	old[last] = timer{} // otherwise the array would keep its request in memory
 	*q = old[:last]
 	return t
 }
@@ -49,7 +49,7 @@
 // add queues a timer.
 func (q *timerQueue) add(t timer) { heap.Push(q, t) }
 
-// next returns when the first timer is due. ok is false where there is none.
+// next returns when the first timer is due. ok is false if the queue is empty.
 func (q timerQueue) next() (at time.Duration, ok bool) {
 	if len(q) == 0 {
 		return 0, false
@@ -66,13 +66,13 @@
 	return heap.Pop(q).(timer), true
 }
 
-// setTimer queues a timer under the loop's next serial.
+// setTimer queues a timer and assigns it the next serial.
 func (l *loop) setTimer(t timer) {
 	t.serial = l.nextSerial()
 	l.timers.add(t)
 }
 
-// fireTimers fires all timers that are due, then runs the periodic tasks that are.
+// fireTimers fires all timers that are due, then runs the periodic tasks that are due.
 func (l *loop) fireTimers() {
 	for {
 		t, ok := l.timers.popDue(l.now())
@@ -89,7 +89,7 @@
 	}
 }
 
-// fire carries out one timer.
+// fire performs the action of a timer.
 func (l *loop) fire(t timer) {
 	switch {
 	case t.attempt != nil:
--- a/internal/proxy/timers_test.go
+++ b/internal/proxy/timers_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Timers fire by their time, those of one moment in the order in which they were set, and none before it is due.
+// Timers fire in the order of their due times, those due at the same time in the order in which they were set, and none
+// fires early.
 func TestTimerQueueOrder(t *testing.T) {
 	var queue timerQueue
 	for _, pending := range []timer{
@@ -17,15 +18,15 @@
 		queue.add(pending)
 	}
 	_, ok := queue.popDue(time.Second - 1)
-	assertEqual(t, "due too early", ok, false)
+	assertEqual(t, "due before its time", ok, false)
 	for _, serial := range []uint64{2, 3, 4} {
 		fired, ok := queue.popDue(2 * time.Second)
 		assertEqual(t, "due", ok, true)
 		assertEqual(t, "serial", fired.serial, serial)
 	}
 	_, ok = queue.popDue(3*time.Second - 1)
-	assertEqual(t, "the last one is due too early", ok, false)
+	assertEqual(t, "last timer due before its time", ok, false)
 	at, ok := queue.next()
-	assertEqual(t, "one is left", ok, true)
+	assertEqual(t, "one timer left", ok, true)
 	assertEqual(t, "its time", at, 3*time.Second)
 }
--- a/internal/proxy/upstreamconn.go
+++ b/internal/proxy/upstreamconn.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// maxResponseRead is how many bytes are read at most of one response's head, framing and buffered body, and of what
-	// comes before it: an upstream that sends without an end must not fill the memory.
+	// maxResponseRead is the maximum number of bytes read for the head, framing and buffered body of a response, including
+	// the 1xx responses before it. It bounds the memory that an upstream can use by sending endlessly.
 	maxResponseRead = 8 * maxBody
-	// responseReaderSize is the size of the read buffer of a connection.
+	// responseReaderSize is the size, in bytes, of the read buffer of a connection.
 	responseReaderSize = 2 << 10
 )
 
-// expiredDeadline is a deadline that ends whatever waits.
+// expiredDeadline is a deadline in the past. Setting it makes pending reads and writes fail immediately.
 var expiredDeadline = time.Unix(0, 1)
 
-// halfCloser is a connection whose sending side can be closed alone.
+// halfCloser is a connection whose write side can be closed separately.
 type halfCloser interface{ CloseWrite() error }
 
-// upstreamConn is a connection to an upstream. It belongs to one attempt or, while idle, to the loop; nobody else uses it.
+// upstreamConn is a connection to an upstream. It is owned by one attempt or health check or, while idle, by the loop.
 type upstreamConn struct {
 	net.Conn
-	readLimit *io.LimitedReader // how much more may be read of the present response
+	readLimit *io.LimitedReader // remaining bytes that may be read for the current response
 	reader    *bufio.Reader     // reads from readLimit
 	idleSince time.Duration     // when it became idle, on the loop's clock
-	abandoned bool              // belongs to the loop: its attempt has been abandoned
+	abandoned bool              // used by the loop only: the connection's attempt has been abandoned
 }
 
 func newUpstreamConn(c net.Conn) *upstreamConn {
@@ -39,11 +39,11 @@
 	return &upstreamConn{Conn: c, readLimit: limit, reader: bufio.NewReaderSize(limit, responseReaderSize)}
 }
 
-// errStale says that an idle connection can't be used any more: the upstream has closed it, or has sent bytes that belong
-// to no request.
-var errStale = errors.New("closed while idle")
+// errStale means that an idle connection can no longer be used: the upstream has closed it, or has sent bytes without a
+// request.
+var errStale = errors.New("idle connection closed by upstream or has unsolicited data")
 
-// checkIdle looks, without waiting, whether an idle connection can still be used.
+// checkIdle returns nil if an idle connection can still be used. It does not block.
 func (c *upstreamConn) checkIdle() error {
 	state, err := socket.Peek(c.Conn.(syscall.Conn))
 	if err != nil {
@@ -55,13 +55,13 @@
 	return nil
 }
 
-// abandon ends the attempt on the connection, from outside. When it returns, the sending side has been closed, which is
-// what abandons the attempt: a retry must not be in flight beside it where the settings forbid that. The attempt's reader
-// then closes the connection.
+// abandon ends the attempt on the connection; the loop calls it while the attempt's goroutine is using the connection. When
+// it returns, the write side has been closed, so that the attempt has ended for the upstream before a retry is sent: the
+// settings may forbid two attempts in flight at once. The attempt's reader then closes the connection.
 func (c *upstreamConn) abandon() {
 	c.abandoned = true
 	if half, ok := c.Conn.(halfCloser); ok {
-		_ = half.CloseWrite() // fails only where the upstream has closed the connection already
+		_ = half.CloseWrite() // fails only if the upstream has already closed the connection
 	}
 	c.SetDeadline(expiredDeadline)
 }
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -9,8 +9,8 @@
 	"sprucehill/internal/discovery"
 )
 
-// An agent on the balancer's own machine answers a watch call at once, with or without changes. That must not keep the core
-// busy.
+// An agent on the same machine may answer every watch call immediately, with or without changes. The balancer pauses between
+// calls, so that polling does not keep a CPU core busy.
 func TestPausesBetweenWatchCalls(t *testing.T) {
 	b := newBalancer(t)
 	<-b.discovery.calls
@@ -24,7 +24,7 @@
 	}
 }
 
-// After a drain has been announced nothing more goes to the upstream; an older list does not undo that.
+// An upstream gets no requests once its drain has been announced, and an older list does not revert that.
 func TestOlderListDoesNotUndoADrain(t *testing.T) {
 	one, two := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
 	m1, m2 := activeMember("s-00000001", one), activeMember("s-00000002", two)
@@ -42,8 +42,8 @@
 	assertEqual(t, "requests at the other", len(two.arrivals), 10)
 }
 
-// Discovery moves when the configuration is read again. The new one is followed from its beginning, as its revisions need
-// not continue the old one's, and the old one's later lists no longer count.
+// When a reloaded configuration changes the address of discovery, the balancer fetches the complete list from the new
+// service, whose revisions need not continue those of the old one, and then follows the new service only.
 func TestFollowsDiscoveryToANewAddress(t *testing.T) {
 	one, two := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
 	b := newBalancer(t, activeMember("s-00000001", one))
@@ -55,11 +55,11 @@
 	assertEqual(t, "next call", <-next.calls, watchQuery(3))
 	status, _ := b.do(t, b.newRequest("checkin", ""))
 	assertEqual(t, "status", status, 200)
-	assertEqual(t, "requests at the new one's upstream", len(two.arrivals), 1)
+	assertEqual(t, "requests at the upstream of the new service", len(two.arrivals), 1)
 }
 
-// Lists of the old discovery count until the new one has answered: a list that was on its way when the configuration was
-// read again used to be ignored, and a draining upstream got requests until the new one answered.
+// Lists of the old discovery service are applied until the new one has answered. Guards against ignoring a list that was in
+// transit when the configuration was reloaded: a draining upstream then got requests until the new service answered.
 func TestOldDiscoveryCountsUntilTheNewOneAnswers(t *testing.T) {
 	one, two := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
 	m1, m2 := activeMember("s-00000001", one), activeMember("s-00000002", two)
@@ -67,25 +67,25 @@
 	<-b.discovery.calls
 	next := newTestDiscovery(t)
 	b.moves <- next.addr
-	assertEqual(t, "first call", <-next.calls, watchQuery(0)) // it waits
+	assertEqual(t, "first call", <-next.calls, watchQuery(0)) // not answered yet
 	b.discovery.answers <- discovery.List{Revision: 12, Members: []discovery.Entry{drainingMember(m1)}}
 	state := func(is balancer.EndpointState) func(l *loop) bool {
 		return func(l *loop) bool { return l.endpoints[1].state == is }
 	}
-	b.await(t, "the old one's drain is taken", state(balancer.Draining))
-	<-b.discovery.calls // it goes on
+	b.await(t, "the drain announced by the old service is applied", state(balancer.Draining))
+	<-b.discovery.calls // the old service is still being watched
 	next.answers <- discovery.List{Revision: 3, Complete: true, Members: []discovery.Entry{m1, m2}}
 	assertEqual(t, "next call", <-next.calls, watchQuery(3))
-	b.await(t, "the new one's list is taken", state(balancer.Active))
-	select { // its watch has ended, or else its list is ignored
+	b.await(t, "the list of the new service is applied", state(balancer.Active))
+	select { // the watch of the old service has ended, or its list is ignored
 	case b.discovery.answers <- discovery.List{Revision: 13, Members: []discovery.Entry{drainingMember(m1)}}:
 	case <-time.After(10 * discovery.WatchInterval):
 	}
 	b.runInLoop(t, func(l *loop) { assertEqual(t, "state at the end", l.endpoints[1].state, balancer.Active) })
 }
 
-// The revisions of an agent that has restarted at its address begin again. Its lists used to be ignored for ever, as older
-// than those before; a single list that is out of date still changes nothing.
+// The revisions of an agent that has restarted at the same address start again from a low number. Guards against ignoring
+// all its lists as older than the previous ones. A single outdated list still changes nothing.
 func TestRestartedAgentIsFollowed(t *testing.T) {
 	for _, complete := range []bool{true, false} {
 		t.Run(fmt.Sprintf("complete list %v", complete), func(t *testing.T) {
@@ -109,18 +109,19 @@
 	}
 }
 
-// What an agent has to announce counts as announced 2 s after the wait of a call, even if the agent is unresponsive. That
-// used to be noticed a second later: until then a draining upstream would have got requests.
+// A change counts as announced 2 s after the timeout of a watch call, even if the agent is unresponsive, so the balancer must
+// call again before that. Guards against detecting an unresponsive agent a second later: until then a draining upstream
+// would have got requests.
 func TestUnresponsiveDiscoveryIsPolledAgain(t *testing.T) {
 	if discovery.AnswerTimeout >= 2*time.Second {
-		t.Errorf("an answer may come %v after its wait", discovery.AnswerTimeout)
+		t.Errorf("AnswerTimeout is %v, want less than 2 s", discovery.AnswerTimeout)
 	}
 	b := newBalancer(t)
 	<-b.discovery.calls
 	<-b.discovery.calls
 }
 
-// The decision module is notified of a failed call, and polls again in its own time.
+// The decision module is notified of a failed call and schedules the next one.
 func TestDiscoveryIsPolledAgainAfterAFailure(t *testing.T) {
 	s := newTestUpstream(t, respondOK)
 	b := newBalancer(t)
--- a/internal/proxy/zonemetrics.go
+++ b/internal/proxy/zonemetrics.go
@@ -10,39 +10,39 @@
 )
 
 const (
-	// maxZonesReported bounds the zones that have metrics of their own; the rest are in the totals only.
+	// maxZonesReported limits the zones that have metrics of their own; the rest are included in the totals only.
 	maxZonesReported = 64
-	// maxZoneLogs is how many changes of zones are logged in zoneLogWindow at most: a fleet that flaps must not fill the
-	// disk.
+	// maxZoneLogs is the maximum number of zone state changes logged per zoneLogWindow, so that flapping zones do not fill
+	// the disk.
 	maxZoneLogs   = 20
 	zoneLogWindow = 10 * time.Second
 )
 
-// zoneMetrics is the status of the zones as the loop last had it, and the log of their changes. update belongs to the
-// loop's goroutine; write may be called from any.
+// zoneMetrics has the last published status of the zones and logs their state changes. update is called on the loop's
+// goroutine only; write may be called from any goroutine.
 type zoneMetrics struct {
 	last            atomic.Pointer[zoneReport]
-	changesInWindow int           // changes in the present window, those that were too many included
-	windowStart     time.Duration // when the present window began, on the loop's clock
+	changesInWindow int           // state changes in the current window, including those over the limit
+	windowStart     time.Duration // when the current window began, on the loop's clock
 }
 
-// zoneReport is the status of the zones at one time. It is not changed once it has been stored.
+// zoneReport is the status of the zones at one time. It is immutable once stored.
 type zoneReport struct {
-	home  string // the balancer's own zone
-	zones []balancer.ZoneStatus
+	ownZone string // the balancer's own zone
+	zones   []balancer.ZoneStatus
 }
 
-// update stores what the zones are now and logs those that have changed their state.
-func (z *zoneMetrics) update(now time.Duration, zones []balancer.ZoneStatus, home string, log func(text string, keys ...any)) {
+// update stores the current status of the zones and logs the state changes since the last update.
+func (z *zoneMetrics) update(now time.Duration, zones []balancer.ZoneStatus, ownZone string, log func(text string, keys ...any)) {
 	before := z.lastStates()
 	for _, zone := range zones {
-		was := before[zone.Name] // a new zone counts as having been healthy
+		was := before[zone.Name] // the zero value, healthy, for a new zone
 		if was != zone.State && z.mayLog(now) {
 			log("zone state changed", "zone", zone.Name, "state", zone.State.String(), "previous_state", was.String(),
 				"unhealthy", zone.Unhealthy, "listed", zone.Listed)
 		}
 	}
-	z.last.Store(&zoneReport{home: home, zones: zones[:min(len(zones), maxZonesReported)]})
+	z.last.Store(&zoneReport{ownZone: ownZone, zones: zones[:min(len(zones), maxZonesReported)]})
 }
 
 // lastStates returns the states of the zones in the last report.
@@ -58,7 +58,7 @@
 	return states
 }
 
-// mayLog counts a change and reports whether the window has capacity for it.
+// mayLog counts a state change and reports whether it is within the limit of the current window.
 func (z *zoneMetrics) mayLog(now time.Duration) bool {
 	if now-z.windowStart >= zoneLogWindow {
 		z.windowStart = now
@@ -68,7 +68,7 @@
 	return z.changesInWindow <= maxZoneLogs
 }
 
-// zoneMetric is a metric that each zone has.
+// zoneMetric is a metric that is reported for each zone.
 type zoneMetric struct {
 	name  string
 	value func(r *zoneReport, zone balancer.ZoneStatus) int
@@ -82,15 +82,15 @@
 	{"svc_zone_spilled", func(_ *zoneReport, zone balancer.ZoneStatus) int { return zone.Spilled }},
 }
 
-// crossZoneAttempts counts the attempts at a zone that is not the balancer's own.
+// crossZoneAttempts returns the attempts at a zone, or 0 for the balancer's own zone.
 func crossZoneAttempts(r *zoneReport, zone balancer.ZoneStatus) int {
-	if zone.Name == r.home {
+	if zone.Name == r.ownZone {
 		return 0
 	}
 	return zone.Attempts
 }
 
-// write writes the metrics of the zones, one to a line. With fewer than two zones there are none.
+// write writes the metrics of the zones, one per line. With fewer than two zones it writes nothing.
 func (z *zoneMetrics) write(w io.Writer) error {
 	report := z.last.Load()
 	if report == nil || len(report.zones) < 2 {
@@ -99,7 +99,7 @@
 	for _, metric := range metricsPerZone {
 		for _, zone := range report.zones {
 			if _, err := fmt.Fprintf(w, "%s{zone=%q} %d\n", metric.name, zone.Name, metric.value(report, zone)); err != nil {
-				return fmt.Errorf("writing figures of zones: %w", err)
+				return fmt.Errorf("writing %s of zone %s: %w", metric.name, zone.Name, err)
 			}
 		}
 	}
--- a/internal/proxy/zonemetrics_test.go
+++ b/internal/proxy/zonemetrics_test.go
@@ -12,7 +12,7 @@
 	"sprucehill/internal/discovery"
 )
 
-// answeredBy sends n requests one after the other and counts them by the body of the answer.
+// answeredBy sends n requests in sequence and counts them by the body of the response.
 func answeredBy(t *testing.T, b *testBalancer, n int) map[string]int {
 	t.Helper()
 	count := map[string]int{}
@@ -24,7 +24,7 @@
 	return count
 }
 
-// zonesText returns the zones as an operator reads them.
+// zonesText returns the status of the zones as operators see it.
 func zonesText(t *testing.T, b *testBalancer) string {
 	t.Helper()
 	var text strings.Builder
@@ -44,8 +44,8 @@
 	return true
 }
 
-// A zone that operators drain gets nothing new, also after discovery has given the complete list again, and is back once
-// they reinstate it. The last zone can't be drained, nor one that is not known.
+// A zone drained by an operator gets no new requests, even after discovery has sent a complete list, until it is
+// reinstated. The last zone can't be drained, nor can an unknown one.
 func TestZoneDrainedByOperators(t *testing.T) {
 	answering := func(name string) *testUpstream {
 		return newTestUpstream(t, func(c net.Conn, _ *http.Request) bool { return writeOK(c, name) })
@@ -55,7 +55,7 @@
 	away.Locality = "z2"
 	b := newBalancer(t, home, away)
 	if by := answeredBy(t, b, 40); by["a"] == 0 || by["z"] == 0 {
-		t.Fatalf("before: served by %v", by)
+		t.Fatalf("before the drain: served by %v", by)
 	}
 	done, state := b.proxy.DrainZone("z1")
 	assertEqual(t, "zone-leave", done, true)
@@ -67,10 +67,10 @@
 	select {
 	case b.discovery.answers <- list:
 	case <-time.After(30 * time.Second):
-		t.Fatal("discovery was not asked")
+		t.Fatal("discovery was not called within 30 s")
 	}
 	if by := answeredBy(t, b, 20); by["a"] > 0 {
-		t.Errorf("drained, and the list given again: served by %v", by)
+		t.Errorf("drained, after a complete list: served by %v", by)
 	}
 	got := zonesText(t, b)
 	if !containsAll(got, `zone "z1" left listed 1 share 0.000`, `zone "z2" well listed 1 share 1.000`) {
@@ -94,8 +94,8 @@
 	assertEqual(t, "zone-return again", done, false)
 }
 
-// awaitZoneMetrics waits until the metrics show that z1, the home zone, is reinstated, and which attempts went to
-// another zone.
+// awaitZoneMetrics waits until the metrics show that z1, the balancer's own zone, is being reinstated, and that attempts
+// went to another zone.
 func awaitZoneMetrics(t *testing.T, b *testBalancer) {
 	t.Helper()
 	var got string
@@ -115,7 +115,7 @@
 	})
 }
 
-// A change of a zone is logged once, with keys, and a fleet that flaps does not fill the log.
+// A state change of a zone is logged once, with attributes, and flapping zones do not fill the log.
 func TestZoneChangesAreLogged(t *testing.T) {
 	var z zoneMetrics
 	var lines []string
@@ -137,7 +137,7 @@
 	}
 }
 
-// The regions in the fleet file are added to the balancer's own zone and to the zones of every list.
+// The regions of the fleet file are added to the balancer's own zone and to the zones of endpoint lists.
 func TestRegionsFromTheFleetFile(t *testing.T) {
 	c := Config{Settings: balancer.Settings{Zone: "z1"}}
 	c.SetLocalities(map[string]string{"z1": "r/z1"})
