--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -72,7 +72,7 @@
 		return 0, false
 	}
 	if window.duration > 0 {
-		window.executions = append(window.executions, possibleExecution{attempt: a, startedAt: now})
+		window.possibleExecutions = append(window.possibleExecutions, possibleExecution{attempt: a, startedAt: now})
 	}
 	return remaining, true
 }
@@ -81,9 +81,9 @@
 // checks it when it starts an attempt; it is checked again before writing, since an attempt may wait for its connection
 // until after the end of the window. The zero value imposes no limit.
 type idempotencyWindow struct {
-	duration   time.Duration // counted from the start of each possible execution; 0: no limit
-	mu         sync.Mutex    // guards executions
-	executions []possibleExecution
+	duration           time.Duration // counted from the start of each possible execution; 0: no limit
+	mu                 sync.Mutex    // guards possibleExecutions
+	possibleExecutions []possibleExecution
 }
 
 // possibleExecution records an attempt that the upstream may have executed.
@@ -94,7 +94,7 @@
 
 // isOver reports whether the window of any earlier possible execution has ended. The caller must hold w.mu.
 func (w *idempotencyWindow) isOver(now time.Duration) bool {
-	return slices.ContainsFunc(w.executions, func(execution possibleExecution) bool {
+	return slices.ContainsFunc(w.possibleExecutions, func(execution possibleExecution) bool {
 		return timelimit.Window{Start: execution.startedAt, Length: w.duration}.IsOver(now)
 	})
 }
@@ -103,7 +103,7 @@
 func (w *idempotencyWindow) exclude(a *attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.executions = slices.DeleteFunc(w.executions, func(execution possibleExecution) bool { return execution.attempt == a })
+	w.possibleExecutions = slices.DeleteFunc(w.possibleExecutions, func(execution possibleExecution) bool { return execution.attempt == a })
 }
 
 // attemptResult is the result of an attempt or a health check.
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -14,9 +14,9 @@
 // has ended. The window does not apply if no earlier attempt can have been executed.
 func TestRetryIsNotSentAfterItsIdempotencyWindow(t *testing.T) {
 	for _, x := range []struct {
-		name, memory string
-		mayHaveRun   bool
-		sent         int // requests, in all
+		name, windowSetting string
+		mayBeExecuted       bool
+		wantRequests        int // requests, in all
 	}{
 		{"connected in time", `"memory_span_us":9000000`, true, 2},
 		{"connected too late", `"memory_span_us":700000`, true, 1},
@@ -28,14 +28,14 @@
 				if !first {
 					return respondOK(c, r)
 				}
-				if first = false; !x.mayHaveRun {
+				if first = false; !x.mayBeExecuted {
 					io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 				}
 				return false
 			})
 			g := newDialGate(t)
 			b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) {
-				withSettings(t, `"memory_span_us":9000000`, x.memory)(c)
+				withSettings(t, `"memory_span_us":9000000`, x.windowSetting)(c)
 				c.openConn = g.open
 			}, activeMember("s-00000001", s))
 			c := b.sendRaw(t, "pay", "")
@@ -51,10 +51,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			assertEqual(t, "served", resp.StatusCode == 200, x.sent == 2)
+			assertEqual(t, "served", resp.StatusCode == 200, x.wantRequests == 2)
 			c.Close()
 			b.awaitSettled(t)
-			assertEqual(t, "further requests at the upstream", len(s.arrivals), x.sent-1)
+			assertEqual(t, "further requests at the upstream", len(s.arrivals), x.wantRequests-1)
 		})
 	}
 }
@@ -62,11 +62,11 @@
 // Of two attempts of one request, the one written later is limited by the idempotency window of the one written first,
 // whatever their index, unless the first was certainly not executed.
 func TestIdempotencyWindowBoundsLaterAttempts(t *testing.T) {
-	const span = time.Second
+	const window = time.Second
 	for _, excluded := range []bool{false, true} {
-		for _, after := range []time.Duration{span - 1, span} {
+		for _, after := range []time.Duration{window - 1, window} {
 			r := &request{}
-			r.window.duration = span
+			r.window.duration = window
 			older, newer := &attempt{request: r, deadline: noDeadline}, &attempt{request: r, index: 1, deadline: noDeadline}
 			_, newerClaimed := newer.claim(time.Hour)
 			assertEqual(t, "claimed: second attempt, written first", newerClaimed, true)
@@ -74,8 +74,8 @@
 				r.window.exclude(newer)
 			}
 			_, olderClaimed := older.claim(time.Hour + after)
-			assertEqual(t, "claimed: first attempt, written second", olderClaimed, excluded || after < span)
-			assertEqual(t, "dropped", older.stage.Load() == attemptDropped, !excluded && after >= span)
+			assertEqual(t, "claimed: first attempt, written second", olderClaimed, excluded || after < window)
+			assertEqual(t, "dropped", older.stage.Load() == attemptDropped, !excluded && after >= window)
 		}
 	}
 }
--- a/internal/proxy/clock.go
+++ b/internal/proxy/clock.go
@@ -6,14 +6,14 @@
 // received from discovery need no conversion, even those before the start of this process, and changes to the system clock
 // do not affect it.
 type clock struct {
-	origin time.Time     // when the clock was created
-	epoch  time.Duration // origin as Unix time
+	origin     time.Time     // when the clock was created
+	originUnix time.Duration // origin as Unix time
 }
 
 func newClock() clock {
 	origin := time.Now()
-	return clock{origin: origin, epoch: time.Duration(origin.UnixNano())}
+	return clock{origin: origin, originUnix: time.Duration(origin.UnixNano())}
 }
 
 // now returns the time since the Unix epoch. It may be called from any goroutine.
-func (c clock) now() time.Duration { return c.epoch + time.Since(c.origin) }
+func (c clock) now() time.Duration { return c.originUnix + time.Since(c.origin) }
--- a/internal/proxy/dialer.go
+++ b/internal/proxy/dialer.go
@@ -53,9 +53,9 @@
 		return attemptResult{status: balancer.NotSent, conn: c}
 	}
 	a.head = a.message.renderHead(remaining)
-	sent, err := writeAttempt(a, c)
-	if !sent.complete {
-		return d.afterPartialWrite(a, c, sent, err)
+	progress, err := writeAttempt(a, c)
+	if !progress.complete {
+		return d.afterPartialWrite(a, c, progress, err)
 	}
 	d.attemptsWritten.Inc()
 	if a.onBodyWritten != nil {
@@ -63,16 +63,16 @@
 	}
 	if err != nil {
 		c.Close()
-		return attemptResult{status: balancer.Reset, bodyConsumed: sent.bodyConsumed}
+		return attemptResult{status: balancer.Reset, bodyConsumed: progress.bodyConsumed}
 	}
 	r := d.readResponse(c)
-	r.bodyConsumed = sent.bodyConsumed
+	r.bodyConsumed = progress.bodyConsumed
 	return r
 }
 
 // afterPartialWrite returns the result of an attempt whose last byte was certainly not written, so that the upstream can't
 // have executed it.
-func (d dialer) afterPartialWrite(a *attempt, c *upstreamConn, sent writeProgress, err error) attemptResult {
+func (d dialer) afterPartialWrite(a *attempt, c *upstreamConn, progress writeProgress, err error) attemptResult {
 	if errors.Is(err, errClientBody) {
 		c.Close()
 		return attemptResult{status: balancer.NotSent, bodyConsumed: true}
@@ -86,10 +86,10 @@
 	r := d.readResponse(c)
 	if r.status != balancer.Rejected {
 		c.Close()
-		return attemptResult{status: balancer.ConnectFailed, bodyConsumed: sent.bodyConsumed}
+		return attemptResult{status: balancer.ConnectFailed, bodyConsumed: progress.bodyConsumed}
 	}
 	if r.conn != nil {
 		r.conn.Close()
 	}
-	return attemptResult{status: r.status, load: r.load, bodyConsumed: sent.bodyConsumed}
+	return attemptResult{status: r.status, load: r.load, bodyConsumed: progress.bodyConsumed}
 }
--- a/internal/proxy/dialer_test.go
+++ b/internal/proxy/dialer_test.go
@@ -91,10 +91,10 @@
 		return func(c net.Conn, _ *http.Request) bool { io.WriteString(c, text); return keep }
 	}
 	for _, c := range []struct {
-		name   string
-		answer func(net.Conn, *http.Request) bool
-		status any
-		keeps  bool
+		name     string
+		answer   func(net.Conn, *http.Request) bool
+		status   any
+		reusable bool
 	}{
 		{"served", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: util=0.5\r\n\r\nab", true), balancer.OK, true},
 		{"served in chunks", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", true), balancer.OK, true},
@@ -118,7 +118,7 @@
 			s := newTestUpstream(t, c.answer)
 			r := testDialer().runAttempt(directAttempt(message{requestLine: "POST /x", host: "x", body: []byte("b")}, s.addr, nil))
 			assertEqual(t, "status", any(r.status), c.status)
-			assertEqual(t, "kept", r.conn != nil, c.keeps)
+			assertEqual(t, "kept", r.conn != nil, c.reusable)
 			if c.status == balancer.OK {
 				assertEqual(t, "body", string(r.body), "ab")
 			}
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -163,8 +163,8 @@
 					status, _ := b.do(t, b.newRequest("checkin", ""))
 					assertEqual(t, "status", status, 200)
 				}
-				assertEqual(t, "requests at the removed one", len(removed.arrivals), 0)
-				assertEqual(t, "requests at the other", len(stays.arrivals), 10)
+				assertEqual(t, "requests at the removed upstream", len(removed.arrivals), 0)
+				assertEqual(t, "requests at the other upstream", len(stays.arrivals), 10)
 			})
 		}
 	}
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -24,7 +24,7 @@
 	}
 	now := l.now()
 	a := l.newAttempt(r, endpoint, now, timeout)
-	if !l.connect(a, now) {
+	if !l.assignConn(a, now) {
 		a.drop()
 		l.postpone(a, balancer.NotSent) // does not count against the endpoint
 		return
@@ -49,9 +49,9 @@
 	return a
 }
 
-// connect assigns an attempt an idle connection, or reserves capacity for a new one. It returns false if there is neither,
-// or if the attempt can no longer be sent.
-func (l *loop) connect(a *attempt, now time.Duration) (ok bool) {
+// assignConn assigns an attempt an idle connection, or reserves capacity for a new one. It returns false if there is
+// neither, or if the attempt can no longer be sent.
+func (l *loop) assignConn(a *attempt, now time.Duration) (ok bool) {
 	if a.request.closed || a.remaining(now) <= 0 || a.endpoint.state != balancer.Active {
 		return false
 	}
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -75,16 +75,16 @@
 	return dropped
 }
 
-// forget deletes an endpoint that is removed and has no attempt in flight.
-func (t endpointTable) forget(e *endpoint) {
+// deleteIfUnused deletes an endpoint from the table if discovery has removed it and it has no attempt in flight.
+func (t endpointTable) deleteIfUnused(e *endpoint) {
 	if e.state == balancer.Removed && len(e.inFlight) == 0 && t[e.id] == e {
 		delete(t, e.id)
 	}
 }
 
-// forgetRemoved deletes all endpoints that are removed and have no attempt in flight.
-func (t endpointTable) forgetRemoved() {
+// deleteUnused deletes all endpoints that discovery has removed and that have no attempt in flight.
+func (t endpointTable) deleteUnused() {
 	for _, e := range t {
-		t.forget(e)
+		t.deleteIfUnused(e)
 	}
 }
--- a/internal/proxy/endpointupdate.go
+++ b/internal/proxy/endpointupdate.go
@@ -67,7 +67,7 @@
 	l.deliverOutcomes()
 	l.saver.SaveList(mode, list)
 	l.publish(l.now())
-	l.endpoints.forgetRemoved()
+	l.endpoints.deleteUnused()
 }
 
 // updateEndpoints applies a list to the endpoint table and returns its entries in the form of the decision module.
--- a/internal/proxy/endpointupdate_test.go
+++ b/internal/proxy/endpointupdate_test.go
@@ -47,13 +47,13 @@
 func TestEndpointTableUpdate(t *testing.T) {
 	const address, other = "127.0.0.1:1", "127.0.0.1:2"
 	tests := []struct {
-		name    string
-		known   *endpoint // nil: the endpoint is new
-		state   balancer.EndpointState
-		address string
-		stale   bool
-		stays   bool   // in the table after forgetRemoved
-		at      string // its address after the update
+		name        string
+		known       *endpoint // nil: the endpoint is new
+		state       balancer.EndpointState
+		address     string
+		stale       bool
+		stays       bool   // in the table after deleteUnused
+		wantAddress string // its address after the update
 	}{
 		{"new", nil, balancer.Active, address, false, true, address},
 		{"new and removed", nil, balancer.Removed, "", false, false, ""},
@@ -71,12 +71,12 @@
 				table[1] = test.known
 			}
 			_, stale := table.update(balancer.Endpoint{ID: 1, State: test.state}, test.address)
-			table.forgetRemoved()
+			table.deleteUnused()
 			assertEqual(t, "idle connections are stale", stale, test.stale)
 			assertEqual(t, "stays", table[1] != nil, test.stays)
 			if test.stays {
 				assertEqual(t, "state", table[1].state, test.state)
-				assertEqual(t, "address", table[1].address, test.at)
+				assertEqual(t, "address", table[1].address, test.wantAddress)
 			}
 		})
 	}
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -68,7 +68,7 @@
 	if answered := l.deliverResult(a, e.result); !answered {
 		l.dialer.bodyBudget.release(cap(e.result.body))
 	}
-	l.endpoints.forget(endpoint)
+	l.endpoints.deleteIfUnused(endpoint)
 }
 
 // streamFinished reports the end of a streamed response, with its connection if that can be reused.
--- a/internal/proxy/fakes_test.go
+++ b/internal/proxy/fakes_test.go
@@ -208,10 +208,10 @@
 	return net.DialTimeout(network, address, timeout)
 }
 
-// patternReader returns a reader of n bytes of a patternSource.
+// patternReader returns a reader of the first n bytes of a patternSource.
 func patternReader(n int64) io.Reader { return io.LimitReader(&patternSource{}, n) }
 
-// patternSource is an endless reader of pseudo-random bytes from a linear congruential generator.
+// patternSource is an endless reader of a byte sequence from a linear congruential generator.
 type patternSource struct{ n byte }
 
 func (c *patternSource) Read(p []byte) (int, error) {
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -94,7 +94,7 @@
 		cancel()
 		b.awaitEnd(tb)
 		if runningBalancers--; runningBalancers == 0 && !tb.Failed() {
-			assertNothingRuns(tb)
+			assertNoGoroutinesLeft(tb)
 		}
 	})
 	return b
@@ -128,25 +128,25 @@
 	b.ended <- nil // for later calls
 }
 
-// assertNothingRuns waits until all goroutines of balancers have ended.
-func assertNothingRuns(tb testing.TB) {
+// assertNoGoroutinesLeft waits until all goroutines of balancers have ended.
+func assertNoGoroutinesLeft(tb testing.TB) {
 	tb.Helper()
 	text := make([]byte, 1<<20)
 	for limit := time.Now().Add(failureTimeout); ; time.Sleep(time.Millisecond) {
-		left := ""
+		runningStack := ""
 		for stack := range strings.SplitSeq(string(text[:runtime.Stack(text, true)]), "\n\n") {
 			for _, of := range []string{"proxy.(*loop)", "proxy.(*frontend)", "framing.(*Conn)", "discovery.(*client)", "discovery.(*Watcher)",
 				"proxy.(*connPool)", "proxy.(*clientConns)", "savedstate.(*Saver)", "proxy.dialer"} {
-				if strings.Contains(stack, "sprucehill/internal/"+of) && !strings.Contains(stack, "proxy.assertNothingRuns") {
-					left = stack
+				if strings.Contains(stack, "sprucehill/internal/"+of) && !strings.Contains(stack, "proxy.assertNoGoroutinesLeft") {
+					runningStack = stack
 				}
 			}
 		}
-		if left == "" {
+		if runningStack == "" {
 			return
 		}
 		if time.Now().After(limit) {
-			tb.Fatalf("goroutine still running:\n%s", left)
+			tb.Fatalf("goroutine still running:\n%s", runningStack)
 		}
 	}
 }
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -82,8 +82,8 @@
 	})
 	l.discovery = discovery.NewWatcher(ctx, c.Discovery, l.saver.Initial().Revision)
 	if l.saver.IsRestored() {
-		seeded := rand.New(rand.NewPCG(c.Seed, 1))
-		l.discovery.DelayFirstCall(time.Duration(seeded.Int64N(int64(maxStartDelay(c.Settings)) + 1)))
+		random := rand.New(rand.NewPCG(c.Seed, 1))
+		l.discovery.DelayFirstCall(time.Duration(random.Int64N(int64(maxStartDelay(c.Settings)) + 1)))
 	}
 	return l
 }
@@ -151,7 +151,7 @@
 	}
 }
 
-// dispatch applies an event, and before it an update from discovery that arrived in the meantime.
+// dispatch applies an event, and before it an update from discovery that has arrived since the event was received.
 func (l *loop) dispatch(e event) {
 	if len(l.discovery.Updates()) > 0 {
 		l.onEndpointUpdate(<-l.discovery.Updates())
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -39,7 +39,7 @@
 		assertEqual(t, "status", status, 200)
 	}
 	assertEqual(t, "requests at the draining upstream", len(one.arrivals), 0)
-	assertEqual(t, "requests at the other", len(two.arrivals), 10)
+	assertEqual(t, "requests at the other upstream", len(two.arrivals), 10)
 }
 
 // When a reloaded configuration changes the address of discovery, the balancer fetches the complete list from the new
@@ -95,11 +95,11 @@
 			<-b.discovery.calls
 			b.discovery.answers <- discovery.List{Revision: 12, Complete: true, Members: []discovery.Entry{m1, m2}}
 			assertEqual(t, "second call", <-b.discovery.calls, watchQuery(12))
-			anew := discovery.List{Revision: 3, Complete: complete, Members: []discovery.Entry{drainingMember(m1), m2}}
-			b.discovery.answers <- anew
+			afterRestart := discovery.List{Revision: 3, Complete: complete, Members: []discovery.Entry{drainingMember(m1), m2}}
+			b.discovery.answers <- afterRestart
 			assertEqual(t, "third call", <-b.discovery.calls, watchQuery(12))
-			b.discovery.answers <- anew
-			since := 0 // a delta says nothing of the rest
+			b.discovery.answers <- afterRestart
+			since := 0 // after changes without a complete list, the complete list is fetched
 			if complete {
 				since = 3
 			}
