--- a/internal/proxy/decisionlog.go
+++ b/internal/proxy/decisionlog.go
@@ -10,7 +10,8 @@
 func (l *loop) Log(event balancer.LogEvent) {
 	switch e := event.(type) {
 	case balancer.EndpointUnresponsive:
-		slog.Info("endpoint unresponsive", "endpoint", l.endpoints.addressOf(e.Endpoint), "endpoint_id", e.Endpoint, "elapsed", e.Silence)
+		slog.Info("endpoint unresponsive",
+			"endpoint", l.endpoints.addressOf(e.Endpoint), "endpoint_id", e.Endpoint, "elapsed", e.Silence)
 	case balancer.ZoneEjected:
 		slog.Info("zone ejected", "zone", e.Zone, "unhealthy", e.Unhealthy, "in_use", e.Members)
 	case balancer.ZoneRecoveryStarted:
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -36,7 +36,14 @@
 
 // newAttempt adds an attempt to a request, and sets a timer if its timeout ends before the request's deadline.
 func (l *loop) newAttempt(r *request, endpoint *endpoint, now, timeout time.Duration) *attempt {
-	a := &attempt{request: r, index: len(r.attempts), endpoint: endpoint, sentAt: now, address: endpoint.address, deadline: r.deadline}
+	a := &attempt{
+		request:  r,
+		index:    len(r.attempts),
+		endpoint: endpoint,
+		sentAt:   now,
+		address:  endpoint.address,
+		deadline: r.deadline,
+	}
 	r.attempts = append(r.attempts, a)
 	r.undelivered++
 	if r.Upload {
@@ -111,7 +118,13 @@
 		return
 	}
 	withLoad := l.settings.Reports != balancer.ReportNone
-	check := &healthCheck{endpoint: endpoint, sentAt: l.now(), address: endpoint.address, withLoad: withLoad, conn: idle}
+	check := &healthCheck{
+		endpoint: endpoint,
+		sentAt:   l.now(),
+		address:  endpoint.address,
+		withLoad: withLoad,
+		conn:     idle,
+	}
 	go l.runHealthCheck(check)
 }
 
--- a/internal/proxy/endpointupdate.go
+++ b/internal/proxy/endpointupdate.go
@@ -40,7 +40,8 @@
 func (l *loop) acceptEndpointUpdate(update discovery.Update) {
 	list := update.List
 	if list.Revision < l.discovery.Revision() {
-		slog.Info("discovery revisions restarted", "revision", list.Revision, "current_revision", l.discovery.Revision())
+		slog.Info("discovery revisions restarted",
+			"revision", list.Revision, "current_revision", l.discovery.Revision())
 		if !list.Complete { // changes relative to a list that the loop does not have: the next call fetches the complete list
 			list.Revision = 0
 		}
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -198,7 +198,7 @@
 	return b.do(t, r)
 }
 
-// sendRaw writes a request without a body, followed by the bytes of behind, on a new connection. The test reads the response.
+// sendRaw writes a request without a body, followed by trailing, on a new connection. The test reads the response.
 func (b *testBalancer) sendRaw(t *testing.T, class, trailing string) net.Conn {
 	t.Helper()
 	c := b.dialConn(t)
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -94,7 +94,13 @@
 	if open == nil {
 		open = net.DialTimeout
 	}
-	return dialer{openConn: open, timeout: c.Links.ConnectTimeout, attemptsWritten: attemptsWritten, bodyBudget: newByteBudget(c.bodyBudgetBytes()), now: now}
+	return dialer{
+		openConn:        open,
+		timeout:         c.Links.ConnectTimeout,
+		attemptsWritten: attemptsWritten,
+		bodyBudget:      newByteBudget(c.bodyBudgetBytes()),
+		now:             now,
+	}
 }
 
 // now returns the time on the loop's clock.
--- a/internal/proxy/savedstate_test.go
+++ b/internal/proxy/savedstate_test.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return
 	}
-	_ = s.SaveSync(kind, version, at, text) // Save has no way to report the error
+	_ = s.SaveSync(kind, version, at, text) // like the real writer, Save has no way to report the error
 }
 
 func (s *memoryWriter) SaveSync(kind string, version uint16, at time.Time, payload []byte) error {
