--- a/internal/proxy/zonemetrics.go
+++ b/internal/proxy/zonemetrics.go
@@ -99,7 +99,7 @@
 	for _, metric := range metricsPerZone {
 		for _, zone := range report.zones {
 			if _, err := fmt.Fprintf(w, "%s{zone=%q} %d\n", metric.name, zone.Name, metric.value(report, zone)); err != nil {
-				return fmt.Errorf("writing %s of zone %s: %w", metric.name, zone.Name, err)
+				return fmt.Errorf("writing %s of zone %q: %w", metric.name, zone.Name, err)
 			}
 		}
 	}
