--- a/internal/proxy/decisionlog.go
+++ b/internal/proxy/decisionlog.go
@@ -6,11 +6,12 @@
 	"sprucehill/balancer"
 )
 
-// Log writes an event of the decision module to the log: a constant message, and its values as attributes.
+// Log logs an event of the decision module as a constant message with the event's values as attributes.
 func (l *loop) Log(event balancer.LogEvent) {
 	switch e := event.(type) {
 	case balancer.EndpointUnresponsive:
-		slog.Info("endpoint unresponsive", "endpoint", l.endpoints.addressOf(e.Endpoint), "endpoint_id", e.Endpoint, "elapsed", e.Silence)
+		slog.Info("endpoint unresponsive",
+			"endpoint", l.endpoints.addressOf(e.Endpoint), "endpoint_id", e.Endpoint, "elapsed", e.Silence)
 	case balancer.ZoneEjected:
 		slog.Info("zone ejected", "zone", e.Zone, "unhealthy", e.Unhealthy, "in_use", e.Members)
 	case balancer.ZoneRecoveryStarted:
@@ -20,6 +21,6 @@
 	case balancer.DiscoveryCallFailed:
 		slog.Info("discovery call failed", "retry_in", e.RetryIn)
 	default:
-		slog.Info("decision of unknown type", "event", event)
+		slog.Info("decision event of unknown type", "event", event)
 	}
 }
