--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -8,23 +8,23 @@
 
 const (
 	ticksPerLatencyObjective = 16   // ticks within the shortest latency objective
-	initialLatencyDivisor    = 4    // of the shortest latency objective: the mean latency assumed before any response
-	attemptReserveLatencies  = 2.33 // mean latencies left until the objective when a queued request is sent at the latest
-	timeoutToleranceDivisor  = 16   // of the longest timeout: one that is shorter by more than this part marks a retry
-	costHintSmoothingFactor  = 0.01 // weight ratio of a new sample in the running mean of cost hints
-	minExpectedWorkUnits     = 0.1  // mean requests that a cost hint counts as at least
+	initialLatencyDivisor    = 4    // shortest latency objective / mean latency assumed before the first response
+	attemptReserveLatencies  = 2.33 // mean latencies that must remain before the objective when a queued request is sent
+	timeoutToleranceDivisor  = 16   // a timeout shorter than the longest one by more than this part of it marks a retry
+	costHintSmoothingFactor  = 0.01 // weight of a new sample in the moving average of cost hints
+	minExpectedWorkUnits     = 0.1  // lower bound of the work that a cost hint implies, in mean requests
 )
 
-// setTiming derives the tick, and the latency assumed before any response, from the shortest latency objective.
+// setTiming derives the tick interval and the initial mean latency from the shortest latency objective.
 func (b *Balancer) setTiming(shortest time.Duration) {
 	b.means.latency = float64(shortest) / initialLatencyDivisor
 	b.tick = max(b.settings.EventSpacing, shortest/ticksPerLatencyObjective, time.Millisecond)
 }
 
-// OnRequest handles a new request of a client.
+// OnRequest sends, queues or rejects a new client request.
 func (b *Balancer) OnRequest(now time.Duration, q Request) {
 	c := b.clients.classes[q.Class]
-	if c == nil { // a class that the settings lack; never sent, so a retry is harmless
+	if c == nil { // unknown class; nothing was sent, so rejecting is safe
 		b.effects.Reject(q.ID, 0)
 		return
 	}
@@ -37,11 +37,11 @@
 	b.admit(r, now)
 }
 
-// newRequest derives the work, priority and times of a request, and counts it for its class and tenant.
+// newRequest computes the expected work, priority and deadlines of q, and updates the statistics of its class and tenant.
 func (b *Balancer) newRequest(q Request, c *class, now time.Duration) *request {
 	r := &request{Request: q, class: c, deadline: now + q.Timeout}
 	if q.Upload {
-		r.deadline = math.MaxInt64 // until its body has been sent
+		r.deadline = math.MaxInt64 // until OnBodySent
 	}
 	b.observeCostHint(q)
 	r.workUnits = b.expectedWork(q, c)
@@ -55,12 +55,12 @@
 	if c.isLateRetry(q, reserve) {
 		r.priority *= c.LatePriorityFactor
 	}
-	// The queue is processed once a tick: without a tick in reserve a short timeout would expire unnoticed.
+	// The queue is processed once per tick. Without one tick of reserve, a short timeout could expire between two ticks.
 	r.attemptBy = now + min(c.LatencyObjective, q.Timeout) - max(reserve, b.tick) - b.tick
 	return r
 }
 
-// expectedWork is the work of a request, in mean requests.
+// expectedWork returns the expected work of q in mean requests.
 func (b *Balancer) expectedWork(q Request, c *class) float64 {
 	if q.CostHint <= 0 {
 		return cmp.Or(c.latency/b.means.latency, 1)
@@ -68,7 +68,7 @@
 	return max(float64(q.CostHint)/b.means.costHint, minExpectedWorkUnits)
 }
 
-// priority is the value of a response to r, for each unit of its work.
+// priority returns the priority weight of r per unit of its work.
 func (b *Balancer) priority(r *request) float64 {
 	if b.settings.PriorityByWork {
 		return r.class.PriorityWeight
@@ -76,26 +76,26 @@
 	return r.class.PriorityWeight / r.workUnits
 }
 
-// isLateRetry reports whether a request is a client's retry that can no longer meet the latency objective. A retry is
-// recognised by its short timeout.
+// isLateRetry reports whether q is a client retry that can no longer meet the latency objective. A retry is recognised by
+// a timeout shorter than the longest one of its class.
 func (c *class) isLateRetry(q Request, reserve time.Duration) bool {
 	isRetry := q.Timeout < c.longestTimeout-c.longestTimeout/timeoutToleranceDivisor
 	return isRetry && c.LatencyObjective-(c.Deadline-q.Timeout) < reserve
 }
 
-// isSaturated reports whether, within the last mean latency, there was a request that no endpoint could take.
+// isSaturated reports whether some request found no free endpoint within the last mean latency.
 func (b *Balancer) isSaturated(now time.Duration) bool {
 	return now-b.blocking.saturatedAt < time.Duration(b.means.latency)
 }
 
-// admit sends r if an endpoint can take it, queues it if one may be free in time, and otherwise answers it.
+// admit sends r if an endpoint is available, queues it if one may become available in time, and else rejects or fails it.
 func (b *Balancer) admit(r *request, now time.Duration) {
 	e, permitted := b.takeTurn(r, now)
 	if e != nil {
 		b.startAttempt(r, e, now)
 		return
 	}
-	if permitted { // also if it can't be queued: otherwise limits would stay low while requests are rejected
+	if permitted { // also if r can't be queued: otherwise limits would stay low while requests are rejected
 		b.blocking.saturatedAt = now
 	}
 	if (permitted || len(r.attempts) == 0) && now < r.attemptBy {
@@ -105,8 +105,8 @@
 	b.rejectOrFail(r)
 }
 
-// dispatchQueue sends queued requests while endpoints can take them, and answers those that would be late. A request
-// without attempts that fits nowhere shows that none behind it fits.
+// dispatchQueue sends queued requests while endpoints are available, and rejects or fails those that would be late. If a
+// request without attempts finds no endpoint, the requests behind it are not tried.
 func (b *Balancer) dispatchQueue(now time.Duration) {
 	remaining := b.queue[:0]
 	blocked := false
@@ -130,8 +130,8 @@
 	b.queue = remaining
 }
 
-// retryAfter is the wait that a rejected client is advised: a tick, after which endpoints are looked at again. A longer
-// one would take the latency objective of most who follow it.
+// retryAfter returns the Retry-After value of a rejection: one tick, after which the endpoints are evaluated again. With
+// a longer wait most retries would miss the latency objective.
 func (b *Balancer) retryAfter() time.Duration {
 	if !b.settings.Limits.AllowRetryAfter {
 		return 0
--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// class is one kind of request.
+// class is a request class with its statistics.
 type class struct {
 	Class
-	latency        float64       // running mean of its responses' latency, ns
-	longestTimeout time.Duration // the longest that a request of the class came with
+	latency        float64       // moving average of the response latency, ns
+	longestTimeout time.Duration // longest timeout of any request so far
 }
 
 // attempt is one attempt of a request at an endpoint.
@@ -18,27 +18,27 @@
 	endpoint    *endpoint
 	sentAt      time.Duration
 	ended       bool
-	notExecuted bool // its end proves that the request was not executed
-	uploading   bool // the last byte of its body is still to come
+	notExecuted bool // its result proves that the request was not executed
+	uploading   bool // the request body is not yet completely sent
 }
 
-// request is a client's request with its attempts. Balancer.requests has it until it has its final answer and no attempt is
-// in flight.
+// request is a client request with its attempts. It stays in Balancer.requests until it has its final answer and no attempt
+// is in flight.
 type request struct {
 	Request
 	class        *class
-	priority     float64       // for a unit of work
+	priority     float64       // see Balancer.priority
 	workUnits    float64       // expected work, in mean requests
-	attemptBy    time.Duration // an attempt that starts later would miss the latency objective
+	attemptBy    time.Duration // an attempt started later would miss the latency objective
 	deadline     time.Duration
 	attempts     []*attempt
 	inFlight     int
-	finished     bool // it has its final answer
+	finished     bool // needs no answer any more
 	queued       bool
-	bodyConsumed bool // part of an upload's body is gone
+	bodyConsumed bool // part of an upload body can't be sent again
 }
 
-// attempt returns an attempt by its index, or nil.
+// attempt returns the attempt at index, or nil if there is none.
 func (r *request) attempt(index int) *attempt {
 	if index < 0 || index >= len(r.attempts) {
 		return nil
@@ -46,7 +46,7 @@
 	return r.attempts[index]
 }
 
-// findAttempt returns a request that is not yet dropped and its attempt by its index, or nil for both.
+// findAttempt returns the request with an id and its attempt at index, or nil for both if either is unknown.
 func (b *Balancer) findAttempt(id RequestID, index int) (*request, *attempt) {
 	r := b.requests[id]
 	if r == nil {
@@ -59,7 +59,7 @@
 	return r, a
 }
 
-// end records how an attempt ended, with its request and at its endpoint.
+// end marks an attempt as ended and updates its request and endpoint.
 func (a *attempt) end(result AttemptResult) {
 	a.ended = true
 	a.notExecuted = result.Status.provesNotExecuted()
@@ -68,7 +68,7 @@
 	a.endpoint.attempts = slices.DeleteFunc(a.endpoint.attempts, func(other *attempt) bool { return other == a })
 }
 
-// OnClientDisconnected drops a request whose client has left.
+// OnClientDisconnected finishes a request whose client has disconnected.
 func (b *Balancer) OnClientDisconnected(_ time.Duration, id RequestID) {
 	r := b.requests[id]
 	if r != nil && !r.finished {
@@ -76,7 +76,7 @@
 	}
 }
 
-// OnBodySent records that an upload has been forwarded completely: its endpoint starts to execute it now.
+// OnBodySent records that an upload has been forwarded completely. Its timeout and its attempt's latency count from now.
 func (b *Balancer) OnBodySent(now time.Duration, id RequestID, index int) {
 	r, a := b.findAttempt(id, index)
 	if a == nil || !a.uploading {
@@ -88,7 +88,7 @@
 	r.deadline = now + r.Timeout
 }
 
-// OnStreamStarted marks a request as served by a streamed response that has begun.
+// OnStreamStarted finishes a request whose streamed response has begun.
 func (b *Balancer) OnStreamStarted(now time.Duration, id RequestID, index int) {
 	r, a := b.findAttempt(id, index)
 	if a == nil || r.finished {
@@ -98,7 +98,7 @@
 	b.finishRequest(r, index)
 }
 
-// recordAttempt enters an attempt that begins, with its request and at its endpoint.
+// recordAttempt registers a started attempt with its request and endpoint.
 func (b *Balancer) recordAttempt(a *attempt) {
 	r, e := a.request, a.endpoint
 	r.attempts = append(r.attempts, a)
@@ -110,11 +110,10 @@
 	b.blocking.lastAttemptAt = a.sentAt
 }
 
-// finishRequest records that r has its final answer, from the attempt of an index or noAttempt, and cancels its other
-// attempts.
-func (b *Balancer) finishRequest(r *request, answered int) {
+// finishRequest marks r as finished and cancels its attempts other than answeredBy, which is an index or noAttempt.
+func (b *Balancer) finishRequest(r *request, answeredBy int) {
 	for i, a := range r.attempts {
-		if i != answered && !a.ended && !r.finished && b.settings.Limits.AllowCancel {
+		if i != answeredBy && !a.ended && !r.finished && b.settings.Limits.AllowCancel {
 			b.effects.Cancel(r.ID, i)
 		}
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -5,60 +5,60 @@
 	"time"
 )
 
-// Balancer decides for one balancer process. See the package comment for the contract.
+// Balancer makes the routing decisions of one balancer process. See the package comment for the contract.
 type Balancer struct {
 	settings        Settings
 	effects         Effects
 	log             eventLog
 	rng             *rand.Rand
 	tick            time.Duration // interval of queue processing and failure detection
-	periodStartedAt time.Duration // start of the present bandPeriod
+	periodStartedAt time.Duration // start of the current bandPeriod
 
 	clients   clientTable
 	requests  map[RequestID]*request
 	queue     requestQueue
 	blocking  blockingTimes
 	endpoints endpointSet
-	balancers FleetSize // how many balancers there are, and which of them this one is
+	balancers FleetSize
 	turns     turnOrder
 	means     trafficMeans
 	locality  locality
 	discovery discoveryRetry
 }
 
-// clientTable is what the settings say of requests, with what has been measured of them.
+// clientTable holds the request classes and tenants of the settings with their statistics, by name.
 type clientTable struct {
 	classes     map[string]*class
 	tenants     map[string]*tenant
-	safestClass Idempotency // the safest kind of idempotency that a class has
+	safestClass Idempotency // the safest kind of idempotency among the classes
 }
 
-// trafficMeans holds running means over all requests and responses.
+// trafficMeans holds moving averages over all requests and responses.
 type trafficMeans struct {
 	latency  float64 // of responses, ns
 	costHint float64 // of requests that have one, ns
 }
 
-// locality is how much of the traffic stays close to the balancer.
+// locality is the state of locality-aware routing.
 type locality struct {
-	home        *zone   // its own, once the first list has come
-	localShare  float64 // fraction of the traffic that stays in the zone; 0: not begun
-	regionShare float64 // fraction that stays in the region
-	disabled    bool    // the subset is so small that locality would leave all to chance
+	home        *zone   // the balancer's own zone; nil before the first endpoint list
+	localShare  float64 // fraction of the traffic that stays in the zone; 0: locality-aware routing is off
+	regionShare float64 // fraction of the traffic that stays in the region
+	disabled    bool    // the subset is so small that its endpoints' zones are a matter of chance
 }
 
-// discoveryRetry is the state of repeated calls to discovery.
+// discoveryRetry is the backoff state of failed calls to discovery.
 type discoveryRetry struct {
 	backoff time.Duration // 0 after a successful call
 }
 
 const (
-	tickToken      = 1 // timers of the regular tick
-	discoveryToken = 2 // timers of the next call to discovery
+	tickToken      = 1 // timer of the regular tick
+	discoveryToken = 2 // timer of the next call to discovery
 	noAttempt      = -1
 )
 
-// New returns a Balancer, or an error that names the setting that is wrong.
+// New returns a Balancer, or an error that wraps ErrSettings and names the invalid setting.
 func New(settings Settings, seed uint64, now time.Duration, effects Effects) (*Balancer, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -86,7 +86,6 @@
 	return b, nil
 }
 
-// newClientTable returns the table of the classes and tenants of the settings.
 func newClientTable(settings Settings, now time.Duration) clientTable {
 	t := clientTable{classes: map[string]*class{}, tenants: map[string]*tenant{}, safestClass: NonIdempotent}
 	for _, c := range settings.Classes {
@@ -99,7 +98,7 @@
 	return t
 }
 
-// shortestObjective is the shortest latency objective of the classes.
+// shortestObjective returns the shortest latency objective of all classes.
 func (s Settings) shortestObjective() time.Duration {
 	shortest := s.Classes[0].LatencyObjective
 	for _, c := range s.Classes {
@@ -108,7 +107,7 @@
 	return shortest
 }
 
-// OnFleetSizeChanged sets the number of balancers from now on. Counters and measurements stay.
+// OnFleetSizeChanged sets the number of balancers and adapts quotas and the subset to it. Counters and measurements are kept.
 func (b *Balancer) OnFleetSizeChanged(now time.Duration, size FleetSize) {
 	b.balancers = FleetSize{
 		Balancers:    max(size.Balancers, 1),
@@ -121,9 +120,9 @@
 	b.rebuildSubset(now)
 }
 
-// OnTimer handles a timer that the Balancer has set.
+// OnTimer handles the expiry of a timer set by Effects.SetTimer.
 func (b *Balancer) OnTimer(now time.Duration, token uint64) {
-	if token != tickToken { // discoveryToken; an unknown one must not start a second row of ticks
+	if token != tickToken { // discoveryToken, or an unknown one, which must not start a second series of ticks
 		b.effects.WatchEndpoints()
 		return
 	}
@@ -139,7 +138,7 @@
 	b.dispatchQueue(now)
 }
 
-// closePeriod ends a band period: it adjusts traffic shares and recomputes everything that is computed once a period.
+// closePeriod ends a band period: it adjusts traffic shares and recomputes all per-period statistics.
 func (b *Balancer) closePeriod(now time.Duration) {
 	for _, e := range b.endpoints.tracked {
 		b.integrateBand(e, now)
@@ -149,14 +148,14 @@
 	b.endpoints.raiseLimitCeilings()
 	b.periodStartedAt = now
 	b.endpoints.updateStats()
-	b.endpoints.forgetRemoved()
+	b.endpoints.dropRemoved()
 	b.rebuildSubset(now)
 	b.updateLocality(now)
 	b.advanceRecovery()
 	b.endpoints.estimateWorkPerWeight()
 }
 
-// requestHealthCheck asks for an endpoint's load report once a period, where reports come with health checks.
+// requestHealthCheck starts a health check of an endpoint once per period if load reports come with health checks only.
 func (b *Balancer) requestHealthCheck(e *endpoint, now time.Duration) {
 	needed := b.settings.Reports == ReportInHealthChecks && b.settings.Limits.AllowHealthChecks
 	if needed && e.inSubset && now-e.healthCheckedAt >= bandPeriod {
@@ -165,16 +164,16 @@
 	}
 }
 
-// OnHealthCheckResult takes a health check's result: a reading only, since a process that answers it may serve nothing
-// else.
+// OnHealthCheckResult records the load report of a successful health check. The result is no evidence that the endpoint is
+// healthy, because a process that answers health checks may fail all other requests.
 func (b *Balancer) OnHealthCheckResult(now time.Duration, result HealthCheckResult) {
 	e := b.endpoints.byID[result.Endpoint]
 	if e != nil && result.Status == OK {
-		b.recordUtilization(e, result.Load.clean(), 0, now)
+		b.recordUtilization(e, result.Load.sanitized(), 0, now)
 	}
 }
 
-// OnEndpointUpdate handles a list of endpoints from discovery, or a failed call.
+// OnEndpointUpdate applies an endpoint list from discovery, or schedules a retry after a failed call.
 func (b *Balancer) OnEndpointUpdate(now time.Duration, mode UpdateMode, list []Endpoint) {
 	if mode == UpdateFailed {
 		b.retryDiscovery(now)
@@ -184,7 +183,7 @@
 	listed := make(map[EndpointID]bool, len(list))
 	for _, entry := range list {
 		listed[entry.ID] = true
-		b.applyEndpoint(entry.clean(), now)
+		b.applyEndpoint(entry.sanitized(), now)
 	}
 	for _, e := range b.endpoints.known {
 		if mode != UpdateDelta && !listed[e.ID] {
@@ -192,13 +191,13 @@
 		}
 	}
 	b.rebuildSubset(now)
-	if b.locality.localShare == 0 { // not begun
+	if b.locality.localShare == 0 {
 		b.updateLocality(now)
 	}
 	b.dispatchQueue(now)
 }
 
-// drawWait draws a wait up to a bound, so that balancers do not act in step.
-func (b *Balancer) drawWait(longest time.Duration) time.Duration {
+// randomDelay returns a uniformly distributed delay up to longest, so that balancers do not act in lockstep.
+func (b *Balancer) randomDelay(longest time.Duration) time.Duration {
 	return time.Duration(b.rng.Int64N(int64(longest) + 1))
 }
--- a/balancer/bands.go
+++ b/balancer/bands.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Utilization is a ratio, 0 to 1. The area of a band gap is in full utilization times bandPeriod.
+// Utilization is a ratio from 0 to 1. The unit of a band area is full utilization times bandPeriod.
 const (
 	bandWindowReadings   = 4           // readings in the moving window
-	bandWidthDeviations  = 2.0         // standard deviations of the window that make half of the band gap
-	bandPeriod           = time.Second // over which the band gap is integrated before shares change
-	minAreaThreshold     = 0.4         // area up to which an endpoint never counts as saturated
-	areaThresholdRatio   = 1.25        // multiple of the median area over which an endpoint counts as saturated
-	minExcessUtilization = 0.5         // utilization up to which a mean adds nothing to the band gap
-	minCutFactor         = 0.8         // least factor of a share in one period: reports lag, so steps are small
-	shareRegrowthFactor  = 1.04        // factor of a share in a period without a cut
-	minShareFactor       = 0.1         // least fraction of its traffic share that cuts leave an endpoint
-	smoothingFactor      = 0.1         // weight ratio of a new sample in a running mean
+	bandWidthDeviations  = 2.0         // standard deviations between the mean and either band
+	bandPeriod           = time.Second // interval at which the band area is evaluated and traffic shares change
+	minAreaThreshold     = 0.4         // band area up to which an endpoint never counts as saturated
+	areaThresholdRatio   = 1.25        // multiple of the median band area above which an endpoint counts as saturated
+	minExcessUtilization = 0.5         // mean utilization up to which the band gap is not widened
+	minCutFactor         = 0.8         // smallest factor of a cut in one period: load reports lag, so steps are small
+	shareRegrowthFactor  = 1.04        // growth of a share factor in a period without a cut
+	minShareFactor       = 0.1         // lower bound of the share factor
+	smoothingFactor      = 0.1         // weight of a new sample in a moving average
 )
 
-// recordUtilization records a load report as a reading of utilization. A report without utilization counts by the requests
-// in progress and waiting. At sites without reports the response's share of its latency objective counts (0: no response).
+// recordUtilization records a load report as a reading of utilization. A report without utilization is estimated from its
+// requests in progress and queued. At sites without reports the reading is objectiveShare (0: no response).
 func (b *Balancer) recordUtilization(e *endpoint, report LoadReport, objectiveShare float64, now time.Duration) {
 	reading := report.Utilization
 	switch {
@@ -41,8 +41,8 @@
 	e.utilization.lastReport = report
 }
 
-// integrateBand adds the band gap since the last reading to the area. The gap widens with the deviation of the readings and
-// with their mean over the fleet's utilization. The mean counts because readings at constant full load do not deviate.
+// integrateBand adds the band gap since the last call to the band area. The gap widens with the deviation of the readings
+// and with the excess of their mean over the fleet's utilization, because readings at constant full load do not deviate.
 func (b *Balancer) integrateBand(e *endpoint, now time.Duration) {
 	u := &e.utilization
 	excess := max(0, u.mean-max(minExcessUtilization, b.endpoints.stats.utilization))
@@ -51,8 +51,8 @@
 	u.integratedAt = now
 }
 
-// adjustShares cuts the traffic shares of saturated endpoints and lets the others grow back, both in steps. The threshold
-// follows the fleet's median: a rise on all endpoints cuts none.
+// adjustShares cuts the share factors of saturated endpoints and lets the others grow back, both in steps. The threshold is
+// relative to the fleet's median, so that a rise of utilization on all endpoints cuts no share.
 func (s *endpointSet) adjustShares() {
 	median := s.valueAbove(2, func(e *endpoint) float64 { return e.utilization.area })
 	threshold := max(minAreaThreshold, areaThresholdRatio*median)
@@ -66,26 +66,26 @@
 	}
 }
 
-// updateStats computes the statistics of the subset at the end of a period.
+// updateStats recomputes the statistics of the subset at the end of a period.
 func (s *endpointSet) updateStats() {
 	s.stats.utilization = s.valueAbove(2, func(e *endpoint) float64 { return e.utilization.mean })
 	s.stats.baselineLatency = s.valueAbove(4, func(e *endpoint) float64 { return e.latency.baseline })
 }
 
-// estimateWorkPerWeight estimates the work that warm endpoints could do for a unit of weight at full utilization. Budgets of
-// slow start are derived from it. It goes by the present zone weights: when a zone's weight jumps, the budgets of its
-// warming endpoints must not jump with it.
+// estimateWorkPerWeight estimates how much work per unit of weight warm endpoints can do in a period at full utilization.
+// Slow-start budgets are derived from it. It uses the current zone weights, so that the budgets of a zone's warming
+// endpoints do not jump when the zone's weight does.
 func (s *endpointSet) estimateWorkPerWeight() {
-	var work, weight, most float64
+	var totalWork, totalWeight, maxPerWeight float64
 	for e := range s.inUse() {
 		if !e.isUsable() || e.slowStart.active || e.work.mean == 0 {
 			continue
 		}
-		capable := e.work.mean / min(max(cmp.Or(e.utilization.mean, 1), minExcessUtilization), 1)
-		work += capable
-		most = max(most, capable/e.weight)
-		weight += e.weight * e.zone.shareFactor()
+		work := e.work.mean / min(max(cmp.Or(e.utilization.mean, 1), minExcessUtilization), 1)
+		totalWork += work
+		maxPerWeight = max(maxPerWeight, work/e.weight)
+		totalWeight += e.weight * e.zone.shareFactor()
 	}
-	s.stats.workPerWeight = cmp.Or(work/max(weight, math.SmallestNonzeroFloat32), s.stats.workPerWeight)
-	s.stats.maxWorkPerWeight = cmp.Or(most, s.stats.maxWorkPerWeight)
+	s.stats.workPerWeight = cmp.Or(totalWork/max(totalWeight, math.SmallestNonzeroFloat32), s.stats.workPerWeight)
+	s.stats.maxWorkPerWeight = cmp.Or(maxPerWeight, s.stats.maxWorkPerWeight)
 }
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -10,17 +10,17 @@
 	"sprucehill/internal/stats"
 )
 
-// endpoint is what this balancer knows of one endpoint.
+// endpoint is the state of one endpoint.
 type endpoint struct {
 	Endpoint
 	zone            *zone
 	inSubset        bool
 	ringPosition    uint64
-	weight          float64 // for routing; 1 is a mean endpoint's
-	shareFactor     float64 // fraction of its traffic share that cuts have left, minShareFactor to 1
-	nextTurn        float64 // in the virtual time of the interleave
+	weight          float64 // for routing; 1 is the weight of a mean endpoint
+	shareFactor     float64 // fraction of the traffic share left after cuts, minShareFactor to 1
+	nextTurn        float64 // virtual time at which its next turn is due
 	healthCheckedAt time.Duration
-	attempts        []*attempt // in flight, in order of sending
+	attempts        []*attempt // in flight, in the order in which they were sent
 	utilization     bandWindow
 	latency         latencyStats
 	work            workStats
@@ -30,13 +30,13 @@
 }
 
 // bandWindow holds the Bollinger bands of an endpoint's utilization: a moving window of readings, and the integral of the
-// bands' width over the present period.
+// band gap over the current period.
 type bandWindow struct {
 	window       [bandWindowReadings]float64
-	readings     int // so far
+	readings     int // number of readings since the last reset
 	mean         float64
 	deviation    float64
-	area         float64 // of the band gap since the period began, in full utilization x bandPeriod
+	area         float64 // integral of the band gap since the period began, in full utilization x bandPeriod
 	integratedAt time.Duration
 	lastReport   LoadReport
 }
@@ -48,7 +48,7 @@
 	w.mean, w.deviation = stats.MeanDeviation(w.window[:min(w.readings, bandWindowReadings)])
 }
 
-// reset forgets all readings.
+// reset discards all readings.
 func (w *bandWindow) reset() {
 	w.readings = 0
 	w.mean = 0
@@ -56,52 +56,52 @@
 	w.area = 0
 }
 
-// latencyStats holds running means of an endpoint's latency, ns. A mean of 0 has no sample yet.
+// latencyStats holds moving averages of an endpoint's latency in ns. An average of 0 has no sample yet.
 type latencyStats struct {
 	mean      float64
 	deviation float64 // mean absolute deviation
 	workUnits float64 // mean work of its responses, in mean requests
-	smoothed  float64 // slow mean of the latency for a unit of work
-	baseline  float64 // the lowest value of that mean; it drifts up slowly
+	smoothed  float64 // slower moving average of the latency per unit of work
+	baseline  float64 // lowest value of smoothed; drifts up slowly
 }
 
-// perUnit is the latency for a unit of work, ns.
+// perUnit returns the latency per unit of work in ns.
 func (l *latencyStats) perUnit() float64 { return l.mean / l.workUnits }
 
-// workStats counts the work that is sent to an endpoint, in mean requests.
+// workStats counts the work sent to an endpoint in mean requests.
 type workStats struct {
-	period float64 // in the present period
-	mean   float64 // of a period, running mean
+	period float64 // in the current period
+	mean   float64 // moving average over periods
 }
 
-// concurrencyLimiter bounds the attempts in flight at one endpoint.
+// concurrencyLimiter limits the attempts in flight at one endpoint.
 type concurrencyLimiter struct {
-	current      float64       // attempts; below 1 there are pauses between single attempts
-	ceiling      float64       // the limit grows up to this in the present period
-	reducedAt    time.Duration // last time that it was lowered
+	current      float64       // attempts; below 1, single attempts are separated by pauses
+	ceiling      float64       // upper bound of current in this period
+	reducedAt    time.Duration // last reduction
 	pausedUntil  time.Duration
-	missedTurnAt time.Duration // last time that a turn of a local endpoint went elsewhere for its limit
+	missedTurnAt time.Duration // last time that a remote endpoint got this local endpoint's turn because of its limit
 }
 
-// slowStart is the state of an endpoint that has started a short time ago.
+// slowStart is the slow-start state of an endpoint.
 type slowStart struct {
 	active bool
 	since  time.Duration
-	budget leakybucket.Bucket // work sent to it, in mean requests
+	budget leakybucket.Bucket // work sent to the endpoint, in mean requests
 }
 
-// outlierState is the evidence on whether an endpoint serves at all.
+// outlierState is the evidence used to detect failed endpoints.
 type outlierState struct {
 	unresponsive     bool
 	nextTrialAt      time.Duration
 	unreachableUntil time.Duration
-	backoff          time.Duration // before the next trial, or the next connection after one has failed
+	backoff          time.Duration // before the next trial, or before the next attempt after a failed connection
 	respondedAt      time.Duration
 	failedAt         time.Duration
-	errorRate        float64 // running mean of errors and broken connections, 0 to 1
+	errorRate        float64 // moving average of errors and lost connections, 0 to 1
 }
 
-// oldestAttempt is the attempt that has waited longest for a response, or nil.
+// oldestAttempt returns the attempt that has waited longest for a response, or nil.
 func (e *endpoint) oldestAttempt() *attempt {
 	i := slices.IndexFunc(e.attempts, func(a *attempt) bool { return !a.uploading })
 	if i < 0 {
@@ -110,7 +110,7 @@
 	return e.attempts[i]
 }
 
-// addEndpoint begins to keep track of an endpoint.
+// addEndpoint adds a newly listed endpoint with its initial state.
 func (b *Balancer) addEndpoint(entry Endpoint, now time.Duration) *endpoint {
 	e := &endpoint{weight: entry.Weight, shareFactor: 1, ringPosition: ring.Position(uint64(entry.ID))}
 	e.limit.ceiling = initialFleetLimitAttempts
@@ -124,15 +124,15 @@
 	return e
 }
 
-// waitingTime returns how long the oldest attempt has been waiting without any response from the endpoint.
+// waitingTime returns how long the oldest attempt has waited without any response from the endpoint.
 func (e *endpoint) waitingTime(oldest *attempt, now time.Duration) time.Duration {
 	return now - max(oldest.sentAt, e.outlier.respondedAt)
 }
 
-// isOnTrial reports whether an endpoint, or its zone, is ejected, so that it gets trials only.
+// isOnTrial reports whether the endpoint or its zone is ejected, so that it gets trial requests only.
 func (e *endpoint) isOnTrial() bool { return e.zone.health.ejected || e.outlier.unresponsive }
 
-// markResponsive records a response, which ends ejection and backoff.
+// markResponsive records a response of an endpoint, which ends its ejection and backoff.
 func (b *Balancer) markResponsive(e *endpoint, now time.Duration) {
 	e.outlier.unresponsive = false
 	e.outlier.respondedAt = now
@@ -140,26 +140,27 @@
 	e.outlier.unreachableUntil = now
 }
 
-// closePeriod adds the present period to the running mean and begins the next one.
+// closePeriod adds the current period to the moving average and begins the next period.
 func (w *workStats) closePeriod() {
 	w.mean += smoothingFactor * (w.period - w.mean)
 	w.period = 0
 }
 
-// forgetMeasurements drops latency, utilization and errors.
-func (e *endpoint) forgetMeasurements() {
+// resetMeasurements discards latency, utilization and error rate.
+func (e *endpoint) resetMeasurements() {
 	e.latency = latencyStats{}
 	e.utilization.reset()
 	e.outlier.errorRate = 0
 }
 
-// joinSubset prepares an endpoint that comes into use. Its first turn is drawn, so that balancers do not act in step.
-func (b *Balancer) joinSubset(e *endpoint, wanted float64, now time.Duration) {
-	first := b.rng.Float64()
+// joinSubset initializes an endpoint that joins a subset of a size. Its first turn, pause and health check get a random
+// offset, so that balancers do not act in lockstep.
+func (b *Balancer) joinSubset(e *endpoint, size float64, now time.Duration) {
+	offset := b.rng.Float64()
 	e.limit.current = cmp.Or(e.limit.current, b.endpoints.initialLimit)
 	e.utilization.integratedAt = now
-	e.nextTurn = b.turns.virtualTime + first*wanted
-	e.limit.pausedUntil = max(e.limit.pausedUntil, now+time.Duration(first*float64(b.attemptInterval(e))))
-	e.slowStart.budget = leakybucket.Bucket{Level: first, At: now}
-	e.healthCheckedAt = now - time.Duration(first*float64(bandPeriod))
+	e.nextTurn = b.turns.virtualTime + offset*size
+	e.limit.pausedUntil = max(e.limit.pausedUntil, now+time.Duration(offset*float64(b.attemptInterval(e))))
+	e.slowStart.budget = leakybucket.Bucket{Level: offset, At: now}
+	e.healthCheckedAt = now - time.Duration(offset*float64(bandPeriod))
 }
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -9,25 +9,25 @@
 	"sprucehill/internal/stats"
 )
 
-// endpointSet is what this balancer knows of all endpoints and their zones, and which endpoints it uses.
+// endpointSet holds all known endpoints and zones, and the subset that this balancer uses.
 type endpointSet struct {
 	byID         map[EndpointID]*endpoint
-	known        []*endpoint // in order of arrival
-	tracked      []*endpoint // those in use, and others that still have attempts in flight
-	zones        []*zone     // in order of arrival
+	known        []*endpoint // in the order in which they were first listed
+	tracked      []*endpoint // the subset, and other endpoints with attempts in flight
+	zones        []*zone     // in the order in which they became known
 	stats        fleetStats
-	initialLimit float64 // an endpoint's concurrency limit before anything is known of it, attempts
+	initialLimit float64 // concurrency limit of an endpoint without measurements, attempts
 }
 
-// fleetStats is what the endpoints of the subset have in common, as of the last period.
+// fleetStats holds statistics over the endpoints of the subset, as of the last period.
 type fleetStats struct {
-	utilization      float64 // the median
-	workPerWeight    float64 // work in a period that warm endpoints do for weight and utilization; 0: not known
-	maxWorkPerWeight float64 // the most that one does for its weight and utilization
-	baselineLatency  float64 // the lower quartile of the endpoints', ns
+	utilization      float64 // median of the endpoints' means
+	workPerWeight    float64 // work per weight that warm endpoints do in a period at full utilization; 0: unknown
+	maxWorkPerWeight float64 // the same of the endpoint with the most work per weight
+	baselineLatency  float64 // lower quartile of the endpoints' baselines, ns
 }
 
-// inUse yields the endpoints that get traffic: those of the subset, in order of arrival.
+// inUse yields the endpoints of the subset, in the order in which they were first listed.
 func (s *endpointSet) inUse() iter.Seq[*endpoint] {
 	return func(yield func(*endpoint) bool) {
 		for _, e := range s.tracked {
@@ -45,13 +45,13 @@
 	return active
 }
 
-// useEndpoints makes the chosen endpoints the subset, and tracks those that leave it for as long as they have attempts in
-// flight. wanted is how many endpoints the subset needs.
-func (b *Balancer) useEndpoints(chosen map[*endpoint]bool, wanted float64, now time.Duration) {
+// setSubset makes the chosen endpoints the subset. Endpoints that leave the subset stay tracked while they have attempts in
+// flight. size is the target size of the subset.
+func (b *Balancer) setSubset(chosen map[*endpoint]bool, size float64, now time.Duration) {
 	b.endpoints.tracked = b.endpoints.tracked[:0]
 	for _, e := range b.endpoints.known {
 		if chosen[e] && !e.inSubset {
-			b.joinSubset(e, wanted, now)
+			b.joinSubset(e, size, now)
 		}
 		e.inSubset = chosen[e]
 		if e.inSubset || len(e.attempts) > 0 {
@@ -60,18 +60,18 @@
 	}
 }
 
-// forgetRemoved drops endpoints that are removed and have no attempt in flight.
-func (s *endpointSet) forgetRemoved() {
+// dropRemoved drops removed endpoints that have no attempt in flight.
+func (s *endpointSet) dropRemoved() {
 	s.known = slices.DeleteFunc(s.known, func(e *endpoint) bool {
-		forgotten := e.State == Removed && len(e.attempts) == 0
-		if forgotten {
+		dropped := e.State == Removed && len(e.attempts) == 0
+		if dropped {
 			delete(s.byID, e.ID)
 		}
-		return forgotten
+		return dropped
 	})
 }
 
-// valueAbove is the value over one in n of the endpoints that have readings: the median for n = 2.
+// valueAbove returns the 1/n quantile of a value over the endpoints of the subset that have readings: the median for n = 2.
 func (s *endpointSet) valueAbove(n int, value func(*endpoint) float64) float64 {
 	samples := make([]float64, 0, len(s.tracked)+1)
 	for e := range s.inUse() {
--- a/balancer/limit.go
+++ b/balancer/limit.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// Limits of attempts in flight at one endpoint are of all balancers together.
+// The fleet limits are concurrency limits of one endpoint, summed over all balancers.
 const (
-	initialFleetLimitAttempts = 8.0   // the first limit
-	minFleetLimitAttempts     = 0.25  // the least limit; below 1 there are pauses, in which an endpoint can recover
-	limitReductionFactor      = 0.8   // factor of a limit on a saturated response
-	limitGrowthAttempts       = 0.5   // attempts by which a response of an endpoint with headroom raises its limit
-	fullUtilizationRatio      = 0.8   // mean utilization from which there is no headroom
-	saturatedLatencyRatio     = 1.6   // multiple of the baseline over which latency counts as saturated or slow
+	initialFleetLimitAttempts = 8.0   // initial limit
+	minFleetLimitAttempts     = 0.25  // minimum; a limit below 1 means pauses, in which a saturated endpoint can recover
+	limitReductionFactor      = 0.8   // reduction of a limit after a saturated response
+	limitGrowthAttempts       = 0.5   // growth of a limit after a response of an endpoint with headroom
+	fullUtilizationRatio      = 0.8   // mean utilization from which an endpoint has no headroom
+	saturatedLatencyRatio     = 1.6   // multiple of the baseline latency above which an endpoint is saturated or slow
 	saturatedObjectiveRatio   = 0.5   // part of the latency objective up to which latency never counts as saturated
-	baselineSmoothingFactor   = 0.005 // weight ratio of a new sample by which the baseline latency drifts up
-	minWorkUnits              = 0.5   // mean requests that a response counts as at least, for its fixed part
+	baselineSmoothingFactor   = 0.005 // weight of a new sample when the baseline latency drifts up
+	minWorkUnits              = 0.5   // lower bound of a response's work in mean requests: each has a fixed cost
 
-	rejectionReductionFactor = limitReductionFactor * limitReductionFactor // factor of a limit on a full queue or a timeout
+	rejectionReductionFactor = limitReductionFactor * limitReductionFactor // reduction after a rejection or a timeout
 )
 
-// hasHeadroom reports whether the readings show spare utilization; without readings there is none.
+// hasHeadroom reports whether the readings show spare utilization. It is false without readings.
 func (e *endpoint) hasHeadroom() bool {
 	u := &e.utilization
 	return u.readings > 0 && u.mean < fullUtilizationRatio && u.lastReport.Queue <= 0
 }
 
-// isSlow reports whether latency is far over its baseline.
+// isSlow reports whether the latency is far above its baseline.
 func (l *latencyStats) isSlow() bool { return l.smoothed > saturatedLatencyRatio*l.baseline }
 
-// adjustLimit moves the limit of an endpoint by the status of an attempt. With headroom a response that did not come was
-// lost, not delayed by load.
+// adjustLimit adjusts the limit of an endpoint after an attempt. A timeout at an endpoint with headroom does not reduce the
+// limit: the response was lost, not delayed by load.
 func (b *Balancer) adjustLimit(a *attempt, status Status, now time.Duration) {
 	switch {
 	case status == OK:
@@ -41,9 +41,9 @@
 	}
 }
 
-// adjustLimitByLatency moves the limit by a good response. A slow one alone proves no saturation, because work and waits
-// vary by as much. With headroom the limit grows instead. The fleet's baseline counts too: an endpoint that was saturated
-// from the first has no lower one of its own.
+// adjustLimitByLatency adjusts the limit of an endpoint after a successful response. A slow response alone is no sign of
+// saturation, because work and queueing vary by as much; with headroom the limit may grow. The baseline is at most that of
+// the fleet, because an endpoint that has been saturated from the start has no low baseline of its own.
 func (b *Balancer) adjustLimitByLatency(a *attempt, now time.Duration) {
 	e := a.endpoint
 	baseline := min(e.latency.baseline, cmp.Or(b.endpoints.stats.baselineLatency, e.latency.baseline))
@@ -59,7 +59,7 @@
 	}
 }
 
-// needsHigherLimit reports whether requests find no endpoint, or go to another zone only because of the limit of e.
+// needsHigherLimit reports whether requests find no free endpoint, or spill over to another zone only because of e's limit.
 func (b *Balancer) needsHigherLimit(e *endpoint, now time.Duration) bool {
 	if b.isSaturated(now) {
 		return true
@@ -68,46 +68,46 @@
 	return missedTurn && e.utilization.mean < minExcessUtilization && e.limit.current < e.neededConcurrency()
 }
 
-// neededConcurrency is how many attempts are in flight at e for its own traffic, with a margin for bursts. It goes by the
-// baseline latency: an endpoint with many in flight because it is slow needs no higher limit.
+// neededConcurrency returns the concurrency that e needs for its own traffic, with a margin for bursts. It is based on the
+// baseline latency: an endpoint with many attempts in flight because it is slow needs no higher limit.
 func (e *endpoint) neededConcurrency() float64 {
 	mean := e.work.mean / bandPeriod.Seconds() * e.latency.baseline / float64(time.Second)
 	return mean + 2*math.Sqrt(mean) + 1
 }
 
-// reduceLimit lowers the limit by a factor, once for the attempts that were in flight together.
+// reduceLimit multiplies the limit by a factor, at most once per mean latency: attempts in flight together count once.
 func (b *Balancer) reduceLimit(e *endpoint, now time.Duration, factor float64) {
 	if now-e.limit.reducedAt < time.Duration(e.latency.mean) {
 		return
 	}
-	used := float64(len(e.attempts) + 1)
-	e.limit.current = max(b.endpoints.minLimit(), min(e.limit.current, used)*factor)
+	inFlight := float64(len(e.attempts) + 1) // with the attempt that has just ended
+	e.limit.current = max(b.endpoints.minLimit(), min(e.limit.current, inFlight)*factor)
 	e.limit.reducedAt = now
 }
 
-// minLimit is the least limit of an endpoint.
+// minLimit returns this balancer's part of the minimum limit of an endpoint.
 func (s *endpointSet) minLimit() float64 {
 	return s.initialLimit * minFleetLimitAttempts / initialFleetLimitAttempts
 }
 
-// raiseLimitCeilings sets how far each limit may grow in the next period: to twice its present value. Load reports show
-// the effect of a higher limit only after a period.
+// raiseLimitCeilings lets each limit at most double in the next period, because load reports show the effect of a higher
+// limit only a period later.
 func (s *endpointSet) raiseLimitCeilings() {
 	for _, e := range s.tracked {
 		e.limit.ceiling = max(2*e.limit.current, initialFleetLimitAttempts)
 	}
 }
 
-// attemptInterval is the wait between attempts at an endpoint whose limit is under one.
+// attemptInterval returns the pause between attempts at an endpoint whose limit is below 1.
 func (b *Balancer) attemptInterval(e *endpoint) time.Duration {
 	return time.Duration(max(0, 1/e.limit.current-1) * cmp.Or(e.latency.mean, b.means.latency))
 }
 
-// pauseAfter sets the pause that follows an attempt, where the limit is under one. An endpoint that was idle may get one
-// attempt before the pause, because requests arrive at random.
+// pauseAfter sets the pause after an attempt if the limit is below 1. There is no pause after the first attempt at an idle
+// endpoint, because requests arrive at random.
 func (b *Balancer) pauseAfter(a *attempt, now time.Duration) {
 	e, interval := a.endpoint, b.attemptInterval(a.endpoint)
-	begun := max(e.limit.pausedUntil, a.sentAt-interval)
-	ended := min(now, begun+now-a.sentAt)
-	e.limit.pausedUntil = max(e.limit.pausedUntil, ended+interval)
+	start := max(e.limit.pausedUntil, a.sentAt-interval)
+	end := min(now, start+now-a.sentAt)
+	e.limit.pausedUntil = max(e.limit.pausedUntil, end+interval)
 }
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Utilization, shares of the traffic and locality weights are ratios.
+// Utilization, traffic shares and locality weights are ratios.
 const (
-	minLocalitySubsetEndpoints = 8    // endpoints in use from which they are divided by locality
-	maxLocalShare              = 0.92 // of the traffic that stays in a zone or region: the rest brings readings from elsewhere
-	utilizationMarginFactor    = 1.05 // multiple of the fleet's utilization that a zone may have without spilling over
-	utilizationNoise           = 0.02 // utilization that it may have beyond that multiple
-	maxLocalUtilization        = 0.7  // utilization over which the local share always shrinks
-	localShareGainRatio        = 0.5  // change of the local share in a period for an excess of full utilization
+	minLocalitySubsetEndpoints = 8    // smallest subset with locality-aware routing
+	maxLocalShare              = 0.92 // share of the traffic that stays in a zone or region: the rest measures the others
+	utilizationMarginFactor    = 1.05 // multiple of the fleet's utilization that a zone may have without spillover
+	utilizationNoise           = 0.02 // utilization that is tolerated beyond that multiple
+	maxLocalUtilization        = 0.7  // utilization above which the local share always shrinks
+	localShareGainRatio        = 0.5  // change of the local share per period and unit of excess utilization
 	maxLocalShareStep          = 0.05 // largest change of the local share in a period
-	minLocalityWeight          = 1e-3 // least locality weight: every zone gets some traffic
-	maxSpareFactor             = 2    // by which zones alike in distance differ at most for their utilization
+	minLocalityWeight          = 1e-3 // lower bound of a locality weight: every zone gets some traffic
+	maxSpareFactor             = 2    // bound of spareFactor and its inverse
 )
 
-// updateLocality adjusts how much of the traffic stays in the zone and in the region, by the utilization there and
-// elsewhere. All balancers of a zone adjust alike, by the same late reports, so each step is small.
+// updateLocality adjusts the shares of the traffic that stay in the zone and in the region to the utilization there and
+// elsewhere. Steps are small, because all balancers of a zone react in the same way to the same delayed reports.
 func (b *Balancer) updateLocality(now time.Duration) {
 	home := b.endpoints.findOrAddZone(b.settings.Zone)
 	b.locality.home = home
@@ -31,8 +31,8 @@
 	b.setLocalityWeights(region.capacity-home.capacity, all.capacity-region.capacity)
 }
 
-// adjustLocalShares adjusts the shares of the traffic that stay in the zone and in the region. At first it assumes that the
-// clients of each zone send equal load.
+// adjustLocalShares adjusts the shares of the traffic that stay in the zone and in the region. The initial local share
+// assumes that the clients of all zones send equal load.
 func (b *Balancer) adjustLocalShares(region, all zoneGroup) {
 	locality := &b.locality
 	if locality.localShare == 0 {
@@ -52,9 +52,9 @@
 	locality.regionShare = max(locality.regionShare, locality.localShare)
 }
 
-// adjustShare adjusts the share of the traffic that stays in a group of zones. It grows, up to maxLocalShare, while the
-// group has spare utilization. Without spare utilization it shrinks to an even share, and to half of that while the group
-// is more utilized than all zones together.
+// adjustShare returns the new share of the traffic that stays in a group of zones. It grows up to maxLocalShare while the
+// group has spare utilization. Otherwise it shrinks down to the group's share of the capacity, or to half of that while the
+// group is more utilized than all zones together.
 func adjustShare(share float64, group, all zoneGroup) float64 {
 	minShare := group.capacity / all.capacity
 	acceptable := utilizationMarginFactor*all.utilization + utilizationNoise
@@ -66,22 +66,22 @@
 	return max(minShare, min(maxLocalShare, share+change))
 }
 
-// setLocalityWeights sets the locality weight of each zone: 1 for the balancer's own. Weights elsewhere follow from the
-// parts of the traffic that leave, and from the capacity near (the rest of the region) and far (other regions). Of zones
-// at the same distance the less utilized gets more.
-func (b *Balancer) setLocalityWeights(near, far float64) {
+// setLocalityWeights sets the locality weight of each zone. It is 1 for the home zone. The weights of the others follow from
+// the traffic that leaves the home zone, and from the capacity of the rest of the region and of other regions. Among zones
+// of the same region the less utilized ones get more.
+func (b *Balancer) setLocalityWeights(regionCapacity, outsideCapacity float64) {
 	home := b.locality.home
-	toFar := 1 - b.locality.regionShare
-	toNear := 1 - b.locality.localShare - toFar
-	if near == 0 { // whatever leaves goes far
-		toFar = 1 - b.locality.localShare
-		toNear = 0
+	outsideTraffic := 1 - b.locality.regionShare
+	regionTraffic := 1 - b.locality.localShare - outsideTraffic
+	if regionCapacity == 0 { // no other zone in this region
+		outsideTraffic = 1 - b.locality.localShare
+		regionTraffic = 0
 	}
 	others := b.endpoints.summarize(func(z *zone) bool { return z != home })
 	for _, z := range b.endpoints.zones {
-		traffic, capacity := toNear, near
+		traffic, capacity := regionTraffic, regionCapacity
 		if z.region != home.region {
-			traffic, capacity = toFar, far
+			traffic, capacity = outsideTraffic, outsideCapacity
 		}
 		if z == home {
 			z.localityWeight = 1
@@ -92,7 +92,7 @@
 	}
 }
 
-// spareFactor is over 1 for a zone with less utilization than the others' mean, and under 1 for one with more.
+// spareFactor is above 1 for a zone that is less utilized than the others on average, and below 1 for one that is more.
 func (z *zone) spareFactor(others float64) float64 {
 	if z.measuredCapacity == 0 || others == 0 {
 		return 1
@@ -101,8 +101,8 @@
 	return max(1.0/maxSpareFactor, min(maxSpareFactor, factor))
 }
 
-// canAnswerInTime reports whether a response from e can come before the client gives up. It excludes other regions only:
-// their round trip is part of every response, while an endpoint nearby may respond faster than its mean.
+// canAnswerInTime reports whether a response from e can arrive before the deadline of r. It is false for endpoints of other
+// regions only: every response from there includes the round trip, while a nearby endpoint may respond faster than its mean.
 func (b *Balancer) canAnswerInTime(e *endpoint, r *request, now time.Duration) bool {
 	if b.locality.home == nil || e.zone.region == b.locality.home.region || e.latency.workUnits == 0 {
 		return true
@@ -110,9 +110,9 @@
 	return r.deadline-now >= time.Duration(e.latency.perUnit()*r.workUnits)
 }
 
-// noteMissedTurns records which local endpoints were due before a remote one that gets the turn. Only their concurrency
-// limits have caused the spillover, so these limits may grow.
-func (b *Balancer) noteMissedTurns(best *endpoint, now time.Duration) {
+// recordMissedTurns marks the local endpoints that were due before best, if best is remote. Only their concurrency limits
+// have caused the spillover, so these limits may grow.
+func (b *Balancer) recordMissedTurns(best *endpoint, now time.Duration) {
 	if b.locality.localShare == 0 || best.Zone == b.settings.Zone {
 		return
 	}
--- a/balancer/operators.go
+++ b/balancer/operators.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// DrainZone sends nothing new to a zone until ReinstateZone, whatever discovery says meanwhile. It returns false for a
-// zone that is not known, and for the last one with endpoints that is not drained: then nobody could be served.
+// DrainZone stops new attempts in a zone until ReinstateZone, whatever discovery reports. It returns false, without an
+// effect, if the zone is unknown or if no other zone could serve requests.
 func (b *Balancer) DrainZone(now time.Duration, name string) bool {
 	z := b.endpoints.findZone(name)
 	othersServe := slices.ContainsFunc(b.endpoints.known, func(e *endpoint) bool {
@@ -20,7 +20,7 @@
 	return true
 }
 
-// ReinstateZone takes a drained zone back, by steps. It returns false for a zone that is not drained.
+// ReinstateZone ends the drain of a zone. Its traffic share recovers in steps. It returns false if the zone is not drained.
 func (b *Balancer) ReinstateZone(now time.Duration, name string) bool {
 	z := b.endpoints.findZone(name)
 	if z == nil || !z.drained {
@@ -33,7 +33,7 @@
 	return true
 }
 
-// applyZoneChange moves the traffic at once to what the zones are now.
+// applyZoneChange rebuilds the subset and the traffic shares at once after a zone was drained or reinstated.
 func (b *Balancer) applyZoneChange(now time.Duration) {
 	b.rebuildSubset(now)
 	b.updateLocality(now)
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	timeoutDeviations    = 5.0 // mean deviations over its mean latency that an endpoint may take to respond
+	timeoutDeviations    = 5.0 // mean deviations above the mean latency within which an endpoint must respond
 	backoffGrowthFactor  = 2   // growth of the backoff of trials, failed connections and discovery calls
-	errorSmoothingFactor = 0.2 // weight ratio of a new result in the running mean of errors
+	errorSmoothingFactor = 0.2 // weight of a new result in the moving average of errors
 )
 
-// responseTimeout is how long an endpoint may give no response before it counts as unresponsive. The fleet's latency
-// bounds it from below, because the mean of an endpoint with few responses is not reliable.
+// responseTimeout returns the time without a response after which an endpoint counts as unresponsive. The fleet's mean
+// latency gives a lower bound, because the mean of an endpoint with few responses is not reliable.
 func (b *Balancer) responseTimeout(e *endpoint, workUnits float64) time.Duration {
 	expected := max(e.latency.mean+timeoutDeviations*e.latency.deviation, (1+timeoutDeviations/2)*b.means.latency)
 	return time.Duration(expected*max(1, workUnits)) + b.tick
@@ -30,19 +30,19 @@
 	}
 }
 
-// markUnresponsive ejects an endpoint until it responds. Meanwhile it gets one trial at a time, the first of them after
-// the response timeout of so much work.
+// markUnresponsive ejects an endpoint until it responds. Meanwhile it gets one trial at a time. The first one is due after
+// the response timeout of a request with workUnits.
 func (b *Balancer) markUnresponsive(e *endpoint, workUnits float64, now time.Duration) {
 	b.log.add(now, EndpointUnresponsive{Endpoint: e.ID, Silence: e.waitingTime(e.oldestAttempt(), now)})
 	e.outlier.unresponsive = true
 	e.outlier.backoff = b.responseTimeout(e, workUnits)
 	e.outlier.nextTrialAt = now + e.outlier.backoff
-	b.moveAttempts(e, now)
+	b.hedgeOrCancelAttempts(e, now)
 }
 
-// moveAttempts hedges the only attempt of each request at an unresponsive endpoint, if the request may be executed twice.
-// Where hedging is not allowed the attempt is cancelled instead.
-func (b *Balancer) moveAttempts(e *endpoint, now time.Duration) {
+// hedgeOrCancelAttempts hedges requests whose only attempt is in flight at an unresponsive endpoint, if they may be executed
+// twice. Where hedging is not allowed the attempt is cancelled instead.
+func (b *Balancer) hedgeOrCancelAttempts(e *endpoint, now time.Duration) {
 	for _, a := range slices.Clone(e.attempts) {
 		r := a.request
 		if r.class.Idempotency == NonIdempotent || r.Upload || r.finished || r.inFlight > 1 {
@@ -57,7 +57,7 @@
 	}
 }
 
-// recordTrial spaces the trials of the zone or endpoint that an attempt is a trial of.
+// recordTrial schedules the next trial if the attempt is a trial of an ejected zone or endpoint.
 func (a *attempt) recordTrial() {
 	e := a.endpoint
 	if e.zone.health.ejected {
@@ -68,8 +68,8 @@
 	}
 }
 
-// allowsTrial reports whether an unresponsive endpoint gets r as a trial. The safest class goes first, others after
-// another backoff.
+// allowsTrial reports whether r may be a trial of an unresponsive endpoint. Requests of the safest idempotency are allowed
+// first, others one backoff later.
 func (b *Balancer) allowsTrial(e *endpoint, r *request, now time.Duration) bool {
 	if r.class.Idempotency == b.clients.safestClass {
 		return now >= e.outlier.nextTrialAt
@@ -77,8 +77,8 @@
 	return now >= e.outlier.nextTrialAt+e.outlier.backoff
 }
 
-// backOff pauses an endpoint that could not be reached or broke a connection: it is down, or its connection table
-// is full. Attempts that failed together count once.
+// backOff pauses an endpoint after a failed or lost connection: it is down, or its connection table is full. Failures during
+// the backoff do not extend it, so that attempts that fail together count once.
 func (b *Balancer) backOff(e *endpoint, now time.Duration) {
 	if now < e.outlier.unreachableUntil {
 		return
@@ -87,7 +87,7 @@
 	e.outlier.backoff = min(e.outlier.backoff*backoffGrowthFactor, b.settings.Obligations.SlowStartWindow)
 }
 
-// observeHealth updates the evidence on an endpoint and its zone by the status of an attempt.
+// observeHealth updates the health evidence of an endpoint and its zone after an attempt.
 func (b *Balancer) observeHealth(e *endpoint, status Status, now time.Duration) {
 	e.zone.observeTrial(status)
 	if status.isFailure() {
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// mayAttempt reports whether r may have an attempt, first or retry, at e. No other code of this package decides this.
+// mayAttempt reports whether r may have a first or further attempt at e. It is the only place that decides this.
 func (b *Balancer) mayAttempt(r *request, e *endpoint, now time.Duration) bool {
 	if r.finished || now >= r.deadline || e.State != Active {
 		return false
@@ -27,7 +27,7 @@
 	return true
 }
 
-// mayRepeat reports whether a request that an attempt may have executed may be executed again at e.
+// mayRepeat reports whether a request of class c may be executed at e although attempt a may have executed it.
 func (b *Balancer) mayRepeat(c *class, a *attempt, e *endpoint, now time.Duration) bool {
 	switch c.Idempotency {
 	case NonIdempotent:
@@ -41,8 +41,8 @@
 	return true
 }
 
-// mayReject reports whether a rejection, which promises that a retry is harmless, may be the answer. No other code of this
-// package decides this.
+// mayReject reports whether r may be rejected, which promises the client that a retry is harmless. It is the only place that
+// decides this.
 func (b *Balancer) mayReject(r *request) bool {
 	if r.class.Idempotency == Idempotent {
 		return true
@@ -63,8 +63,8 @@
 	b.effects.Send(r.ID, e.ID, timeout)
 }
 
-// attemptTimeout is the timeout of an attempt of r at e; 0: the client's. A trial that may be repeated gets the response
-// timeout, which leaves time for another attempt. Otherwise a response in progress has priority over a new attempt.
+// attemptTimeout returns the timeout of an attempt of r at e; 0 means the client's timeout. A trial of a request that may be
+// repeated gets the response timeout, which leaves time for another attempt. For others it is better to wait on.
 func (b *Balancer) attemptTimeout(r *request, e *endpoint) time.Duration {
 	if !e.isOnTrial() || r.class.Idempotency == NonIdempotent || r.Upload {
 		return 0
@@ -72,23 +72,23 @@
 	return b.responseTimeout(e, r.workUnits)
 }
 
-// OnAttemptResult handles the end of an attempt: the request is answered, retried or given up.
+// OnAttemptResult handles the result of an attempt: the request is finished, retried, queued, rejected or failed.
 func (b *Balancer) OnAttemptResult(now time.Duration, result AttemptResult) {
 	r, a := b.findAttempt(result.ID, result.Attempt)
 	if a == nil || a.ended {
 		return
 	}
 	a.end(result)
-	b.observeResult(a, result.clean(), now)
+	b.observeResult(a, result.sanitized(), now)
 	if r.finished || result.RequestClosed || result.Status == OK {
 		b.finishRequest(r, result.Attempt)
-	} else if r.inFlight == 0 && !r.queued { // else a hedged attempt may still answer, or its turn may come
+	} else if r.inFlight == 0 && !r.queued { // otherwise a hedged attempt may succeed, or r is sent from the queue
 		b.admit(r, now)
 	}
 	b.dispatchQueue(now)
 }
 
-// observeResult updates what is known of an endpoint by a result.
+// observeResult updates the health, latency, limit and utilization of an endpoint after an attempt.
 func (b *Balancer) observeResult(a *attempt, result AttemptResult, now time.Duration) {
 	b.observeHealth(a.endpoint, result.Status, now)
 	if result.Status == OK {
@@ -101,7 +101,7 @@
 	}
 }
 
-// rejectOrFail gives the final answer to a request that can't be served: a rejection if that is allowed, else a failure.
+// rejectOrFail gives the final answer to a request that can't be served: a rejection if that is allowed, or else a failure.
 func (b *Balancer) rejectOrFail(r *request) {
 	b.finishRequest(r, noAttempt)
 	if b.mayReject(r) {
--- a/balancer/requestqueue.go
+++ b/balancer/requestqueue.go
@@ -5,10 +5,11 @@
 	"slices"
 )
 
-// requestQueue holds the requests that wait for an endpoint: the highest priority first, of equals the newest.
+// requestQueue holds the requests that wait for an endpoint, by descending priority. Among requests of equal priority the
+// newest is first.
 type requestQueue []*request
 
-// add puts r into the queue.
+// add inserts r by its priority.
 func (q *requestQueue) add(r *request) {
 	r.queued = true
 	*q = slices.Insert(*q, 0, r)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Idempotency says whether requests of a class may be executed more than once, safest first.
+// Idempotency says whether requests of a class may be executed more than once. A smaller value is safer.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // may be executed any number of times
-	IdempotentByKey                    // endpoints drop repeats by an idempotency key, within Class.IdempotencyWindow
+	IdempotentByKey                    // endpoints drop duplicates by idempotency key within Class.IdempotencyWindow
 	NonIdempotent                      // must never be executed twice
 )
 
-// IdempotencyScope says which endpoints together recognise an idempotency key.
+// IdempotencyScope says which endpoints share a store of idempotency keys.
 type IdempotencyScope uint8
 
 // The idempotency scopes.
@@ -22,44 +22,44 @@
 	ScopeCell
 )
 
-// Class is one kind of request.
+// Class configures a request class.
 type Class struct {
 	Name               string
 	LatencyObjective   time.Duration // a response within it has the full PriorityWeight
-	Deadline           time.Duration // how long a client waits in all
+	Deadline           time.Duration // how long a client waits in total, with its retries
 	Idempotency        Idempotency
 	Scope              IdempotencyScope // for IdempotentByKey
-	IdempotencyWindow  time.Duration    // for IdempotentByKey: how long repeats are dropped
-	Stream             bool
+	IdempotencyWindow  time.Duration    // for IdempotentByKey: how long duplicates are dropped
+	Stream             bool             // responses are streamed
 	PriorityWeight     float64
 	LatePriorityFactor float64 // fraction of PriorityWeight between LatencyObjective and Deadline
 }
 
-// Tenant is a customer with a quota.
+// Tenant configures a customer with a quota.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second over all balancers
+	Quota float64 // requests per second over all balancers
 }
 
-// Limits is what the site permits.
+// Limits holds what the site permits.
 type Limits struct {
 	AllowCancel       bool
 	AllowHealthChecks bool
 	AllowHedging      bool // a second attempt while the first is in flight
 	AllowRetryAfter   bool
-	MaxRetryAfter     time.Duration // the longest wait that a client honours
-	MaxAttempts       int           // of one request
+	MaxRetryAfter     time.Duration // longest Retry-After that clients honour
+	MaxAttempts       int           // attempts of one request
 }
 
-// Obligations holds the figures of the rules for draining and slow start that the site sets.
+// Obligations holds the parameters of the site's rules for discovery, slow start, draining and final answers.
 type Obligations struct {
 	PollInterval     time.Duration // longest time between two polls of discovery
-	SlowStartFrom    float64       // an endpoint starts with at least this fraction of its capacity
-	SlowStartWindow  time.Duration // after which it has all of it
-	OverloadMultiple float64       // a warming endpoint that gets more than this multiple of its present capacity
-	OverloadWindow   time.Duration // for this long fails
-	DrainGrace       time.Duration // no attempt at a draining endpoint after this
-	AnswerSlack      time.Duration // by which a final answer may be late
+	SlowStartFrom    float64       // minimum fraction of its capacity that an endpoint has when it starts
+	SlowStartWindow  time.Duration // time after its start until an endpoint has its full capacity
+	OverloadMultiple float64       // a warming endpoint fails if it gets more than this multiple of its current capacity
+	OverloadWindow   time.Duration // for this long
+	DrainGrace       time.Duration // time after which a draining endpoint must get no attempt
+	AnswerSlack      time.Duration // by how much a final answer may miss its deadline
 }
 
 // WeightKind says what Endpoint.Weight means.
@@ -67,10 +67,10 @@
 
 // The weight kinds.
 const (
-	WeightNone        WeightKind = iota // always one
+	WeightNone        WeightKind = iota // always 1
 	WeightNominal                       // capacity
-	WeightApproximate                   // capacity, approximately
-	WeightLive                          // capacity less the load of some time ago
+	WeightApproximate                   // approximate capacity
+	WeightLive                          // capacity minus load, as of some time ago
 )
 
 // ReportSource says how load reports arrive.
@@ -86,17 +86,17 @@
 // Settings configures a Balancer.
 type Settings struct {
 	Zone            string
-	Balancers       int // instances in this tier
-	Rank            int // of this instance among them, from 0
+	Balancers       int // number of balancers in the fleet
+	Rank            int // of this balancer, from 0
 	Classes         []Class
 	Tenants         []Tenant
-	OverQuotaFactor float64 // by which the priority of requests over a tenant's quota is lowered
+	OverQuotaFactor float64 // multiplies the priority of requests over a tenant's quota
 	PriorityByWork  bool    // PriorityWeight counts per unit of work, not per request
-	KeyAffinity     bool    // an endpoint serves keys that it has met lately with less work
+	KeyAffinity     bool    // an endpoint serves recently requested keys with less work
 	Limits          Limits
 	Obligations     Obligations
-	PollDiscovery   bool // discovery answers only when polled
+	PollDiscovery   bool // discovery must be polled; it does not push changes
 	Weights         WeightKind
 	Reports         ReportSource
-	EventSpacing    time.Duration // least time between batches of events
+	EventSpacing    time.Duration // minimum time between batches of events
 }
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// Snapshot is what a Balancer knows, to be restored by one that is started after it. It has no requests: what was
-// in flight when a process ended is never sent again. Times are on the owner's clock.
+// Snapshot is the learned state of a Balancer, to be restored by its successor. It contains no requests: what was in flight
+// when a process ended is never sent again. Times are on the owner's clock.
 type Snapshot struct {
-	TakenAt          time.Duration      `json:"At"`      // when it was taken
-	Latency          float64            `json:"Latency"` // usual latency, ns
+	TakenAt          time.Duration      `json:"At"`
+	Latency          float64            `json:"Latency"` // mean latency, ns
 	MeanCost         float64            `json:"Cost"`    // mean cost hint, ns
-	ClassLatency     map[string]float64 `json:"Classes"` // usual latency of each class, ns, by name
+	ClassLatency     map[string]float64 `json:"Classes"` // mean latency of each class, ns, by name
 	LocalShare       float64            `json:"Stay"`    // fraction of the traffic that stays in the zone
 	RegionShare      float64            `json:"Keep"`    // fraction of the traffic that stays in the region
-	WorkPerWeight    float64            `json:"Carry"`   // work a period that warm endpoints do for weight and utilization
-	MaxWorkPerWeight float64            `json:"Most"`    // the most that one endpoint does
+	WorkPerWeight    float64            `json:"Carry"`   // work per weight of warm endpoints in a period at full utilization
+	MaxWorkPerWeight float64            `json:"Most"`    // the same of the endpoint with the most work per weight
 	Endpoints        []EndpointStats    `json:"Upstreams"`
 	Zones            []ZoneStats        `json:"Zones"`
-	// DrainedZones names the zones that operators have drained. Such an order does not lose confidence by its age.
+	// DrainedZones names the zones drained by operators. They are restored whatever the age of the snapshot.
 	DrainedZones []string `json:"Left"`
 }
 
-// EndpointStats is what is known of one endpoint.
+// EndpointStats is the saved state of an endpoint.
 type EndpointStats struct {
 	ID               EndpointID    `json:"ID"`
-	ShareFactor      float64       `json:"Factor"`    // fraction of its traffic share that cuts have left
+	ShareFactor      float64       `json:"Factor"`    // fraction of the traffic share left after cuts
 	ConcurrencyLimit float64       `json:"Bound"`     // concurrency limit, attempts
 	Latency          float64       `json:"Latency"`   // mean latency, ns
-	LatencyDeviation float64       `json:"Deviation"` // mean deviation of the latency, ns
-	WorkUnits        float64       `json:"Units"`     // mean work of an answer, in mean requests
-	ErrorRate        float64       `json:"Errors"`    // running mean of errors, 0 to 1
-	LatencyEWMA      float64       `json:"Slow"`      // slow running mean of the latency for a unit of work, ns
-	BaselineLatency  float64       `json:"Calm"`      // lowest value of that mean, ns
-	WorkRate         float64       `json:"Work"`      // work sent in a period, running mean
-	SlowStartUsed    float64       `json:"Spent"`     // slow-start budget in use, in units of work
+	LatencyDeviation float64       `json:"Deviation"` // mean absolute deviation of the latency, ns
+	WorkUnits        float64       `json:"Units"`     // mean work of a response, in mean requests
+	ErrorRate        float64       `json:"Errors"`    // moving average of errors, 0 to 1
+	LatencyEWMA      float64       `json:"Slow"`      // slower moving average of the latency per unit of work, ns
+	BaselineLatency  float64       `json:"Calm"`      // lowest value of that average, ns
+	WorkRate         float64       `json:"Work"`      // moving average of the work sent in a period, in mean requests
+	SlowStartUsed    float64       `json:"Spent"`     // slow-start budget in use, in mean requests
 	WarmingUp        bool          `json:"Cold"`      // in slow start
-	Unresponsive     bool          `json:"Silent"`    // unresponsive
+	Unresponsive     bool          `json:"Silent"`    // ejected as unresponsive
 	WarmingSince     time.Duration `json:"ColdAt"`    // when slow start began
-	Backoff          time.Duration `json:"Wait"`      // backoff before the next attempt
+	Backoff          time.Duration `json:"Wait"`      // backoff before the next trial or attempt
 }
 
-// ZoneStats is what is known of a zone.
+// ZoneStats is the saved state of a zone.
 type ZoneStats struct {
 	Name           string  `json:"Name"`
 	Failed         bool    `json:"Failed"` // ejected on the evidence of its endpoints
-	RecoveredShare float64 `json:"Back"`   // fraction of its traffic share that it has regained
-	HoldPeriods    int     `json:"Hold"`   // how long a recovery step lasts, in units of the shortest time
+	RecoveredShare float64 `json:"Back"`   // recovered fraction of the traffic share
+	HoldPeriods    int     `json:"Hold"`   // duration of a recovery step, in units of the shortest one
 }
 
-// TakeSnapshot returns what is known now. It shares nothing with the Balancer.
+// TakeSnapshot returns the current state. The result shares no memory with the Balancer.
 func (b *Balancer) TakeSnapshot(now time.Duration) Snapshot {
 	snapshot := Snapshot{
 		TakenAt:          now,
@@ -76,7 +76,7 @@
 	return snapshot
 }
 
-// stats is what is known of an endpoint.
+// stats returns the state of the endpoint for a snapshot.
 func (e *endpoint) stats() EndpointStats {
 	return EndpointStats{
 		ID:               e.ID,
@@ -97,7 +97,7 @@
 	}
 }
 
-// stats is what is known of a zone.
+// stats returns the state of the zone for a snapshot.
 func (z *zone) stats() ZoneStats {
 	return ZoneStats{
 		Name:           z.name,
@@ -107,24 +107,24 @@
 	}
 }
 
-// Restore takes up what another Balancer knew, as evidence of its age. It belongs after the first OnEndpointUpdate and
-// before the first OnRequest. Endpoints that are not listed any more are ignored. An age below zero, of a clock that was
-// set back, says nothing of the real age: nothing but drained zones and slow starts is restored then.
+// Restore restores a snapshot of an earlier Balancer; the older it is, the less weight its measurements have. It must be
+// called after the first OnEndpointUpdate and before the first OnRequest. Endpoints that are no longer listed are ignored. If
+// the snapshot is too old, or its age is negative because a clock was set back, only drained zones and slow starts are restored.
 func (b *Balancer) Restore(now time.Duration, snapshot Snapshot) {
-	trusted := confidence(now-snapshot.TakenAt) > 0
-	if trusted && isAmount(snapshot.Latency) && snapshot.Latency > 0 {
+	recent := confidence(now-snapshot.TakenAt) > 0
+	if recent && isFiniteNonNegative(snapshot.Latency) && snapshot.Latency > 0 {
 		b.restoreFleet(snapshot)
 	}
-	for _, known := range snapshot.Endpoints {
-		e := b.endpoints.byID[known.ID]
+	for _, saved := range snapshot.Endpoints {
+		e := b.endpoints.byID[saved.ID]
 		if e != nil && e.State == Active {
-			b.restoreEndpoint(e, known, now, snapshot.TakenAt)
+			b.restoreEndpoint(e, saved, now, snapshot.TakenAt)
 		}
 	}
-	for _, known := range snapshot.Zones {
-		z := b.endpoints.findOrAddZone(known.Name)
-		if trusted {
-			b.restoreZone(z, known, now)
+	for _, saved := range snapshot.Zones {
+		z := b.endpoints.findOrAddZone(saved.Name)
+		if recent {
+			b.restoreZone(z, saved, now)
 		}
 	}
 	for _, name := range snapshot.DrainedZones {
@@ -138,11 +138,11 @@
 // restoreFleet restores the statistics over all endpoints.
 func (b *Balancer) restoreFleet(snapshot Snapshot) {
 	b.means.latency = snapshot.Latency
-	b.means.costHint = finite(snapshot.MeanCost)
-	b.endpoints.stats.workPerWeight = finite(snapshot.WorkPerWeight)
-	b.endpoints.stats.maxWorkPerWeight = finite(snapshot.MaxWorkPerWeight)
+	b.means.costHint = finiteOrZero(snapshot.MeanCost)
+	b.endpoints.stats.workPerWeight = finiteOrZero(snapshot.WorkPerWeight)
+	b.endpoints.stats.maxWorkPerWeight = finiteOrZero(snapshot.MaxWorkPerWeight)
 	for name, c := range b.clients.classes {
-		c.latency = finite(snapshot.ClassLatency[name])
+		c.latency = finiteOrZero(snapshot.ClassLatency[name])
 	}
 	local, region := snapshot.LocalShare, snapshot.RegionShare
 	if local > 0 && local <= 1 && region >= local && region <= 1 && b.locality.localShare > 0 {
@@ -151,21 +151,21 @@
 	}
 }
 
-// finite is x, or 0 where it is negative or not finite.
-func finite(x float64) float64 {
-	if !isAmount(x) {
+// finiteOrZero returns x, or 0 if x is negative or not finite.
+func finiteOrZero(x float64) float64 {
+	if !isFiniteNonNegative(x) {
 		return 0
 	}
 	return x
 }
 
-// latencyStats is the latency part of what was known.
+// latencyStats returns the saved latency values. The caller checks Latency and WorkUnits.
 func (s EndpointStats) latencyStats() latencyStats {
 	return latencyStats{
 		mean:      s.Latency,
-		deviation: finite(s.LatencyDeviation),
+		deviation: finiteOrZero(s.LatencyDeviation),
 		workUnits: s.WorkUnits,
-		smoothed:  finite(s.LatencyEWMA),
-		baseline:  finite(s.BaselineLatency),
+		smoothed:  finiteOrZero(s.LatencyEWMA),
+		baseline:  finiteOrZero(s.BaselineLatency),
 	}
 }
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -2,37 +2,36 @@
 
 import "time"
 
-// ZoneState is the state of a zone as a balancer sees it.
+// ZoneState is the state of a zone from the view of one balancer.
 type ZoneState uint8
 
 // The states of a zone.
 const (
 	ZoneHealthy    ZoneState = iota
-	ZoneDegraded             // half of its endpoints are unhealthy: half of its share
-	ZoneFailed               // most are: trials only
-	ZoneDrained              // by operators: nothing new goes there
-	ZoneRecovering           // its share grows in steps
+	ZoneDegraded             // half of its endpoints are unhealthy: it gets half of its traffic share
+	ZoneFailed               // ejected because most of its endpoints are unhealthy: it gets trials only
+	ZoneDrained              // drained by operators: it gets no new attempts
+	ZoneRecovering           // its traffic share grows in steps
 )
 
-// String is the state's name, as operators read it.
+// String returns the name of the state in the operators' tools.
 func (s ZoneState) String() string {
 	return [...]string{"well", "doubtful", "failed", "left", "returning"}[s]
 }
 
-// ZoneStatus is what a balancer knows of a zone.
+// ZoneStatus is the status of a zone from the view of one balancer.
 type ZoneStatus struct {
 	Name        string
 	State       ZoneState
-	Listed      int     // endpoints in the list
-	Unhealthy   int     // of those that this balancer uses
-	Share       float64 // of this balancer's traffic
-	Utilization float64 // mean of their readings; -1: none
-	Attempts    int     // so far
-	Spilled     int     // those of them that only the limits of local endpoints sent here
+	Listed      int     // endpoints in the endpoint list
+	Unhealthy   int     // unhealthy endpoints among those that this balancer uses
+	Share       float64 // fraction of this balancer's traffic
+	Utilization float64 // mean utilization; -1: no readings
+	Attempts    int     // attempts since the start
+	Spilled     int     // attempts that spilled over from the local zone only because of its concurrency limits
 }
 
-// ZoneStatuses returns the status of every zone that has endpoints or was drained, in the order in which they became
-// known.
+// ZoneStatuses returns the status of every zone that has endpoints or is drained, in the order in which they became known.
 func (b *Balancer) ZoneStatuses(now time.Duration) []ZoneStatus {
 	shares, total := map[*zone]float64{}, 0.0
 	for e := range b.endpoints.inUse() {
@@ -58,7 +57,7 @@
 	return statuses
 }
 
-// status is a zone's status without its share.
+// status returns the status of the zone without its share.
 func (z *zone) status() ZoneStatus {
 	status := ZoneStatus{
 		Name:        z.name,
@@ -75,7 +74,6 @@
 	return status
 }
 
-// state is a zone's state.
 func (z *zone) state() ZoneState {
 	switch {
 	case z.drained:
@@ -90,7 +88,7 @@
 	return ZoneRecovering
 }
 
-// EndpointCounts returns how many endpoints the list holds, and how many of them get nothing now but trials. Those are
+// EndpointCounts returns the number of listed endpoints, and how many of them get no regular traffic now, because they are
 // draining, unresponsive or unreachable.
 func (b *Balancer) EndpointCounts(now time.Duration) (known, skipped int) {
 	for _, e := range b.endpoints.known {
--- a/balancer/tenant.go
+++ b/balancer/tenant.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// tenant counts one customer's requests against this balancer's part of its quota, as a leaky bucket.
+// tenant meters the requests of a tenant against this balancer's part of its quota with a leaky bucket.
 type tenant struct {
-	rate      float64 // requests a second
-	level     float64 // requests not yet leaked
+	rate      float64 // requests per second
+	level     float64 // requests in the bucket
 	updatedAt float64 // s
 }
 
-// countRequest counts a request and reports whether its tenant is over its quota.
+// countRequest adds a request and reports whether the tenant is over its quota.
 func (t *tenant) countRequest(now time.Duration) (overQuota bool) {
 	leaked := t.rate * (now.Seconds() - t.updatedAt)
 	t.level = max(0, t.level-leaked) + 1
--- a/balancer/validate.go
+++ b/balancer/validate.go
@@ -9,16 +9,16 @@
 // ErrSettings is wrapped by every error that New returns for its settings.
 var ErrSettings = errors.New("bad settings")
 
-// settingsError reports a setting that is missing or out of range.
+// settingsError returns an error for an invalid setting. It wraps ErrSettings.
 func settingsError(format string, args ...any) error {
 	return fmt.Errorf("sprucehill: %w: %s", ErrSettings, fmt.Sprintf(format, args...))
 }
 
-// isAmount reports whether x is finite and not negative.
-func isAmount(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
+// isFiniteNonNegative reports whether x is finite and not negative.
+func isFiniteNonNegative(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
 
-// Validate returns an error, which wraps ErrSettings, for the first setting that is missing or out of range. It names the
-// setting by its key in the platform's configuration, and by its field here.
+// Validate returns an error that wraps ErrSettings for the first setting that is missing or out of range. The error names the
+// setting by its key in the site's configuration and by its field in Settings.
 func (s Settings) Validate() error {
 	if err := s.validateRanges(); err != nil {
 		return err
@@ -35,7 +35,7 @@
 	}
 	tenants := map[string]bool{}
 	for _, t := range s.Tenants {
-		if tenants[t.Name] || !isAmount(t.Quota) {
+		if tenants[t.Name] || !isFiniteNonNegative(t.Quota) {
 			return settingsError("tenants: %q is set twice or has a quota_rps (Quota) that is negative or not finite", t.Name)
 		}
 		tenants[t.Name] = true
@@ -43,10 +43,10 @@
 	return nil
 }
 
-// validateRanges checks each setting but classes and tenants.
+// validateRanges checks all settings except those of the classes and tenants.
 func (s Settings) validateRanges() error {
 	o := s.Obligations
-	polled := o.PollInterval > 0 || (o.PollInterval == 0 && !s.PollDiscovery)
+	validPollInterval := o.PollInterval > 0 || (o.PollInterval == 0 && !s.PollDiscovery)
 	for _, setting := range []struct {
 		name  string
 		valid bool
@@ -54,7 +54,7 @@
 		{"profiles (Classes)", len(s.Classes) > 0},
 		{"balancers (Balancers)", s.Balancers >= 1},
 		{"rank (Rank)", s.Rank >= 0 && s.Rank < max(s.Balancers, 1)},
-		{"over_share_worth (OverQuotaFactor)", isAmount(s.OverQuotaFactor)},
+		{"over_share_worth (OverQuotaFactor)", isFiniteNonNegative(s.OverQuotaFactor)},
 		{"granularity_us (EventSpacing)", s.EventSpacing >= 0},
 		{"weights (Weights)", s.Weights <= WeightLive},
 		{"reporting.via (Reports)", s.Reports <= ReportInHealthChecks},
@@ -62,9 +62,9 @@
 		{"limits.max_retry_after_us (Limits.MaxRetryAfter)", s.Limits.MaxRetryAfter >= 0},
 		{"obligations.tip_after_us (Obligations.OverloadWindow)", o.OverloadWindow > 0},
 		{"obligations.ramp_time_us (Obligations.SlowStartWindow)", o.SlowStartWindow > 0},
-		{"obligations.tip_multiple (Obligations.OverloadMultiple)", isAmount(o.OverloadMultiple) && o.OverloadMultiple > 0},
+		{"obligations.tip_multiple (Obligations.OverloadMultiple)", isFiniteNonNegative(o.OverloadMultiple) && o.OverloadMultiple > 0},
 		{"obligations.cold_from (Obligations.SlowStartFrom)", o.SlowStartFrom > 0 && o.SlowStartFrom <= 1},
-		{"obligations.ask_within_us (Obligations.PollInterval)", polled},
+		{"obligations.ask_within_us (Obligations.PollInterval)", validPollInterval},
 		{"obligations.drain_grace_us (Obligations.DrainGrace)", o.DrainGrace >= 0},
 		{"obligations.answer_slack_us (Obligations.AnswerSlack)", o.AnswerSlack >= 0},
 	} {
@@ -78,30 +78,33 @@
 // validate checks the settings of one class.
 func (c Class) validate() error {
 	switch {
-	case !isAmount(c.PriorityWeight) || !isAmount(c.LatePriorityFactor):
+	case !isFiniteNonNegative(c.PriorityWeight) || !isFiniteNonNegative(c.LatePriorityFactor):
 		return settingsError("profiles: class %q: worth (PriorityWeight) and late_worth (LatePriorityFactor) must be finite "+
-			"and not negative", c.Name)
+			"and not negative, got %v and %v", c.Name, c.PriorityWeight, c.LatePriorityFactor)
 	case c.LatencyObjective <= 0:
-		return settingsError("profiles: class %q: target_us (LatencyObjective) must be over zero", c.Name)
+		return settingsError("profiles: class %q: target_us (LatencyObjective) must be positive, got %v", c.Name, c.LatencyObjective)
 	case c.Deadline < c.LatencyObjective:
-		return settingsError("profiles: class %q: give_up_us (Deadline) is before target_us (LatencyObjective)", c.Name)
+		return settingsError("profiles: class %q: give_up_us (Deadline) is %v, must be at least target_us (LatencyObjective), %v",
+			c.Name, c.Deadline, c.LatencyObjective)
 	case c.Idempotency > NonIdempotent:
-		return settingsError("profiles: class %q: repeat (Idempotency) is of no known kind", c.Name)
+		return settingsError("profiles: class %q: repeat (Idempotency) has the unknown value %d", c.Name, c.Idempotency)
 	case c.Idempotency == IdempotentByKey && c.Scope > ScopeCell:
-		return settingsError("profiles: class %q: group (Scope) is of no known kind", c.Name)
+		return settingsError("profiles: class %q: group (Scope) has the unknown value %d", c.Name, c.Scope)
 	case c.Idempotency == IdempotentByKey && c.IdempotencyWindow <= 0:
-		return settingsError("profiles: class %q: memory_span_us (IdempotencyWindow) must be over zero", c.Name)
+		return settingsError("profiles: class %q: memory_span_us (IdempotencyWindow) must be positive, got %v",
+			c.Name, c.IdempotencyWindow)
 	}
 	return nil
 }
 
-// What owners report while running is not rejected but cleaned, so that no single figure spoils a running mean.
+// Invalid values that the owner reports at run time are not errors. They are replaced, so that they can't corrupt a moving
+// average.
 
-// clean returns the report without the values that are negative or not finite.
-func (l LoadReport) clean() LoadReport {
+// sanitized returns the report without values that are negative, not finite or too large.
+func (l LoadReport) sanitized() LoadReport {
 	values := []*float64{&l.Utilization, &l.Inflight, &l.Queue, &l.ServiceTime, &l.Rate, &l.Errors}
 	for i, value := range values {
-		if !isAmount(*value) || *value > math.MaxInt32 {
+		if !isFiniteNonNegative(*value) || *value > math.MaxInt32 {
 			*value = 0
 			l.Fields &^= 1 << i
 		}
@@ -109,16 +112,16 @@
 	return l
 }
 
-// clean returns the result with a latency over zero and a clean load report.
-func (o AttemptResult) clean() AttemptResult {
-	o.Latency = max(o.Latency, 1)
-	o.Load = o.Load.clean()
-	return o
+// sanitized returns the result with a positive latency and a sanitized load report.
+func (r AttemptResult) sanitized() AttemptResult {
+	r.Latency = max(r.Latency, 1)
+	r.Load = r.Load.sanitized()
+	return r
 }
 
-// clean returns the endpoint with a weight that can be set against others: 1 if it is not finite or not over zero.
-func (e Endpoint) clean() Endpoint {
-	if !isAmount(e.Weight) || e.Weight == 0 || e.Weight > math.MaxInt32 {
+// sanitized returns the endpoint with a valid weight. A weight that is not positive, not finite or too large becomes 1.
+func (e Endpoint) sanitized() Endpoint {
+	if !isFiniteNonNegative(e.Weight) || e.Weight == 0 || e.Weight > math.MaxInt32 {
 		e.Weight = 1
 	}
 	return e
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// zone is what this balancer knows of the endpoints of one zone together.
+// zone is the state of a zone and summarizes its endpoints.
 type zone struct {
 	name             string
-	region           string  // the part of the name before the slash; without one all zones are of one region
-	listed           int     // endpoints
-	localityWeight   float64 // by which traffic shares in the zone count; 1 everywhere: no locality
-	capacity         float64 // of its usable endpoints: traffic shares without the locality weight
-	utilizationSum   float64 // of those with readings, weighted by their capacity
-	measuredCapacity float64 // of those with readings
-	drained          bool    // by operators: it gets nothing new
+	region           string  // part of the name before the slash; zones without one belong to one unnamed region
+	listed           int     // number of known endpoints
+	localityWeight   float64 // factor of the traffic shares in the zone; 1 in all zones without locality
+	capacity         float64 // sum of the usable endpoints' traffic shares without the locality weight
+	utilizationSum   float64 // of endpoints with readings, weighted by their capacity
+	measuredCapacity float64 // capacity of the endpoints with readings
+	drained          bool    // by operators: it gets no new attempts
 	health           zoneHealth
-	attempts         int // so far
-	spilled          int // those of them that only the limits of local endpoints sent here
+	attempts         int // since the start
+	spilled          int // attempts that spilled over from the local zone only because of its concurrency limits
 }
 
-// zoneHealth is the evidence on a zone as a whole, and its state.
+// zoneHealth is the health state of a zone, with the evidence from its endpoints in the subset, its members.
 type zoneHealth struct {
-	ejected        bool    // on the evidence of its endpoints: it gets trials only
-	recovering     bool    // it was ejected, and its share grows again
-	recoveredShare float64 // fraction of its share that it has; 1: all
-	stepAgePeriods int     // since its last recovery step
-	stepMultiple   int     // how long a step lasts, in units of minStepPeriods
-	members        int     // endpoints of the subset
-	unhealthy      int     // members that give no good responses
-	responsive     int     // other members that have responded lately, or have an attempt in flight
-	overdue        int     // other members whose response is overdue
-	slow           int     // responsive members whose latency is far over its baseline
-	erring         int     // members that have failed since the zone last gave a good response
+	ejected        bool    // on the evidence of its members: it gets trials only
+	recovering     bool    // it was ejected, and its traffic share is growing again
+	recoveredShare float64 // fraction of its traffic share that it gets; 1: all
+	stepAgePeriods int     // periods since its last recovery step
+	stepMultiple   int     // duration of a recovery step, in units of minStepPeriods
+	members        int
+	unhealthy      int // members without successful responses now
+	responsive     int // other members that have responded recently or have an attempt in flight
+	overdue        int // other members with an overdue response
+	slow           int // responsive members whose latency is far above its baseline
+	erring         int // members that have failed since the last successful response in the zone
 	succeededAt    time.Duration
-	trialSuccesses int // in a row
+	trialSuccesses int // consecutive
 	trial          *attempt
 	nextTrialAt    time.Duration
 	backoff        time.Duration // between trials
 }
 
-// resetEvidence clears the counters of evidence.
+// resetEvidence sets the counters of evidence to 0.
 func (h *zoneHealth) resetEvidence() {
 	h.members = 0
 	h.unhealthy = 0
@@ -51,7 +51,7 @@
 	h.erring = 0
 }
 
-// beginRecovery gives an ejected zone the first step of its share.
+// beginRecovery ends the ejection of a zone with the first step of its traffic share.
 func (h *zoneHealth) beginRecovery() {
 	h.ejected = false
 	h.recovering = true
@@ -59,17 +59,17 @@
 	h.stepAgePeriods = 0
 }
 
-// degrade reduces the share of a zone to degradedFraction.
+// degrade reduces the traffic share of a zone to degradedFraction.
 func (h *zoneHealth) degrade() {
 	h.recoveredShare = degradedFraction
 	h.stepAgePeriods = 0
 }
 
-// findOrAddZone returns the zone of a name, and adds it if it is not known yet.
+// findOrAddZone returns the zone with a name, and adds it if it is not known yet.
 func (s *endpointSet) findOrAddZone(name string) *zone {
-	known := s.findZone(name)
-	if known != nil {
-		return known
+	existing := s.findZone(name)
+	if existing != nil {
+		return existing
 	}
 	region, _, found := strings.Cut(name, "/")
 	if !found {
@@ -80,7 +80,7 @@
 	return z
 }
 
-// findZone is a zone that is known, or nil.
+// findZone returns the zone with a name, or nil.
 func (s *endpointSet) findZone(name string) *zone {
 	i := slices.IndexFunc(s.zones, func(z *zone) bool { return z.name == name })
 	if i < 0 {
@@ -89,19 +89,19 @@
 	return s.zones[i]
 }
 
-// meanUtilization is that of its endpoints with readings; it needs some.
+// meanUtilization returns the mean utilization of the endpoints with readings. measuredCapacity must not be 0.
 func (z *zone) meanUtilization() float64 { return z.utilizationSum / z.measuredCapacity }
 
 // getsTraffic reports whether a zone gets traffic beyond trials.
 func (z *zone) getsTraffic() bool { return !z.drained && !z.health.ejected }
 
-// isUsable reports whether an endpoint counts for the capacity of its zone.
+// isUsable reports whether an endpoint counts towards the capacity of its zone.
 func (e *endpoint) isUsable() bool { return !e.outlier.unresponsive && e.zone.getsTraffic() }
 
-// shareFactor is what traffic shares count for in a zone that is in use.
+// shareFactor returns the factor of the traffic shares of the zone's endpoints.
 func (z *zone) shareFactor() float64 { return z.localityWeight * z.health.recoveredShare }
 
-// endLocality leaves the distribution between zones to the traffic shares alone.
+// endLocality turns locality-aware routing off: all zones get the same locality weight.
 func (b *Balancer) endLocality() {
 	b.locality.localShare = 0
 	for _, z := range b.endpoints.zones {
@@ -109,7 +109,7 @@
 	}
 }
 
-// summarizeZones sums up what is known of each zone, and forgets those without endpoints.
+// summarizeZones recomputes the totals of each zone, and drops zones without endpoints.
 func (b *Balancer) summarizeZones(now time.Duration) {
 	for _, z := range b.endpoints.zones {
 		z.listed = 0
@@ -137,14 +137,14 @@
 	}
 }
 
-// zoneGroup is what some zones have together.
+// zoneGroup holds the totals of a group of zones.
 type zoneGroup struct {
 	capacity    float64
-	utilization float64 // the mean
+	utilization float64 // mean, if measured
 	measured    bool    // there are readings
 }
 
-// summarize adds up the zones that a function selects.
+// summarize returns the totals of the zones for which selects returns true.
 func (s *endpointSet) summarize(selects func(*zone) bool) zoneGroup {
 	var group zoneGroup
 	var utilizationSum, measuredCapacity float64
@@ -162,7 +162,7 @@
 	return group
 }
 
-// usableZones is how many zones have capacity.
+// usableZones returns the number of zones with capacity.
 func (s *endpointSet) usableZones() (count float64) {
 	for _, z := range s.zones {
 		if z.capacity > 0 {
@@ -172,7 +172,7 @@
 	return count
 }
 
-// countEvidence counts the evidence of all endpoints for their zones, and returns their number and weight.
+// countEvidence recounts the evidence of all members for their zones, and returns the number and total weight of the members.
 func (b *Balancer) countEvidence(now time.Duration) (members int, totalWeight float64) {
 	for _, z := range b.endpoints.zones {
 		z.health.resetEvidence()
@@ -185,7 +185,7 @@
 	return members, totalWeight
 }
 
-// weightOutside is the weight of all usable endpoints outside a zone.
+// weightOutside returns the total weight of the usable endpoints outside a zone.
 func (s *endpointSet) weightOutside(z *zone) (weight float64) {
 	for e := range s.inUse() {
 		if e.zone != z && e.isUsable() {
@@ -195,13 +195,13 @@
 	return weight
 }
 
-// updateZoneHealth judges every zone by its endpoints.
+// updateZoneHealth updates the health state of every zone from the evidence of its members.
 func (b *Balancer) updateZoneHealth(now time.Duration) {
 	members, totalWeight := b.countEvidence(now)
 	b.detectCorrelatedFailure(now)
 	unhealthy := 0
 	for _, z := range b.endpoints.zones {
-		z.health.countErring()
+		z.health.countErringAsUnhealthy()
 		unhealthy += z.health.unhealthy
 	}
 	changed := false
@@ -217,7 +217,7 @@
 	}
 }
 
-// countLate counts the endpoints that respond late or not at all, and the responsive ones, in zones that respond.
+// countLate counts the late members (unhealthy, overdue or slow) and the responsive ones, in zones with any responsive member.
 func (s *endpointSet) countLate() (late, responsive int) {
 	for _, z := range s.zones {
 		if z.health.responsive > 0 {
--- a/balancer/zonehealth.go
+++ b/balancer/zonehealth.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// Zone health. Fractions of endpoints and error rates are ratios, 0 to 1.
+// Fractions, shares and error rates are ratios, 0 to 1.
 const (
-	degradedFraction          = 0.5            // of a zone unhealthy, from which it gets only this part of its share
-	ejectFraction             = 0.75           // of a zone unhealthy, from which it is ejected
-	minUnhealthyEndpoints     = 2              // unhealthy endpoints that a degraded or ejected zone has at least
-	zoneOutlierRatio          = 3              // times as unhealthy as the others that a zone at fault is
-	minRemainingCapacityRatio = 0.4            // part of all weight that the other zones have when a zone is ejected
-	unhealthyErrorRate        = 0.5            // from which an endpoint is unhealthy
-	erringErrorRate           = 0.3            // from which an endpoint is erring; two errors in a row reach it
-	overdueDeviations         = 2.0            // mean deviations over its mean latency after which a response is overdue
-	minCorrelatedEndpoints    = 3              // endpoints of a zone that fail together in a correlated failure
-	responsiveRatio           = 8              // responsive endpoints elsewhere for each late one, if a zone is at fault
-	responsiveWithin          = 2 * bandPeriod // since its last response, for an endpoint to count as responsive
-	trialsToRecover           = 3              // successful trials in a row that end an ejection
+	degradedFraction          = 0.5            // unhealthy fraction that degrades a zone, and the share that it then keeps
+	ejectFraction             = 0.75           // unhealthy fraction from which a zone is ejected
+	minUnhealthyEndpoints     = 2              // minimum of unhealthy endpoints in a degraded or ejected zone
+	zoneOutlierRatio          = 3              // minimum ratio of a zone's unhealthy fraction to that of the other zones
+	minRemainingCapacityRatio = 0.4            // part of the total weight that must remain when a zone is ejected
+	unhealthyErrorRate        = 0.5            // error rate from which an endpoint is unhealthy
+	erringErrorRate           = 0.3            // error rate from which an endpoint is erring, after two consecutive errors
+	overdueDeviations         = 2.0            // mean deviations above the mean latency after which a response is overdue
+	minCorrelatedEndpoints    = 3              // minimum of endpoints that fail together in a correlated failure
+	responsiveRatio           = 8              // minimum ratio of responsive to late endpoints in the other zones
+	responsiveWithin          = 2 * bandPeriod // maximum time since the last response of a responsive endpoint
+	trialsToRecover           = 3              // consecutive successful trials that end an ejection
 	firstTrialTicks           = 2              // ticks between the first two trials
-	recoveryStep              = 0.25           // fraction of its share that a recovering zone gains at once
-	minStepPeriods            = 3              // periods that a step lasts at least: reports of its effect take as long
-	maxStepMultiple           = 8              // times as long that a step lasts at most, after setbacks
+	recoveryStep              = 0.25           // growth of a recovering zone's share in one step
+	minStepPeriods            = 3              // minimum duration of a step: reports of its effect take as long
+	maxStepMultiple           = 8              // maximum duration of a step after setbacks, in units of minStepPeriods
 )
 
-// isUnhealthy reports whether e gives no good responses now.
+// isUnhealthy reports whether e is unresponsive, unreachable or has a high error rate.
 func (e *endpoint) isUnhealthy(now time.Duration) bool {
 	return e.outlier.unresponsive || now < e.outlier.unreachableUntil || e.outlier.errorRate >= unhealthyErrorRate
 }
 
-// isErring reports whether e has failed since its zone last gave a good response, and not for the first time. Several such
-// endpoints of a zone are unhealthy before unhealthyErrorRate: with little traffic to a zone that rate takes too long.
+// isErring reports whether e has failed repeatedly, and since the last successful response in its zone. Several erring
+// endpoints of a zone count as unhealthy, because with little traffic it takes too long to reach unhealthyErrorRate.
 func (e *endpoint) isErring() bool {
 	return e.outlier.failedAt > e.zone.health.succeededAt && e.outlier.errorRate >= erringErrorRate
 }
 
-// isOverdue reports whether e has not responded for well over its usual time. One endpoint alone may do so by chance;
-// several of a zone at once do not. An endpoint that has been slow for a while is saturated, not overdue.
+// isOverdue reports whether e has not responded for well over its mean latency. A single endpoint may be overdue by chance,
+// several of a zone at once are not. An endpoint that has been slow for a while is saturated, not overdue.
 func (b *Balancer) isOverdue(e *endpoint, now time.Duration) bool {
 	oldest := e.oldestAttempt()
 	if oldest == nil || e.latency.mean == 0 || e.latency.isSlow() {
@@ -47,7 +47,7 @@
 	return float64(e.waitingTime(oldest, now)) > max(1, oldest.request.workUnits)*expected
 }
 
-// countEndpoint counts one endpoint as evidence for its zone.
+// countEndpoint adds the evidence from one endpoint to its zone.
 func (b *Balancer) countEndpoint(e *endpoint, now time.Duration) {
 	health := &e.zone.health
 	health.members++
@@ -67,12 +67,12 @@
 	}
 }
 
-// detectCorrelatedFailure ejects the overdue endpoints of a zone together, before each would be ejected alone, if:
-//  1. Unhealthy and overdue endpoints are most of the zone, and at least one is overdue.
-//  2. Enough endpoints of other zones respond, in all and for each late one. A faulty link of this balancer makes responses
-//     late in all zones.
+// detectCorrelatedFailure ejects the overdue endpoints of a zone together, before each one would be ejected alone, if:
+//  1. Most endpoints of the zone are unhealthy or overdue, and at least one is overdue.
+//  2. Enough endpoints of the other zones are responsive, in total and relative to late ones. Otherwise the fault may be in
+//     this balancer's network link, which makes responses late in all zones.
 //
-// Zones without any response do not count in the second condition.
+// Zones without any responsive endpoint are ignored in the second condition.
 func (b *Balancer) detectCorrelatedFailure(now time.Duration) {
 	late, responsive := b.endpoints.countLate()
 	for _, z := range b.endpoints.zones {
@@ -82,28 +82,28 @@
 		}
 		responsiveElsewhere := responsive - z.health.responsive
 		othersRespond := responsiveElsewhere >= minCorrelatedEndpoints && lateElsewhere*responsiveRatio <= responsiveElsewhere
-		if z.health.overdue > 0 && z.health.mostlySuspect(suspects) && othersRespond {
+		if z.health.overdue > 0 && z.health.isMostlySuspect(suspects) && othersRespond {
 			b.ejectOverdue(z, now)
 		}
 	}
 }
 
-// mostlySuspect reports whether so many unhealthy or overdue endpoints are most of a zone.
-func (h *zoneHealth) mostlySuspect(suspects int) bool {
+// isMostlySuspect reports whether a number of suspects, unhealthy or overdue endpoints, are most of a zone.
+func (h *zoneHealth) isMostlySuspect(suspects int) bool {
 	minSuspects := ejectFraction * float64(suspects+h.responsive)
 	return suspects >= minCorrelatedEndpoints && 2*suspects >= h.members && float64(suspects) >= minSuspects
 }
 
-// countErring counts erring endpoints as unhealthy where they are several.
-func (h *zoneHealth) countErring() {
+// countErringAsUnhealthy counts the erring endpoints as unhealthy if there are at least minCorrelatedEndpoints.
+func (h *zoneHealth) countErringAsUnhealthy() {
 	if h.erring >= minCorrelatedEndpoints {
 		h.unhealthy = max(h.unhealthy, h.erring)
 		h.responsive = min(h.responsive, h.members-h.unhealthy)
 	}
 }
 
-// updateZoneState moves a zone to another state if the evidence is sufficient, and reports whether that changed its share.
-// unhealthyElsewhere is the unhealthy fraction of the other zones. totalWeight is the weight of all endpoints.
+// updateZoneState changes the state of a zone if the evidence is sufficient, and reports whether that changed its share.
+// unhealthyElsewhere is the unhealthy fraction of the other zones. totalWeight is the weight of all members of all zones.
 func (b *Balancer) updateZoneState(z *zone, unhealthyElsewhere, totalWeight float64, now time.Duration) (changed bool) {
 	switch {
 	case z.health.members == 0:
@@ -117,7 +117,7 @@
 	return b.ejectOrDegrade(z, totalWeight, now)
 }
 
-// recoverZone lets an ejected zone recover after enough successful trials.
+// recoverZone starts the recovery of an ejected zone after enough successful trials.
 func (b *Balancer) recoverZone(z *zone, now time.Duration) (changed bool) {
 	if z.health.trialSuccesses < trialsToRecover {
 		return false
@@ -127,7 +127,7 @@
 	return true
 }
 
-// ejectOrDegrade reduces the share of an unhealthy zone that is in use.
+// ejectOrDegrade ejects or degrades an unhealthy zone that is in use.
 func (b *Balancer) ejectOrDegrade(z *zone, totalWeight float64, now time.Duration) (changed bool) {
 	health := &z.health
 	switch {
@@ -154,26 +154,26 @@
 	}
 }
 
-// isOutlier reports whether a zone is much unhealthier than the others. Otherwise the fault may be in this balancer's link,
-// or in all zones.
+// isOutlier reports whether a zone is much unhealthier than the others. Otherwise the fault may be in this balancer's
+// network link, or in all zones.
 func (h *zoneHealth) isOutlier(unhealthyElsewhere float64) bool {
 	return h.unhealthyFraction() >= zoneOutlierRatio*unhealthyElsewhere
 }
 
-// mayEject reports whether most of a zone is unhealthy, and the others have the capacity to go on without it.
+// mayEject reports whether most of a zone is unhealthy, and the other zones have the capacity to serve without it.
 func (b *Balancer) mayEject(z *zone, totalWeight float64) bool {
 	mostlyUnhealthy := z.health.unhealthy >= minUnhealthyEndpoints && z.health.unhealthyFraction() >= ejectFraction
 	return mostlyUnhealthy && b.endpoints.weightOutside(z) >= minRemainingCapacityRatio*totalWeight
 }
 
-// unhealthyFraction is the fraction of a zone that is unhealthy. Once half of the zone is, endpoints without evidence do not
-// count as healthy any more.
+// unhealthyFraction returns the unhealthy fraction of a zone. Once half of its members are unhealthy, members without recent
+// evidence no longer count as healthy.
 func (h *zoneHealth) unhealthyFraction() float64 {
-	of := h.members
+	counted := h.members
 	if 2*h.unhealthy >= h.members {
-		of = h.unhealthy + h.responsive + h.overdue
+		counted = h.unhealthy + h.responsive + h.overdue
 	}
-	return float64(h.unhealthy) / float64(max(1, of))
+	return float64(h.unhealthy) / float64(max(1, counted))
 }
 
 // isDegraded reports whether at least degradedFraction of a zone is unhealthy.
@@ -181,7 +181,7 @@
 	return h.unhealthy >= minUnhealthyEndpoints && h.unhealthyFraction() >= degradedFraction
 }
 
-// eject stops traffic to a zone but for trials. After a setback during recovery the next steps last longer.
+// eject stops all traffic to a zone except trials. If the zone was recovering, the steps of its next recovery last longer.
 func (h *zoneHealth) eject(now time.Duration) {
 	if h.recovering {
 		h.stepMultiple = min(2*h.stepMultiple, maxStepMultiple)
@@ -193,8 +193,8 @@
 	h.nextTrialAt = now
 }
 
-// endRecovery ends the recovery of a zone that has all of its share, and after a long healthy time the memory of
-// setbacks.
+// endRecovery ends the recovery of a zone that has its full share. After a long time without setbacks it resets the
+// duration of recovery steps.
 func (h *zoneHealth) endRecovery() {
 	if h.recoveredShare < 1 {
 		return
@@ -205,15 +205,15 @@
 	}
 }
 
-// advanceRecovery gives recovering zones their next step, once the last one has lasted long enough and their utilization is
-// not over the fleet's.
+// advanceRecovery gives a recovering zone its next step once the last one has lasted long enough, unless the zone is
+// degraded or its utilization is above the fleet's.
 func (b *Balancer) advanceRecovery() {
 	all := b.endpoints.summarize(func(*zone) bool { return true })
 	for _, z := range b.endpoints.zones {
 		health := &z.health
 		health.stepAgePeriods++
-		waits := health.stepAgePeriods < minStepPeriods*health.stepMultiple || health.isDegraded()
-		if !z.getsTraffic() || health.recoveredShare == 1 || waits {
+		mustWait := health.stepAgePeriods < minStepPeriods*health.stepMultiple || health.isDegraded()
+		if !z.getsTraffic() || health.recoveredShare == 1 || mustWait {
 			continue
 		}
 		maxUtilization := max(utilizationMarginFactor*all.utilization+utilizationNoise, minExcessUtilization)
@@ -224,14 +224,14 @@
 	}
 }
 
-// allowsZoneTrial reports whether an ejected zone gets r as a trial: one at a time, of the safest class. Such a request may
-// be sent elsewhere after a failure.
+// allowsZoneTrial reports whether r may be a trial of an ejected zone. Trials are sent one at a time and are requests of the
+// safest idempotency, which may be retried elsewhere after a failure.
 func (b *Balancer) allowsZoneTrial(z *zone, r *request, now time.Duration) bool {
 	ended := z.health.trial == nil || z.health.trial.ended
 	return ended && now >= z.health.nextTrialAt && r.class.Idempotency == b.clients.safestClass
 }
 
-// beginTrial records a trial of an ejected zone. While trials succeed the next follows at once.
+// beginTrial records a trial of an ejected zone. The next one is due after a backoff, or at once while trials succeed.
 func (z *zone) beginTrial(a *attempt) {
 	z.health.trial = a
 	z.health.nextTrialAt = a.sentAt + z.health.backoff
