--- a/balancer/actions_test.go
+++ b/balancer/actions_test.go
@@ -14,30 +14,30 @@
 	"pgregory.net/rapid"
 )
 
-var renewActions = flag.Bool("renew-actions", false, "record testdata/actions.txt again, for a change that is meant to alter decisions")
+var renewActions = flag.Bool("renew-actions", false, "rewrite testdata/actions.txt, for a change that is meant to alter decisions")
 
 const (
 	recordedActions = "testdata/actions.txt"
 	recordedStreams = 60
 )
 
-// streamEvent is one event of a drawn stream. Which of its values count depends on the kind.
+// streamEvent is one event of a random stream. The kind determines which of the other values are used.
 type streamEvent struct {
 	kind     string
-	after    time.Duration // since the event before
+	after    time.Duration // since the previous event
 	pick     int           // selects an endpoint, attempt, zone or class
 	duration time.Duration
 	fraction float64 // 0 to 1
 	flag     bool
 }
 
-// eventKinds holds every event of the module, and its restart from a snapshot. Events that are frequent in service are
-// listed several times. The names and their order decide what is drawn, and so the hashes in testdata/actions.txt.
+// eventKinds holds every event of the module, and its restart from a snapshot. Frequent events are listed several times. The
+// order of the list determines the random streams, and with them the hashes in testdata/actions.txt.
 var eventKinds = []string{"request", "request", "request", "request", "outcome", "outcome", "outcome", "outcome", "timers", "timers",
 	"timers", "members", "written", "started", "gone", "probed", "fleet", "leave zone", "return zone", "restart", "list failed"}
 
-// eventStretch draws a stretch of a stream.
-var eventStretch = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) streamEvent {
+// eventSequence generates a part of a random stream.
+var eventSequence = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) streamEvent {
 	return streamEvent{
 		kind:     rapid.SampledFrom(eventKinds).Draw(t, "kind"),
 		after:    time.Duration(rapid.IntRange(0, 40).Draw(t, "after")) * ms,
@@ -48,8 +48,8 @@
 	}
 }), 400, 400)
 
-// stream applies drawn events to a Balancer.
-type stream struct {
+// eventStream applies the events of a random stream to a Balancer.
+type eventStream struct {
 	t         *testing.T
 	settings  Settings
 	seed      uint64
@@ -62,7 +62,7 @@
 	endpoints []Endpoint
 }
 
-// streamAttempt is an attempt whose result is still to come.
+// streamAttempt is an attempt without a result yet.
 type streamAttempt struct {
 	id       RequestID
 	endpoint EndpointID
@@ -70,16 +70,16 @@
 	sentAt   time.Duration
 }
 
-func newStream(t *testing.T, settings Settings, seed uint64) *stream {
+func newEventStream(t *testing.T, settings Settings, seed uint64) *eventStream {
 	t.Helper()
-	s := &stream{t: t, settings: settings, seed: seed, now: time.Hour, endpoints: fleet(9)}
+	s := &eventStream{t: t, settings: settings, seed: seed, now: time.Hour, endpoints: fleet(9)}
 	s.startBalancer()
 	s.balancer.OnEndpointUpdate(s.now, UpdateComplete, s.endpoints)
 	return s
 }
 
-// startBalancer starts a Balancer in place of the one before, whose attempts and timers are lost.
-func (s *stream) startBalancer() {
+// startBalancer replaces the Balancer by a new one. The attempts and timers of the previous one are lost.
+func (s *eventStream) startBalancer() {
 	s.t.Helper()
 	var earlier []string
 	if s.effects != nil {
@@ -104,8 +104,8 @@
 	s.balancer = b
 }
 
-// apply gives the Balancer one event.
-func (s *stream) apply(event streamEvent) {
+// apply delivers one event to the Balancer.
+func (s *eventStream) apply(event streamEvent) {
 	s.now += event.after
 	switch event.kind {
 	case "request":
@@ -134,25 +134,25 @@
 		size := FleetSize{Balancers: 1 + event.pick%7, Rank: event.pick % 3, MaxBalancers: 1 + event.pick%9}
 		s.balancer.OnFleetSizeChanged(s.now, size)
 	case "leave zone":
-		s.recordAnswer("left", s.balancer.DrainZone(s.now, event.zone()))
+		s.recordReply("left", s.balancer.DrainZone(s.now, event.zone()))
 	case "return zone":
-		s.recordAnswer("returned", s.balancer.ReinstateZone(s.now, event.zone()))
+		s.recordReply("returned", s.balancer.ReinstateZone(s.now, event.zone()))
 	case "restart":
 		s.restart(event)
 	default:
-		s.t.Fatalf("no event is called %q", event.kind)
+		s.t.Fatalf("unknown event kind %q", event.kind)
 	}
 }
 
-// zone is the zone that an event picks.
+// zone returns the zone that an event selects.
 func (event streamEvent) zone() string { return []string{"near", "far"}[event.pick%2] }
 
-// recordAnswer records what the Balancer has answered to an operator.
-func (s *stream) recordAnswer(name string, answer bool) {
-	s.effects.record(effectCall{kind: effectKind(fmt.Sprintf("%s %t", name, answer))})
+// recordReply records the Balancer's reply to an operator's command.
+func (s *eventStream) recordReply(name string, reply bool) {
+	s.effects.record(effectCall{kind: effectKind(fmt.Sprintf("%s %t", name, reply))})
 }
 
-func (s *stream) sendRequest(event streamEvent) {
+func (s *eventStream) sendRequest(event streamEvent) {
 	s.lastID++
 	class := s.settings.Classes[event.pick%len(s.settings.Classes)]
 	request := Request{
@@ -173,14 +173,14 @@
 }
 
 // pickAttempt returns an attempt in flight, if there is any.
-func (s *stream) pickAttempt(event streamEvent) (streamAttempt, bool) {
+func (s *eventStream) pickAttempt(event streamEvent) (streamAttempt, bool) {
 	if len(s.inFlight) == 0 {
 		return streamAttempt{}, false
 	}
 	return s.inFlight[event.pick%len(s.inFlight)], true
 }
 
-func (s *stream) endAttempt(event streamEvent) {
+func (s *eventStream) endAttempt(event streamEvent) {
 	a, ok := s.pickAttempt(event)
 	if !ok {
 		return
@@ -206,7 +206,7 @@
 	s.balancer.OnAttemptResult(s.now, result)
 }
 
-func (s *stream) endHealthCheck(event streamEvent) {
+func (s *eventStream) endHealthCheck(event streamEvent) {
 	s.balancer.OnHealthCheckResult(s.now, HealthCheckResult{
 		Endpoint: EndpointID(event.pick%9 + 1),
 		Latency:  event.duration,
@@ -219,7 +219,7 @@
 }
 
 // changeEndpoints drains, removes, restarts or reweights an endpoint.
-func (s *stream) changeEndpoints(event streamEvent) {
+func (s *eventStream) changeEndpoints(event streamEvent) {
 	i := event.pick % len(s.endpoints)
 	e := &s.endpoints[i]
 	switch {
@@ -241,8 +241,8 @@
 	}
 }
 
-// restart replaces the Balancer, for one in eight of these events, by one that is restored from its snapshot.
-func (s *stream) restart(event streamEvent) {
+// restart replaces the Balancer by one that is restored from its snapshot, on one in eight of the restart events.
+func (s *eventStream) restart(event streamEvent) {
 	if event.pick%8 > 0 {
 		return
 	}
@@ -253,9 +253,9 @@
 	s.balancer.Restore(s.now, snapshot)
 }
 
-// The same events have the same effects as when they were recorded, on drawn streams of every event and with every variant
-// of the settings. A change that is meant to alter decisions records the file again (go test ./balancer -run
-// TestActionsAreAsRecorded -renew-actions) and says so in its commit; so does a new version of rapid that draws other
+// Guards against unintended changes of decisions: on random streams of all events, with every variant of the settings, the
+// effects must be the recorded ones. A change that is meant to alter decisions rewrites the file (go test ./balancer -run
+// TestActionsAreAsRecorded -renew-actions) and says so in its commit. So does a new version of rapid that generates other
 // events.
 func TestActionsAreAsRecorded(t *testing.T) {
 	variants := settingsVariants()
@@ -267,9 +267,9 @@
 	var lines []string
 	for seed := 1; seed <= recordedStreams; seed++ {
 		name := names[seed%len(names)]
-		s := newStream(t, variants[name], uint64(seed))
-		for range 4 { // one draw is a stretch of the stream
-			for _, event := range eventStretch.Example(seed) {
+		s := newEventStream(t, variants[name], uint64(seed))
+		for range 4 { // Example returns the same sequence each time, since the seed is the same
+			for _, event := range eventSequence.Example(seed) {
 				s.apply(event)
 			}
 		}
@@ -288,11 +288,11 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("decisions differ from the recorded ones:\n got\n%s\nwant\n%s", got, want)
+		t.Errorf("effects differ from the recorded ones:\n got\n%s\nwant\n%s", got, want)
 	}
 }
 
-// hash returns the number and the hash of the recorded calls but for Log, whose texts decide nothing.
+// hash returns the number and the hash of the recorded calls, without those of Log, which is no decision.
 func (r *recorder) hash() (calls int, hash uint64) {
 	sum := fnv.New64a()
 	for _, call := range r.calls {
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Regression: the queue is looked at once a tick, so a request with a short timeout was queued past its deadline.
+// Regression: the queue is processed once per tick, so a request with a short timeout was queued past its deadline.
 func TestShortTimeoutIsRejectedImmediately(t *testing.T) {
 	b, effects := newTestBalancer(t, testSettings(), fleet(1))
 	b.endpoints.known[0].limit.pausedUntil = 2 * time.Hour
@@ -16,8 +16,8 @@
 	}
 }
 
-// Without endpoints, or with no time left, a request is rejected at once or within its timeout. Events of unknown requests
-// and attempts are ignored.
+// A request is rejected at once if its class is unknown or no time is left, and within its timeout if there are no endpoints.
+// Events of unknown requests and attempts are ignored.
 func TestRequestsWithoutEndpointsAreRejected(t *testing.T) {
 	b, effects := newTestBalancer(t, testSettings(), nil)
 	b.OnRequest(time.Hour, Request{ID: 1, Class: "write", Timeout: 0})
@@ -57,8 +57,8 @@
 	}
 }
 
-// Regression: the mean latency of all classes exceeded the latency objective of a class of short requests, so these were
-// never queued but rejected whenever no endpoint was free.
+// Regression: queueing used the mean latency of all classes. It exceeded the latency objective of a class of short requests,
+// so these were never queued, but rejected whenever no endpoint was free.
 func TestQueueingGoesByTheLatencyOfTheClass(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[2].LatencyObjective = 200 * ms
@@ -80,16 +80,16 @@
 	b.OnRequest(now, Request{ID: 1000, Class: "write", Timeout: time.Second})
 	r := b.requests[1000]
 	if r == nil || !r.queued || r.workUnits > 0.5 {
-		t.Errorf("a request with five times its usual latency left to its objective was not queued: %v", effects.last())
+		t.Errorf("a request whose objective is five times its class's mean latency was not queued: %v", effects.last())
 	}
 }
 
-// Regression: in overload a third of all turns went to clients' retries that missed the latency objective before they were
-// sent.
+// Regression: under overload a third of all turns went to client retries that had missed the latency objective before they
+// were sent.
 func TestLateRetryIsRejectedWhileSaturated(t *testing.T) {
 	for _, test := range []struct {
 		name      string
-		timeout   time.Duration // the client's first attempt has 1 s; the objective is 300 ms
+		timeout   time.Duration // 1 s for the client's first attempt; the objective is 300 ms
 		saturated bool
 		wantSent  bool
 	}{
@@ -114,7 +114,7 @@
 	}
 }
 
-// Regression: a rejected client got no Retry-After and came back at once, while endpoints were still busy.
+// Regression: a rejected client got no Retry-After and retried at once, while endpoints were still busy.
 func TestRejectionCarriesRetryAfterWhereAllowed(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		settings := testSettings()
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// The operators' staff carry a printed copy of the files that decide, so these stay short.
+// The operators' staff use the policy files in print, so their number of lines and their line length are limited.
 func TestModuleSize(t *testing.T) {
 	const (
-		maxLines      = 1200 // the operators do not accept a longer one
+		maxLines      = 1200 // non-blank lines of all files; the operators do not accept more
 		maxLineLength = 125  // bytes
 	)
 	lines := 0
@@ -27,16 +27,16 @@
 				lines++
 			}
 			if len(line) > maxLineLength {
-				t.Errorf("%s: line %d has %d characters, want %d at most", file, i+1, len(line), maxLineLength)
+				t.Errorf("%s: line %d has %d bytes, want %d at most", file, i+1, len(line), maxLineLength)
 			}
 		}
 	}
 	if lines == 0 || lines > maxLines {
-		t.Errorf("the policy has %d lines, want 1 to %d", lines, maxLines)
+		t.Errorf("the policy files have %d non-blank lines, want 1 to %d", lines, maxLines)
 	}
 }
 
-// Invalid values from the owner are ignored: a running mean that took one in would never recover from it.
+// Invalid values from the owner are ignored: a moving average would never recover from one.
 func TestInvalidValuesFromOwnerAreIgnored(t *testing.T) {
 	invalid := []float64{math.NaN(), math.Inf(1), math.Inf(-1), -3, 0, math.MaxFloat64}
 	list := fleet(len(invalid))
@@ -93,29 +93,29 @@
 	}
 }
 
-// Balancers of one process share no state: events of one in between do not change what another does.
+// Balancers in one process share no state: interleaved events of one do not change the effects of another.
 func TestInstancesShareNoState(t *testing.T) {
-	feed := func(b *Balancer, i int) {
+	sendRequest := func(b *Balancer, i int) {
 		now := time.Hour + time.Duration(i)*20*ms
 		b.OnRequest(now, Request{ID: RequestID(i + 1), Class: "write", Timeout: time.Second})
 		b.OnTimer(now, tickToken)
 	}
 	alone, want := newTestBalancer(t, testSettings(), fleet(5))
 	for i := range 200 {
-		feed(alone, i)
+		sendRequest(alone, i)
 	}
 	first, got := newTestBalancer(t, testSettings(), fleet(5))
 	second, _ := newTestBalancer(t, testSettings(), fleet(5))
 	for i := range 200 {
-		feed(second, i+1000)
-		feed(first, i)
+		sendRequest(second, i+1000)
+		sendRequest(first, i)
 	}
 	if !slices.Equal(got.calls, want.calls) {
-		t.Error("a balancer has other effects beside another one than alone")
+		t.Error("the effects of a balancer differ when another one runs beside it")
 	}
 }
 
-// With a complete list of other endpoints every 50 ms, nothing remains of ended requests and removed endpoints.
+// State of finished requests and removed endpoints is released, even if the endpoints are all replaced every 50 ms.
 func TestStateStaysBounded(t *testing.T) {
 	checker, _ := runRandomEvents(t, testSettings(), 3, 0)
 	b, err := New(testSettings(), 3, checker.now, &recorder{})
--- a/balancer/bands_test.go
+++ b/balancer/bands_test.go
@@ -10,13 +10,13 @@
 
 func TestMeanDeviation(t *testing.T) {
 	mean, deviation := stats.MeanDeviation([]float64{0.2, 0.4, 0.4, 0.4, 0.5, 0.5, 0.7, 0.9})
-	// Worked by hand: the squares of the deviations sum to 0.32.
+	// The squares of the deviations sum to 0.32.
 	if math.Abs(mean-0.5) > tolerance || math.Abs(deviation-0.2) > tolerance {
 		t.Errorf("mean %v, deviation %v; want 0.5, 0.2", mean, deviation)
 	}
 }
 
-// The area counts the time between readings, not their number.
+// The band area depends on the time between readings, not on their number.
 func TestBandAreaIsIntegratedOverTime(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(1))
 	e := b.endpoints.known[0]
@@ -31,7 +31,7 @@
 	}
 }
 
-// An endpoint that is pinned at full load has a flat band: its level alone cuts its share.
+// The readings of an endpoint at constant full load do not deviate, so its share is cut because of their mean alone.
 func TestShareOfPinnedEndpointIsCutGraduallyAndRegrows(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(3))
 	pinned, other := b.endpoints.known[0], b.endpoints.known[1]
@@ -91,7 +91,7 @@
 	}
 }
 
-// Where a report lacks the utilization, its other values or the response's latency stand in.
+// A reading without a reported utilization is derived from the other values of the report or from the response's latency.
 func TestUtilizationFallbacks(t *testing.T) {
 	for _, test := range []struct {
 		name           string
@@ -103,7 +103,7 @@
 		{"utilization", ReportInResponses, LoadReport{Fields: HasUtilization | HasQueue, Utilization: 0.7, Queue: 9}, 0.2, 0.7},
 		{"requests in flight", ReportInResponses, LoadReport{Fields: HasInflight, Inflight: 3}, 0.2, 0.75},
 		{"requests queued", ReportInResponses, LoadReport{Fields: HasQueue, Queue: 1}, 0.2, 0.5},
-		{"no reports: latency against its objective", ReportNone, LoadReport{}, 0.2, 0.2},
+		{"no reports: latency as a fraction of its objective", ReportNone, LoadReport{}, 0.2, 0.2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			settings := testSettings()
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -20,11 +20,11 @@
 		}
 		previous = b.discovery.backoff
 	}
-	// Regression: waits grew to 7.5 s, a second and a half after changes counted as notified.
+	// Regression: waits grew to 7.5 s, 1.5 s longer than the time after which changes count as notified.
 	longest := longestDiscoveryWait(b, effects, 50)
-	most := settings.Obligations.PollInterval / 5
-	if longest == 0 || longest > most {
-		t.Errorf("waits of up to %v, want %v at most", longest, most)
+	maxWait := settings.Obligations.PollInterval / 5
+	if longest == 0 || longest > maxWait {
+		t.Errorf("waits of up to %v, want %v at most", longest, maxWait)
 	}
 	b.OnTimer(time.Hour, discoveryToken)
 	if effects.count("watch") != 2 {
@@ -35,7 +35,7 @@
 	}
 }
 
-// longestDiscoveryWait lets calls to discovery fail and returns the longest wait before the next one.
+// longestDiscoveryWait reports failed calls to discovery and returns the longest wait before a retry.
 func longestDiscoveryWait(b *Balancer, effects *recorder, failures int) (longest time.Duration) {
 	effects.hook = func(call effectCall) {
 		if call.kind == setTimerEffect && call.number == discoveryToken {
@@ -48,8 +48,8 @@
 	return longest
 }
 
-// Where discovery pushes changes they count as notified at once, so waits between calls have to stay well under the drain
-// grace. Regression: waits of 1.9 s with a grace of 0.5 s. Where it is polled changes count as notified after
+// Where discovery pushes changes, they count as notified at once, so that the waits between calls must stay well below the
+// drain grace. Regression: waits of 1.9 s with a grace of 0.5 s. Where discovery is polled, changes count as notified after
 // notificationDelay, whatever the poll interval is. Regression: waits of 11 s with an interval of 60 s.
 func TestDiscoveryRetriesStayWithinNotificationDelay(t *testing.T) {
 	for _, test := range []struct {
--- a/balancer/doc_test.go
+++ b/balancer/doc_test.go
@@ -14,7 +14,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// declarations holds the names that the package declares, without its tests.
+// declarations holds the names that the package declares outside its tests.
 type declarations struct {
 	functions map[string][]string // by file
 	constants map[string][]string // by file
@@ -75,7 +75,7 @@
 	}
 }
 
-// hasInput reports whether a name is a constant or a field.
+// hasInput reports whether a name is a declared constant or field.
 func (d declarations) hasInput(name string) bool {
 	for _, constants := range d.constants {
 		if slices.Contains(constants, name) {
@@ -85,7 +85,7 @@
 	return d.fields[name]
 }
 
-// ruleTable returns the rows of the table in doc.go, without its head.
+// ruleTable returns the rows of the table in doc.go without the header.
 func ruleTable(t *testing.T) [][]string {
 	t.Helper()
 	text, err := os.ReadFile("doc.go")
@@ -105,8 +105,8 @@
 	return rows[1:]
 }
 
-// Every file, function, constant and field that the table of rules names exists, and every file of the policy and constant
-// in it has a row.
+// Guards against a stale table of rules in doc.go: every file, function, constant and field that it names must exist, and
+// every policy file and every constant of these files must have a row.
 func TestDocTableNamesExist(t *testing.T) {
 	declared := parseDeclarations(t)
 	input := regexp.MustCompile(`^(\S+) \([^)]+\)$`)
@@ -134,7 +134,7 @@
 	}
 	for _, file := range policyFiles(t) {
 		if !files[file] {
-			t.Errorf("%s of the policy has no row", file)
+			t.Errorf("policy file %s has no row", file)
 		}
 		for _, constant := range declared.constants[filepath.Base(file)] {
 			if !inputs[constant] {
@@ -144,7 +144,7 @@
 	}
 }
 
-// policyFiles returns the files of the policy as the deploy file lists them.
+// policyFiles returns the paths of the policy files from deploy/balancer.toml.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	var deployment struct {
--- a/balancer/effects_test.go
+++ b/balancer/effects_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// effectKind names a method of Effects in a recorded call. The names are part of the hashes in testdata/actions.txt, so
-// they stay as they were when these were recorded.
+// effectKind identifies a method of Effects in a recorded call. The values must not change, because the hashes in
+// testdata/actions.txt include them.
 type effectKind string
 
 const (
@@ -23,16 +23,16 @@
 	logEffect            effectKind = "log: " // followed by the event
 )
 
-// effectCall is one call of a method of Effects. Values that the method does not have are zero.
+// effectCall is a call of a method of Effects. Values that the method does not take are zero.
 type effectCall struct {
 	kind     effectKind
 	id       RequestID
 	endpoint EndpointID
-	duration time.Duration // timeout, Retry-After or time until a timer is due
+	duration time.Duration // timeout, Retry-After or duration of a timer
 	number   uint64        // index of an attempt, or token of a timer
 }
 
-// String is the call as it is recorded; testdata/actions.txt holds hashes of it.
+// String returns the recorded form of the call, which the hashes in testdata/actions.txt include.
 func (c effectCall) String() string {
 	return fmt.Sprintf("%s id=%d up=%d d=%v n=%d", c.kind, c.id, c.endpoint, c.duration, c.number)
 }
@@ -105,7 +105,7 @@
 	return n
 }
 
-// last returns the latest recorded call.
+// last returns the last recorded call.
 func (r *recorder) last() string { return r.calls[len(r.calls)-1] }
 
 // discardEffects is an implementation of Effects for benchmarks that does nothing.
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,14 +7,14 @@
 	"sprucehill/balancer"
 )
 
-// proxy carries out what the balancer decides. The embedded interface stands for the methods that the example does not use.
+// proxy carries out the decisions of the balancer. The embedded interface provides the methods that the example does not use.
 type proxy struct{ balancer.Effects }
 
 func (proxy) Send(id balancer.RequestID, endpoint balancer.EndpointID, _ time.Duration) {
 	fmt.Printf("request %d goes to endpoint %d\n", id, endpoint)
 }
 
-// SetTimer would have Balancer.OnTimer called with the token when the time is over.
+// SetTimer does nothing here. A real owner calls Balancer.OnTimer with the token when the time is over.
 func (proxy) SetTimer(time.Duration, uint64) {}
 
 func Example() {
--- a/balancer/fixtures_test.go
+++ b/balancer/fixtures_test.go
@@ -8,7 +8,7 @@
 
 const (
 	ms        = time.Millisecond
-	tolerance = 1e-9 // of values that are compared with a computed one
+	tolerance = 1e-9 // for comparisons of floating-point values
 )
 
 // testSettings returns valid settings with one class of each kind of idempotency.
@@ -44,8 +44,7 @@
 	}
 }
 
-// settingsVariants returns settings that put different demands on the rules. Their names are part of
-// testdata/actions.txt.
+// settingsVariants returns settings that exercise different rules, by name. The names are part of testdata/actions.txt.
 func settingsVariants() map[string]Settings {
 	allScope := testSettings()
 	allScope.Classes[1].Scope = ScopeAll
@@ -80,7 +79,7 @@
 	}
 }
 
-// fleet returns n active endpoints, started long ago, in two zones and three cells.
+// fleet returns n active endpoints in two zones and three cells that have all been started long ago.
 func fleet(n int) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
@@ -89,7 +88,7 @@
 	return list
 }
 
-// oneZone puts endpoints into the zone of testSettings, where traffic shares alone decide.
+// oneZone moves endpoints into the zone of testSettings, so that locality does not affect traffic shares.
 func oneZone(list []Endpoint) []Endpoint {
 	for i := range list {
 		list[i].Zone = "near"
@@ -97,7 +96,7 @@
 	return list
 }
 
-// endpointsInZones returns as many endpoints as counts has for each zone, in the given order of zones.
+// endpointsInZones returns counts[zone] endpoints for each zone in the given order.
 func endpointsInZones(counts map[string]int, order ...string) []Endpoint {
 	var list []Endpoint
 	for _, zone := range order {
@@ -108,7 +107,7 @@
 	return list
 }
 
-// fourZones returns n endpoints in each of four zones, the first of them that of testSettings.
+// fourZones returns n endpoints in each of four zones. The first zone is that of testSettings.
 func fourZones(n int) []Endpoint {
 	return endpointsInZones(map[string]int{"near": n, "b": n, "c": n, "d": n}, "near", "b", "c", "d")
 }
@@ -125,7 +124,7 @@
 	return b, effects
 }
 
-// serveRequest sends a request and has it answered at once. It returns the endpoint that served it.
+// serveRequest sends a request, reports its success at once and returns the endpoint that served it.
 func serveRequest(t *testing.T, b *Balancer, now time.Duration, id RequestID) *endpoint {
 	t.Helper()
 	b.OnRequest(now, Request{ID: id, Class: "write", Timeout: time.Second})
@@ -138,8 +137,8 @@
 	return e
 }
 
-// sendReads sends n reads and ends every attempt with the status of its zone. It returns the time afterwards, and how many
-// attempts each zone got.
+// sendReads sends n reads and ends every attempt with the status given for its zone. It returns the time after the last
+// request, and the number of attempts in each zone.
 func sendReads(b *Balancer, now time.Duration, first RequestID, n int, statuses map[string]Status) (time.Duration, map[string]int) {
 	attempts := map[string]int{}
 	for i := range n {
@@ -160,13 +159,13 @@
 	return now, attempts
 }
 
-// observeWrite gives a Balancer the result of a write of mean work for which no request is recorded.
+// observeWrite reports the result of a write of mean work at an endpoint, without a recorded request or attempt.
 func observeWrite(b *Balancer, e *endpoint, status Status, latency, now time.Duration) {
 	a := &attempt{request: &request{class: b.clients.classes["write"], workUnits: 1}, endpoint: e}
 	b.observeResult(a, AttemptResult{Latency: latency, Status: status}, now)
 }
 
-// startRead starts an attempt of a read at an endpoint, whatever the Balancer would choose.
+// startRead starts an attempt of a read at the given endpoint, whichever the Balancer would choose.
 func startRead(b *Balancer, e *endpoint, id RequestID, now time.Duration) {
 	r := &request{
 		Request:   Request{ID: id, Timeout: time.Second},
@@ -178,18 +177,18 @@
 	b.startAttempt(r, e, now)
 }
 
-// setUtilization makes an endpoint have a number of readings with a mean.
+// setUtilization sets the number and the mean of an endpoint's utilization readings.
 func setUtilization(e *endpoint, readings int, mean float64) {
 	e.utilization.readings = readings
 	e.utilization.mean = mean
 }
 
-// runPeriods passes n periods in which each endpoint reports the utilization of its zone.
+// runPeriods simulates n periods in which each endpoint reports the utilization given for its zone. It returns the end time.
 func runPeriods(b *Balancer, now time.Duration, n int, utilization map[string]float64) time.Duration {
 	for range n {
 		now += bandPeriod
 		for _, e := range b.endpoints.known {
-			for i := range bandWindowReadings { // a full window, with a rate that differs so that no report counts as repeated
+			for i := range bandWindowReadings { // a full window; the rates differ so that no report counts as repeated
 				report := LoadReport{
 					Fields:      HasUtilization | HasRate,
 					Utilization: utilization[e.Zone],
@@ -203,5 +202,5 @@
 	return now
 }
 
-// approximately reports whether two values are equal but for rounding.
+// approximately reports whether two values are equal except for rounding.
 func approximately(got, want float64) bool { return math.Abs(got-want) <= tolerance }
--- a/balancer/lastresort_test.go
+++ b/balancer/lastresort_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A balancer that rejects everything for 4 s with no attempt in between counts as out of service, so attempts have to go on
-// while all endpoints fail. Regression: the backoff of unresponsive endpoints grew without a bound, to 50 s in these runs.
+// A balancer that rejects everything for 4 s without an attempt counts as out of service, so attempts must continue while
+// all endpoints fail. Regression: the backoff of unresponsive endpoints grew without a bound, to 50 s in these cases.
 func TestAttemptsContinueWhileAllEndpointsFail(t *testing.T) {
 	const (
 		maxPause = 4 * time.Second // by the operators' rules
@@ -19,9 +19,9 @@
 		status  Status
 		latency time.Duration
 	}{
-		"no answer":          {Timeout, time.Second}, // until the request's timeout
+		"no response":        {Timeout, time.Second}, // until the request's timeout
 		"connection refused": {ConnectFailed, 0},
-		"connect time-out":   {ConnectFailed, 250 * ms},
+		"connect timeout":    {ConnectFailed, 250 * ms},
 		"queue full":         {Rejected, 2 * ms},
 		"error":              {Error, 2 * ms},
 		"reset":              {Reset, 2 * ms},
@@ -32,7 +32,7 @@
 				balancers int
 			}{{"read", 2}, {"write", 2}, {"read", 300}, {"write", 300}} {
 				t.Run(fmt.Sprintf("%s, %d endpoints, %s, %d balancers", name, endpoints, load.class, load.balancers), func(t *testing.T) {
-					fleet := newFailingFleet(t, endpoints, load.balancers)
+					fleet := newSimulatedFleet(t, endpoints, load.balancers)
 					fleet.status = OK
 					fleet.latency = 50 * ms
 					fleet.run(load.class, interval, 10*time.Second)
@@ -48,33 +48,33 @@
 	}
 }
 
-// failingFleet ends each attempt of a Balancer with the same status after the same latency, in virtual time.
-type failingFleet struct {
+// simulatedFleet ends each attempt of a Balancer with its current status after its current latency, in virtual time.
+type simulatedFleet struct {
 	balancer *Balancer
 	now      time.Duration
 	lastID   RequestID
 	status   Status
 	latency  time.Duration
 	started  map[*attempt]bool
-	pending  []pendingResult // in the order in which they are due
+	pending  []pendingResult // in the order of their due times
 }
 
-// pendingResult is the result of an attempt that is still to be delivered.
+// pendingResult is the result of an attempt that has not been delivered yet.
 type pendingResult struct {
 	dueAt time.Duration
 	AttemptResult
 }
 
-func newFailingFleet(t *testing.T, endpoints, balancers int) *failingFleet {
+func newSimulatedFleet(t *testing.T, endpoints, balancers int) *simulatedFleet {
 	t.Helper()
 	settings := testSettings()
 	settings.Balancers = balancers
 	b, _ := newTestBalancer(t, settings, fleet(endpoints))
-	return &failingFleet{balancer: b, now: time.Hour, started: map[*attempt]bool{}}
+	return &simulatedFleet{balancer: b, now: time.Hour, started: map[*attempt]bool{}}
 }
 
-// run sends a request of a class at each interval for a duration. It returns the longest time without an attempt.
-func (f *failingFleet) run(class string, interval, duration time.Duration) (longest time.Duration) {
+// run sends a request of a class once per interval for a duration. It returns the longest time without an attempt.
+func (f *simulatedFleet) run(class string, interval, duration time.Duration) (longest time.Duration) {
 	end := f.now + duration
 	lastAttemptAt := f.now
 	for ; f.now < end; f.now += 5 * ms {
@@ -92,8 +92,8 @@
 	return longest
 }
 
-// takeAttempts prepares the results of attempts that have started, and reports whether there are any.
-func (f *failingFleet) takeAttempts() (found bool) {
+// takeAttempts schedules the results of newly started attempts, and reports whether there are any.
+func (f *simulatedFleet) takeAttempts() (found bool) {
 	for _, e := range f.balancer.endpoints.known {
 		for _, a := range e.attempts {
 			if f.started[a] {
@@ -114,8 +114,8 @@
 	return found
 }
 
-// deliverResults gives the balancer the results that are due.
-func (f *failingFleet) deliverResults() {
+// deliverResults reports the results that are due to the balancer.
+func (f *simulatedFleet) deliverResults() {
 	for len(f.pending) > 0 && f.pending[0].dueAt <= f.now {
 		result := f.pending[0].AttemptResult
 		f.pending = f.pending[1:]
--- a/balancer/limit_test.go
+++ b/balancer/limit_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// Regression: with many balancers the minimal limits of all together prevented a saturated endpoint from recovering.
+// Regression: with many balancers, the sum of their minimum limits was too high for a saturated endpoint to recover.
 func TestMinLimitIsSharedByAllBalancers(t *testing.T) {
 	for _, balancers := range []int{2, 24} {
 		settings := testSettings()
@@ -52,7 +52,7 @@
 	}
 }
 
-// Regression: a balancer that started while an endpoint was saturated took its slow responses for the baseline.
+// Regression: a balancer that started while an endpoint was saturated took the latency of its slow responses as the baseline.
 func TestEndpointSaturatedFromTheStartIsJudgedByFleetBaseline(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(8))
 	for _, e := range b.endpoints.known {
@@ -68,9 +68,9 @@
 	}
 }
 
-// Regression: many balancers that started together sent to every endpoint at once and overloaded the fleet.
+// Regression: many balancers that started together each sent up to their limits to every endpoint and overloaded the fleet.
 func TestInitialLimitIsSharedByAllBalancers(t *testing.T) {
-	for _, balancers := range []int{2, 8, 24} { // of 24 each uses a subset of the endpoints, else all
+	for _, balancers := range []int{2, 8, 24} { // each of 24 balancers uses a subset of the endpoints; fewer use all of them
 		attempts := map[EndpointID]int{}
 		for rank := range balancers {
 			settings := testSettings()
@@ -81,7 +81,7 @@
 				t.Fatal(err)
 			}
 			b.OnEndpointUpdate(time.Hour, UpdateCached, fleet(20))
-			for i := range 200 { // more than its limits allow
+			for i := range 200 { // more than the limits allow
 				b.OnRequest(time.Hour, Request{ID: RequestID(i + 1), Class: "write", Timeout: time.Second})
 			}
 			for _, e := range b.endpoints.known {
@@ -99,7 +99,7 @@
 	}
 }
 
-// Regression: balancers that started in overload let limits grow at endpoints that were fully utilized already.
+// Regression: balancers that started under overload raised the limits of endpoints that were already fully utilized.
 func TestLimitDoesNotGrowAtFullUtilization(t *testing.T) {
 	for _, test := range []struct {
 		utilization float64
@@ -117,8 +117,8 @@
 	}
 }
 
-// Regression: live weights rise with idleness, and an endpoint of weight 3 was compared with a third of the fleet's latency.
-// One balancer of four rejected most of its requests for ten seconds beside idle endpoints.
+// Regression: live weights rise as endpoints become idle, and an endpoint of weight 3 was compared with a third of the
+// fleet's latency. One balancer of four rejected most of its requests for 10 s while endpoints were idle.
 func TestIdleEndpointOfHighWeightIsNotTakenForSaturated(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(4))
 	for _, e := range b.endpoints.known {
@@ -137,8 +137,8 @@
 	}
 }
 
-// Regression: where each of many balancers sees few responses, the limit of an endpoint whose latency merely varies was
-// reduced again and again.
+// Regression: with many balancers, each of which sees few responses, the limit of an endpoint was reduced again and again
+// although its latency merely varied.
 func TestVaryingLatencyIsNotSaturation(t *testing.T) {
 	settings := testSettings()
 	settings.Balancers = 8
@@ -153,8 +153,8 @@
 	}
 }
 
-// Regression: limits doubled in each round trip, and many balancers overloaded a fleet before the first reading showed full
-// utilization.
+// Regression: limits doubled in each round trip, so that many balancers overloaded a fleet before the first reading showed
+// full utilization.
 func TestLimitAtMostDoublesInAPeriod(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(1))
 	e := b.endpoints.known[0]
@@ -176,7 +176,7 @@
 	}
 }
 
-// Regression: single slow responses, which come by chance where latency varies, each reduced the limit.
+// Regression: every single slow response reduced the limit, although some are slow by chance where latency varies.
 func TestOnlySaturationReducesLimit(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -184,7 +184,7 @@
 		baseline    time.Duration
 		wantReduced bool
 	}{
-		{"usual latency near the objective", 280 * ms, 200 * ms, false},
+		{"near the baseline and the objective", 280 * ms, 200 * ms, false},
 		{"twice the baseline, a third of the objective", 100 * ms, 50 * ms, false},
 		{"twice the baseline, most of the objective", 240 * ms, 120 * ms, true},
 	} {
@@ -203,8 +203,8 @@
 	}
 }
 
-// Where work and waits for other services vary, responses of an idle endpoint are often slow. Regression: these alone kept
-// the limit at its start, and four requests of five were rejected while readings showed a quarter of full utilization.
+// Responses of an idle endpoint are often slow if its work and its waits for other services vary. Regression: such responses
+// kept the limit at its initial value, and four of five requests were rejected at a utilization of a quarter.
 func TestSlowResponsesWithHeadroomDoNotReduceLimit(t *testing.T) {
 	for _, test := range []struct {
 		balancers   int
@@ -238,8 +238,8 @@
 	}
 }
 
-// Requests arrive at random. Regression: with pauses of equal length between attempts, few requests left turns unused at
-// some times and were rejected at others.
+// Regression: with pauses of equal length between attempts, randomly arriving requests were rejected at some times, although
+// an endpoint had been idle shortly before.
 func TestIdleEndpointMayTakeOneAttemptBeforePausing(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(1))
 	e := b.endpoints.known[0]
@@ -249,7 +249,7 @@
 		a := &attempt{request: &request{class: b.clients.classes["write"], workUnits: 1}, endpoint: e, sentAt: sentAt}
 		b.observeResult(a, AttemptResult{Latency: 100 * ms, Status: Error}, sentAt+100*ms)
 	}
-	now := 2 * time.Hour // the endpoint was idle for long
+	now := 2 * time.Hour // the endpoint has been idle for a long time
 	endAttempt(now)
 	if e.limit.pausedUntil > now+100*ms {
 		t.Errorf("paused for %v after one attempt", e.limit.pausedUntil-now)
@@ -260,8 +260,8 @@
 	}
 }
 
-// Attempts whose responses are lost time out at idle endpoints as well as at saturated ones. Regression: they reduced the
-// limits of all endpoints, and requests were rejected beside an idle fleet.
+// Attempts whose responses are lost time out at idle endpoints, too. Regression: such timeouts reduced the limits of all
+// endpoints, and requests were rejected while the fleet was idle.
 func TestTimeoutWithHeadroomDoesNotReduceLimit(t *testing.T) {
 	for _, test := range []struct {
 		readings    int
@@ -279,9 +279,9 @@
 	}
 }
 
-// Where the latency of a class is near half of its objective, a request that finds no endpoint can't be queued and is
-// rejected immediately. Regression: only queued requests counted as saturation, so limits stayed low beside such rejections
-// and idle endpoints.
+// A request that finds no endpoint is rejected immediately if the latency of its class is too close to the objective for
+// queueing. Regression: only queued requests counted as saturation, so limits stayed low despite such rejections and idle
+// endpoints.
 func TestImmediateRejectionCountsAsSaturation(t *testing.T) {
 	settings := testSettings()
 	settings.Balancers = 8 // each may have one attempt in flight
--- a/balancer/locality_test.go
+++ b/balancer/locality_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// shareByZone sends n requests and returns the fraction of them that went to each zone.
+// shareByZone sends n requests and returns the fraction that went to each zone.
 func shareByZone(t *testing.T, b *Balancer, now time.Duration, n int) map[string]float64 {
 	t.Helper()
 	shares := map[string]float64{}
@@ -19,8 +19,8 @@
 	return shares
 }
 
-// Regression: with four zones three requests of four went to another zone. While the local zone has headroom most stay
-// there, and some always go elsewhere, so that the other zones remain measured.
+// While the local zone has headroom, most requests must stay there, and some must go elsewhere, so that the other zones are
+// still measured. Regression: with four zones, three of four requests went to another zone.
 func TestTrafficStaysLocalWhileLocalZoneHasHeadroom(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fourZones(4))
 	now := runPeriods(b, time.Hour, 30, map[string]float64{"near": 0.3, "b": 0.3, "c": 0.3, "d": 0.3})
@@ -30,8 +30,8 @@
 	}
 }
 
-// A local zone with more utilization than the fleet spills traffic over gradually, no faster than its reports can follow,
-// down to half of an even share; as its utilization falls the traffic comes back.
+// The local share of a zone that is more utilized than the fleet falls gradually, no faster than load reports can follow,
+// down to half of an even share. It grows back when the utilization falls.
 func TestSaturatedLocalZoneSpillsOverGradually(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), endpointsInZones(map[string]int{"near": 4, "b": 4}, "near", "b"))
 	saturated := map[string]float64{"near": 0.9, "b": 0.3}
@@ -56,7 +56,7 @@
 	}
 }
 
-// Where the whole fleet is saturated each endpoint's turns are needed, wherever it is: traffic shares alone decide.
+// If the whole fleet is saturated, the capacity of every endpoint is needed, so locality has no effect.
 func TestSaturatedFleetIsSharedEvenly(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), endpointsInZones(map[string]int{"near": 4, "b": 4}, "near", "b"))
 	now := runPeriods(b, time.Hour, 40, map[string]float64{"near": 0.95, "b": 0.95})
@@ -66,7 +66,7 @@
 	}
 }
 
-// Spillover goes to the own region first; another region gets as much as keeps it measured.
+// Spillover goes to the balancer's own region first. Another region only gets enough traffic to be measured.
 func TestSpilloverPrefersOwnRegion(t *testing.T) {
 	settings := testSettings()
 	settings.Zone = "west/1"
@@ -79,7 +79,7 @@
 	}
 }
 
-// A request goes to another region only if the usual latency fits its timeout.
+// A request goes to another region only if the expected latency there is within the time left.
 func TestRemoteRegionNeedsTimeToAnswer(t *testing.T) {
 	settings := testSettings()
 	settings.Zone = "west/1"
@@ -95,15 +95,15 @@
 	for _, e := range b.endpoints.known {
 		got, want := b.isEligible(e, wholeRequest, time.Hour), e.Zone != "east/1"
 		if got != want {
-			t.Errorf("%s, with 150 ms left of the usual 200: eligible %v, want %v", e.Zone, got, want)
+			t.Errorf("%s, with 150 ms left and a mean latency of 200 ms: eligible %v, want %v", e.Zone, got, want)
 		}
 		if !b.isEligible(e, halfRequest, time.Hour) {
-			t.Errorf("%s: not eligible for half of the work, which has the time", e.Zone)
+			t.Errorf("%s: not eligible for half of the work, which needs 100 ms", e.Zone)
 		}
 	}
 }
 
-// Without zones, with a single one, or with no endpoint in the own zone, traffic shares alone decide.
+// Locality has no effect without zones, with a single zone, or without endpoints in the balancer's own zone.
 func TestNoLocalityWeightsWithoutZones(t *testing.T) {
 	for _, test := range []struct{ balancerZone, endpointZone string }{{"", ""}, {"near", "near"}, {"elsewhere", "near"}} {
 		settings := testSettings()
@@ -122,9 +122,9 @@
 	}
 }
 
-// Regression: a balancer that uses few of many endpoints has one or two local ones. These got nine tenths of its traffic,
-// and while one of them drained or warmed up all of that depended on the other. Such a balancer goes by traffic shares
-// alone; one that uses all endpoints, or enough of them, prefers its own zone.
+// Locality is off for a balancer with a small subset of many endpoints, and on for one that uses all or enough of them.
+// Regression: in a small subset one or two local endpoints got nine tenths of the traffic, and while one of them drained or
+// warmed up, the other got all of that.
 func TestSmallSubsetDisablesLocality(t *testing.T) {
 	for _, test := range []struct {
 		endpoints, balancers int
@@ -152,8 +152,8 @@
 	}
 }
 
-// Whatever load reports say, local and region shares stay within their bounds, every locality weight is positive and finite,
-// and zones without endpoints are forgotten.
+// With any load reports and endpoint lists, local and region shares stay within their bounds, every locality weight is
+// positive and finite, and zones without endpoints are dropped.
 func TestLocalityWeightsStayWithinBounds(t *testing.T) {
 	names := []string{"near", "b", "x/c", "x/d", "y/e"}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -168,7 +168,7 @@
 				counts[name] = rapid.IntRange(0, 4).Draw(rt, "endpoints of "+name)
 				utilization[name] = rapid.Float64Range(0, 1).Draw(rt, "utilization of "+name)
 			}
-			list := endpointsInZones(counts, names...) // an id may be in another zone than before
+			list := endpointsInZones(counts, names...) // an ID may be in another zone than before
 			for i := range list {
 				list[i].Weight = rapid.Float64Range(0.1, 10).Draw(rt, "weight")
 			}
--- a/balancer/operators_test.go
+++ b/balancer/operators_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// drainScenario drains and reinstates the zones of a Balancer, and checks what each of them gets meanwhile.
-type drainScenario struct {
+// drainTest drains and reinstates the zones of a Balancer, and checks the traffic and the recovered share of each zone.
+type drainTest struct {
 	t              *testing.T
 	rt             *rapid.T
 	balancer       *Balancer
@@ -17,17 +17,17 @@
 	nextID         RequestID
 	zones          []string
 	drained        map[string]bool
-	share          map[string]float64 // the recovered share of each zone when it last grew
-	stepAgePeriods map[string]int     // since then
+	share          map[string]float64 // recovered share of each zone after its last growth
+	stepAgePeriods map[string]int     // periods since then
 }
 
 // list returns two endpoints in each zone.
-func (s *drainScenario) list() []Endpoint {
+func (s *drainTest) list() []Endpoint {
 	return endpointsInZones(map[string]int{"near": 2, "b": 2, "c": 2}, s.zones...)
 }
 
-// drain drains a zone, which fails for the last one that is not drained.
-func (s *drainScenario) drain(name string) {
+// drain drains a zone. This must fail if no other zone is in use.
+func (s *drainTest) drain(name string) {
 	done := s.balancer.DrainZone(s.now, name)
 	others := 0
 	for _, zone := range s.zones {
@@ -41,8 +41,8 @@
 	s.drained[name] = s.drained[name] || done
 }
 
-// reinstate reinstates a zone, which fails for one that is not drained.
-func (s *drainScenario) reinstate(name string) {
+// reinstate reinstates a zone. This must fail if the zone is not drained.
+func (s *drainTest) reinstate(name string) {
 	done := s.balancer.ReinstateZone(s.now, name)
 	if done != s.drained[name] {
 		s.rt.Fatalf("reinstating %s, drained %v: %v", name, s.drained[name], done)
@@ -54,8 +54,8 @@
 	}
 }
 
-// runPeriod passes a period with random utilization of the zones.
-func (s *drainScenario) runPeriod() {
+// runPeriod simulates a period with random utilization of the zones.
+func (s *drainTest) runPeriod() {
 	utilization := map[string]float64{}
 	for _, zone := range s.zones {
 		utilization[zone] = rapid.Float64Range(0, 1).Draw(s.rt, "utilization of "+zone)
@@ -65,7 +65,7 @@
 }
 
 // serve sends a request, which must not go to a drained zone.
-func (s *drainScenario) serve() {
+func (s *drainTest) serve() {
 	from := len(s.effects.calls)
 	e := serveRequest(s.t, s.balancer, s.now, s.nextID)
 	s.nextID++
@@ -74,9 +74,9 @@
 	}
 }
 
-// checkRecovery checks that the share of a zone in use grows by one step at a time, and that each step but the first comes
-// after the one before has lasted long enough.
-func (s *drainScenario) checkRecovery(z *zone) {
+// checkRecovery checks that the share of a zone in use grows by at most one step at a time, and that each step except the
+// first follows only after the previous one has lasted long enough.
+func (s *drainTest) checkRecovery(z *zone) {
 	if s.drained[z.name] {
 		return
 	}
@@ -94,11 +94,11 @@
 	s.stepAgePeriods[z.name] = 0
 }
 
-// A drained zone gets nothing until it is reinstated, whatever discovery and load reports say, and then each step of its
-// share in order, each lasting for its periods. Some zone that is not drained has endpoints at any time.
+// With any endpoint lists and load reports, a drained zone gets no attempt until it is reinstated. Then its share grows step
+// by step, and each step lasts for its periods. At any time some zone that is not drained has endpoints.
 func TestReinstatedZoneRecoversStepByStep(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := &drainScenario{
+		s := &drainTest{
 			t:              t,
 			rt:             rt,
 			now:            time.Hour,
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Regression: after a restart healthy endpoints counted as unresponsive at their second response, because the running
-// deviation of their latency began at 0. The rest of the fleet was then overloaded.
+// Regression: after a restart healthy endpoints counted as unresponsive at their second response, because the moving average
+// of their latency deviation began at 0. The rest of the fleet was then overloaded.
 func TestResponseTimeoutStaysLongAfterFirstResponses(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(2))
 	serveRequest(t, b, time.Hour, 1)
@@ -17,8 +17,8 @@
 	}
 }
 
-// Regression: where responses are rare, the mean latency of an endpoint is about that of its last response. After one fast
-// response the next ordinary one was overdue, and the endpoint was ejected.
+// Regression: if responses are rare, the mean latency of an endpoint is close to that of its last response. After one fast
+// response the next one of normal latency was overdue, and the endpoint was ejected.
 func TestResponseTimeoutIsNotShortenedByOneFastResponse(t *testing.T) {
 	settings := testSettings()
 	settings.Balancers = 8
@@ -29,7 +29,7 @@
 	}
 	timeout := b.responseTimeout(e, 1)
 	if timeout < 200*ms {
-		t.Errorf("response timeout %v where responses usually take 100ms", timeout)
+		t.Errorf("response timeout %v, though most responses take about 100ms", timeout)
 	}
 }
 
@@ -52,8 +52,8 @@
 	}
 }
 
-// Regression: ten connections that were lost at once doubled the backoff ten times, and an endpoint that still served
-// other requests got nothing for 20 s.
+// Regression: ten connections lost at the same time doubled the backoff ten times, and an endpoint that still served other
+// requests got none for 20 s.
 func TestSimultaneousConnectionLossesCountAsOneFailure(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(1))
 	e := b.endpoints.known[0]
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The example of the paper on interleaved traffic shares: with equal weights an endpoint takes turns 1, 3, 5, ...; with a
-// third of the other's weight it takes turns 9, 13, 17, ...
+// The example from the paper on interleaving by traffic shares: with equal weights an endpoint takes turns 1, 3, 5, ...;
+// with a third of the other's weight it takes turns 9, 13, 17, ...
 func TestEndpointOfOneThirdWeightTakesEveryFourthTurn(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), oneZone(fleet(2)))
 	first := b.endpoints.known[0]
--- a/balancer/randomevents_test.go
+++ b/balancer/randomevents_test.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// randomEvents gives a Balancer random valid events, and has a checker follow what it does.
+// randomEvents delivers random valid events to a Balancer and tracks its effects with a checker.
 type randomEvents struct {
 	*checker
 	balancer *Balancer
 	rng      *rand.Rand
 }
 
-// runRandomEvents gives a Balancer 20 s of random events, from an origin of its clock. It returns the checker and the
-// recorder that have followed them.
+// runRandomEvents delivers 20 s of random events to a new Balancer, starting at the time origin. It returns the checker and
+// the recorder of its effects.
 func runRandomEvents(t *testing.T, settings Settings, seed uint64, origin time.Duration) (*checker, *recorder) {
 	t.Helper()
 	const (
 		steps        = 4000
-		requestSteps = 3600 // with requests; in the rest all of them end
+		requestSteps = 3600 // steps with new requests; in the remaining steps all requests end
 	)
 	c := newChecker(settings, origin)
 	effects := &recorder{hook: c.onEffect}
@@ -48,7 +48,7 @@
 	return c, effects
 }
 
-// oneIn is true with a probability of one in n.
+// oneIn returns true with a probability of 1/n.
 func (r *randomEvents) oneIn(n int) bool { return r.rng.IntN(n) == 0 }
 
 // sendRequest sends a request, sometimes a retry or one with no time left, and sometimes has its client disconnect.
@@ -91,7 +91,7 @@
 	}
 }
 
-// endAttempt gives the balancer the result of an attempt.
+// endAttempt reports the result of an attempt to the balancer.
 func (r *randomEvents) endAttempt(a *checkedAttempt) {
 	a.ended = true
 	r.inFlight = slices.DeleteFunc(r.inFlight, func(other *checkedAttempt) bool { return other == a })
@@ -115,7 +115,7 @@
 	}
 }
 
-// loadReport returns a valid report, none or an invalid one.
+// loadReport returns a valid, an empty or an invalid report.
 func (r *randomEvents) loadReport() LoadReport {
 	if r.oneIn(2) {
 		return LoadReport{Fields: HasUtilization, Utilization: r.rng.Float64()}
@@ -126,7 +126,7 @@
 	return LoadReport{}
 }
 
-// updateEndpoints gives the balancer a list, and notes which endpoints it removes.
+// updateEndpoints delivers an endpoint list to the balancer, and records for the checker which endpoints it removes.
 func (r *randomEvents) updateEndpoints(mode UpdateMode, list []Endpoint) {
 	for _, e := range list {
 		r.listed[e.ID] = e
@@ -146,7 +146,7 @@
 	r.balancer.OnEndpointUpdate(r.now, mode, list)
 }
 
-// changeEndpoints makes a random change of the endpoint list, or a call to discovery fail.
+// changeEndpoints changes the endpoint list at random, or reports a failed call to discovery.
 func (r *randomEvents) changeEndpoints() {
 	list := fleet(8)
 	switch r.rng.IntN(6) {
@@ -195,6 +195,6 @@
 	}
 	_, other := runRandomEvents(t, testSettings(), 8, 10*time.Hour)
 	if slices.Equal(other.calls, want.calls) {
-		t.Error("another seed gave the same effects, so the comparison shows nothing")
+		t.Error("another seed gave the same effects, so the comparison proves nothing")
 	}
 }
--- a/balancer/request_test.go
+++ b/balancer/request_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The timeout of an upload begins when its body has been sent: until then its endpoint owes no response, and the request
-// has no deadline. It is never hedged, and not retried once part of its body has been consumed.
+// The timeout of an upload begins when its body has been sent. Until then the request has no deadline, and its endpoint does
+// not count as unresponsive. An upload is never hedged, and not retried once part of its body has been consumed.
 func TestUpload(t *testing.T) {
 	settings := testSettings()
 	settings.Limits.AllowHedging = true
@@ -22,7 +22,7 @@
 	}
 	b.OnAttemptResult(now, AttemptResult{ID: 1, Endpoint: first.ID, Latency: 10 * time.Second, Status: ConnectFailed})
 	if effects.count("send id=1") != 2 {
-		t.Error("not retried, though nothing of its body was consumed")
+		t.Error("not retried, though no part of its body was consumed")
 	}
 	b.OnBodySent(now, 1, 1)
 	if r.deadline != now+time.Second || r.attempts[1].sentAt != now {
--- a/balancer/restore_test.go
+++ b/balancer/restore_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// trainedBalancer returns a balancer that has served for a while, with one traffic share cut, one endpoint unresponsive and
-// one zone ejected.
-func trainedBalancer(t *testing.T) (*Balancer, time.Duration) {
+// balancerWithHistory returns a balancer that has served 400 requests, and the current time. One traffic share is cut, one
+// endpoint is unresponsive and one zone is ejected.
+func balancerWithHistory(t *testing.T) (*Balancer, time.Duration) {
 	t.Helper()
 	b, _ := newTestBalancer(t, testSettings(), fourZones(3))
 	now, _ := sendReads(b, time.Hour, 1, 400, map[string]Status{"near": OK, "b": OK, "c": OK, "d": OK})
@@ -20,7 +20,7 @@
 	return b, now
 }
 
-// restoredBalancer returns a new balancer with an endpoint list that was restored from a snapshot.
+// restoredBalancer returns a new balancer that has got an endpoint list and was then restored from a snapshot.
 func restoredBalancer(t *testing.T, now time.Duration, list []Endpoint, snapshot Snapshot) *Balancer {
 	t.Helper()
 	b, err := New(testSettings(), 99, now, &recorder{})
@@ -32,10 +32,10 @@
 	return b
 }
 
-// A fresh snapshot is restored as it was, an older one counts for less evenly with its age, and beyond its lifetime or where
-// a clock was set back it counts for nothing.
+// A fresh snapshot is restored in full. The weight of an older one falls linearly with its age. It is 0 beyond its lifetime,
+// and for a negative age from a clock that was set back.
 func TestSnapshotConfidenceFadesWithAge(t *testing.T) {
-	before, now := trainedBalancer(t)
+	before, now := balancerWithHistory(t)
 	snapshot := before.TakeSnapshot(now)
 	for _, test := range []struct {
 		age        time.Duration
@@ -69,7 +69,7 @@
 	}
 }
 
-// A zone that operators drained stays so, whatever the age of the snapshot and whether it is listed now or later.
+// A zone that operators drained stays drained, whatever the age of the snapshot, even if the zone is listed only later.
 func TestDrainedZonesAreRestoredAtAnyAge(t *testing.T) {
 	snapshot := Snapshot{TakenAt: -1e9, DrainedZones: []string{"b"}}
 	b := restoredBalancer(t, time.Hour, endpointsInZones(map[string]int{"near": 2}, "near"), snapshot)
@@ -81,14 +81,14 @@
 		}
 	}
 	if !b.ReinstateZone(time.Hour, "b") {
-		t.Error("it can't be reinstated")
+		t.Error("the drained zone can't be reinstated")
 	}
 }
 
-// An unresponsive endpoint has to pass a trial before it gets traffic, and balancers that start together try it at times of
-// their own.
+// A restored unresponsive endpoint must pass a trial before it gets traffic. Balancers that start together send their trials
+// at different times.
 func TestRestoredUnresponsiveEndpointsNeedTrial(t *testing.T) {
-	before, now := trainedBalancer(t)
+	before, now := balancerWithHistory(t)
 	snapshot := before.TakeSnapshot(now)
 	trialTimes := map[time.Duration]bool{}
 	for seed := range uint64(20) {
@@ -106,6 +106,6 @@
 		trialTimes[e.outlier.nextTrialAt] = true
 	}
 	if len(trialTimes) < 15 {
-		t.Errorf("20 balancers try it at %d times", len(trialTimes))
+		t.Errorf("20 balancers send their trials at %d different times, want 15 at least", len(trialTimes))
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// checker follows the effects of a Balancer and compares them with the operators' rules. It shares no code with the module.
+// checker checks the effects of a Balancer against the operators' rules. It shares no code with the decision module.
 type checker struct {
 	settings     Settings
 	now          time.Duration
@@ -17,21 +17,21 @@
 	listed       map[EndpointID]Endpoint
 	removedAt    map[EndpointID]time.Duration // when an endpoint began to drain or was removed
 	violations   []string
-	maxWarmSends int                            // the most sends that a warm endpoint has had in an overload window
-	recentSends  map[EndpointID][]time.Duration // sends of the last overload window
+	maxWarmSends int                            // maximum of sends to a warm endpoint within an overload window
+	recentSends  map[EndpointID][]time.Duration // times of the sends within the last overload window
 }
 
-// checkedRequest is a request as the rules see it.
+// checkedRequest is the checker's record of a request.
 type checkedRequest struct {
 	id           RequestID
 	class        Class
 	deadline     time.Duration
 	attempts     []*checkedAttempt
 	finalAnswers int
-	closedAt     time.Duration // when the balancer was notified that it needs no answer any more; 0: open
+	closedAt     time.Duration // when the balancer was notified that the request needs no answer any more; 0: open
 }
 
-// checkedAttempt is an attempt as the rules see it.
+// checkedAttempt is the checker's record of an attempt.
 type checkedAttempt struct {
 	request  *checkedRequest
 	index    int
@@ -42,13 +42,13 @@
 	ended    bool
 }
 
-// pendingTimer is a timer that the balancer has set.
+// pendingTimer is a timer that the balancer has set and that has not fired yet.
 type pendingTimer struct {
 	at    time.Duration
 	token uint64
 }
 
-// fireDueTimers fires the pending timers that are due. Those that are set meanwhile wait for the next call.
+// fireDueTimers fires the pending timers that are due. Timers set by their handlers fire in the next call at the earliest.
 func fireDueTimers(b *Balancer, pending *[]pendingTimer, now time.Duration) {
 	timers := *pending
 	*pending = nil
@@ -72,12 +72,12 @@
 	}
 }
 
-// violationf records that a rule was broken.
+// violationf records a violation of a rule.
 func (c *checker) violationf(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf("%v: ", c.now)+fmt.Sprintf(format, args...))
 }
 
-// mayHaveExecuted reports whether an attempt may have been executed, or may be still.
+// mayHaveExecuted reports whether the request of an attempt may have been executed, or may still be.
 func (a *checkedAttempt) mayHaveExecuted() bool {
 	return !a.ended || !slices.Contains([]Status{Rejected, ConnectFailed, NotSent}, a.status)
 }
@@ -85,12 +85,12 @@
 // isOpen reports whether a request still needs an answer.
 func (r *checkedRequest) isOpen() bool { return r.finalAnswers == 0 && r.closedAt == 0 }
 
-// closedBefore reports whether the balancer was informed before now that a request needs no answer.
+// closedBefore reports whether the balancer was notified before now that a request needs no answer any more.
 func (r *checkedRequest) closedBefore(now time.Duration) bool {
 	return r.closedAt > 0 && r.closedAt < now
 }
 
-// attemptsInFlight is how many attempts of a request have not ended.
+// attemptsInFlight returns the number of attempts of a request that have not ended.
 func (r *checkedRequest) attemptsInFlight() int {
 	n := 0
 	for _, a := range r.attempts {
@@ -101,7 +101,7 @@
 	return n
 }
 
-// onEffect takes one call of Effects.
+// onEffect checks and records a call of Effects.
 func (c *checker) onEffect(call effectCall) {
 	switch call.kind {
 	case setTimerEffect:
@@ -118,7 +118,7 @@
 	}
 }
 
-// onCancel has an attempt end soon.
+// onCancel makes a cancelled attempt end 5 ms later.
 func (c *checker) onCancel(id RequestID, index int) {
 	for _, a := range c.inFlight {
 		if a.request.id == id && a.index == index {
@@ -128,7 +128,7 @@
 	}
 }
 
-// onSend checks a new attempt against the rules, and takes it in.
+// onSend checks a new attempt against the rules and records it.
 func (c *checker) onSend(r *checkedRequest, id EndpointID, timeout time.Duration) {
 	if r.finalAnswers > 0 || r.closedBefore(c.now) {
 		c.violationf("rule 1: request %d sent after its end", r.id)
@@ -154,7 +154,7 @@
 	c.inFlight = append(c.inFlight, a)
 }
 
-// checkRetry checks an attempt against rule 2: what may have been executed is sent again only where that is safe.
+// checkRetry checks an attempt against rule 2: a request that may have been executed is sent again only where that is safe.
 func (c *checker) checkRetry(r *checkedRequest, e Endpoint) {
 	for _, earlier := range r.attempts {
 		if !earlier.mayHaveExecuted() {
@@ -177,7 +177,7 @@
 	}
 }
 
-// inScope reports whether two endpoints deduplicate requests of a scope together.
+// inScope reports whether two endpoints share a store of idempotency keys.
 func inScope(scope IdempotencyScope, x, y Endpoint) bool {
 	switch scope {
 	case ScopeZone:
@@ -188,34 +188,35 @@
 	return true
 }
 
-// checkSlowStart checks a send against rule 4: within any overload window an endpoint that warms up gets no more than the
-// overload multiple of its capacity. That of a warm one is the most that any was sent in such a window, and at least this
-// balancer's even share of the random events' traffic: 133 requests a second, over two balancers and five endpoints.
+// checkSlowStart checks a send against rule 4: within any overload window a warming endpoint gets no more than the overload
+// multiple of its capacity. The capacity of a warm endpoint is taken as the maximum that any was sent in such a window, and
+// at least this balancer's even share of the random traffic: 133 requests per second, divided by two balancers and five
+// endpoints.
 func (c *checker) checkSlowStart(e Endpoint) {
 	const (
-		evenShare = 133.0 / 5 / 2 // requests a second
+		evenShare = 133.0 / 5 / 2 // requests per second
 		slack     = 3             // sends
 	)
-	rules := c.settings.Obligations
+	obligations := c.settings.Obligations
 	age := c.now - e.StartedAt
 	recent := slices.DeleteFunc(c.recentSends[e.ID], func(at time.Duration) bool {
-		return at <= c.now-rules.OverloadWindow || at < e.StartedAt
+		return at <= c.now-obligations.OverloadWindow || at < e.StartedAt
 	})
 	c.recentSends[e.ID] = append(recent, c.now)
 	sends := len(c.recentSends[e.ID])
-	if e.StartedAt == 0 || age >= rules.SlowStartWindow {
+	if e.StartedAt == 0 || age >= obligations.SlowStartWindow {
 		c.maxWarmSends = max(c.maxWarmSends, sends)
 		return
 	}
-	capacity := rules.SlowStartFrom + (1-rules.SlowStartFrom)*float64(age)/float64(rules.SlowStartWindow)
-	warm := max(float64(c.maxWarmSends), evenShare*rules.OverloadWindow.Seconds())
-	most := rules.OverloadMultiple * capacity * warm
-	if float64(sends) > most+slack {
-		c.violationf("rule 4: endpoint %d, started %v ago, was sent %d, at most %.1f are allowed", e.ID, age, sends, most)
+	capacity := obligations.SlowStartFrom + (1-obligations.SlowStartFrom)*float64(age)/float64(obligations.SlowStartWindow)
+	warmSends := max(float64(c.maxWarmSends), evenShare*obligations.OverloadWindow.Seconds())
+	maxSends := obligations.OverloadMultiple * capacity * warmSends
+	if float64(sends) > maxSends+slack {
+		c.violationf("rule 4: endpoint %d, started %v ago, was sent %d, at most %.1f are allowed", e.ID, age, sends, maxSends)
 	}
 }
 
-// onFinalAnswer checks a rejection or failure against rule 1: one final answer, in time.
+// onFinalAnswer checks a rejection or failure against rule 1: each request gets exactly one final answer, in time.
 func (c *checker) onFinalAnswer(r *checkedRequest) {
 	r.finalAnswers++
 	if r.finalAnswers > 1 || r.closedBefore(c.now) {
@@ -236,7 +237,7 @@
 	}
 }
 
-// checkDeadlines finds requests that had no final answer in time.
+// checkDeadlines checks rule 1 for requests that got no final answer in time.
 func (c *checker) checkDeadlines() {
 	for id, r := range c.requests {
 		if r.isOpen() && c.now > r.deadline+c.settings.Obligations.AnswerSlack {
@@ -255,7 +256,8 @@
 					t.Errorf("%d violations, first: %s", len(checker.violations), checker.violations[0])
 				}
 				if effects.count("send") < 200 || effects.count("refuse") == 0 || effects.count("fail") == 0 {
-					t.Errorf("the events demand too little: %d sends", effects.count("send"))
+					t.Errorf("the events exercise too little: %d sends, %d rejections, %d failures",
+						effects.count("send"), effects.count("refuse"), effects.count("fail"))
 				}
 			})
 		}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -10,7 +10,7 @@
 func TestSlowStartBudgetCountsSmallRequestsInFull(t *testing.T) {
 	b, effects := newTestBalancer(t, testSettings(), oneZone(fleet(4)))
 	now := time.Hour
-	for i := range 4000 { // warm endpoints serve for a while
+	for i := range 4000 { // the warm endpoints serve requests for 20 s
 		now += 5 * ms
 		serveRequest(t, b, now, RequestID(i+1))
 		if i%4 == 0 {
@@ -36,22 +36,23 @@
 			toWarming++
 		}
 	}
-	// A warm endpoint gets 75 in the window at most. Rule 4 allows the warming one about 100: 75 x OverloadMultiple x the
-	// fraction of its capacity that it has reached, 0.45. The budget has to stay well below that.
-	const most = 40
+	// A warm endpoint gets at most 75 sends in the window. Rule 4 allows about 100 for the warming one: 75 x OverloadMultiple
+	// x 0.45, the fraction of its capacity that it has reached. The budget must stay well below that.
+	const maxSends = 40
 	sent := effects.count("send") - before
-	if toWarming == 0 || toWarming > most || sent < 250 {
-		t.Errorf("the warming endpoint got %d of %d sends, at most %d are allowed", toWarming, sent, most)
+	if toWarming == 0 || toWarming > maxSends || sent < 250 {
+		t.Errorf("the warming endpoint got %d of %d sends, at most %d are allowed", toWarming, sent, maxSends)
 	}
 }
 
-// Regression: with many balancers each one's part of a warming endpoint's budget is under one request. None was sent before
-// the slow start ended, and then all balancers sent their full traffic share at once. All together have to send some.
+// With many balancers, each one's part of a warming endpoint's budget is less than one request. Regression: no balancer sent
+// any request before the slow start ended, and then all of them sent their full traffic share at once. Together they must
+// send some requests during the slow start.
 func TestSlowStartBudgetHoldsOverManyBalancers(t *testing.T) {
 	const (
 		balancers = 200
 		window    = 1500 * ms
-		warmRate  = 0.2 // requests a second that a warm endpoint gets from each balancer
+		warmRate  = 0.2 // requests per second that a warm endpoint gets from each balancer
 	)
 	settings := testSettings()
 	settings.Balancers = balancers
@@ -61,16 +62,16 @@
 		settings.Rank = rank
 		sent += sendToWarmingEndpoint(t, settings, warmRate)
 	}
-	// What a warm endpoint gets in the window from all balancers, times the overload multiple and the fraction of its
-	// capacity that the warming one has reached by then.
-	most := warmRate * balancers * 3 * 0.4 * window.Seconds()
-	if sent == 0 || float64(sent) > most {
-		t.Errorf("%d sent to a warming endpoint, want 1 to %v", sent, most)
+	// The requests that a warm endpoint gets from all balancers in the window, times the overload multiple and the fraction of
+	// its capacity that the warming endpoint has reached at the end of the window.
+	maxSends := warmRate * balancers * 3 * 0.4 * window.Seconds()
+	if sent == 0 || float64(sent) > maxSends {
+		t.Errorf("%d sent to a warming endpoint, want 1 to %v", sent, maxSends)
 	}
 }
 
-// sendToWarmingEndpoint has a new balancer send all its traffic of 1.5 s to an endpoint that warms up, as far as it may, and
-// returns how many attempts that were.
+// sendToWarmingEndpoint sends the traffic of 1.5 s through a new balancer, with a warming endpoint as the only one available,
+// and returns the number of attempts.
 func sendToWarmingEndpoint(t *testing.T, settings Settings, warmRate float64) int {
 	t.Helper()
 	effects := &recorder{}
@@ -97,8 +98,8 @@
 	return effects.count("send")
 }
 
-// restartingBalancer is a Balancer that serves a request every 10 ms, and can be restarted from its snapshot. It notes what
-// is sent to the first endpoint while that warms up.
+// restartingBalancer is a Balancer that serves a request every 10 ms, and can be restarted from its snapshot. It records the
+// times of sends to the first endpoint while that warms up.
 type restartingBalancer struct {
 	t        *testing.T
 	balancer *Balancer
@@ -141,7 +142,7 @@
 	r.lastID += 1000
 }
 
-// Rule 4 holds across restarts: what was sent before one counts, though no balancer knows how much it was.
+// Rule 4 holds across restarts: the sends before a restart count, although the restored balancer does not know their number.
 func TestSlowStartBudgetHoldsAcrossRestarts(t *testing.T) {
 	settings := testSettings()
 	list := fleet(4)
@@ -150,7 +151,7 @@
 	for range 800 {
 		r.serve()
 	}
-	const warmRate = 800.0 / 4 / 8 // requests a second that a warm endpoint serves at half of its capacity: 25
+	const warmRate = 800.0 / 4 / 8 // requests per second that a warm endpoint serves at half of its capacity: 25
 	startedAt := r.now
 	list[0].StartedAt = startedAt
 	r.balancer.OnEndpointUpdate(r.now, UpdateDelta, list[:1])
@@ -160,28 +161,29 @@
 		}
 		r.serve()
 	}
-	worst := 0.0 // sends in any overload window, in parts of the budget
-	rules := settings.Obligations
+	maxBudgetUse := 0.0 // maximum over all overload windows of sends / budget
+	obligations := settings.Obligations
 	for _, from := range r.sentAt {
 		sends := 0.0
 		for _, at := range r.sentAt {
-			if at >= from && at < from+rules.OverloadWindow {
+			if at >= from && at < from+obligations.OverloadWindow {
 				sends++
 			}
 		}
-		capacity := rules.SlowStartFrom + (1-rules.SlowStartFrom)*float64(from-startedAt)/float64(rules.SlowStartWindow)
-		budget := rules.OverloadMultiple * capacity * 2 * warmRate * rules.OverloadWindow.Seconds()
-		worst = max(worst, sends/budget)
+		capacity := obligations.SlowStartFrom +
+			(1-obligations.SlowStartFrom)*float64(from-startedAt)/float64(obligations.SlowStartWindow)
+		budget := obligations.OverloadMultiple * capacity * 2 * warmRate * obligations.OverloadWindow.Seconds()
+		maxBudgetUse = max(maxBudgetUse, sends/budget)
 	}
-	if worst > 1 || worst < 0.1 {
-		t.Errorf("%.2f times the budget of a warming endpoint was sent across restarts", worst)
+	if maxBudgetUse > 1 || maxBudgetUse < 0.1 {
+		t.Errorf("%.2f times the budget of a warming endpoint was sent across restarts, want 0.1 to 1", maxBudgetUse)
 	}
 }
 
-// What was sent to a warming endpoint since the last snapshot is not known, so an overload window has to pass first. A
-// snapshot that is older than a window leaves nothing unknown that still counts.
+// The number of sends to a warming endpoint since the snapshot is unknown, so a restored balancer must wait for an overload
+// window before it sends more. It need not wait if the snapshot is older than a window.
 func TestWarmingEndpointWaitsOverloadWindowAfterRestart(t *testing.T) {
-	b, now := trainedBalancer(t)
+	b, now := balancerWithHistory(t)
 	list := fourZones(3)
 	list[0].StartedAt = now
 	b.OnEndpointUpdate(now, UpdateDelta, list[:1])
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestSnapshotSurvivesJSON(t *testing.T) {
-	b, now := trainedBalancer(t)
+	b, now := balancerWithHistory(t)
 	snapshot := b.TakeSnapshot(now)
 	text, err := json.Marshal(snapshot)
 	if err != nil {
@@ -26,9 +26,9 @@
 	}
 }
 
-// Invalid values of a snapshot do not spread to what a balancer computes from it.
+// Invalid values of a snapshot do not make traffic shares or limits of the restored balancer invalid.
 func TestInvalidSnapshotValuesAreIgnored(t *testing.T) {
-	before, now := trainedBalancer(t)
+	before, now := balancerWithHistory(t)
 	for _, invalid := range []float64{-1, math.NaN(), math.Inf(1), 1e300} {
 		t.Run(fmt.Sprint(invalid), func(t *testing.T) {
 			snapshot := before.TakeSnapshot(now)
@@ -47,7 +47,7 @@
 	}
 }
 
-// setAllNumbers sets the numbers of a snapshot and of its endpoints to a value.
+// setAllNumbers sets all floating-point values of a snapshot and of its endpoints.
 func setAllNumbers(snapshot *Snapshot, value float64) {
 	snapshot.Latency = value
 	snapshot.MeanCost = value
--- a/balancer/status_test.go
+++ b/balancer/status_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Operators see how many endpoints are skipped: those that drain, are unresponsive or could not be reached, until they
+// The operators' tools show how many endpoints are skipped: draining ones, and unresponsive or unreachable ones until they
 // respond again. Removed endpoints are not counted.
 func TestEndpointCounts(t *testing.T) {
 	list := fleet(4)
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Regression: hundreds of balancers with connections to every endpoint filled all connection tables, and no balancer saw
-// enough of any endpoint to judge it.
+// Regression: hundreds of balancers with connections to every endpoint filled all connection tables, and no balancer had
+// enough traffic to any endpoint to assess its health.
 func TestSubsetsAreSmallAndCoverEvenly(t *testing.T) {
-	for _, test := range []struct{ balancers, endpoints, least, most int }{
-		{8, 20, 20, 20},   // twice balancersPerEndpoint: each uses all endpoints
-		{90, 20, 2, 2},    // never fewer than minSubsetEndpoints
-		{400, 60, 2, 2},   // as many balancers as these need
-		{100, 60, 3, 3},   // about balancersPerEndpoint
+	for _, test := range []struct{ balancers, endpoints, minSize, maxSize int }{
+		{8, 20, 20, 20},   // twice balancersPerEndpoint: each balancer uses all endpoints
+		{90, 20, 2, 2},    // minSubsetEndpoints
+		{400, 60, 2, 2},   // minSubsetEndpoints, with more than balancersPerEndpoint for each endpoint
+		{100, 60, 3, 3},   // about balancersPerEndpoint for each endpoint
 		{12, 20, 10, 10},  // in between: the size falls smoothly
-		{1200, 250, 2, 2}, // larger than any fleet so far
+		{1200, 250, 2, 2}, // a very large fleet
 	} {
 		settings := testSettings()
 		settings.Balancers = test.balancers
@@ -25,14 +25,14 @@
 			settings.Zone = []string{"near", "far"}[rank%2]
 			b, _ := newTestBalancer(t, settings, fleet(test.endpoints))
 			size := len(b.endpoints.tracked)
-			if size < test.least || size > test.most {
+			if size < test.minSize || size > test.maxSize {
 				t.Fatalf("%+v: a balancer uses %d endpoints", test, size)
 			}
 			for _, e := range b.endpoints.tracked {
 				users[e.ID]++
 			}
 		}
-		mean := float64(test.balancers*test.least) / float64(test.endpoints)
+		mean := float64(test.balancers*test.minSize) / float64(test.endpoints)
 		for i := range test.endpoints {
 			id := EndpointID(i + 1)
 			n := float64(users[id])
@@ -43,8 +43,9 @@
 	}
 }
 
-// After a change of the fleet's size a balancer decides as one that was started with that size. Regression: when half of
-// the balancers failed, tenants had half of their quota, and with twice as many balancers twice of it.
+// After a change of the fleet size a balancer has the same subset, quotas and initial limits as one that was started with
+// that size. Regression: tenants had half of their quota after half of the balancers had failed, and twice their quota with
+// twice as many balancers.
 func TestFleetSizeChangeEqualsFreshStart(t *testing.T) {
 	for _, size := range []FleetSize{
 		{Balancers: 8, Rank: 3, MaxBalancers: 8},
@@ -78,7 +79,8 @@
 	}
 }
 
-// Regression: with most of a small subset out of use, a balancer had no endpoint while the rest of the fleet was healthy.
+// Regression: with most endpoints of a small subset out of service, a balancer had no endpoint to use, although the rest of
+// the fleet was healthy.
 func TestSubsetReplacesUnresponsiveAndWarmingEndpoints(t *testing.T) {
 	settings := testSettings()
 	settings.Balancers = 40
@@ -89,7 +91,8 @@
 	before[1].slowStart.since = time.Hour
 	b.rebuildSubset(time.Hour)
 	if len(b.endpoints.tracked) != len(before)+2 {
-		t.Errorf("%d endpoints in use, then %d with one unresponsive and one warming up", len(before), len(b.endpoints.tracked))
+		t.Errorf("%d endpoints in use, then %d with one unresponsive and one warming up; want 2 more",
+			len(before), len(b.endpoints.tracked))
 	}
 	draining := before[2].Endpoint
 	draining.State = Draining
@@ -101,6 +104,6 @@
 	before[1].slowStart.active = false
 	b.rebuildSubset(time.Hour)
 	if len(b.endpoints.tracked) != len(before) {
-		t.Errorf("%d in use after the others recovered, %d at first", len(b.endpoints.tracked), len(before))
+		t.Errorf("%d in use after the others have recovered, want %d as at first", len(b.endpoints.tracked), len(before))
 	}
 }
--- a/balancer/validate_test.go
+++ b/balancer/validate_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Each invalid value gives an ErrSettings whose text names it.
+// Each invalid value gives an error that wraps ErrSettings and names the setting.
 func TestInvalidSettingsAreRejected(t *testing.T) {
 	for message, invalidate := range map[string]func(*Settings){
 		"Classes":                      func(s *Settings) { s.Classes = nil },
--- a/balancer/zonehealth_test.go
+++ b/balancer/zonehealth_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// expectInUse checks that zones are not ejected.
-func expectInUse(t *testing.T, b *Balancer, names ...string) {
+// expectNotEjected checks that none of the named zones is ejected.
+func expectNotEjected(t *testing.T, b *Balancer, names ...string) {
 	t.Helper()
 	for _, name := range names {
 		if b.endpoints.findOrAddZone(name).health.ejected {
@@ -17,8 +17,8 @@
 	}
 }
 
-// Regression: a zone that answered everything with an immediate error drew ever more traffic. It is ejected but for trials,
-// the others are not. When it serves again it recovers by steps and finally has its former share.
+// A zone that responds to everything with an error is ejected and gets trials only, while the other zones stay in use. When it
+// serves again, its share recovers in steps. Regression: the immediate errors attracted more and more traffic to the zone.
 func TestFailingZoneIsEjectedAndRecovers(t *testing.T) {
 	settings := testSettings()
 	settings.Zone = "d"
@@ -37,22 +37,22 @@
 		states[status.Name] = status.State
 	}
 	if states["b"] != ZoneFailed || states["c"] != ZoneHealthy {
-		t.Errorf("states of the zones: %v", states)
+		t.Errorf("states of the zones: %v; want b failed and c healthy", states)
 	}
-	expectInUse(t, b, "near", "c", "d")
+	expectNotEjected(t, b, "near", "c", "d")
 	now, _ = sendReads(b, now, 3000, 1500, healthy)
 	z = b.endpoints.findOrAddZone("b")
 	if z.health.ejected || z.health.recoveredShare < 1 {
-		t.Errorf("30 s after it has recovered: ejected %v, %v of its share", z.health.ejected, z.health.recoveredShare)
+		t.Errorf("30 s after the zone serves again: ejected %v, %v of its share", z.health.ejected, z.health.recoveredShare)
 	}
 	_, after := sendReads(b, now, 5000, 400, healthy)
 	if after["b"] < before["b"]/2 {
-		t.Errorf("%d of 400 attempts before, %d after", before["b"], after["b"])
+		t.Errorf("the zone got %d of 400 requests before it failed, %d after it has recovered", before["b"], after["b"])
 	}
 }
 
-// Where all zones are equally unhealthy the fault may be this balancer's own link, so none is ejected. Nor is a zone without
-// which the others lack capacity, or one with a single unhealthy endpoint.
+// If all zones are equally unhealthy the fault may be in this balancer's network link, so none is ejected. A zone is not
+// ejected either if the others lack the capacity to serve without it, or if it has only a single unhealthy endpoint.
 func TestZonesAreNotEjectedWithoutEvidence(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -75,26 +75,26 @@
 			}
 			b.updateZoneHealth(time.Hour)
 			for _, z := range b.endpoints.zones {
-				expectInUse(t, b, z.name)
+				expectNotEjected(t, b, z.name)
 			}
 		})
 	}
 }
 
-// Several endpoints of one zone that are overdue at once, while the rest responds, count as unresponsive long before each
-// alone would; two of them, or some in all zones, do not.
+// If several endpoints of one zone are overdue at once while the other zones respond, they are ejected long before each one
+// would be alone. This must not happen for only two endpoints, or if endpoints of all zones are late.
 func TestCorrelatedSilenceEjectsZone(t *testing.T) {
 	inZone := func(e *endpoint) bool { return e.Zone == "b" }
 	for _, test := range []struct {
 		name      string
 		overdue   func(e *endpoint) bool
-		firstIdle bool // endpoint 5, the first of zone b, has had no request for long
+		firstIdle bool // endpoint 5, the first of zone b, has had no request for a long time
 		slow      bool // responses take twice the baseline latency
 		want      bool
 	}{
 		{name: "a zone", overdue: inZone, want: true},
-		{name: "all of it that is not idle", overdue: func(e *endpoint) bool { return inZone(e) && e.ID != 5 }, firstIdle: true, want: true},
-		{name: "two of it", overdue: func(e *endpoint) bool { return e.ID == 5 || e.ID == 6 }},
+		{name: "all of a zone except an idle endpoint", overdue: func(e *endpoint) bool { return inZone(e) && e.ID != 5 }, firstIdle: true, want: true},
+		{name: "two endpoints of a zone", overdue: func(e *endpoint) bool { return e.ID == 5 || e.ID == 6 }},
 		{name: "half of every zone", overdue: func(e *endpoint) bool { return e.ID%4 > 1 }},
 		{name: "a zone, while all others are slow", overdue: inZone, slow: true},
 	} {
@@ -116,7 +116,7 @@
 					startRead(b, e, RequestID(i+1), now)
 				}
 			}
-			now += 200 * ms // twice the usual latency; the response timeout of one alone is over 350 ms
+			now += 200 * ms // twice the mean latency; the response timeout of a single endpoint is over 350 ms
 			for _, e := range b.endpoints.known {
 				if !test.overdue(e) && e.outlier.respondedAt > 0 {
 					e.outlier.respondedAt = now
@@ -128,12 +128,13 @@
 			if ejected != test.want {
 				t.Errorf("ejected %v, want %v", ejected, test.want)
 			}
-			expectInUse(t, b, "near", "c", "d")
+			expectNotEjected(t, b, "near", "c", "d")
 		})
 	}
 }
 
-// A balancer that sends a zone little sees two errors of each of its endpoints long before five of any.
+// Errors of several endpoints of a zone are counted together: a balancer that sends little traffic to the zone gets two
+// errors from each endpoint long before it gets five from any.
 func TestErrorsOfAZoneAreCountedTogether(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fourZones(6))
 	now := time.Hour
@@ -152,8 +153,8 @@
 	}
 }
 
-// Two endpoints of four that fail everything at once draw most of a zone's requests. The zone is not ejected for that, since
-// the other two serve in between.
+// Two of four endpoints that fail every request immediately attract most of the requests of their zone. The zone must not be
+// ejected for that, since the other two still serve.
 func TestTwoFailingEndpointsDoNotEjectZone(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fourZones(4))
 	now := time.Hour
@@ -177,14 +178,14 @@
 	}
 }
 
-// zoneHistory is what is known of a zone from the last time that it was checked.
+// zoneHistory is the state of a zone at its last check.
 type zoneHistory struct {
-	share     float64 // recovered
+	share     float64 // recovered share
 	ejected   bool
-	ejectedAt time.Duration // the last time
+	ejectedAt time.Duration // last ejection
 }
 
-// check checks what has become of a zone since the last time.
+// check checks the transition of a zone from its state at the last check.
 func (h *zoneHistory) check(rt *rapid.T, b *Balancer, z *zone, now time.Duration) {
 	rt.Helper()
 	const endpoints = 12
@@ -215,8 +216,8 @@
 	h.ejected = ejected
 }
 
-// Whatever happens to endpoints, no zone goes from ejected to its full share without each step, an ejected one gets one
-// attempt at a time, and those that are not ejected have the capacity to go on.
+// With random results of attempts, an ejected zone gets one attempt at a time, its recovery skips no step, and a zone is
+// ejected only if the others have the capacity to serve without it.
 func TestZoneHealthTransitionsOnRandomEvents(t *testing.T) {
 	names := []string{"near", "b", "c", "d"}
 	rapid.Check(t, func(rt *rapid.T) {
