--- a/balancer/actions_test.go
+++ b/balancer/actions_test.go
@@ -31,10 +31,32 @@
 	flag     bool
 }
 
+// The kinds of events in a random stream.
+const (
+	requestEvent            = "request"
+	attemptResultEvent      = "attempt result"
+	timersEvent             = "timers"
+	endpointUpdateEvent     = "endpoint update"
+	bodySentEvent           = "body sent"
+	streamStartedEvent      = "stream started"
+	clientDisconnectedEvent = "client disconnected"
+	healthCheckResultEvent  = "health check result"
+	fleetSizeEvent          = "fleet size"
+	drainZoneEvent          = "drain zone"
+	reinstateZoneEvent      = "reinstate zone"
+	restartEvent            = "restart"
+	updateFailedEvent       = "update failed"
+)
+
 // eventKinds holds every event of the module, and its restart from a snapshot. Frequent events are listed several times. The
 // order of the list determines the random streams, and with them the hashes in testdata/actions.txt.
-var eventKinds = []string{"request", "request", "request", "request", "outcome", "outcome", "outcome", "outcome", "timers", "timers",
-	"timers", "members", "written", "started", "gone", "probed", "fleet", "leave zone", "return zone", "restart", "list failed"}
+var eventKinds = []string{
+	requestEvent, requestEvent, requestEvent, requestEvent,
+	attemptResultEvent, attemptResultEvent, attemptResultEvent, attemptResultEvent,
+	timersEvent, timersEvent, timersEvent,
+	endpointUpdateEvent, bodySentEvent, streamStartedEvent, clientDisconnectedEvent, healthCheckResultEvent,
+	fleetSizeEvent, drainZoneEvent, reinstateZoneEvent, restartEvent, updateFailedEvent,
+}
 
 // eventSequence generates a part of a random stream.
 var eventSequence = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) streamEvent {
@@ -42,8 +64,8 @@
 		kind:     rapid.SampledFrom(eventKinds).Draw(t, "kind"),
 		after:    time.Duration(rapid.IntRange(0, 40).Draw(t, "after")) * ms,
 		pick:     rapid.IntRange(0, 1000).Draw(t, "pick"),
-		duration: time.Duration(rapid.IntRange(0, 1200).Draw(t, "span")) * ms,
-		fraction: rapid.Float64Range(0, 1).Draw(t, "share"),
+		duration: time.Duration(rapid.IntRange(0, 1200).Draw(t, "duration")) * ms,
+		fraction: rapid.Float64Range(0, 1).Draw(t, "fraction"),
 		flag:     rapid.Bool().Draw(t, "flag"),
 	}
 }), 400, 400)
@@ -108,36 +130,36 @@
 func (s *eventStream) apply(event streamEvent) {
 	s.now += event.after
 	switch event.kind {
-	case "request":
+	case requestEvent:
 		s.sendRequest(event)
-	case "outcome":
+	case attemptResultEvent:
 		s.endAttempt(event)
-	case "timers":
+	case timersEvent:
 		fireDueTimers(s.balancer, &s.timers, s.now)
-	case "members":
+	case endpointUpdateEvent:
 		s.changeEndpoints(event)
-	case "list failed":
+	case updateFailedEvent:
 		s.balancer.OnEndpointUpdate(s.now, UpdateFailed, nil)
-	case "written":
+	case bodySentEvent:
 		if a, ok := s.pickAttempt(event); ok {
 			s.balancer.OnBodySent(s.now, a.id, a.index)
 		}
-	case "started":
+	case streamStartedEvent:
 		if a, ok := s.pickAttempt(event); ok {
 			s.balancer.OnStreamStarted(s.now, a.id, a.index)
 		}
-	case "gone":
+	case clientDisconnectedEvent:
 		s.balancer.OnClientDisconnected(s.now, s.lastID-RequestID(event.pick%5))
-	case "probed":
+	case healthCheckResultEvent:
 		s.endHealthCheck(event)
-	case "fleet":
+	case fleetSizeEvent:
 		size := FleetSize{Balancers: 1 + event.pick%7, Rank: event.pick % 3, MaxBalancers: 1 + event.pick%9}
 		s.balancer.OnFleetSizeChanged(s.now, size)
-	case "leave zone":
+	case drainZoneEvent:
 		s.recordReply("left", s.balancer.DrainZone(s.now, event.zone()))
-	case "return zone":
+	case reinstateZoneEvent:
 		s.recordReply("returned", s.balancer.ReinstateZone(s.now, event.zone()))
-	case "restart":
+	case restartEvent:
 		s.restart(event)
 	default:
 		s.t.Fatalf("unknown event kind %q", event.kind)
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -88,7 +88,7 @@
 	return now-b.blocking.saturatedAt < time.Duration(b.means.latency)
 }
 
-// admit sends r if an endpoint is available, queues it if one may become available in time, and else rejects or fails it.
+// admit sends r if an endpoint is available, queues it if one may be available in time, or else rejects or fails it.
 func (b *Balancer) admit(r *request, now time.Duration) {
 	e, permitted := b.takeTurn(r, now)
 	if e != nil {
--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -33,7 +33,7 @@
 	deadline     time.Duration
 	attempts     []*attempt
 	inFlight     int
-	finished     bool // needs no answer any more
+	finished     bool // it needs no answer any more
 	queued       bool
 	bodyConsumed bool // part of an upload body can't be sent again
 }
@@ -76,7 +76,7 @@
 	}
 }
 
-// OnBodySent records that an upload has been forwarded completely. Its timeout and its attempt's latency count from now.
+// OnBodySent records that an upload has been forwarded completely: its timeout and its execution begin.
 func (b *Balancer) OnBodySent(now time.Duration, id RequestID, index int) {
 	r, a := b.findAttempt(id, index)
 	if a == nil || !a.uploading {
@@ -106,7 +106,7 @@
 	r.queued = false
 	e.attempts = append(e.attempts, a)
 	e.work.period += r.workUnits
-	e.zone.attempts++
+	e.zone.attemptCount++
 	b.blocking.lastAttemptAt = a.sentAt
 }
 
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -28,9 +28,9 @@
 
 // clientTable holds the request classes and tenants of the settings with their statistics, by name.
 type clientTable struct {
-	classes     map[string]*class
-	tenants     map[string]*tenant
-	safestClass Idempotency // the safest kind of idempotency among the classes
+	classes           map[string]*class
+	tenants           map[string]*tenant
+	safestIdempotency Idempotency // of all classes
 }
 
 // trafficMeans holds moving averages over all requests and responses.
@@ -53,9 +53,9 @@
 }
 
 const (
-	tickToken      = 1 // timer of the regular tick
-	discoveryToken = 2 // timer of the next call to discovery
-	noAttempt      = -1
+	tickToken      = 1  // timer of the regular tick
+	discoveryToken = 2  // timer of the next call to discovery
+	noAttempt      = -1 // for finishRequest: no attempt has answered the request
 )
 
 // New returns a Balancer, or an error that wraps ErrSettings and names the invalid setting.
@@ -87,10 +87,10 @@
 }
 
 func newClientTable(settings Settings, now time.Duration) clientTable {
-	t := clientTable{classes: map[string]*class{}, tenants: map[string]*tenant{}, safestClass: NonIdempotent}
+	t := clientTable{classes: map[string]*class{}, tenants: map[string]*tenant{}, safestIdempotency: NonIdempotent}
 	for _, c := range settings.Classes {
 		t.classes[c.Name] = &class{Class: c}
-		t.safestClass = min(t.safestClass, c.Idempotency)
+		t.safestIdempotency = min(t.safestIdempotency, c.Idempotency)
 	}
 	for _, entry := range settings.Tenants {
 		t.tenants[entry.Name] = &tenant{updatedAt: now.Seconds()}
@@ -107,7 +107,7 @@
 	return shortest
 }
 
-// OnFleetSizeChanged sets the number of balancers and adapts quotas and the subset to it. Counters and measurements are kept.
+// OnFleetSizeChanged sets the number of balancers and adapts quotas and the subset. Counters and measurements are kept.
 func (b *Balancer) OnFleetSizeChanged(now time.Duration, size FleetSize) {
 	b.balancers = FleetSize{
 		Balancers:    max(size.Balancers, 1),
--- a/balancer/bands.go
+++ b/balancer/bands.go
@@ -14,14 +14,14 @@
 	minAreaThreshold     = 0.4         // band area up to which an endpoint never counts as saturated
 	areaThresholdRatio   = 1.25        // multiple of the median band area above which an endpoint counts as saturated
 	minExcessUtilization = 0.5         // mean utilization up to which the band gap is not widened
-	minCutFactor         = 0.8         // smallest factor of a cut in one period: load reports lag, so steps are small
+	minCutFactor         = 0.8         // smallest factor of a cut in one period: load reports lag, so the steps are small
 	shareRegrowthFactor  = 1.04        // growth of a share factor in a period without a cut
 	minShareFactor       = 0.1         // lower bound of the share factor
 	smoothingFactor      = 0.1         // weight of a new sample in a moving average
 )
 
-// recordUtilization records a load report as a reading of utilization. A report without utilization is estimated from its
-// requests in progress and queued. At sites without reports the reading is objectiveShare (0: no response).
+// recordUtilization records a load report as a reading of utilization. If the report lacks the utilization, the reading is
+// estimated from its requests in progress and queued. At sites without reports it is objectiveShare (0: no response).
 func (b *Balancer) recordUtilization(e *endpoint, report LoadReport, objectiveShare float64, now time.Duration) {
 	reading := report.Utilization
 	switch {
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -51,7 +51,7 @@
 //	start and end of slow start | slowstart.go | beginSlowStart, expireSlowStart | Obligations.SlowStartWindow (duration) | measurements from before a restart are no longer valid
 //	unresponsive endpoint | outlier.go | responseTimeout, detectUnresponsive, markUnresponsive | timeoutDeviations (mean deviations), trafficMeans.latency (ns), Balancer.tick (duration) | a missing response reveals a fault before the client's timeout
 //	hedge or cancel at an unresponsive endpoint | outlier.go | hedgeOrCancelAttempts | Class.Idempotency (kind), Limits.AllowHedging (flag), Limits.AllowCancel (flag) | requests that wait there may still be answered by another endpoint in time
-//	trials of an endpoint | outlier.go | recordTrial, allowsTrial | backoffGrowthFactor (ratio), outlierState.nextTrialAt (time) | requests of the safest idempotency risk least
+//	trials of an endpoint | outlier.go | recordTrial, allowsTrial | backoffGrowthFactor (ratio), outlierState.nextTrialAt (time) | requests with the safest kind of idempotency risk least
 //	backoff after a failed connection | outlier.go | backOff | outlierState.backoff (duration), Obligations.SlowStartWindow (duration) | the endpoint is down, or its connection table is full
 //	error rate | outlier.go | observeHealth | errorSmoothingFactor (ratio), AttemptResult.Status (kind) | zone health counts endpoints by their errors
 //	subset of endpoints | subset.go | rebuildSubset, subsetSize, chooseSubset | balancersPerEndpoint (balancers), minSubsetEndpoints (endpoints), FleetSize.Balancers (balancers), FleetSize.Rank (index) | too many balancers would exhaust an endpoint's connections
@@ -62,8 +62,8 @@
 //	weight of other zones | locality.go | setLocalityWeights, spareFactor | minLocalityWeight (ratio), maxSpareFactor (ratio), zone.capacity (traffic shares) | spillover goes where there is spare utilization
 //	response from another region in time | locality.go | canAnswerInTime | request.deadline (time), latencyStats.mean (ns) | the round trip is part of every response
 //	spillover by limits | locality.go | recordMissedTurns | endpoint.nextTurn (virtual time) | limits of local endpoints may grow if only they cause spillover
-//	evidence of an endpoint | zonehealth.go | isUnhealthy, isErring, isOverdue, countEndpoint | unhealthyErrorRate (ratio), erringErrorRate (ratio), overdueDeviations (mean deviations), responsiveWithin (duration) | only a zone's own endpoints are evidence against it
-//	correlated failure | zonehealth.go | detectCorrelatedFailure, isMostlySuspect, countErringAsUnhealthy | minCorrelatedEndpoints (endpoints), responsiveRatio (endpoints) | a failure of several endpoints of a zone together shows sooner than that of each one
+//	evidence of an endpoint | zonehealth.go | isUnhealthy, isFailing, isOverdue, countEndpoint | unhealthyErrorRate (ratio), failingErrorRate (ratio), overdueDeviations (mean deviations), responsiveWithin (duration) | only a zone's own endpoints are evidence against it
+//	correlated failure | zonehealth.go | detectCorrelatedFailure, isMostlySuspect, countFailingAsUnhealthy | minCorrelatedEndpoints (endpoints), responsiveRatio (endpoints) | a failure of several endpoints of a zone together shows sooner than that of each one
 //	ejection of a zone | zonehealth.go | updateZoneState, isOutlier, ejectOrDegrade, mayEject, eject | ejectFraction (ratio), minUnhealthyEndpoints (endpoints), zoneOutlierRatio (ratio), minRemainingCapacityRatio (ratio) | the fault must be in the zone, and the other zones must be able to serve its traffic
 //	degraded zone | zonehealth.go | unhealthyFraction, isDegraded | degradedFraction (ratio) | half of its endpoints can serve half of its share
 //	trials of a zone | zonehealth.go | allowsZoneTrial, beginTrial | trialsToRecover (trials), firstTrialTicks (ticks) | one request at a time risks little
@@ -74,7 +74,7 @@
 //
 // # States of a zone
 //
-// A zone is healthy, degraded (half of its endpoints are unhealthy: it gets half of its traffic share), ejected (most of its
-// endpoints are unhealthy: it gets trials only) or recovering (its traffic share grows in steps). Operators can drain a zone:
-// then it gets no new attempts.
+// A zone is healthy, degraded (half of its endpoints are unhealthy: it gets half of its traffic share), ejected (most of
+// its endpoints are unhealthy: it gets trials only) or recovering (its traffic share grows in steps). Operators can drain
+// a zone: then it gets no new attempts.
 package balancer
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -80,7 +80,7 @@
 	ceiling      float64       // upper bound of current in this period
 	reducedAt    time.Duration // last reduction
 	pausedUntil  time.Duration
-	missedTurnAt time.Duration // last time that a remote endpoint got this local endpoint's turn because of its limit
+	missedTurnAt time.Duration // last time that this local endpoint lost a turn to another zone because of its limit
 }
 
 // slowStart is the slow-start state of an endpoint.
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,7 +7,7 @@
 	"sprucehill/balancer"
 )
 
-// proxy carries out the decisions of the balancer. The embedded interface provides the methods that the example does not use.
+// proxy carries out the decisions of the balancer. It embeds Effects for the methods that the example does not use.
 type proxy struct{ balancer.Effects }
 
 func (proxy) Send(id balancer.RequestID, endpoint balancer.EndpointID, _ time.Duration) {
--- a/balancer/limit.go
+++ b/balancer/limit.go
@@ -10,7 +10,7 @@
 const (
 	initialFleetLimitAttempts = 8.0   // initial limit
 	minFleetLimitAttempts     = 0.25  // minimum; a limit below 1 means pauses, in which a saturated endpoint can recover
-	limitReductionFactor      = 0.8   // reduction of a limit after a saturated response
+	limitReductionFactor      = 0.8   // factor of a limit after a saturated response
 	limitGrowthAttempts       = 0.5   // growth of a limit after a response of an endpoint with headroom
 	fullUtilizationRatio      = 0.8   // mean utilization from which an endpoint has no headroom
 	saturatedLatencyRatio     = 1.6   // multiple of the baseline latency above which an endpoint is saturated or slow
@@ -18,7 +18,7 @@
 	baselineSmoothingFactor   = 0.005 // weight of a new sample when the baseline latency drifts up
 	minWorkUnits              = 0.5   // lower bound of a response's work in mean requests: each has a fixed cost
 
-	rejectionReductionFactor = limitReductionFactor * limitReductionFactor // reduction after a rejection or a timeout
+	rejectionReductionFactor = limitReductionFactor * limitReductionFactor // factor of a limit after a rejection or a timeout
 )
 
 // hasHeadroom reports whether the readings show spare utilization. It is false without readings.
--- a/balancer/limit_test.go
+++ b/balancer/limit_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// Regression: a balancer that started while an endpoint was saturated took the latency of its slow responses as the baseline.
+// Regression: a balancer that started while an endpoint was saturated took the latency of slow responses as the baseline.
 func TestEndpointSaturatedFromTheStartIsJudgedByFleetBaseline(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), fleet(8))
 	for _, e := range b.endpoints.known {
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -5,14 +5,14 @@
 // Utilization, traffic shares and locality weights are ratios.
 const (
 	minLocalitySubsetEndpoints = 8    // smallest subset with locality-aware routing
-	maxLocalShare              = 0.92 // share of the traffic that stays in a zone or region: the rest measures the others
+	maxLocalShare              = 0.92 // upper bound of the share that stays in a zone or region: the rest measures other zones
 	utilizationMarginFactor    = 1.05 // multiple of the fleet's utilization that a zone may have without spillover
 	utilizationNoise           = 0.02 // utilization that is tolerated beyond that multiple
 	maxLocalUtilization        = 0.7  // utilization above which the local share always shrinks
 	localShareGainRatio        = 0.5  // change of the local share per period and unit of excess utilization
 	maxLocalShareStep          = 0.05 // largest change of the local share in a period
 	minLocalityWeight          = 1e-3 // lower bound of a locality weight: every zone gets some traffic
-	maxSpareFactor             = 2    // bound of spareFactor and its inverse
+	maxSpareFactor             = 2    // largest factor by which spare utilization raises or lowers a locality weight
 )
 
 // updateLocality adjusts the shares of the traffic that stay in the zone and in the region to the utilization there and
@@ -24,7 +24,7 @@
 	all := b.endpoints.summarize(func(*zone) bool { return true })
 	region := b.endpoints.summarize(func(z *zone) bool { return z.region == home.region })
 	if home.capacity == 0 || home.capacity == all.capacity || b.locality.disabled {
-		b.endLocality()
+		b.turnOffLocality()
 		return
 	}
 	b.adjustLocalShares(region, all)
@@ -110,8 +110,8 @@
 	return r.deadline-now >= time.Duration(e.latency.perUnit()*r.workUnits)
 }
 
-// recordMissedTurns marks the local endpoints that were due before best, if best is remote. Only their concurrency limits
-// have caused the spillover, so these limits may grow.
+// recordMissedTurns marks the local endpoints that were due before best, if best is in another zone. Only their concurrency
+// limits have caused the spillover, so these limits may grow.
 func (b *Balancer) recordMissedTurns(best *endpoint, now time.Duration) {
 	if b.locality.localShare == 0 || best.Zone == b.settings.Zone {
 		return
@@ -124,6 +124,6 @@
 		}
 	}
 	if missed {
-		best.zone.spilled++
+		best.zone.spilledCount++
 	}
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -68,10 +68,10 @@
 	}
 }
 
-// allowsTrial reports whether r may be a trial of an unresponsive endpoint. Requests of the safest idempotency are allowed
-// first, others one backoff later.
+// allowsTrial reports whether r may be a trial of an unresponsive endpoint. Requests with the safest kind of idempotency are
+// allowed first, others one backoff later.
 func (b *Balancer) allowsTrial(e *endpoint, r *request, now time.Duration) bool {
-	if r.class.Idempotency == b.clients.safestClass {
+	if r.class.Idempotency == b.clients.safestIdempotency {
 		return now >= e.outlier.nextTrialAt
 	}
 	return now >= e.outlier.nextTrialAt+e.outlier.backoff
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -10,7 +10,7 @@
 	maxBlocked        = 2 * time.Second // time without an attempt before an endpoint in backoff gets one
 )
 
-// trafficShare returns an endpoint's share of the traffic. The shares do not add up to 1.
+// trafficShare returns an endpoint's share of the traffic, relative to those of the other endpoints.
 func (b *Balancer) trafficShare(e *endpoint, now time.Duration) float64 {
 	return e.weight * e.shareFactor * b.slowStartCapacity(e, now) * e.zone.shareFactor()
 }
@@ -27,7 +27,7 @@
 }
 
 // chooseEndpoint returns the eligible endpoint whose turn is due first, or the last resort if there is none. It does not
-// charge the turn. shares is the sum of all traffic shares.
+// charge the turn. shares is the sum of all traffic shares. permitted is the same as for takeTurn.
 func (b *Balancer) chooseEndpoint(r *request, now time.Duration) (best *endpoint, shares float64, permitted bool) {
 	best, shares, permitted = b.firstDue(r, now)
 	if best == nil && permitted {
@@ -37,7 +37,7 @@
 	return best, shares, permitted
 }
 
-// firstDue returns the eligible endpoint whose turn is due first, and the sum of all traffic shares.
+// firstDue returns the eligible endpoint whose turn is due first. The other results are those of chooseEndpoint.
 func (b *Balancer) firstDue(r *request, now time.Duration) (best *endpoint, shares float64, permitted bool) {
 	for e := range b.endpoints.inUse() {
 		b.expireSlowStart(e, now)
@@ -81,11 +81,11 @@
 }
 
 // lastResort returns the endpoint whose trial is due first, once no endpoint has been available for maxBlocked, or nil.
-// Without it there would be no attempt while every endpoint is in backoff. Requests of the safest idempotency are allowed
-// first, others half of maxBlocked later.
+// Without it there would be no attempt while every endpoint is in backoff. Requests with the safest kind of idempotency are
+// allowed first, others half of maxBlocked later.
 func (b *Balancer) lastResort(r *request, now time.Duration) (best *endpoint) {
 	wait := maxBlocked
-	if r.class.Idempotency != b.clients.safestClass {
+	if r.class.Idempotency != b.clients.safestIdempotency {
 		wait += maxBlocked / 2
 	}
 	if b.blocking.blockedFor(now) < wait {
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -64,7 +64,7 @@
 }
 
 // attemptTimeout returns the timeout of an attempt of r at e; 0 means the client's timeout. A trial of a request that may be
-// repeated gets the response timeout, which leaves time for another attempt. For others it is better to wait on.
+// repeated gets the response timeout, which leaves time for another attempt. Otherwise waiting has priority over retrying.
 func (b *Balancer) attemptTimeout(r *request, e *endpoint) time.Duration {
 	if !e.isOnTrial() || r.class.Idempotency == NonIdempotent || r.Upload {
 		return 0
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -56,8 +56,8 @@
 	PollInterval     time.Duration // longest time between two polls of discovery
 	SlowStartFrom    float64       // minimum fraction of its capacity that an endpoint has when it starts
 	SlowStartWindow  time.Duration // time after its start until an endpoint has its full capacity
-	OverloadMultiple float64       // a warming endpoint fails if it gets more than this multiple of its current capacity
-	OverloadWindow   time.Duration // for this long
+	OverloadMultiple float64       // multiple of its current capacity above which a warming endpoint is overloaded
+	OverloadWindow   time.Duration // duration of an overload after which a warming endpoint fails
 	DrainGrace       time.Duration // time after which a draining endpoint must get no attempt
 	AnswerSlack      time.Duration // by how much a final answer may miss its deadline
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// sendToWarmingEndpoint sends the traffic of 1.5 s through a new balancer, with a warming endpoint as the only one available,
-// and returns the number of attempts.
+// sendToWarmingEndpoint sends the traffic of 1.5 s through a new balancer, for which only a warming endpoint is available.
+// It returns the number of attempts.
 func sendToWarmingEndpoint(t *testing.T, settings Settings, warmRate float64) int {
 	t.Helper()
 	effects := &recorder{}
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -108,8 +108,9 @@
 }
 
 // Restore restores a snapshot of an earlier Balancer; the older it is, the less weight its measurements have. It must be
-// called after the first OnEndpointUpdate and before the first OnRequest. Endpoints that are no longer listed are ignored. If
-// the snapshot is too old, or its age is negative because a clock was set back, only drained zones and slow starts are restored.
+// called after the first OnEndpointUpdate and before the first OnRequest. Endpoints that are no longer listed are ignored.
+// Only drained zones and slow starts are restored from a snapshot that is older than snapshotLifetime, or has a negative age
+// because a clock was set back.
 func (b *Balancer) Restore(now time.Duration, snapshot Snapshot) {
 	recent := confidence(now-snapshot.TakenAt) > 0
 	if recent && isFiniteNonNegative(snapshot.Latency) && snapshot.Latency > 0 {
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -65,8 +65,8 @@
 		Listed:      z.listed,
 		Unhealthy:   z.health.unhealthy,
 		Utilization: -1,
-		Attempts:    z.attempts,
-		Spilled:     z.spilled,
+		Attempts:    z.attemptCount,
+		Spilled:     z.spilledCount,
 	}
 	if z.measuredCapacity > 0 {
 		status.Utilization = z.meanUtilization()
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -26,8 +26,8 @@
 
 // subsetSize returns how many of the active endpoints each balancer uses.
 func subsetSize(active, balancers float64) float64 {
-	fair := math.Ceil(active * balancersPerEndpoint / max(balancersPerEndpoint, balancers-balancersPerEndpoint))
-	return max(1, min(active, max(minSubsetEndpoints, fair)))
+	evenSize := math.Ceil(active * balancersPerEndpoint / max(balancersPerEndpoint, balancers-balancersPerEndpoint))
+	return max(1, min(active, max(minSubsetEndpoints, evenSize)))
 }
 
 // adaptToSubsetSize sets whether locality is disabled and the initial limit, from the numbers of active and used endpoints.
--- a/balancer/validate.go
+++ b/balancer/validate.go
@@ -17,8 +17,8 @@
 // isFiniteNonNegative reports whether x is finite and not negative.
 func isFiniteNonNegative(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
 
-// Validate returns an error that wraps ErrSettings for the first setting that is missing or out of range. The error names the
-// setting by its key in the site's configuration and by its field in Settings.
+// Validate returns an error that wraps ErrSettings for the first setting that is missing or out of range. The error names
+// the setting by its key in the site's configuration and by its field in Settings.
 func (s Settings) Validate() error {
 	if err := s.validateRanges(); err != nil {
 		return err
@@ -45,8 +45,9 @@
 
 // validateRanges checks all settings except those of the classes and tenants.
 func (s Settings) validateRanges() error {
-	o := s.Obligations
-	validPollInterval := o.PollInterval > 0 || (o.PollInterval == 0 && !s.PollDiscovery)
+	obligations := s.Obligations
+	validPollInterval := obligations.PollInterval > 0 || (obligations.PollInterval == 0 && !s.PollDiscovery)
+	validOverloadMultiple := isFiniteNonNegative(obligations.OverloadMultiple) && obligations.OverloadMultiple > 0
 	for _, setting := range []struct {
 		name  string
 		valid bool
@@ -60,13 +61,13 @@
 		{"reporting.via (Reports)", s.Reports <= ReportInHealthChecks},
 		{"limits.max_attempts (Limits.MaxAttempts)", s.Limits.MaxAttempts >= 1},
 		{"limits.max_retry_after_us (Limits.MaxRetryAfter)", s.Limits.MaxRetryAfter >= 0},
-		{"obligations.tip_after_us (Obligations.OverloadWindow)", o.OverloadWindow > 0},
-		{"obligations.ramp_time_us (Obligations.SlowStartWindow)", o.SlowStartWindow > 0},
-		{"obligations.tip_multiple (Obligations.OverloadMultiple)", isFiniteNonNegative(o.OverloadMultiple) && o.OverloadMultiple > 0},
-		{"obligations.cold_from (Obligations.SlowStartFrom)", o.SlowStartFrom > 0 && o.SlowStartFrom <= 1},
+		{"obligations.tip_after_us (Obligations.OverloadWindow)", obligations.OverloadWindow > 0},
+		{"obligations.ramp_time_us (Obligations.SlowStartWindow)", obligations.SlowStartWindow > 0},
+		{"obligations.tip_multiple (Obligations.OverloadMultiple)", validOverloadMultiple},
+		{"obligations.cold_from (Obligations.SlowStartFrom)", obligations.SlowStartFrom > 0 && obligations.SlowStartFrom <= 1},
 		{"obligations.ask_within_us (Obligations.PollInterval)", validPollInterval},
-		{"obligations.drain_grace_us (Obligations.DrainGrace)", o.DrainGrace >= 0},
-		{"obligations.answer_slack_us (Obligations.AnswerSlack)", o.AnswerSlack >= 0},
+		{"obligations.drain_grace_us (Obligations.DrainGrace)", obligations.DrainGrace >= 0},
+		{"obligations.answer_slack_us (Obligations.AnswerSlack)", obligations.AnswerSlack >= 0},
 	} {
 		if !setting.valid {
 			return settingsError("%s is missing or out of range", setting.name)
@@ -82,7 +83,8 @@
 		return settingsError("profiles: class %q: worth (PriorityWeight) and late_worth (LatePriorityFactor) must be finite "+
 			"and not negative, got %v and %v", c.Name, c.PriorityWeight, c.LatePriorityFactor)
 	case c.LatencyObjective <= 0:
-		return settingsError("profiles: class %q: target_us (LatencyObjective) must be positive, got %v", c.Name, c.LatencyObjective)
+		return settingsError("profiles: class %q: target_us (LatencyObjective) must be positive, got %v",
+			c.Name, c.LatencyObjective)
 	case c.Deadline < c.LatencyObjective:
 		return settingsError("profiles: class %q: give_up_us (Deadline) is %v, must be at least target_us (LatencyObjective), %v",
 			c.Name, c.Deadline, c.LatencyObjective)
--- a/balancer/zone.go
+++ b/balancer/zone.go
@@ -17,8 +17,8 @@
 	measuredCapacity float64 // capacity of the endpoints with readings
 	drained          bool    // by operators: it gets no new attempts
 	health           zoneHealth
-	attempts         int // since the start
-	spilled          int // attempts that spilled over from the local zone only because of its concurrency limits
+	attemptCount     int // since the start
+	spilledCount     int // attempts that spilled over from the local zone only because of its concurrency limits
 }
 
 // zoneHealth is the health state of a zone, with the evidence from its endpoints in the subset, its members.
@@ -33,7 +33,7 @@
 	responsive     int // other members that have responded recently or have an attempt in flight
 	overdue        int // other members with an overdue response
 	slow           int // responsive members whose latency is far above its baseline
-	erring         int // members that have failed since the last successful response in the zone
+	failing        int // members that have failed since the last successful response in the zone
 	succeededAt    time.Duration
 	trialSuccesses int // consecutive
 	trial          *attempt
@@ -48,7 +48,7 @@
 	h.responsive = 0
 	h.overdue = 0
 	h.slow = 0
-	h.erring = 0
+	h.failing = 0
 }
 
 // beginRecovery ends the ejection of a zone with the first step of its traffic share.
@@ -101,8 +101,8 @@
 // shareFactor returns the factor of the traffic shares of the zone's endpoints.
 func (z *zone) shareFactor() float64 { return z.localityWeight * z.health.recoveredShare }
 
-// endLocality turns locality-aware routing off: all zones get the same locality weight.
-func (b *Balancer) endLocality() {
+// turnOffLocality gives all zones the same locality weight.
+func (b *Balancer) turnOffLocality() {
 	b.locality.localShare = 0
 	for _, z := range b.endpoints.zones {
 		z.localityWeight = 1
@@ -172,7 +172,7 @@
 	return count
 }
 
-// countEvidence recounts the evidence of all members for their zones, and returns the number and total weight of the members.
+// countEvidence recounts the evidence from all members of all zones, and returns their number and total weight.
 func (b *Balancer) countEvidence(now time.Duration) (members int, totalWeight float64) {
 	for _, z := range b.endpoints.zones {
 		z.health.resetEvidence()
@@ -201,7 +201,7 @@
 	b.detectCorrelatedFailure(now)
 	unhealthy := 0
 	for _, z := range b.endpoints.zones {
-		z.health.countErringAsUnhealthy()
+		z.health.countFailingAsUnhealthy()
 		unhealthy += z.health.unhealthy
 	}
 	changed := false
@@ -217,7 +217,8 @@
 	}
 }
 
-// countLate counts the late members (unhealthy, overdue or slow) and the responsive ones, in zones with any responsive member.
+// countLate counts the late members (unhealthy, overdue or slow) and the responsive ones. Zones without any responsive
+// member are left out.
 func (s *endpointSet) countLate() (late, responsive int) {
 	for _, z := range s.zones {
 		if z.health.responsive > 0 {
--- a/balancer/zonehealth.go
+++ b/balancer/zonehealth.go
@@ -10,13 +10,13 @@
 	degradedFraction          = 0.5            // unhealthy fraction that degrades a zone, and the share that it then keeps
 	ejectFraction             = 0.75           // unhealthy fraction from which a zone is ejected
 	minUnhealthyEndpoints     = 2              // minimum of unhealthy endpoints in a degraded or ejected zone
-	zoneOutlierRatio          = 3              // minimum ratio of a zone's unhealthy fraction to that of the other zones
+	zoneOutlierRatio          = 3              // minimum ratio of the unhealthy fraction of a zone at fault to that elsewhere
 	minRemainingCapacityRatio = 0.4            // part of the total weight that must remain when a zone is ejected
 	unhealthyErrorRate        = 0.5            // error rate from which an endpoint is unhealthy
-	erringErrorRate           = 0.3            // error rate from which an endpoint is erring, after two consecutive errors
+	failingErrorRate          = 0.3            // error rate from which an endpoint is failing; two consecutive errors reach it
 	overdueDeviations         = 2.0            // mean deviations above the mean latency after which a response is overdue
 	minCorrelatedEndpoints    = 3              // minimum of endpoints that fail together in a correlated failure
-	responsiveRatio           = 8              // minimum ratio of responsive to late endpoints in the other zones
+	responsiveRatio           = 8              // minimum ratio of responsive to late endpoints elsewhere if a zone is at fault
 	responsiveWithin          = 2 * bandPeriod // maximum time since the last response of a responsive endpoint
 	trialsToRecover           = 3              // consecutive successful trials that end an ejection
 	firstTrialTicks           = 2              // ticks between the first two trials
@@ -30,14 +30,14 @@
 	return e.outlier.unresponsive || now < e.outlier.unreachableUntil || e.outlier.errorRate >= unhealthyErrorRate
 }
 
-// isErring reports whether e has failed repeatedly, and since the last successful response in its zone. Several erring
+// isFailing reports whether e has failed repeatedly, and since the last successful response in its zone. Several failing
 // endpoints of a zone count as unhealthy, because with little traffic it takes too long to reach unhealthyErrorRate.
-func (e *endpoint) isErring() bool {
-	return e.outlier.failedAt > e.zone.health.succeededAt && e.outlier.errorRate >= erringErrorRate
+func (e *endpoint) isFailing() bool {
+	return e.outlier.failedAt > e.zone.health.succeededAt && e.outlier.errorRate >= failingErrorRate
 }
 
 // isOverdue reports whether e has not responded for well over its mean latency. A single endpoint may be overdue by chance,
-// several of a zone at once are not. An endpoint that has been slow for a while is saturated, not overdue.
+// but not several of a zone at once. An endpoint that has been slow for a while is saturated, not overdue.
 func (b *Balancer) isOverdue(e *endpoint, now time.Duration) bool {
 	oldest := e.oldestAttempt()
 	if oldest == nil || e.latency.mean == 0 || e.latency.isSlow() {
@@ -51,8 +51,8 @@
 func (b *Balancer) countEndpoint(e *endpoint, now time.Duration) {
 	health := &e.zone.health
 	health.members++
-	if e.isErring() {
-		health.erring++
+	if e.isFailing() {
+		health.failing++
 	}
 	switch {
 	case e.isUnhealthy(now):
@@ -88,16 +88,16 @@
 	}
 }
 
-// isMostlySuspect reports whether a number of suspects, unhealthy or overdue endpoints, are most of a zone.
+// isMostlySuspect reports whether the suspects, a number of unhealthy or overdue endpoints, are most of a zone.
 func (h *zoneHealth) isMostlySuspect(suspects int) bool {
 	minSuspects := ejectFraction * float64(suspects+h.responsive)
 	return suspects >= minCorrelatedEndpoints && 2*suspects >= h.members && float64(suspects) >= minSuspects
 }
 
-// countErringAsUnhealthy counts the erring endpoints as unhealthy if there are at least minCorrelatedEndpoints.
-func (h *zoneHealth) countErringAsUnhealthy() {
-	if h.erring >= minCorrelatedEndpoints {
-		h.unhealthy = max(h.unhealthy, h.erring)
+// countFailingAsUnhealthy counts the failing endpoints as unhealthy if there are at least minCorrelatedEndpoints.
+func (h *zoneHealth) countFailingAsUnhealthy() {
+	if h.failing >= minCorrelatedEndpoints {
+		h.unhealthy = max(h.unhealthy, h.failing)
 		h.responsive = min(h.responsive, h.members-h.unhealthy)
 	}
 }
@@ -224,11 +224,11 @@
 	}
 }
 
-// allowsZoneTrial reports whether r may be a trial of an ejected zone. Trials are sent one at a time and are requests of the
-// safest idempotency, which may be retried elsewhere after a failure.
+// allowsZoneTrial reports whether r may be a trial of an ejected zone. Trials are sent one at a time. Only requests with the
+// safest kind of idempotency are allowed, because they may be retried elsewhere after a failure.
 func (b *Balancer) allowsZoneTrial(z *zone, r *request, now time.Duration) bool {
 	ended := z.health.trial == nil || z.health.trial.ended
-	return ended && now >= z.health.nextTrialAt && r.class.Idempotency == b.clients.safestClass
+	return ended && now >= z.health.nextTrialAt && r.class.Idempotency == b.clients.safestIdempotency
 }
 
 // beginTrial records a trial of an ejected zone. The next one is due after a backoff, or at once while trials succeed.
--- a/balancer/zonehealth_test.go
+++ b/balancer/zonehealth_test.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// A zone that responds to everything with an error is ejected and gets trials only, while the other zones stay in use. When it
-// serves again, its share recovers in steps. Regression: the immediate errors attracted more and more traffic to the zone.
+// A zone that responds to everything with an error is ejected and gets trials only, while the other zones stay in use. When
+// it serves again, its share recovers in steps. Regression: the immediate errors attracted more and more traffic.
 func TestFailingZoneIsEjectedAndRecovers(t *testing.T) {
 	settings := testSettings()
 	settings.Zone = "d"
