--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -36,7 +36,7 @@
 	b.OnStreamStarted(time.Hour+time.Second, 77, 0)
 	b.OnAttemptResult(time.Hour+time.Second, AttemptResult{ID: 4, Attempt: -1})
 	if effects.count("refuse id=4") != 1 || effects.count("send") != 0 {
-		t.Errorf("after all endpoints were removed: %v", effects.calls)
+		t.Errorf("after all endpoints were removed: %v; want request 4 rejected and nothing sent", effects.calls)
 	}
 }
 
@@ -53,7 +53,7 @@
 		}
 	}
 	if strings.Join(order, " ") != "id=3 id=2 id=1" {
-		t.Errorf("sent in order %v", order)
+		t.Errorf("sent in order %v, want requests 3, 2, 1", order)
 	}
 }
 
@@ -108,7 +108,7 @@
 			b.OnRequest(now, Request{ID: 2, Class: "write", Timeout: test.timeout})
 			sent, rejected := effects.count("send id=2"), effects.count("refuse id=2")
 			if (sent == 1) != test.wantSent || sent+rejected != 1 {
-				t.Errorf("sent %d times, rejected %d times: %v", sent, rejected, effects.last())
+				t.Errorf("sent %d times, rejected %d times, want sent: %v; last effect %v", sent, rejected, test.wantSent, effects.last())
 			}
 		})
 	}
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -89,7 +89,7 @@
 		}
 	}
 	if effects.count("send") < 300 || effects.count("timer") > 401 {
-		t.Errorf("%d sends of 400, %d timers", effects.count("send"), effects.count("timer"))
+		t.Errorf("%d sends of 400, want 300 at least; %d timers, want 401 at most", effects.count("send"), effects.count("timer"))
 	}
 }
 
@@ -145,7 +145,8 @@
 	}
 	b.OnTimer(now+2*time.Second, tickToken)
 	if len(b.requests)+len(b.queue) > 0 || len(b.endpoints.known) != 4 || len(b.endpoints.byID) != 4 {
-		t.Errorf("%d requests, %d of them queued, and %d endpoints remain", len(b.requests), len(b.queue), len(b.endpoints.known))
+		t.Errorf("%d requests, %d queued ones and %d endpoints remain, want 0, 0 and 4",
+			len(b.requests), len(b.queue), len(b.endpoints.known))
 	}
 }
 
--- a/balancer/bands_test.go
+++ b/balancer/bands_test.go
@@ -48,7 +48,7 @@
 	first := pinned.shareFactor
 	runPinned(40)
 	if first >= 1 || first < minCutFactor*minCutFactor {
-		t.Errorf("share factor %v after two periods at full load", first)
+		t.Errorf("share factor %v after two periods at full load, want %v at least and less than 1", first, minCutFactor*minCutFactor)
 	}
 	if pinned.shareFactor != minShareFactor || other.shareFactor != 1 {
 		t.Errorf("share factor %v after 42 periods at full load, %v of another endpoint; want %v, 1",
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -71,7 +71,7 @@
 		b, effects := newTestBalancer(t, settings, fleet(1))
 		longest := longestDiscoveryWait(b, effects, 100)
 		if longest < test.maxWait/4 || longest > test.maxWait {
-			t.Errorf("%+v: waits of up to %v", test, longest)
+			t.Errorf("%+v: waits of up to %v, want %v to %v", test, longest, test.maxWait/4, test.maxWait)
 		}
 	}
 }
--- a/balancer/limit_test.go
+++ b/balancer/limit_test.go
@@ -26,7 +26,7 @@
 		serve(RequestID(i+100), 290*ms)
 	}
 	if e.limit.current > healthy/4 {
-		t.Errorf("limit %v after slow responses, %v before", e.limit.current, healthy)
+		t.Errorf("limit %v after slow responses, want a quarter of %v at most", e.limit.current, healthy)
 	}
 	e.limit.pausedUntil = now
 	serve(500, 80*ms)
@@ -64,7 +64,8 @@
 	b.closePeriod(time.Hour + bandPeriod)
 	observeWrite(b, e, OK, 200*ms, time.Hour+2*bandPeriod)
 	if e.limit.current >= b.endpoints.initialLimit {
-		t.Errorf("limit %v after a response three times as slow as the fleet's baseline", e.limit.current)
+		t.Errorf("limit %v after a response three times as slow as the fleet's baseline, want less than %v",
+			e.limit.current, b.endpoints.initialLimit)
 	}
 }
 
@@ -112,7 +113,7 @@
 		before := e.limit.current
 		observeWrite(b, e, OK, 50*ms, time.Hour)
 		if (e.limit.current > before) != test.wantGrowth {
-			t.Errorf("utilization %v: limit %v, then %v", test.utilization, before, e.limit.current)
+			t.Errorf("utilization %v: limit %v, then %v; want growth: %v", test.utilization, before, e.limit.current, test.wantGrowth)
 		}
 	}
 }
@@ -197,7 +198,7 @@
 			e.latency.baseline = float64(test.baseline)
 			observeWrite(b, e, OK, test.latency, 2*time.Hour)
 			if (e.limit.current < b.endpoints.initialLimit) != test.wantReduced {
-				t.Errorf("limit %v, initially %v", e.limit.current, b.endpoints.initialLimit)
+				t.Errorf("limit %v, initially %v; want a reduction: %v", e.limit.current, b.endpoints.initialLimit, test.wantReduced)
 			}
 		})
 	}
@@ -252,11 +253,11 @@
 	now := 2 * time.Hour // the endpoint has been idle for a long time
 	endAttempt(now)
 	if e.limit.pausedUntil > now+100*ms {
-		t.Errorf("paused for %v after one attempt", e.limit.pausedUntil-now)
+		t.Errorf("paused for %v after one attempt, want 100ms at most", e.limit.pausedUntil-now)
 	}
 	endAttempt(now + 100*ms)
 	if e.limit.pausedUntil < now+500*ms {
-		t.Errorf("paused for %v after two attempts in a row", e.limit.pausedUntil-now)
+		t.Errorf("paused for %v after two consecutive attempts, want 500ms at least", e.limit.pausedUntil-now)
 	}
 }
 
--- a/balancer/locality_test.go
+++ b/balancer/locality_test.go
@@ -26,7 +26,7 @@
 	now := runPeriods(b, time.Hour, 30, map[string]float64{"near": 0.3, "b": 0.3, "c": 0.3, "d": 0.3})
 	local := shareByZone(t, b, now, 1000)["near"]
 	if local < 0.85 || local > 0.95 {
-		t.Errorf("%.2f of the traffic stays local", local)
+		t.Errorf("%.2f of the traffic stays local, want 0.85 to 0.95", local)
 	}
 }
 
@@ -41,7 +41,8 @@
 	for range 30 {
 		now = runPeriods(b, now, 1, saturated)
 		if before-b.locality.localShare > maxLocalShareStep+tolerance {
-			t.Fatalf("local share %.2f, a period later %.2f", before, b.locality.localShare)
+			t.Fatalf("local share %.2f, a period later %.2f; want a step of %v at most",
+				before, b.locality.localShare, maxLocalShareStep)
 		}
 		before = b.locality.localShare
 	}
@@ -52,7 +53,7 @@
 	now = runPeriods(b, now, 30, idle)
 	local = shareByZone(t, b, now, 1000)["near"]
 	if local < 0.85 {
-		t.Errorf("only %.2f of the traffic is local again", local)
+		t.Errorf("%.2f of the traffic is local again, want 0.85 at least", local)
 	}
 }
 
@@ -62,7 +63,7 @@
 	now := runPeriods(b, time.Hour, 40, map[string]float64{"near": 0.95, "b": 0.95})
 	local := shareByZone(t, b, now, 1000)["near"]
 	if math.Abs(local-0.5) > 0.05 {
-		t.Errorf("%.2f of the traffic stays local in a saturated fleet", local)
+		t.Errorf("%.2f of the traffic stays local in a saturated fleet, want the even share of 0.5", local)
 	}
 }
 
@@ -75,7 +76,8 @@
 	now := runPeriods(b, time.Hour, 30, map[string]float64{"west/1": 0.65, "west/2": 0.35, "east/1": 0.45})
 	shares := shareByZone(t, b, now, 2000)
 	if shares["west/2"] < 2*shares["east/1"] || shares["east/1"] == 0 || shares["east/1"] > 0.12 {
-		t.Errorf("with a saturated local zone the traffic goes to %v", shares)
+		t.Errorf("with a saturated local zone the traffic goes to %v, want west/2 to get twice as much as east/1 and east/1 to get some",
+			shares)
 	}
 }
 
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -13,7 +13,7 @@
 	serveRequest(t, b, time.Hour, 2)
 	timeout := b.responseTimeout(b.endpoints.known[0], 1)
 	if timeout < 150*ms {
-		t.Errorf("response timeout %v after a response in 50ms", timeout)
+		t.Errorf("response timeout %v after a response in 50ms, want 150ms at least", timeout)
 	}
 }
 
@@ -29,7 +29,7 @@
 	}
 	timeout := b.responseTimeout(e, 1)
 	if timeout < 200*ms {
-		t.Errorf("response timeout %v, though most responses take about 100ms", timeout)
+		t.Errorf("response timeout %v, though most responses take about 100ms; want 200ms at least", timeout)
 	}
 }
 
@@ -43,7 +43,8 @@
 	now := time.Hour + b.responseTimeout(e, 1) + 20*ms
 	b.OnTimer(now, tickToken)
 	if !e.outlier.unresponsive || effects.count("cancel id=100") != 1 {
-		t.Fatalf("unresponsive %v; last effects %v", e.outlier.unresponsive, effects.calls[len(effects.calls)-4:])
+		t.Fatalf("unresponsive %v, want true and one cancelled attempt; last effects %v",
+			e.outlier.unresponsive, effects.calls[len(effects.calls)-4:])
 	}
 	b.OnAttemptResult(now, AttemptResult{ID: 100, Endpoint: e.ID, Latency: 400 * ms, Status: Cancelled})
 	r := b.requests[100]
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -32,6 +32,6 @@
 		}
 	}
 	if len(even) != 10 || len(quarter) < 9 {
-		t.Errorf("it took %d of 20 and %d of 40 turns", len(even), len(quarter))
+		t.Errorf("it took %d of 20 turns, want 10; %d of 40 turns, want 9 at least", len(even), len(quarter))
 	}
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -26,7 +26,7 @@
 			b, _ := newTestBalancer(t, settings, fleet(test.endpoints))
 			size := len(b.endpoints.tracked)
 			if size < test.minSize || size > test.maxSize {
-				t.Fatalf("%+v: a balancer uses %d endpoints", test, size)
+				t.Fatalf("%+v: a balancer uses %d endpoints, want %d to %d", test, size, test.minSize, test.maxSize)
 			}
 			for _, e := range b.endpoints.tracked {
 				users[e.ID]++
@@ -62,14 +62,14 @@
 		fresh, _ := newTestBalancer(t, settings, fleet(40))
 		for i, e := range b.endpoints.known {
 			if e.inSubset != fresh.endpoints.known[i].inSubset {
-				t.Errorf("%+v: endpoint %d in the subset: %v", size, e.ID, e.inSubset)
+				t.Errorf("%+v: endpoint %d in the subset: %v, want %v", size, e.ID, e.inSubset, !e.inSubset)
 			}
 		}
 		maxBalancers := float64(max(size.MaxBalancers, 1))
 		for _, tenant := range settings.Tenants {
 			rate, want := b.clients.tenants[tenant.Name].rate, tenant.Quota/maxBalancers
 			if rate != want {
-				t.Errorf("%+v: tenant %s has %v requests a second, want %v", size, tenant.Name, rate, want)
+				t.Errorf("%+v: tenant %s has %v requests per second, want %v", size, tenant.Name, rate, want)
 			}
 		}
 		want := fresh.endpoints.initialLimit * float64(settings.Balancers) / maxBalancers
--- a/balancer/zonehealth_test.go
+++ b/balancer/zonehealth_test.go
@@ -30,7 +30,7 @@
 	now, during := sendReads(b, now, 2000, 400, failing)
 	z := b.endpoints.findOrAddZone("b")
 	if !z.health.ejected || during["b"] > 20 {
-		t.Errorf("a failing zone got %d of %v attempts, ejected %v", during["b"], during, z.health.ejected)
+		t.Errorf("a failing zone got %d of %v attempts, want 20 at most; ejected %v, want true", during["b"], during, z.health.ejected)
 	}
 	states := map[string]ZoneState{}
 	for _, status := range b.ZoneStatuses(now) {
@@ -43,11 +43,13 @@
 	now, _ = sendReads(b, now, 3000, 1500, healthy)
 	z = b.endpoints.findOrAddZone("b")
 	if z.health.ejected || z.health.recoveredShare < 1 {
-		t.Errorf("30 s after the zone serves again: ejected %v, %v of its share", z.health.ejected, z.health.recoveredShare)
+		t.Errorf("30 s after the zone serves again: ejected %v, %v of its share; want false, 1",
+			z.health.ejected, z.health.recoveredShare)
 	}
 	_, after := sendReads(b, now, 5000, 400, healthy)
 	if after["b"] < before["b"]/2 {
-		t.Errorf("the zone got %d of 400 requests before it failed, %d after it has recovered", before["b"], after["b"])
+		t.Errorf("the zone got %d of 400 requests before it failed and %d after it has recovered, want half as many at least",
+			before["b"], after["b"])
 	}
 }
 
