--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Regression: the queue is looked at once a tick, so a request with a short timeout was queued past its deadline.
+// Regression: the queue is processed once per tick, so a request with a short timeout was queued past its deadline.
 func TestShortTimeoutIsRejectedImmediately(t *testing.T) {
 	b, effects := newTestBalancer(t, testSettings(), fleet(1))
 	b.endpoints.known[0].limit.pausedUntil = 2 * time.Hour
@@ -16,8 +16,8 @@
 	}
 }
 
-// Without endpoints, or with no time left, a request is rejected at once or within its timeout. Events of unknown requests
-// and attempts are ignored.
+// A request is rejected at once if its class is unknown or no time is left, and within its timeout if there are no endpoints.
+// Events of unknown requests and attempts are ignored.
 func TestRequestsWithoutEndpointsAreRejected(t *testing.T) {
 	b, effects := newTestBalancer(t, testSettings(), nil)
 	b.OnRequest(time.Hour, Request{ID: 1, Class: "write", Timeout: 0})
@@ -36,7 +36,7 @@
 	b.OnStreamStarted(time.Hour+time.Second, 77, 0)
 	b.OnAttemptResult(time.Hour+time.Second, AttemptResult{ID: 4, Attempt: -1})
 	if effects.count("refuse id=4") != 1 || effects.count("send") != 0 {
-		t.Errorf("after all endpoints were removed: %v", effects.calls)
+		t.Errorf("after all endpoints were removed: %v; want request 4 rejected and nothing sent", effects.calls)
 	}
 }
 
@@ -53,12 +53,12 @@
 		}
 	}
 	if strings.Join(order, " ") != "id=3 id=2 id=1" {
-		t.Errorf("sent in order %v", order)
+		t.Errorf("sent in order %v, want requests 3, 2, 1", order)
 	}
 }
 
-// Regression: the mean latency of all classes exceeded the latency objective of a class of short requests, so these were
-// never queued but rejected whenever no endpoint was free.
+// Regression: queueing used the mean latency of all classes. It exceeded the latency objective of a class of short requests,
+// so these were never queued, but rejected whenever no endpoint was free.
 func TestQueueingGoesByTheLatencyOfTheClass(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[2].LatencyObjective = 200 * ms
@@ -80,16 +80,16 @@
 	b.OnRequest(now, Request{ID: 1000, Class: "write", Timeout: time.Second})
 	r := b.requests[1000]
 	if r == nil || !r.queued || r.workUnits > 0.5 {
-		t.Errorf("a request with five times its usual latency left to its objective was not queued: %v", effects.last())
+		t.Errorf("a request whose objective is five times its class's mean latency was not queued: %v", effects.last())
 	}
 }
 
-// Regression: in overload a third of all turns went to clients' retries that missed the latency objective before they were
-// sent.
+// Regression: under overload a third of all turns went to client retries that had missed the latency objective before they
+// were sent.
 func TestLateRetryIsRejectedWhileSaturated(t *testing.T) {
 	for _, test := range []struct {
 		name      string
-		timeout   time.Duration // the client's first attempt has 1 s; the objective is 300 ms
+		timeout   time.Duration // 1 s for the client's first attempt; the objective is 300 ms
 		saturated bool
 		wantSent  bool
 	}{
@@ -108,13 +108,13 @@
 			b.OnRequest(now, Request{ID: 2, Class: "write", Timeout: test.timeout})
 			sent, rejected := effects.count("send id=2"), effects.count("refuse id=2")
 			if (sent == 1) != test.wantSent || sent+rejected != 1 {
-				t.Errorf("sent %d times, rejected %d times: %v", sent, rejected, effects.last())
+				t.Errorf("sent %d times, rejected %d times, want sent: %v; last effect %v", sent, rejected, test.wantSent, effects.last())
 			}
 		})
 	}
 }
 
-// Regression: a rejected client got no Retry-After and came back at once, while endpoints were still busy.
+// Regression: a rejected client got no Retry-After and retried at once, while endpoints were still busy.
 func TestRejectionCarriesRetryAfterWhereAllowed(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		settings := testSettings()
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The example of the paper on interleaved traffic shares: with equal weights an endpoint takes turns 1, 3, 5, ...; with a
-// third of the other's weight it takes turns 9, 13, 17, ...
+// The example from the paper on interleaving by traffic shares: with equal weights an endpoint takes turns 1, 3, 5, ...;
+// with a third of the other's weight it takes turns 9, 13, 17, ...
 func TestEndpointOfOneThirdWeightTakesEveryFourthTurn(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings(), oneZone(fleet(2)))
 	first := b.endpoints.known[0]
@@ -32,6 +32,6 @@
 		}
 	}
 	if len(even) != 10 || len(quarter) < 9 {
-		t.Errorf("it took %d of 20 and %d of 40 turns", len(even), len(quarter))
+		t.Errorf("it took %d of 20 turns, want 10; %d of 40 turns, want 9 at least", len(even), len(quarter))
 	}
 }
