--- a/internal/durable/choice_test.go
+++ b/internal/durable/choice_test.go
@@ -11,14 +11,14 @@
 	"go.etcd.io/bbolt"
 )
 
-// The benchmarks compare the store with bbolt, the alternative to it: a save of a state and its loading at a start, with
-// 12 and with 2,000 upstreams. bbolt has no checksums over its data pages, so that a flipped bit in them is read as if it
-// had been written, or ends the process; TestBboltReadsFlippedBits shows that.
+// The benchmarks compare the store with the key-value store bbolt, the alternative to it: saving a state, and loading it at a
+// start, with 12 and with 2,000 upstreams. bbolt has no checksums over its data pages, so that a flipped bit in them is read
+// as if it had been written, or crashes the process. TestBboltReadsFlippedBits demonstrates the former.
 
 const (
 	bboltBucket = "state"
 	bboltKey    = "learnt"
-	// stateBytesPerUpstream is about what a saved state needs for an upstream.
+	// stateBytesPerUpstream is the approximate size of a saved state per upstream.
 	stateBytesPerUpstream = 300
 )
 
@@ -53,7 +53,7 @@
 			save(b, openStore(b, path, testOwner, &logRecorder{}), "learnt", 1, string(state))
 			for b.Loop() {
 				if _, ok := openStore(b, path, testOwner, &logRecorder{}).Load("learnt", 1); !ok {
-					b.Fatal("the state is not there")
+					b.Fatal("no state loaded")
 				}
 			}
 		})
@@ -65,7 +65,7 @@
 			for b.Loop() {
 				db := openBbolt(b, path)
 				if got := getBbolt(b, db); len(got) != len(state) {
-					b.Fatal("the state is not there")
+					b.Fatal("no state loaded")
 				}
 				db.Close()
 			}
@@ -109,8 +109,8 @@
 	return state
 }
 
-// This is why bbolt was not chosen: after a flipped bit in a value it reads what was never written. If the test fails,
-// the choice can be reconsidered.
+// bbolt was not chosen because it returns a value with a flipped bit as if it were valid. If this test fails, the choice can
+// be reconsidered.
 func TestBboltReadsFlippedBits(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "db")
 	state := bytes.Repeat([]byte("0123456789"), 30)
@@ -129,6 +129,6 @@
 	db = openBbolt(t, path)
 	defer db.Close()
 	if got := getBbolt(t, db); bytes.Equal(got, state) || len(got) != len(state) {
-		t.Errorf("bbolt finds the flipped bit: the choice may be reconsidered; it reads %d bytes", len(got))
+		t.Errorf("bbolt detected the flipped bit, so it may be reconsidered; it returned %d bytes", len(got))
 	}
 }
--- a/internal/durable/doc.go
+++ b/internal/durable/doc.go
@@ -1,38 +1,39 @@
-// Package durable stores the state that a balancer needs again after its process has ended in any way: records of a few
-// kinds, each replaced as a unit.
+// Package durable saves the state that a balancer restores after a restart, a crash or a power loss. The state consists of
+// records of a few kinds. Each save replaces the whole record of its kind.
 //
 // # On-disk layout
 //
 // All files of a balancer are in one directory, the state folder:
 //
 //	KIND-GENERATION.state          a record; GENERATION has 16 hexadecimal digits and counts the saves of the kind
-//	KIND.new                       a record that is being written; never read
+//	KIND.new                       temporary file of a record that is being written; never read
 //	aside.KIND-GENERATION.state    a quarantined record; aside.N.KIND-GENERATION.state where that name was taken
-//	starts                         how many starts in a row have not completed their recovery
-//	lock                           the file that the writing process has locked
+//	starts                         number of consecutive starts that have not completed their recovery
+//	lock                           file on which the writing process holds a lock
 //
 // The format of a record is described in record.go.
 //
 // # Guarantees
 //
-// After a crash or a power loss, each kind has the record whose save returned without an error last, or a later one. A
-// record that was being saved is there completely or not at all. What is loaded was written by this balancer and is
-// checksummed: a file that differs from what was written in any bit is not used.
+// After a crash or a power loss, the record of each kind is the one whose save last returned without an error, or a later
+// one. A record that was being saved is present completely or not at all. Only records that this balancer wrote are loaded.
+// Checksums cover the whole file: a file that differs in any bit from what was written is not used.
 //
-// Records of different kinds are not guaranteed to be of the same moment.
+// Records of different kinds may date from different moments.
 //
-// # How
+// # Implementation
 //
-// A save writes a new file, syncs it, renames it, syncs the folder, and only then removes the record before the previous
-// one. So there are always two records of a kind: if the newest is unusable the previous one is loaded, and if neither is
-// usable, none. An unusable file is quarantined: it is renamed for somebody to examine, and never read or deleted by this
-// package. A failed sync fails its save: the file is not renamed, and the next save writes a new one from memory.
+// A save writes a temporary file, syncs it, renames it, syncs the folder, and only then removes the record before the
+// previous one. The folder therefore retains two records of a kind: if the newest is unusable the previous one is loaded,
+// and if neither is usable, none. An unusable file is quarantined: it is renamed so that an operator can examine it, and is
+// never loaded or deleted by this package. A failed sync fails the save: the file is not renamed, and the next save writes
+// a new one from memory.
 //
 // # Errors
 //
-// Callers compare errors with errors.Is and the Err variables of this package. A RecordError has the file, kind and
-// generation that an error is about; a CorruptError has the Damage; a FolderError says why a folder is refused. The words
-// that operators see are those of OperatorText.
+// Callers compare errors with errors.Is and the Err variables of this package. A RecordError names the file, kind and
+// generation that the error is about, a CorruptError the Damage, and a FolderError the reason for which a folder is refused.
+// OperatorText has the wording that operators see.
 //
 // # Ownership and goroutines
 //
@@ -41,6 +42,6 @@
 //
 // A Writer owns a Store and the Folder's lock, and uses both from a single goroutine, which runs from StartWriter to
 // Close. Its methods may be called from any goroutine, and bound how long they wait for the disk. One process at a time
-// holds the lock; another one on the same folder, as during an upgrade, loads what is there and writes when it gets the
-// lock.
+// holds the lock. A second process on the same folder, as during an upgrade, loads the saved records, and writes once it
+// has acquired the lock.
 package durable
--- a/internal/durable/errors_test.go
+++ b/internal/durable/errors_test.go
@@ -7,24 +7,24 @@
 	"testing"
 )
 
-// Operators' scripts may compare the texts, and callers the sentinel errors, so neither may change by accident.
+// Operators' scripts may compare the error texts, and callers use the sentinel errors, so neither may change unnoticed.
 func TestErrorsAndOperatorTexts(t *testing.T) {
 	const file = "list-00000000000000ff.state"
-	failed := func(operation Operation, cause error) error { return newRecordError(operation, file, cause) }
+	recordError := func(operation Operation, cause error) error { return newRecordError(operation, file, cause) }
 	for _, c := range []struct {
 		err      error
 		sentinel error
 		text     string
 		operator string
 	}{
-		{failed(OperationInspect, corrupt(DamageHeaderChecksum)), ErrChecksumMismatch,
+		{recordError(OperationInspect, newCorruptError(DamageHeaderChecksum)), ErrChecksumMismatch,
 			"inspect record " + file + ": corrupt record: header checksum mismatch", "torn or damaged: the sum of its head is wrong"},
-		{failed(OperationInspect, &CorruptError{DamageMismatchedRecord, "orders-0"}), ErrCorrupt,
+		{recordError(OperationInspect, &CorruptError{DamageMismatchedRecord, "orders-0"}), ErrCorrupt,
 			"inspect record " + file + ": corrupt record: record of another file orders-0", "torn or damaged: it says that it is orders-0"},
-		{failed(OperationInspect, &FormatError{Format: 9}), ErrUnknownFormat,
+		{recordError(OperationInspect, &FormatError{Format: 9}), ErrUnknownFormat,
 			"inspect record " + file + ": unknown record format 9, supported is 1", "of another format: 9, this program writes 1"},
-		{failed(OperationInspect, io.ErrUnexpectedEOF), io.ErrUnexpectedEOF, "inspect record " + file + ": unexpected EOF", "unexpected EOF"},
-		{failed(OperationSave, io.ErrShortWrite), io.ErrShortWrite, "save record " + file + ": short write", "saving list: short write"},
+		{recordError(OperationInspect, io.ErrUnexpectedEOF), io.ErrUnexpectedEOF, "inspect record " + file + ": unexpected EOF", "unexpected EOF"},
+		{recordError(OperationSave, io.ErrShortWrite), io.ErrShortWrite, "save record " + file + ": short write", "saving list: short write"},
 		{&RecordError{Operation: OperationSave, Kind: "list", Err: ErrWriteTimeout}, ErrWriteTimeout,
 			"save record list: write timed out", "the disk has not taken it in time"},
 		{ErrQuarantineFull, ErrQuarantineFull, "quarantine limit reached", "too many files are set aside: look at them and move them away"},
--- a/internal/durable/filename.go
+++ b/internal/durable/filename.go
@@ -11,19 +11,18 @@
 	temporarySuffix  = ".new"
 	quarantinePrefix = "aside."
 
-	// maxKindLength is the greatest length of a kind's name, in bytes.
-	maxKindLength = 32
-	// generationDigits is the number of hexadecimal digits of a generation in a file name: fixed, so that names sort
-	// by generation.
+	maxKindLength = 32 // bytes
+	// generationDigits is the number of hexadecimal digits of a generation in a file name. It is fixed so that the names of
+	// a kind sort by generation.
 	generationDigits = 16
 )
 
-// recordFileName returns the name of the file of a kind's generation.
+// recordFileName returns the name of the file that holds a generation of a kind.
 func recordFileName(kind string, generation uint64) string {
 	return fmt.Sprintf("%s-%0*x%s", kind, generationDigits, generation, recordSuffix)
 }
 
-// parseFileName is the inverse of recordFileName. ok is false if the name is not that of a record in use.
+// parseFileName is the inverse of recordFileName. ok is false for a name that is not a record's, and for a quarantined file.
 func parseFileName(name string) (kind string, generation uint64, ok bool) {
 	base, hasSuffix := strings.CutSuffix(name, recordSuffix)
 	if !hasSuffix || isQuarantined(base) {
@@ -45,10 +44,10 @@
 	return kind, generation, true
 }
 
-// isQuarantined reports whether a name is that of a quarantined file.
+// isQuarantined reports whether a file name is that of a quarantined file.
 func isQuarantined(name string) bool { return strings.HasPrefix(name, quarantinePrefix) }
 
-// isValidKind reports whether a string can be the name of a kind: 1 to maxKindLength lower-case letters and hyphens.
+// isValidKind reports whether a string is a valid name of a kind: 1 to maxKindLength lower-case letters and hyphens.
 func isValidKind(kind string) bool {
 	if kind == "" || len(kind) > maxKindLength {
 		return false
--- a/internal/durable/filename_test.go
+++ b/internal/durable/filename_test.go
@@ -27,7 +27,7 @@
 		{"List-0000000000000000.state", "", 0, false},
 		{"aside.list-0000000000000000.state", "", 0, false},
 		{"list.new", "", 0, false},
-		{startsFile, "", 0, false},
+		{failedRecoveriesFile, "", 0, false},
 		{lockFile, "", 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -36,7 +36,7 @@
 				t.Errorf("%q, %d, %v; want %q, %d, %v", kind, generation, ok, c.kind, c.generation, c.ok)
 			}
 			if ok && recordFileName(kind, generation) != c.name {
-				t.Errorf("the inverse is %q", recordFileName(kind, generation))
+				t.Errorf("recordFileName(%q, %d) returns %q", kind, generation, recordFileName(kind, generation))
 			}
 		})
 	}
--- a/internal/durable/folder.go
+++ b/internal/durable/folder.go
@@ -14,7 +14,7 @@
 
 	folderMode os.FileMode = 0o700
 	fileMode   os.FileMode = 0o600
-	// writableByOthers is the permission bits that a state folder must not have.
+	// writableByOthers are the permission bits that a state folder must not have.
 	writableByOthers os.FileMode = 0o022
 
 	// maxFileSize is the size of the largest possible record, in bytes.
@@ -31,8 +31,8 @@
 var _ LockableFS = (*Folder)(nil)
 
 // OpenFolder opens a state folder, and creates it if it is missing. It returns a FolderError for a symbolic link, a folder
-// of another user and one that others may write to: whoever can change the state can give orders to the balancer. Other
-// errors are those of the operating system.
+// of another user and a folder that other users may write to, because whoever can change the state controls the balancer.
+// Other errors are those of the operating system.
 func OpenFolder(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 		return false, nil
 	}
 	if err != nil {
-		return false, fmt.Errorf("locking %s: %w", f.path, err)
+		return false, fmt.Errorf("lock %s: %w", f.filePath(lockFile), err)
 	}
 	return true, nil
 }
@@ -93,7 +93,7 @@
 }
 
 // ReadFile reads a regular file. It follows no symbolic link and does not block on a named pipe. It returns a CorruptError
-// if the file is not regular or is larger than any record, and else the error of the operating system.
+// if the file is not regular or is larger than any record. Other errors are those of the operating system.
 func (f *Folder) ReadFile(name string) ([]byte, error) {
 	file, err := os.OpenFile(f.filePath(name), os.O_RDONLY|syscall.O_NOFOLLOW|syscall.O_NONBLOCK, 0)
 	if err != nil {
@@ -105,16 +105,16 @@
 		return nil, err
 	}
 	if !info.Mode().IsRegular() {
-		return nil, corrupt(DamageNotRegularFile)
+		return nil, newCorruptError(DamageNotRegularFile)
 	}
 	content, err := io.ReadAll(io.LimitReader(file, int64(maxFileSize)+1))
 	if err == nil && len(content) > maxFileSize {
-		err = corrupt(DamageFileTooLarge)
+		err = newCorruptError(DamageFileTooLarge)
 	}
 	return content, err
 }
 
-// Create opens a file for writing. An existing one is truncated; a symbolic link is not followed.
+// Create opens a file for writing. An existing file is truncated; a symbolic link is not followed.
 func (f *Folder) Create(name string) (File, error) {
 	return os.OpenFile(f.filePath(name), os.O_WRONLY|os.O_CREATE|os.O_TRUNC|syscall.O_NOFOLLOW, fileMode)
 }
--- a/internal/durable/fs.go
+++ b/internal/durable/fs.go
@@ -1,15 +1,15 @@
 package durable
 
-// FS is the state folder as a Store uses it. Names are file names without a path.
+// FS is the interface through which a Store accesses its state folder. Names are file names without a path.
 type FS interface {
 	// List returns the names of all files, in any order.
 	List() ([]string, error)
-	// ReadFile returns the content of a file. Of a file that is larger than any record it returns the beginning and an
+	// ReadFile returns the content of a file. For a file that is larger than any record it returns the beginning and an
 	// error.
 	ReadFile(name string) ([]byte, error)
-	// Create opens a file for writing. An existing one is truncated.
+	// Create opens a file for writing. An existing file is truncated.
 	Create(name string) (File, error)
-	// Rename renames a file. An existing one of the new name is replaced.
+	// Rename renames a file. It replaces an existing file of the new name.
 	Rename(from, to string) error
 	// Remove deletes a file.
 	Remove(name string) error
@@ -19,15 +19,15 @@
 
 // File is a file that is being written.
 type File interface {
-	// Write appends p. It returns an error if it has not written all of it.
+	// Write appends p. It returns an error if it did not write all of p.
 	Write(p []byte) (int, error)
-	// Sync makes what was written durable.
+	// Sync makes the written content durable.
 	Sync() error
-	// Close ends the writing. It does not make anything durable.
+	// Close closes the file. It does not make the written content durable.
 	Close() error
 }
 
-// LockableFS is an FS that at most one process at a time may write to.
+// LockableFS is an FS with a lock, which at most one process at a time holds. Only the holder may write.
 type LockableFS interface {
 	FS
 	// Lock takes the lock until Close or the end of the process. It returns false if another process holds it.
--- a/internal/durable/helpers_test.go
+++ b/internal/durable/helpers_test.go
@@ -12,10 +12,10 @@
 
 const (
 	testOwner = "b@s"
-	// eventuallyTimeout bounds how long a test waits for another goroutine. It is long, so that only a fault reaches it.
-	eventuallyTimeout = 30 * time.Second
-	// eventuallyInterval is the time between two attempts.
-	eventuallyInterval = 10 * time.Millisecond
+	// eventuallyTimeout bounds how long a test waits for another goroutine. It is long so that only a defect exceeds it, not
+	// a slow machine.
+	eventuallyTimeout  = 30 * time.Second
+	eventuallyInterval = 10 * time.Millisecond // between two attempts
 )
 
 // logRecorder collects log lines.
@@ -74,12 +74,12 @@
 	}
 }
 
-// eventually repeats an attempt until it returns no error.
+// eventually repeats an attempt until it returns no error, and fails the test after eventuallyTimeout.
 func eventually(t *testing.T, recorder *logRecorder, attempt func() error) {
 	t.Helper()
 	deadline := time.Now().Add(eventuallyTimeout)
-	pause := time.NewTicker(eventuallyInterval)
-	defer pause.Stop()
+	ticker := time.NewTicker(eventuallyInterval)
+	defer ticker.Stop()
 	for {
 		err := attempt()
 		if err == nil {
@@ -88,6 +88,6 @@
 		if time.Now().After(deadline) {
 			t.Fatalf("still failing after %v: %v; log: %v", eventuallyTimeout, err, recorder)
 		}
-		<-pause.C
+		<-ticker.C
 	}
 }
--- a/internal/durable/inspect.go
+++ b/internal/durable/inspect.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// repairOwner is the owner of the store that Repair uses, which neither loads nor saves records, and logs nothing.
+// repairOwner is the owner of the store that Repair uses. That store neither loads nor saves records, and logs nothing.
 const repairOwner = "repair"
 
-// InspectedFile is a record's file as Inspect found it.
+// InspectedFile is the result of inspecting one record file.
 type InspectedFile struct {
 	Name        string
-	Record      Record // what could be decoded; the zero value if nothing could
-	Err         error  // a RecordError that says why the file is not a valid record; nil if it is one
+	Record      Record // the decoded record; the zero value if the file could not be decoded
+	Err         error  // a RecordError that says why the file is not a valid record; nil if it is valid
 	Quarantined bool
 }
 
-// Inspect reads all records in a folder, of any owner and also quarantined ones, and changes nothing. The files are sorted
-// by name. It needs no lock: a file that a running balancer has removed since has an Err that is fs.ErrNotExist. The error
-// is that of listing the folder.
+// Inspect reads all record files in a folder, including those of other owners and quarantined ones, and changes nothing. The
+// result is sorted by file name. It needs no lock: a file that a running balancer removes after the folder was listed has an
+// Err that wraps fs.ErrNotExist. Inspect returns an error if the folder can't be listed.
 func Inspect(fs FS) ([]InspectedFile, error) {
 	names, err := listFiles(fs)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return file
 }
 
-// inspectRecord reads one file and returns what could be decoded. A quarantined file may have any name.
+// inspectRecord reads and decodes one file. It does not compare the name of a quarantined file with its content.
 func inspectRecord(fs FS, name string) (Record, error) {
 	content, err := fs.ReadFile(name)
 	if err != nil {
@@ -55,21 +55,21 @@
 		return record, err
 	}
 	if _, _, ok := parseFileName(name); !ok {
-		return record, corrupt(DamageFileName)
+		return record, newCorruptError(DamageFileName)
 	}
 	return record, checkFileName(name, record)
 }
 
-// RepairedFile is a file that Repair has quarantined, or tried to.
+// RepairedFile is a file that Repair quarantined, or failed to quarantine.
 type RepairedFile struct {
 	Name    string
-	NewName string // in quarantine; empty if the file could not be renamed
+	NewName string // name in quarantine; empty if the file could not be renamed
 	Reason  error  // a RecordError that says why the file is not a valid record
-	Err     error  // why the file could not be renamed; nil if it was
+	Err     error  // the error of the rename; nil if the file was quarantined
 }
 
-// Repair quarantines the files that are not valid records, so that the next start finds only usable ones, and returns them
-// sorted by name. The caller holds the folder's lock. The error is that of listing the folder.
+// Repair quarantines the record files that are not valid, so that the next start finds only valid ones, and returns them
+// sorted by name. The caller must hold the folder's lock. Repair returns an error if the folder can't be listed.
 func Repair(fs FS) ([]RepairedFile, error) {
 	files, err := Inspect(fs)
 	if err != nil {
--- a/internal/durable/inspect_test.go
+++ b/internal/durable/inspect_test.go
@@ -8,30 +8,30 @@
 	"testing"
 )
 
-// inspectionCount is how many files of each sort an inspection has found.
-type inspectionCount struct{ valid, invalid, quarantined int }
+// fileCounts is the number of files in each state that Inspect reports.
+type fileCounts struct{ valid, invalid, quarantined int }
 
-func countInspected(t *testing.T, fs FS) inspectionCount {
+func countInspected(t *testing.T, fs FS) fileCounts {
 	t.Helper()
 	files, err := Inspect(fs)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var count inspectionCount
+	var counts fileCounts
 	for _, file := range files {
 		switch {
 		case file.Quarantined:
-			count.quarantined++
+			counts.quarantined++
 		case file.Err != nil:
-			count.invalid++
+			counts.invalid++
 		default:
-			count.valid++
+			counts.valid++
 		}
 	}
-	return count
+	return counts
 }
 
-// Repair quarantines just what Inspect finds invalid.
+// Repair quarantines exactly the files that Inspect reports as invalid.
 func TestRepairQuarantinesInvalidFiles(t *testing.T) {
 	path, recorder := newFolderPath(t), &logRecorder{}
 	s := openStore(t, path, testOwner, recorder)
@@ -41,20 +41,20 @@
 	if err := os.WriteFile(filepath.Join(path, recordFileName("orders", 7)), garbage, fileMode); err != nil {
 		t.Fatal(err)
 	}
-	before := inspectionCount{valid: 2, invalid: 1, quarantined: 0}
+	before := fileCounts{valid: 2, invalid: 1, quarantined: 0}
 	if got := countInspected(t, s.fs); got != before {
 		t.Errorf("before the repair: %+v, want %+v", got, before)
 	}
 	if repaired, err := Repair(s.fs); len(repaired) != 1 || repaired[0].Err != nil || err != nil {
 		t.Errorf("repaired %+v, %v", repaired, err)
 	}
-	after := inspectionCount{valid: 2, invalid: 0, quarantined: 1}
+	after := fileCounts{valid: 2, invalid: 0, quarantined: 1}
 	if got := countInspected(t, s.fs); got != after {
 		t.Errorf("after the repair: %+v, want %+v", got, after)
 	}
 }
 
-// A valid record under the name of another is invalid, as is one whose name is not that of a record.
+// A valid record is reported as invalid if its file has the name of another record, or a name that is not a record's.
 func TestInspectChecksFileNames(t *testing.T) {
 	path, recorder := newFolderPath(t), &logRecorder{}
 	s := openStore(t, path, testOwner, recorder)
--- a/internal/durable/operatortext.go
+++ b/internal/durable/operatortext.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// operatorDamageTexts is the sorts of damage in the words of OperatorText.
+// operatorDamageTexts are the descriptions of damage that OperatorText uses.
 var operatorDamageTexts = map[Damage]string{
 	DamageShortHeader:      "shorter than a head",
 	DamageMagic:            "it does not begin as a record does",
@@ -19,7 +19,7 @@
 	DamageFileTooLarge:     "larger than any record",
 }
 
-// operatorTexts is the refusals of a save in the words of OperatorText.
+// operatorTexts are the descriptions of refused saves that OperatorText uses.
 var operatorTexts = map[error]string{
 	ErrReadOnly:       "another process holds the folder",
 	ErrWriteTimeout:   "the disk has not taken it in time",
@@ -27,40 +27,41 @@
 	ErrQuarantineFull: "too many files are set aside: look at them and move them away",
 }
 
-// operatorError is an error whose text is that of OperatorText.
+// operatorError is an error whose text is the OperatorText of its cause.
 type operatorError struct{ cause error }
 
-// Error returns the cause in the words of OperatorText.
+// Error returns the OperatorText of the cause.
 func (e *operatorError) Error() string { return OperatorText(e.cause) }
 
 // Unwrap returns the cause.
 func (e *operatorError) Unwrap() error { return e.cause }
 
-// ForOperators wraps an error of this package, so that its text is that of OperatorText.
+// ForOperators wraps an error of this package so that its text is its OperatorText.
 func ForOperators(err error) error { return &operatorError{cause: err} }
 
-// OperatorText returns an error of this package in the words of operators' answers and of balancerctl state. Operators'
-// scripts may compare these words, which is why they differ from those of Error. Other errors have the same text in both.
+// OperatorText returns the text of an error of this package as it appears in answers to operators and in the output of
+// balancerctl state. Operators' scripts may compare this text, so it keeps its wording even where that of Error differs.
+// The text of any other error is that of its Error method.
 func OperatorText(err error) string {
-	var damaged *CorruptError
-	if errors.As(err, &damaged) {
-		return "torn or damaged: " + operatorDamageTexts[damaged.Damage] + damaged.BelongsTo
+	var corruptErr *CorruptError
+	if errors.As(err, &corruptErr) {
+		return "torn or damaged: " + operatorDamageTexts[corruptErr.Damage] + corruptErr.BelongsTo
 	}
-	var unknown *FormatError
-	if errors.As(err, &unknown) {
-		return fmt.Sprintf("of another format: %d, this program writes %d", unknown.Format, recordFormat)
+	var formatErr *FormatError
+	if errors.As(err, &formatErr) {
+		return fmt.Sprintf("of another format: %d, this program writes %d", formatErr.Format, recordFormat)
 	}
-	for refusal, text := range operatorTexts {
-		if errors.Is(err, refusal) {
+	for sentinel, text := range operatorTexts {
+		if errors.Is(err, sentinel) {
 			return text
 		}
 	}
-	var failed *RecordError
-	if !errors.As(err, &failed) {
+	var recordErr *RecordError
+	if !errors.As(err, &recordErr) {
 		return err.Error()
 	}
-	if failed.Operation == OperationSave {
-		return fmt.Sprintf("saving %s: %v", failed.Kind, failed.Err)
+	if recordErr.Operation == OperationSave {
+		return fmt.Sprintf("saving %s: %v", recordErr.Kind, recordErr.Err)
 	}
-	return failed.Err.Error()
+	return recordErr.Err.Error()
 }
--- a/internal/durable/quarantine.go
+++ b/internal/durable/quarantine.go
@@ -6,23 +6,23 @@
 	"io/fs"
 )
 
-// maxQuarantined bounds the quarantined files of a folder. They are never deleted; from this number on nothing is saved
-// until somebody has removed some.
+// maxQuarantined limits the number of quarantined files in a folder. This package never deletes them; at the limit saves are
+// refused until an operator has removed some.
 const maxQuarantined = 64
 
-// quarantine renames an unusable file so that nothing reads it again, and logs that. A file that can't be renamed is read
-// again, and found unusable again, at the next start.
+// quarantine renames an unusable file so that it is not loaded again, and logs it. A file that can't be renamed is read
+// again at the next start, and rejected again.
 func (s *Store) quarantine(name string, reason error) {
 	if s.access == ReadOnly {
-		s.log("record ignored", recordKeys(name, "err", reason)...)
+		s.log("record ignored", recordLogAttributes(name, "err", reason)...)
 		return
 	}
 	newName, err := s.moveToQuarantine(name)
 	if err != nil {
-		s.log("quarantine failed", recordKeys(name, "reason", reason, "err", err)...)
+		s.log("quarantine failed", recordLogAttributes(name, "reason", reason, "err", err)...)
 		return
 	}
-	s.log("record quarantined", recordKeys(name, "renamed_to", newName, "err", reason)...)
+	s.log("record quarantined", recordLogAttributes(name, "renamed_to", newName, "err", reason)...)
 }
 
 // moveToQuarantine renames a file and returns its new name.
@@ -35,13 +35,13 @@
 	return newName, nil
 }
 
-// recordKeys returns the log keys and values of a record's file, and more that follow them.
-func recordKeys(name string, more ...any) []any {
+// recordLogAttributes returns the log keys and values that describe a record's file, followed by the given others.
+func recordLogAttributes(name string, others ...any) []any {
 	kind, generation, _ := parseFileName(name)
-	return append([]any{"file", name, "kind", kind, "generation", generation}, more...)
+	return append([]any{"file", name, "kind", kind, "generation", generation}, others...)
 }
 
-// unusedQuarantineName returns a name for a quarantined file that no file has.
+// unusedQuarantineName returns a name in quarantine that no other file has.
 func (s *Store) unusedQuarantineName(name string) string {
 	candidate := quarantinePrefix + name
 	for i := 1; s.exists(candidate); i++ {
@@ -50,7 +50,8 @@
 	return candidate
 }
 
-// exists reports whether a file exists, or might: any error but fs.ErrNotExist counts as one.
+// exists reports whether a file exists. If an error other than fs.ErrNotExist leaves that unknown, it returns true, so that
+// an existing file is never replaced.
 func (s *Store) exists(name string) bool {
 	_, err := s.fs.ReadFile(name)
 	return !errors.Is(err, fs.ErrNotExist)
--- a/internal/durable/record.go
+++ b/internal/durable/record.go
@@ -7,14 +7,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The format of a record's file. All integers are little-endian; sizes are in bytes:
+// The format of a record's file. All integers are little-endian; sizes and lengths are in bytes:
 //
 //	magic 8 | format 2 | version of the kind 2 | length of kind 2 | length of owner 2 |
 //	generation 8 | saved at, Unix ns 8 | length of payload 4 | kind | owner | header checksum 8 |
 //	payload | payload checksum 8
 //
-// The header checksum is the xxhash64 of all bytes before it; the payload checksum is that of the header checksum and the
-// payload. Nothing follows. A file that differs from what was written in any bit is not a valid record.
+// The header checksum is the xxhash64 of all bytes before it. The payload checksum is the xxhash64 of the header checksum
+// and the payload. No data follow. A file that differs in any bit from what was written is not a valid record.
 const (
 	recordMagic  = "SPRUCEST"
 	recordFormat = 1
@@ -29,10 +29,9 @@
 	// fixedHeaderSize is the size of the fields before kind and owner.
 	fixedHeaderSize = offsetPayloadLength + 4
 
-	checksumSize = 8
-	// maxPayloadSize bounds a payload, in bytes.
-	maxPayloadSize = 8 << 20
-	// maxNameSize bounds the names of the kind and of the owner in a record, in bytes.
+	checksumSize   = 8
+	maxPayloadSize = 8 << 20 // bytes
+	// maxNameSize limits the length of the kind and that of the owner in a record's header, in bytes.
 	maxNameSize = 128
 )
 
@@ -40,7 +39,7 @@
 type Record struct {
 	Kind       string    // 1 to maxKindLength lower-case letters and hyphens
 	Owner      string    // the balancer and its site, 1 to maxNameSize bytes
-	Version    uint16    // the version of the payload's format, which belongs to the kind
+	Version    uint16    // version of the payload's format; each kind has its own versions
 	Generation uint64    // counts the saves of the kind, from 0
 	SavedAt    time.Time // by the wall clock of the saving process, to the nanosecond
 	Payload    []byte    // at most maxPayloadSize bytes
@@ -66,8 +65,9 @@
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b[headerSize:]))
 }
 
-// decode parses the content of a record's file. The payload of the record is a part of b. decode relies on a length only
-// after the checksum over it was verified, and never panics.
+// decode parses the content of a record's file. The payload of the returned record shares its memory with b. decode never
+// panics: it checks the lengths in the header against limits and the size of b, and uses the length of the payload only
+// after the header checksum was verified.
 func decode(b []byte) (Record, error) {
 	headerSize, err := verifyHeader(b)
 	if err != nil {
@@ -77,11 +77,11 @@
 	if err != nil {
 		return Record{}, err
 	}
-	endOfKind := fixedHeaderSize + uint16At(b, offsetKindLength)
+	kindEnd := fixedHeaderSize + uint16At(b, offsetKindLength)
 	savedAt := binary.LittleEndian.Uint64(b[offsetSavedAt:])
 	return Record{
-		Kind:       string(b[fixedHeaderSize:endOfKind]),
-		Owner:      string(b[endOfKind:headerSize]),
+		Kind:       string(b[fixedHeaderSize:kindEnd]),
+		Owner:      string(b[kindEnd:headerSize]),
 		Version:    uint16(uint16At(b, offsetVersion)),
 		Generation: binary.LittleEndian.Uint64(b[offsetGeneration:]),
 		SavedAt:    time.Unix(0, int64(savedAt)),
@@ -89,22 +89,22 @@
 	}, nil
 }
 
-// verifyHeader checks the header with its checksum and format, and returns the header's size without the checksum.
+// verifyHeader checks the header, its checksum and the format, and returns the header's size without the checksum.
 func verifyHeader(b []byte) (int, error) {
 	if len(b) < fixedHeaderSize {
-		return 0, corrupt(DamageShortHeader)
+		return 0, newCorruptError(DamageShortHeader)
 	}
 	if string(b[:len(recordMagic)]) != recordMagic {
-		return 0, corrupt(DamageMagic)
+		return 0, newCorruptError(DamageMagic)
 	}
 	kindLength := uint16At(b, offsetKindLength)
 	ownerLength := uint16At(b, offsetOwnerLength)
 	headerSize := fixedHeaderSize + kindLength + ownerLength
 	if kindLength > maxNameSize || ownerLength > maxNameSize || len(b) < headerSize+checksumSize {
-		return 0, corrupt(DamageTruncatedHeader)
+		return 0, newCorruptError(DamageTruncatedHeader)
 	}
 	if xxhash.Sum64(b[:headerSize]) != binary.LittleEndian.Uint64(b[headerSize:]) {
-		return 0, corrupt(DamageHeaderChecksum)
+		return 0, newCorruptError(DamageHeaderChecksum)
 	}
 	if format := uint16At(b, offsetFormat); format != recordFormat {
 		return 0, &FormatError{Format: format}
@@ -112,16 +112,16 @@
 	return headerSize, nil
 }
 
-// verifyPayload checks the payload behind a verified header, and returns it.
+// verifyPayload checks the payload that follows a verified header, and returns it.
 func verifyPayload(b []byte, headerSize int) ([]byte, error) {
 	size := int(binary.LittleEndian.Uint32(b[offsetPayloadLength:]))
 	start := headerSize + checksumSize
 	end := start + size
 	if size > maxPayloadSize || len(b) != end+checksumSize {
-		return nil, corrupt(DamagePayloadSize)
+		return nil, newCorruptError(DamagePayloadSize)
 	}
 	if xxhash.Sum64(b[headerSize:end]) != binary.LittleEndian.Uint64(b[end:]) {
-		return nil, corrupt(DamagePayloadChecksum)
+		return nil, newCorruptError(DamagePayloadChecksum)
 	}
 	return b[start:end], nil
 }
--- a/internal/durable/recovery.go
+++ b/internal/durable/recovery.go
@@ -8,46 +8,47 @@
 )
 
 const (
-	// maxFailedRecoveries is how many starts in a row may end before they have recovered until the loaded state is
+	// maxFailedRecoveries is the number of consecutive starts without a complete recovery from which on the loaded state is
 	// assumed to be the cause.
 	maxFailedRecoveries = 3
-	// maxFailedRecoveriesForOrders is the same for operators' orders, which are given up last.
+	// maxFailedRecoveriesForOrders is the same number for operators' orders, which are discarded last.
 	maxFailedRecoveriesForOrders = 2 * maxFailedRecoveries
 
-	startsFile = "starts"
-	// startsFileSize is the size of the file of the count, in bytes. Each byte is the count: if they differ, the file
-	// is damaged and counts as 0.
-	startsFileSize = 8
+	failedRecoveriesFile = "starts"
+	// failedRecoveriesFileSize is the size of failedRecoveriesFile, in bytes. Each byte holds the same count: if the bytes
+	// differ, the file is damaged and the count is taken as 0.
+	failedRecoveriesFileSize = 8
 )
 
-// BeginRecovery counts a start. It breaks a crash loop: if several starts in a row have not reached MarkRecovered, it
-// quarantines what they loaded, but the records of orderKinds only after twice as many.
+// BeginRecovery counts a start. To end a crash loop, it quarantines the records that earlier starts loaded once
+// maxFailedRecoveries starts in a row have not reached MarkRecovered, and the records of orderKinds, which hold operators'
+// orders, once maxFailedRecoveriesForOrders have not.
 func (s *Store) BeginRecovery(orderKinds ...string) {
 	if s.access == ReadOnly {
 		return
 	}
 	failed := s.readFailedRecoveries()
 	if failed >= maxFailedRecoveries {
-		s.quarantineLoaded(failed, orderKinds)
+		s.quarantineLoadedRecords(failed, orderKinds)
 	}
 	s.writeFailedRecoveries(min(failed+1, maxFailedRecoveriesForOrders))
 }
 
-// quarantineLoaded quarantines all records that failed recoveries may have loaded.
-func (s *Store) quarantineLoaded(failed int, orderKinds []string) {
-	kinds, _ := s.Kinds() // if the folder can't be listed, nothing is loaded either
+// quarantineLoadedRecords quarantines all records that the failed recoveries may have loaded.
+func (s *Store) quarantineLoadedRecords(failed int, orderKinds []string) {
+	kinds, _ := s.Kinds() // if the folder can't be listed, no record can be loaded either
 	for _, kind := range kinds {
 		if slices.Contains(orderKinds, kind) && failed < maxFailedRecoveriesForOrders {
 			continue
 		}
 		names, _ := s.recordFiles(kind)
 		for _, name := range names {
-			s.quarantine(name, fmt.Errorf("%w: %d starts in a row ended before they had recovered", ErrCrashLoop, failed))
+			s.quarantine(name, fmt.Errorf("%w: %d consecutive starts did not complete their recovery", ErrCrashLoop, failed))
 		}
 	}
 }
 
-// MarkRecovered notes that the recovery that BeginRecovery has counted is complete.
+// MarkRecovered records that the recovery that BeginRecovery counted is complete: it sets the count to 0.
 func (s *Store) MarkRecovered() {
 	if s.access == ReadOnly {
 		return
@@ -55,27 +56,28 @@
 	s.writeFailedRecoveries(0)
 }
 
-// readFailedRecoveries returns how many starts in a row have not recovered; 0 if the count is missing or damaged.
+// readFailedRecoveries returns the number of consecutive starts without a complete recovery; 0 if the file is missing or
+// damaged.
 func (s *Store) readFailedRecoveries() int {
-	content, err := s.fs.ReadFile(startsFile)
-	if err != nil || len(content) != startsFileSize {
+	content, err := s.fs.ReadFile(failedRecoveriesFile)
+	if err != nil || len(content) != failedRecoveriesFileSize {
 		return 0
 	}
-	if bytes.Count(content, content[:1]) != startsFileSize {
+	if bytes.Count(content, content[:1]) != failedRecoveriesFileSize {
 		return 0
 	}
 	return int(content[0])
 }
 
-// writeFailedRecoveries writes the count without a sync: what a process has written survives its crash, and a power loss
+// writeFailedRecoveries writes the count without a sync: written data survive a crash of the process, and a power loss
 // ends a crash loop anyway.
 func (s *Store) writeFailedRecoveries(count int) {
-	f, err := s.fs.Create(startsFile)
+	f, err := s.fs.Create(failedRecoveriesFile)
 	if err == nil {
-		_, err = f.Write(bytes.Repeat([]byte{byte(count)}, startsFileSize))
+		_, err = f.Write(bytes.Repeat([]byte{byte(count)}, failedRecoveriesFileSize))
 		err = errors.Join(err, f.Close())
 	}
 	if err != nil {
-		s.log("start count not saved", "err", err)
+		s.log("failed recovery count not saved", "err", err)
 	}
 }
--- a/internal/durable/recovery_test.go
+++ b/internal/durable/recovery_test.go
@@ -2,20 +2,20 @@
 
 import "testing"
 
-// Three starts that end before they have recovered give up what they loaded, six the orders too, and a complete recovery
-// resets the count.
+// After three starts without a complete recovery the loaded records are quarantined, after six also the operators' orders. A
+// complete recovery resets the count.
 func TestCrashLoopQuarantinesState(t *testing.T) {
 	path, recorder := newFolderPath(t), &logRecorder{}
 	s := openStore(t, path, testOwner, recorder)
-	save(t, s, "learnt", 1, "poison")
+	save(t, s, "learnt", 1, "bad")
 	save(t, s, "orders", 1, "drain")
 	for start := 1; start <= maxFailedRecoveriesForOrders+1; start++ {
 		s = openStore(t, path, testOwner, recorder)
 		s.BeginRecovery("orders")
-		_, learnt := s.Load("learnt", 1)
-		_, orders := s.Load("orders", 1)
-		if learnt != (start <= maxFailedRecoveries) || orders != (start <= maxFailedRecoveriesForOrders) {
-			t.Errorf("start %d: learnt %v, orders %v", start, learnt, orders)
+		_, statsLoaded := s.Load("learnt", 1)
+		_, ordersLoaded := s.Load("orders", 1)
+		if statsLoaded != (start <= maxFailedRecoveries) || ordersLoaded != (start <= maxFailedRecoveriesForOrders) {
+			t.Errorf("start %d: statistics loaded: %v, orders loaded: %v", start, statsLoaded, ordersLoaded)
 		}
 	}
 	s.MarkRecovered()
@@ -26,6 +26,6 @@
 		t.Errorf("%d files are quarantined, want 2", s.quarantined)
 	}
 	if _, ok := s.Load("learnt", 1); !ok {
-		t.Error("nothing is loaded after a complete recovery")
+		t.Error("no record is loaded after a complete recovery")
 	}
 }
--- a/internal/durable/store.go
+++ b/internal/durable/store.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// retainedGenerations is how many records of a kind a folder retains: the newest and the previous one.
+// retainedGenerations is the number of records of each kind that are retained: the newest and the previous one.
 const retainedGenerations = 2
 
-// Access is what a Store may do with its folder.
+// Access says whether a Store may change its folder.
 type Access int
 
 const (
@@ -32,12 +32,12 @@
 	quarantined int
 }
 
-// OpenStore lists a folder and returns a store on it. owner names the balancer and its site, in 1 to maxNameSize bytes:
-// records of another owner are not used. With ReadWrite the caller holds the folder's lock. It returns an error if the
-// owner is not valid or the folder can't be listed.
+// OpenStore lists a folder and returns a store on it. owner identifies the balancer and its site, in 1 to maxNameSize bytes:
+// records of another owner are not used. With ReadWrite the caller must hold the folder's lock. OpenStore returns an error
+// if the owner is not valid or the folder can't be listed.
 func OpenStore(fs FS, owner string, access Access, log LogFunc) (*Store, error) {
 	if owner == "" || len(owner) > maxNameSize {
-		return nil, fmt.Errorf("owner %q: 1 to %d bytes are needed", owner, maxNameSize)
+		return nil, fmt.Errorf("open state store: invalid owner %q: %d bytes, want 1 to %d", owner, len(owner), maxNameSize)
 	}
 	names, err := listFiles(fs)
 	if err != nil {
@@ -54,9 +54,9 @@
 	return s, nil
 }
 
-// Load returns the newest usable record of a kind, and false if there is none. A record of a version up to one away from
-// version, which is this program's own, is usable: the kind's decoder ignores what it does not know. Unusable files are
-// quarantined, with a log line each.
+// Load returns the newest usable record of a kind, and false if there is none. version is the version of the payload that
+// this program writes. A record whose version differs from it by at most one is usable: the kind's decoder ignores what it
+// does not know. Unusable files are quarantined and logged.
 func (s *Store) Load(kind string, version uint16) (Record, bool) {
 	names, err := s.recordFiles(kind)
 	if err != nil {
@@ -65,8 +65,8 @@
 	}
 	for _, name := range names {
 		r, err := s.readRecord(name)
-		if err == nil && !isSupported(r.Version, version) {
-			err = fmt.Errorf("%w %d, supported is %d and one more or less", ErrUnsupportedVersion, r.Version, version)
+		if err == nil && !isSupportedVersion(r.Version, version) {
+			err = fmt.Errorf("%w %d, supported is %d and the versions next to it", ErrUnsupportedVersion, r.Version, version)
 		}
 		if err == nil {
 			return r, true
@@ -76,12 +76,12 @@
 	return Record{}, false
 }
 
-// isSupported reports whether a program with a version of its own can read a stored one.
-func isSupported(stored, own uint16) bool {
+// isSupportedVersion reports whether a program that writes version own can read version stored.
+func isSupportedVersion(stored, own uint16) bool {
 	return stored <= own+1 && stored+1 >= own
 }
 
-// readRecord reads one file and checks that it is the record that its name says, and of this store's owner.
+// readRecord reads and decodes one file, and checks that the record matches the file's name and belongs to the store's owner.
 func (s *Store) readRecord(name string) (Record, error) {
 	content, err := s.fs.ReadFile(name)
 	if err != nil {
@@ -100,7 +100,7 @@
 	return r, nil
 }
 
-// checkFileName returns an error if a record is not of the kind and generation that its file's name says.
+// checkFileName returns an error if a record's kind or generation differs from its file's name.
 func checkFileName(name string, r Record) error {
 	kind, generation, _ := parseFileName(name)
 	if r.Kind != kind || r.Generation != generation {
@@ -109,9 +109,9 @@
 	return nil
 }
 
-// Save writes a new record of a kind and waits for the disk. When it returns nil the record survives a crash and a power
-// loss. After an error the previous records are unchanged, and the next Save may succeed. The error is a RecordError if the
-// write failed, and ErrReadOnly or ErrQuarantineFull if the folder can't be written to.
+// Save writes a new record of a kind and waits until it is durable. Once Save has returned nil the record survives a crash
+// and a power loss. After an error the previous records are unchanged, and the next Save may succeed. The error is a
+// RecordError if the write failed, and ErrReadOnly or ErrQuarantineFull if the folder does not accept saves.
 func (s *Store) Save(kind string, version uint16, savedAt time.Time, payload []byte) error {
 	if err := s.checkSave(kind, payload); err != nil {
 		return err
@@ -124,7 +124,7 @@
 		SavedAt:    savedAt,
 		Payload:    payload,
 	}
-	s.nextGeneration[kind]++ // also if the save fails: no name is used twice
+	s.nextGeneration[kind]++ // also if the save fails, so that no file name is used twice
 	if err := s.writeRecord(r); err != nil {
 		return newRecordError(OperationSave, recordFileName(r.Kind, r.Generation), err)
 	}
@@ -138,9 +138,9 @@
 	case s.access == ReadOnly:
 		return ErrReadOnly
 	case !isValidKind(kind):
-		return fmt.Errorf("%q is not a valid kind", kind)
+		return fmt.Errorf("save record: invalid kind %q: want 1 to %d lower-case letters and hyphens", kind, maxKindLength)
 	case len(payload) > maxPayloadSize:
-		return fmt.Errorf("%s: payload of %d bytes exceeds %d", kind, len(payload), maxPayloadSize)
+		return fmt.Errorf("save record %s: payload has %d bytes, at most %d are allowed", kind, len(payload), maxPayloadSize)
 	case s.quarantined >= maxQuarantined:
 		return ErrQuarantineFull
 	default:
@@ -152,7 +152,7 @@
 func (s *Store) writeRecord(r Record) error {
 	temporary := r.Kind + temporarySuffix
 	if err := s.writeSynced(temporary, r.encode()); err != nil {
-		_ = s.fs.Remove(temporary) // if it stays, the next save truncates it
+		_ = s.fs.Remove(temporary) // if this fails, the next save truncates the file
 		return err
 	}
 	if err := s.fs.Rename(temporary, recordFileName(r.Kind, r.Generation)); err != nil {
@@ -178,7 +178,7 @@
 	return f.Close()
 }
 
-// removeOldRecords removes all but the newest records of a kind. What can't be removed now goes with a later save.
+// removeOldRecords removes all but the newest retainedGenerations records of a kind. If that fails, a later save removes them.
 func (s *Store) removeOldRecords(kind string) {
 	names, err := s.recordFiles(kind)
 	if err != nil {
@@ -186,12 +186,12 @@
 	}
 	for _, name := range names[min(len(names), retainedGenerations):] {
 		if err := s.fs.Remove(name); err != nil {
-			s.log("old record not removed", recordKeys(name, "err", err)...)
+			s.log("old record not removed", recordLogAttributes(name, "err", err)...)
 		}
 	}
 }
 
-// Kinds returns the kinds that have a record, sorted. The error is that of listing the folder.
+// Kinds returns the kinds that have a record, sorted. It returns an error if the folder can't be listed.
 func (s *Store) Kinds() ([]string, error) {
 	names, err := listFiles(s.fs)
 	if err != nil {
@@ -207,7 +207,7 @@
 	return kinds, nil
 }
 
-// recordFiles returns the names of a kind's records, the newest first.
+// recordFiles returns the file names of a kind's records, the newest first.
 func (s *Store) recordFiles(kind string) ([]string, error) {
 	names, err := listFiles(s.fs)
 	if err != nil {
@@ -224,7 +224,7 @@
 func listFiles(fs FS) ([]string, error) {
 	names, err := fs.List()
 	if err != nil {
-		return nil, fmt.Errorf("reading the folder: %w", err)
+		return nil, fmt.Errorf("list state folder: %w", err)
 	}
 	return names, nil
 }
--- a/internal/durable/store_test.go
+++ b/internal/durable/store_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The newest valid record is loaded, else the previous one, else none; an unusable file is quarantined and logged.
+// Load returns the newest valid record, or else the previous one, or else none. An unusable file is quarantined and logged.
 func TestLoadFallsBackToPreviousRecord(t *testing.T) {
 	path, recorder := newFolderPath(t), &logRecorder{}
 	s := openStore(t, path, testOwner, recorder)
@@ -25,25 +25,25 @@
 	}
 	damage(2)
 	if r, ok := s.Load("list", 1); !ok || string(r.Payload) != "two" {
-		t.Errorf("the newest record is damaged: loaded %q, %v", r.Payload, ok)
+		t.Errorf("newest record damaged: loaded %q, %v", r.Payload, ok)
 	}
 	if !recorder.contains("record quarantined") {
 		t.Errorf("the quarantine is not logged: %v", recorder)
 	}
 	damage(1)
 	if r, ok := s.Load("list", 1); ok {
-		t.Errorf("both records are damaged: loaded %q", r.Payload)
+		t.Errorf("both records damaged: loaded %q", r.Payload)
 	}
 	if quarantined, _ := filepath.Glob(filepath.Join(path, quarantinePrefix+"*")); len(quarantined) != 2 {
 		t.Errorf("quarantined: %q", quarantined)
 	}
 	save(t, s, "list", 1, "four")
 	if r, ok := openStore(t, path, testOwner, recorder).Load("list", 1); !ok || string(r.Payload) != "four" {
-		t.Errorf("after a save on damaged records: loaded %q, %v", r.Payload, ok)
+		t.Errorf("save after both records were damaged: loaded %q, %v", r.Payload, ok)
 	}
 }
 
-// A record of another balancer or site, or of a version more than one away, is not used.
+// Load does not use a record of another balancer or site, or one whose version differs by more than one.
 func TestLoadChecksOwnerAndVersion(t *testing.T) {
 	for _, c := range []struct {
 		owner   string
--- a/internal/durable/writer_loop.go
+++ b/internal/durable/writer_loop.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// This file is the Writer's goroutine: every function in it is called from there only.
+// This file contains the Writer's goroutine. All functions in it are called only from that goroutine.
 
-// run opens the store, sends what it has loaded, and saves until ctx is cancelled.
+// run opens the store, sends the loaded records to loaded, and saves states until ctx is cancelled.
 func (w *Writer) run(ctx context.Context, versions map[string]uint16, loaded chan<- map[string]Record) {
 	defer close(w.stopped)
 	defer w.folder.Close()
@@ -33,14 +33,15 @@
 		case <-w.wake:
 		case <-timer.C:
 		}
-		if next := w.work(); next > 0 {
+		if next := w.runDueTasks(); next > 0 {
 			timer.Reset(next)
 		}
 	}
 }
 
-// work does what is due and returns after what time there is more to do; 0: only after the next wake-up.
-func (w *Writer) work() time.Duration {
+// runDueTasks does the work that is due and returns the time until the next work is due; 0 if there is none before the next
+// wake-up.
+func (w *Writer) runDueTasks() time.Duration {
 	if w.markRecovered.CompareAndSwap(true, false) {
 		w.store.MarkRecovered()
 	}
@@ -63,7 +64,7 @@
 	}
 	w.store = store
 	switch {
-	case lockErr != nil: // such as a read-only file system, from which records can still be loaded
+	case lockErr != nil: // for example on a read-only file system, from which records can still be loaded
 		w.options.Log("state folder lock failed", "folder", w.options.Path, "err", lockErr)
 	case !locked:
 		w.options.Log("state folder locked by another process", "folder", w.options.Path)
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// loadAll begins the recovery and loads all kinds in versions.
+// loadAll begins the recovery and loads the record of each kind in versions.
 func (w *Writer) loadAll(versions map[string]uint16) map[string]Record {
 	w.store.BeginRecovery(w.options.OrderKinds...)
 	loaded := map[string]Record{}
@@ -83,7 +84,8 @@
 	return loaded
 }
 
-// acquireFolder takes the folder's lock if this process does not have it yet, and reports whether it has it now.
+// acquireFolder acquires the folder's lock unless this process already holds it, and reports whether the process holds it
+// now.
 func (w *Writer) acquireFolder() bool {
 	if w.store.access == ReadWrite {
 		return true
@@ -92,7 +94,7 @@
 	if err != nil || !locked {
 		return false
 	}
-	// The previous owner of the lock has saved since this process listed the folder.
+	// The previous holder of the lock may have saved records since this process listed the folder.
 	store, err := OpenStore(w.folder, w.options.Owner, ReadWrite, w.options.Log)
 	if err != nil {
 		w.logError("", err)
@@ -103,13 +105,13 @@
 	return true
 }
 
-// savePending saves the pending states of the kinds whose last save is at least minInterval ago. It returns after what
-// time the next is due; 0: nothing is pending.
+// savePending saves the pending states of the kinds whose last save is at least minInterval ago. It returns the time until
+// the next pending state is due; 0 if no state is left, or if this process does not hold the folder's lock.
 func (w *Writer) savePending(minInterval time.Duration) time.Duration {
 	if w.store.access == ReadOnly {
 		return 0
 	}
-	due, next := w.takeDue(minInterval)
+	due, next := w.takeDueStates(minInterval)
 	for kind, state := range due {
 		w.lastSave[kind] = time.Now()
 		if err := w.save(kind, state); err != nil {
@@ -119,9 +121,9 @@
 	return next
 }
 
-// takeDue removes the due states from the pending ones and returns them, with the time until the next of the others is
-// due; 0: there is no other.
-func (w *Writer) takeDue(minInterval time.Duration) (due map[string]pendingState, next time.Duration) {
+// takeDueStates removes the due states from the pending ones and returns them, with the time until the next of the others is
+// due; 0 if there are no others.
+func (w *Writer) takeDueStates(minInterval time.Duration) (due map[string]pendingState, next time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	due = map[string]pendingState{}
@@ -143,12 +145,12 @@
 func (w *Writer) save(kind string, state pendingState) error {
 	payload, err := state.encode()
 	if err != nil {
-		return fmt.Errorf("encoding %s: %w", kind, err)
+		return fmt.Errorf("encode state of kind %s: %w", kind, err)
 	}
 	return w.store.Save(kind, state.version, state.savedAt, payload)
 }
 
-// logError logs a failed save, at most once in errorLogInterval.
+// logError logs a failed save, unless one was logged within the last errorLogInterval.
 func (w *Writer) logError(kind string, err error) {
 	now := time.Now()
 	if now.Sub(w.lastErrorLog) < errorLogInterval {
--- a/internal/durable/writer_test.go
+++ b/internal/durable/writer_test.go
@@ -12,7 +12,7 @@
 	return func() ([]byte, error) { return []byte(text), nil }
 }
 
-// A second process reads while the first holds the folder, saves nothing, and takes over as soon as the first has ended.
+// While one process holds the folder's lock, a second one loads records and saves none. It saves once the first has ended.
 func TestWriterTakesOverFromPreviousProcess(t *testing.T) {
 	path, recorder := newFolderPath(t), &logRecorder{}
 	start := func() *Writer {
@@ -30,10 +30,10 @@
 	}
 	second := start()
 	if r, ok := second.Load("learnt"); !ok || string(r.Payload) != "of the first" {
-		t.Errorf("the second process loads %q", r.Payload)
+		t.Errorf("the second process loaded %q", r.Payload)
 	}
 	if err := second.SaveSync("orders", 1, time.Now(), []byte("too soon")); err == nil {
-		t.Error("an order is saved in a folder that another process holds")
+		t.Error("SaveSync succeeded in a folder that another process has locked")
 	}
 	second.Save("learnt", 1, time.Now(), encodeText("of the second"))
 	first.Save("learnt", 1, time.Now(), encodeText("last of the first"))
@@ -51,11 +51,11 @@
 	}
 }
 
-// faultyFolder is a folder whose lock fails, or whose List and Create block.
+// faultyFolder is a folder whose Lock fails, or whose List and Create block.
 type faultyFolder struct {
 	*Folder
 	lockErr error
-	// unblocked lets the calls through when it is closed; nil: no call blocks.
+	// unblocked ends the blocking of all calls when it is closed; if it is nil no call blocks.
 	unblocked chan struct{}
 }
 
@@ -82,7 +82,7 @@
 	}
 }
 
-// A disk that hangs blocks neither the start nor Save, and lets SaveSync time out; when it answers again saves succeed.
+// A hanging disk blocks neither the start nor Save, and makes SaveSync time out. Saves succeed once the disk responds again.
 func TestWriterOnHangingDisk(t *testing.T) {
 	path, recorder := newFolderPath(t), &logRecorder{}
 	save(t, openStore(t, path, testOwner, recorder), "learnt", 1, "before")
@@ -110,7 +110,7 @@
 	}
 }
 
-// A folder that can't be locked, such as a read-only one, is read and not written to.
+// Records are loaded from a folder that can't be locked, such as one on a read-only file system, but none are saved.
 func TestWriterOnFolderThatCannotBeLocked(t *testing.T) {
 	path, recorder := newFolderPath(t), &logRecorder{}
 	save(t, openStore(t, path, testOwner, recorder), "learnt", 1, "before")
@@ -122,11 +122,11 @@
 		t.Errorf("loaded %q, %v; log: %v", r.Payload, ok, recorder)
 	}
 	if err := w.SaveSync("orders", 1, time.Now(), []byte("x")); err == nil {
-		t.Error("an order is saved in a folder that can't be locked")
+		t.Error("SaveSync succeeded in a folder that can't be locked")
 	}
 }
 
-// Save never waits, the newest state of a kind is what is saved, and one that can't be encoded is logged.
+// Of several pending states of a kind only the newest is saved. A state that can't be encoded is logged.
 func TestSaveKeepsNewestStateOfKind(t *testing.T) {
 	path, recorder := newFolderPath(t), &logRecorder{}
 	w, err := StartWriter(Options{Path: path, Owner: testOwner, MinInterval: time.Hour, Log: recorder.log}, nil)
@@ -136,18 +136,18 @@
 	for i := range 1000 {
 		w.Save("list", 1, time.Now(), encodeText(fmt.Sprint(i)))
 	}
-	w.Save("learnt", 1, time.Now(), func() ([]byte, error) { return nil, errors.New("no number") })
+	w.Save("learnt", 1, time.Now(), func() ([]byte, error) { return nil, errors.New("unsupported value") })
 	w.Close()
 	r, ok := openStore(t, path, testOwner, recorder).Load("list", 1)
 	if !ok || string(r.Payload) != "999" || r.Generation > 2 {
 		t.Errorf("%q of generation %d was saved", r.Payload, r.Generation)
 	}
-	if !recorder.contains("no number") {
+	if !recorder.contains("unsupported value") {
 		t.Errorf("the failed encoding is not logged: %v", recorder)
 	}
 }
 
-// A state is saved once, however often the Writer is woken after it.
+// Later wake-ups of the Writer do not save a state a second time.
 func TestSaveWritesStateOnce(t *testing.T) {
 	path, recorder := newFolderPath(t), &logRecorder{}
 	w, err := StartWriter(Options{Path: path, Owner: testOwner, MinInterval: time.Nanosecond, Log: recorder.log}, nil)
@@ -169,7 +169,7 @@
 	}
 }
 
-// Starts that complete their recovery never quarantine what they load.
+// Records are not quarantined after any number of starts that complete their recovery.
 func TestWriterMarksRecovery(t *testing.T) {
 	path, recorder := newFolderPath(t), &logRecorder{}
 	save(t, openStore(t, path, testOwner, recorder), "learnt", 1, "good")
@@ -179,12 +179,12 @@
 			t.Fatal(err)
 		}
 		if _, ok := w.Load("learnt"); !ok {
-			t.Errorf("start %d loads nothing; log: %v", start, recorder)
+			t.Errorf("start %d loaded no record; log: %v", start, recorder)
 		}
 		w.MarkRecovered()
 		eventually(t, recorder, func() error {
 			if failed := openStore(t, path, testOwner, recorder).readFailedRecoveries(); failed != 0 {
-				return fmt.Errorf("%d starts count as failed", failed)
+				return fmt.Errorf("%d starts are counted as failed", failed)
 			}
 			return nil
 		})
