--- a/internal/lab/crash/crash_test.go
+++ b/internal/lab/crash/crash_test.go
@@ -18,8 +18,8 @@
 	return store
 }
 
-// Whatever a power loss or a flipped bit leaves, what is loaded was saved, and no saved record is lost but for the one that
-// a flip hits. `balancerctl lab crash` runs all cases; this is a sample of them.
+// After a power loss or a flipped bit only saved records are loaded, and no acknowledged record is lost except for the one
+// that a flip damages. `balancerctl lab crash` checks all cases, this test a sample of them.
 func TestMatrixFindsNoViolation(t *testing.T) {
 	for _, c := range []struct{ upstreams, sampleOneIn, recoveryCutOneIn int }{
 		{upstreams: 2, sampleOneIn: 1, recoveryCutOneIn: 40},
@@ -28,24 +28,24 @@
 		t.Run(fmt.Sprintf("%d upstreams", c.upstreams), func(t *testing.T) {
 			const seed = 5
 			options := Options{SampleOneIn: c.sampleOneIn, RecoveryCutOneIn: c.recoveryCutOneIn, Seed: seed}
-			r, err := Run(GenerateSaves(3, c.upstreams, seed), options)
+			result, err := Run(GenerateSaves(3, c.upstreams, seed), options)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, violation := range r.Violations {
+			for _, violation := range result.Violations {
 				t.Errorf("seed %d: %s", seed, violation)
 			}
-			if r.PowerCuts < 1000 || r.ByteFlips < 500 || r.RecoveryCuts < 20 {
-				t.Errorf("too few cases: %+v", *r)
+			if result.PowerCuts < 1000 || result.ByteFlips < 500 || result.RecoveryCuts < 20 {
+				t.Errorf("too few cases: %+v", *result)
 			}
-			if r.LoadedNewest == 0 || r.LoadedPrevious == 0 || r.LoadedNone == 0 {
-				t.Errorf("the cases are too much alike: %+v", *r)
+			if result.LoadedNewest == 0 || result.LoadedPrevious == 0 || result.LoadedNone == 0 {
+				t.Errorf("the cases do not cover all load results: %+v", *result)
 			}
 		})
 	}
 }
 
-// unsyncedDisk reports success for a sync of a file without doing it. The matrix has to find what that breaks.
+// unsyncedDisk is a Disk whose files report success for a sync that they do not perform.
 type unsyncedDisk struct{ *Disk }
 
 func (d unsyncedDisk) Create(name string) (durable.File, error) {
@@ -57,27 +57,28 @@
 
 func (unsyncedFile) Sync() error { return nil }
 
+// If the sync of a file is missing, the matrix reports a lost record.
 func TestMatrixFindsMissingSync(t *testing.T) {
 	disk := NewDisk()
 	m := &matrix{
-		issued: map[string][][]byte{kindList: {[]byte("one"), []byte("two")}},
-		safe:   map[string]int{kindList: 0},
+		issued:       map[string][][]byte{kindList: {[]byte("one"), []byte("two")}},
+		acknowledged: map[string]int{kindList: 0},
 	}
 	store := mustOpenStore(t, unsyncedDisk{disk})
 	if err := store.Save(kindList, payloadVersion, savedAt, []byte("one")); err != nil {
 		t.Fatal(err)
 	}
-	err := disk.forEachPowerLoss(func(remaining *Disk) { m.checkRecovery(remaining, "power cut", m.safe) })
+	err := disk.forEachPowerLossOutcome(func(remaining *Disk) { m.checkRecovery(remaining, "power loss", m.acknowledged) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(m.Violations) == 0 {
-		t.Error("a record that was never synced counts as safe")
+		t.Error("no violation found, although the acknowledged record was never synced")
 	}
 }
 
-// A disk on which an operation fails, once or several times, fails saves and has no other effect: what was safe is loaded,
-// and saves succeed again when the operation does.
+// If an operation of the disk fails, once or several times, only saves fail: the last acknowledged record, or a later one, is
+// loaded, and saves succeed again once the operation does.
 func TestSavesOnFailingDisk(t *testing.T) {
 	operations := []Operation{OpCreate, OpWrite, OpSync, OpClose, OpRename, OpSyncFolder, OpRemove, OpList}
 	for _, op := range operations {
@@ -100,33 +101,33 @@
 		}
 	}
 
-	lastSafe := "three"
-	issued := []string{lastSafe}
+	lastAcknowledged := "three"
+	issued := []string{lastAcknowledged}
 	disk.InjectFault = failFirst(op, failures)
 	for range failures + 1 {
-		text := "x" + lastSafe
+		text := "x" + lastAcknowledged
 		issued = append(issued, text)
 		if save(text) == nil {
-			lastSafe = text
+			lastAcknowledged = text
 		}
 	}
 	disk.InjectFault = nil
 
-	err := disk.forEachPowerLoss(func(remaining *Disk) {
+	err := disk.forEachPowerLossOutcome(func(remaining *Disk) {
 		r, ok := mustOpenStore(t, remaining).Load(kindList, payloadVersion)
-		if got := string(r.Payload); !ok || slices.Index(issued, got) < slices.Index(issued, lastSafe) {
-			t.Errorf("%q is loaded after a power loss, %q was safe", got, lastSafe)
+		if got := string(r.Payload); !ok || slices.Index(issued, got) < slices.Index(issued, lastAcknowledged) {
+			t.Errorf("loaded %q after a power loss, want %q or a later record", got, lastAcknowledged)
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := save("good again"); err != nil {
-		t.Errorf("saving does not work again: %v", err)
+	if err := save("after the faults"); err != nil {
+		t.Errorf("saving still fails after the faults have ended: %v", err)
 	}
 }
 
-// failFirst returns an InjectFault that makes the first calls of an operation fail.
+// failFirst returns a function for Disk.InjectFault that makes the first calls of an operation fail.
 func failFirst(op Operation, failures int) func(Operation) error {
 	return func(called Operation) error {
 		if called != op || failures == 0 {
--- a/internal/lab/crash/disk.go
+++ b/internal/lab/crash/disk.go
@@ -8,7 +8,7 @@
 	"sprucehill/internal/durable"
 )
 
-// Operation is a call on a Disk or on one of its files.
+// Operation names an operation of a Disk or of one of its files.
 type Operation string
 
 // The operations that can be made to fail.
@@ -26,26 +26,26 @@
 
 // inode is the content of a file.
 type inode struct {
-	data   []byte // as readers see it
-	synced []byte // as it is after a power loss
+	data   []byte // the content that readers see
+	synced []byte // the content at the last sync, which survives a power loss
 }
 
-// nameChange is a change of a name in the folder that was not synced.
-type nameChange struct {
+// entryChange is an unsynced change of a directory entry.
+type entryChange struct {
 	name string
-	file *inode // the name's new file; nil: the name is removed
+	file *inode // the new file of the entry; nil if the entry is removed
 }
 
 // Disk is an emulated folder in memory. It implements durable.FS.
 type Disk struct {
-	current map[string]*inode // the folder as readers see it
-	synced  map[string]*inode // the folder after a power loss that loses all of unsynced
-	// unsynced is the changes of names since the last Sync, the oldest first.
-	unsynced []nameChange
-	// onChange is called after each change; it may be nil.
+	currentEntries map[string]*inode // the directory entries that readers see
+	syncedEntries  map[string]*inode // the directory entries at the last Sync, which survive a power loss
+	// unsyncedChanges are the changes of directory entries since the last Sync, the oldest first.
+	unsyncedChanges []entryChange
+	// onChange is called after each change of the disk; it may be nil.
 	onChange func()
-	// InjectFault returns the error with which an operation fails, or nil if it succeeds. If InjectFault is nil, all
-	// operations succeed.
+	// InjectFault returns the error with which an operation fails, or nil if the operation succeeds. If InjectFault is nil
+	// no error is injected.
 	InjectFault func(Operation) error
 }
 
@@ -53,23 +53,23 @@
 
 // NewDisk returns an empty folder.
 func NewDisk() *Disk {
-	return &Disk{current: map[string]*inode{}, synced: map[string]*inode{}}
+	return &Disk{currentEntries: map[string]*inode{}, syncedEntries: map[string]*inode{}}
 }
 
-// newSyncedDisk returns a folder with the given files, all of them synced.
+// newSyncedDisk returns a folder that contains the given files, all of them synced.
 func newSyncedDisk(files map[string][]byte) *Disk {
 	d := NewDisk()
 	for name, content := range files {
 		file := &inode{data: slices.Clone(content), synced: slices.Clone(content)}
-		d.current[name] = file
-		d.synced[name] = file
+		d.currentEntries[name] = file
+		d.syncedEntries[name] = file
 	}
 	return d
 }
 
 // List returns the names of all files, sorted.
 func (d *Disk) List() ([]string, error) {
-	return slices.Sorted(maps.Keys(d.current)), d.fault(OpList)
+	return slices.Sorted(maps.Keys(d.currentEntries)), d.fault(OpList)
 }
 
 // ReadFile returns the content of a file.
@@ -77,9 +77,9 @@
 	if err := d.fault(OpRead); err != nil {
 		return nil, err
 	}
-	file := d.current[name]
+	file := d.currentEntries[name]
 	if file == nil {
-		return nil, fs.ErrNotExist
+		return nil, &fs.PathError{Op: string(OpRead), Path: name, Err: fs.ErrNotExist}
 	}
 	return slices.Clone(file.data), nil
 }
@@ -89,28 +89,28 @@
 	if err := d.fault(OpCreate); err != nil {
 		return nil, err
 	}
-	file := d.current[name]
+	file := d.currentEntries[name]
 	if file == nil {
 		file = &inode{}
-		d.setName(name, file)
+		d.setEntry(name, file)
 	}
 	file.data = nil
-	d.changed()
+	d.notifyChange()
 	return &handle{disk: d, file: file}, nil
 }
 
-// Rename renames a file. A power loss may leave it with both names, with either, or with none.
+// Rename renames a file. Until the next Sync, a power loss may leave the file with both names, with either, or with none.
 func (d *Disk) Rename(from, to string) error {
 	if err := d.fault(OpRename); err != nil {
 		return err
 	}
-	file := d.current[from]
+	file := d.currentEntries[from]
 	if file == nil {
-		return fs.ErrNotExist
+		return &fs.PathError{Op: string(OpRename), Path: from, Err: fs.ErrNotExist}
 	}
-	d.setName(to, file)
-	d.setName(from, nil)
-	d.changed()
+	d.setEntry(to, file)
+	d.setEntry(from, nil)
+	d.notifyChange()
 	return nil
 }
 
@@ -119,36 +119,36 @@
 	if err := d.fault(OpRemove); err != nil {
 		return err
 	}
-	if d.current[name] == nil {
-		return fs.ErrNotExist
+	if d.currentEntries[name] == nil {
+		return &fs.PathError{Op: string(OpRemove), Path: name, Err: fs.ErrNotExist}
 	}
-	d.setName(name, nil)
-	d.changed()
+	d.setEntry(name, nil)
+	d.notifyChange()
 	return nil
 }
 
-// Sync makes all changes of names durable.
+// Sync makes all changes of directory entries durable.
 func (d *Disk) Sync() error {
 	if err := d.fault(OpSyncFolder); err != nil {
 		return err
 	}
-	d.synced = maps.Clone(d.current)
-	d.unsynced = nil
-	d.changed()
+	d.syncedEntries = maps.Clone(d.currentEntries)
+	d.unsyncedChanges = nil
+	d.notifyChange()
 	return nil
 }
 
-// setName gives a name to a file, or removes the name if file is nil.
-func (d *Disk) setName(name string, file *inode) {
+// setEntry sets the directory entry of a name to a file, or removes the entry if file is nil.
+func (d *Disk) setEntry(name string, file *inode) {
 	if file == nil {
-		delete(d.current, name)
+		delete(d.currentEntries, name)
 	} else {
-		d.current[name] = file
+		d.currentEntries[name] = file
 	}
-	d.unsynced = append(d.unsynced, nameChange{name: name, file: file})
+	d.unsyncedChanges = append(d.unsyncedChanges, entryChange{name: name, file: file})
 }
 
-// fault returns the error that is injected into an operation.
+// fault returns the error to inject into an operation, or nil.
 func (d *Disk) fault(op Operation) error {
 	if d.InjectFault == nil {
 		return nil
@@ -156,7 +156,7 @@
 	return d.InjectFault(op)
 }
 
-func (d *Disk) changed() {
+func (d *Disk) notifyChange() {
 	if d.onChange != nil {
 		d.onChange()
 	}
@@ -168,7 +168,7 @@
 	file *inode
 }
 
-// Write appends to the file. If it fails it has written half of p, as on a full disk.
+// Write appends p to the file. If an error is injected it writes half of p, as on a full disk.
 func (h *handle) Write(p []byte) (int, error) {
 	err := h.disk.fault(OpWrite)
 	written := len(p)
@@ -176,21 +176,21 @@
 		written = len(p) / 2
 	}
 	h.file.data = append(h.file.data, p[:written]...)
-	h.disk.changed()
+	h.disk.notifyChange()
 	return written, err
 }
 
-// Sync makes the content durable. If it fails nothing of it is, which is the worst that a disk may do.
+// Sync makes the content durable. If an error is injected no written data become durable, the worst case for a failed sync.
 func (h *handle) Sync() error {
 	if err := h.disk.fault(OpSync); err != nil {
 		return err
 	}
 	h.file.synced = slices.Clone(h.file.data)
-	h.disk.changed()
+	h.disk.notifyChange()
 	return nil
 }
 
-// Close makes nothing durable.
+// Close closes the file without making its content durable.
 func (h *handle) Close() error {
 	return h.disk.fault(OpClose)
 }
--- a/internal/lab/crash/doc.go
+++ b/internal/lab/crash/doc.go
@@ -1,12 +1,12 @@
-// Package crash tests what a balancer loads from its state folder after a power loss and after bits have flipped.
+// Package crash tests which records a balancer loads from its state folder after a power loss and after bit flips.
 //
-// It runs a sequence of saves on an emulated disk, which distinguishes what was synced from what was not. Unsynced changes
-// of names may survive a power loss in any combination, and an unsynced file up to any byte. At each step of the saves the
-// matrix enumerates the folders that a power loss may leave, opens a durable.Store on each, and checks what it loads.
-// At the end it flips the bytes of all files in turn.
+// It runs a sequence of saves on an emulated disk that distinguishes synced from unsynced data. After a power loss any
+// combination of the unsynced changes of directory entries may survive, and any prefix of an unsynced file. At each step of
+// the saves the package enumerates the folders that a power loss may leave, opens a durable.Store on each, and checks which
+// records it loads. After the last save it flips bits in each byte of each file in turn.
 //
-// Not covered: reordered writes within one file, more than one unsynced file at a time (a store writes one), and faults of
-// the disk other than those that the tests inject.
+// Not covered: reordered writes within one file, more than one unsynced file at a time (a store writes one file at a time),
+// and disk faults other than those that the tests inject.
 //
-// Everything runs on the caller's goroutine. A Disk belongs to one goroutine.
+// Everything runs on the caller's goroutine. A Disk must be used from one goroutine only.
 package crash
--- a/internal/lab/crash/matrix.go
+++ b/internal/lab/crash/matrix.go
@@ -10,53 +10,55 @@
 )
 
 const (
-	// maxViolations bounds the violations that a result describes.
+	// maxViolations limits the number of violations that a Result describes.
 	maxViolations = 20
 
 	owner = "b1@site"
-	// payloadVersion is the version of all kinds.
+	// payloadVersion is the payload version of all kinds.
 	payloadVersion = 1
-	// notSaved stands for the generation of a kind of which no save has returned yet.
-	notSaved = -1
+	// noneAcknowledged takes the place of a generation for a kind without an acknowledged save.
+	noneAcknowledged = -1
 
-	// casesStream separates the random numbers that choose the cases from those of GenerateSaves.
+	// casesStream makes the random numbers that sample the cases independent of those of GenerateSaves.
 	casesStream = 0
-	// allBits is the mask that flips a whole byte.
+	// allBits is the mask that flips all bits of a byte.
 	allBits = 0xff
 )
 
-// savedAt is the time of all saves.
+// savedAt is the time stamp of all saved records.
 var savedAt = time.Unix(1e9, 0)
 
-// Options says which part of the matrix is run.
+// Options selects the cases that Run checks.
 type Options struct {
-	// SampleOneIn runs one case of so many, drawn by the seed; 1: all.
+	// SampleOneIn is n if one case in n is checked, chosen at random by the seed; 1 checks all cases.
 	SampleOneIn int
-	// RecoveryCutOneIn cuts the power again at each step of one recovery of so many; 0: of none.
+	// RecoveryCutOneIn is n if a second power loss at each step of the recovery is checked in one recovery in n, chosen at
+	// random by the seed; 0 checks none.
 	RecoveryCutOneIn int
-	Seed             uint64
+	// Seed determines the sample.
+	Seed uint64
 }
 
-// Result is what a run has found.
+// Result has the counts and violations of a run.
 type Result struct {
-	// The cases that were run.
+	// The numbers of cases that were checked.
 
-	PowerCuts    int
-	ByteFlips    int
-	RecoveryCuts int // the power was cut again in the recovery from a power cut
+	PowerCuts    int // folders that a power loss may leave
+	ByteFlips    int // folders with flipped bits in one byte
+	RecoveryCuts int // folders that a second power loss, during the recovery from the first, may leave
 
-	// What was loaded in these cases, of each kind.
+	// The results of loading each kind in these cases.
 
-	LoadedNewest   int // the newest record that had been saved or was being saved
-	LoadedPrevious int // an older one that is allowed
-	LoadedNone     int // none, where none had been saved
+	LoadedNewest   int // the newest record that was saved or being saved
+	LoadedPrevious int // an older record, where that is allowed
+	LoadedNone     int // no record, where that is allowed
 
-	// Violations describes cases in which a saved record was lost, or something loaded that was never saved; at most
-	// maxViolations. If it is empty all cases passed.
+	// Violations describes the cases in which an acknowledged record was lost, or a record was loaded that was never saved;
+	// at most maxViolations of them. If it is empty all cases passed.
 	Violations []string
 }
 
-// Cases returns the number of all cases.
+// Cases returns the number of all checked cases.
 func (r *Result) Cases() int {
 	return r.PowerCuts + r.ByteFlips + r.RecoveryCuts
 }
@@ -66,25 +68,26 @@
 	Result
 	options Options
 	rng     *rand.Rand
-	// issued is the payloads given to the store, by kind and generation.
+	// issued are the payloads passed to durable.Store.Save, by kind and generation.
 	issued map[string][][]byte
-	// safe is the newest generation whose save has returned without an error, by kind; or notSaved.
-	safe map[string]int
-	// err is the first error that made the run incomplete.
+	// acknowledged is the newest generation whose save has returned without an error, by kind; or
+	// noneAcknowledged.
+	acknowledged map[string]int
+	// err is the first error that prevented a check.
 	err error
 }
 
-// Run performs the saves on an emulated disk, cuts the power at each step in each way that a disk may leave, and at the
-// end flips each byte of each file.
+// Run performs the saves on an emulated disk. At each step it checks the recovery from each folder that a power loss may
+// leave, and after the last save the recovery from flipped bits in each byte of each file.
 func Run(saves []Save, options Options) (*Result, error) {
 	m := &matrix{
-		options: options,
-		rng:     rand.New(rand.NewPCG(options.Seed, casesStream)),
-		issued:  map[string][][]byte{},
-		safe:    map[string]int{},
+		options:      options,
+		rng:          rand.New(rand.NewPCG(options.Seed, casesStream)),
+		issued:       map[string][][]byte{},
+		acknowledged: map[string]int{},
 	}
 	disk := NewDisk()
-	disk.onChange = func() { m.cutPower(disk) }
+	disk.onChange = func() { m.checkPowerLosses(disk) }
 	store, err := openStore(disk)
 	if err != nil {
 		return nil, err
@@ -97,74 +100,74 @@
 	if m.err != nil {
 		return nil, m.err
 	}
-	m.flipBytes(disk)
+	m.checkByteFlips(disk)
 	return &m.Result, nil
 }
 
-// save saves a state and records that it was issued, and then that it is safe.
+// save saves a state, and records it as issued before and as acknowledged after.
 func (m *matrix) save(store *durable.Store, s Save) error {
-	if _, known := m.safe[s.Kind]; !known {
-		m.safe[s.Kind] = notSaved
+	if _, known := m.acknowledged[s.Kind]; !known {
+		m.acknowledged[s.Kind] = noneAcknowledged
 	}
 	m.issued[s.Kind] = append(m.issued[s.Kind], s.Payload)
 	if err := store.Save(s.Kind, payloadVersion, savedAt, s.Payload); err != nil {
 		return err
 	}
-	m.safe[s.Kind] = len(m.issued[s.Kind]) - 1
+	m.acknowledged[s.Kind] = len(m.issued[s.Kind]) - 1
 	return nil
 }
 
-// cutPower checks the recovery from each folder that a power loss may leave now.
-func (m *matrix) cutPower(disk *Disk) {
-	err := disk.forEachPowerLoss(func(remaining *Disk) {
-		if !m.draw(m.options.SampleOneIn) {
+// checkPowerLosses checks the recovery from each folder that a power loss at this moment may leave.
+func (m *matrix) checkPowerLosses(disk *Disk) {
+	err := disk.forEachPowerLossOutcome(func(remaining *Disk) {
+		if !m.sample(m.options.SampleOneIn) {
 			return
 		}
 		m.PowerCuts++
-		const description = "power cut"
-		if m.options.RecoveryCutOneIn > 0 && m.draw(m.options.RecoveryCutOneIn) {
-			m.cutPowerInRecovery(remaining, description)
+		const description = "power loss"
+		if m.options.RecoveryCutOneIn > 0 && m.sample(m.options.RecoveryCutOneIn) {
+			m.checkPowerLossesInRecovery(remaining, description)
 		}
-		m.checkRecovery(remaining, description, m.safe)
+		m.checkRecovery(remaining, description, m.acknowledged)
 	})
-	m.noteError(err)
+	m.keepFirstError(err)
 }
 
-// cutPowerInRecovery makes the recovery on a disk have a power loss of its own at each of its steps.
-func (m *matrix) cutPowerInRecovery(disk *Disk, description string) {
+// checkPowerLossesInRecovery arranges that a second power loss is checked at each step of the following recovery on a disk.
+func (m *matrix) checkPowerLossesInRecovery(disk *Disk, description string) {
 	disk.onChange = func() {
-		err := disk.forEachPowerLoss(func(remaining *Disk) {
+		err := disk.forEachPowerLossOutcome(func(remaining *Disk) {
 			m.RecoveryCuts++
-			m.checkRecovery(remaining, description+", and again in the recovery", m.safe)
+			m.checkRecovery(remaining, description+", and another in the recovery", m.acknowledged)
 		})
-		m.noteError(err)
+		m.keepFirstError(err)
 	}
 }
 
-// flipBytes changes each byte of each file in turn: one of its bits, and then all of them.
-func (m *matrix) flipBytes(disk *Disk) {
-	required := map[string]int{} // a flip may cost one record of a kind, not two
-	for kind, generation := range m.safe {
+// checkByteFlips checks the recovery after one bit, and after all bits, of each byte of each file have flipped.
+func (m *matrix) checkByteFlips(disk *Disk) {
+	required := map[string]int{} // a flip damages one file, so the newest or the previous record is valid
+	for kind, generation := range m.acknowledged {
 		required[kind] = generation - 1
 	}
-	for name, file := range disk.current {
+	for name, file := range disk.currentEntries {
 		for offset := range file.data {
 			for _, mask := range []byte{1 << m.rng.IntN(8), allBits} {
-				if !m.draw(m.options.SampleOneIn) {
+				if !m.sample(m.options.SampleOneIn) {
 					continue
 				}
 				m.ByteFlips++
-				description := fmt.Sprintf("byte %d of %s flipped by %02x", offset, name, mask)
-				m.checkRecovery(flipped(disk, name, offset, mask), description, required)
+				description := fmt.Sprintf("byte %d of %s flipped with mask %02x", offset, name, mask)
+				m.checkRecovery(withFlippedBits(disk, name, offset, mask), description, required)
 			}
 		}
 	}
 }
 
-// flipped returns a copy of a disk on which some bits of one byte are flipped.
-func flipped(disk *Disk, name string, offset int, mask byte) *Disk {
+// withFlippedBits returns a copy of a disk in which the bits of mask are flipped in one byte of one file.
+func withFlippedBits(disk *Disk, name string, offset int, mask byte) *Disk {
 	files := map[string][]byte{}
-	for other, file := range disk.current {
+	for other, file := range disk.currentEntries {
 		files[other] = file.data
 	}
 	content := slices.Clone(files[name])
@@ -173,17 +176,17 @@
 	return newSyncedDisk(files)
 }
 
-// checkRecovery opens a store on a disk and compares what it loads with what was saved. required is the oldest generation
-// that may be loaded, by kind; if it is negative there may be none.
+// checkRecovery opens a store on a disk and compares the records that it loads with those that were saved. required is the
+// oldest generation that may be loaded, by kind; if it is negative the store may also load none.
 func (m *matrix) checkRecovery(disk *Disk, description string, required map[string]int) {
 	defer func() {
 		if r := recover(); r != nil {
-			m.addViolation("%s: the store panics: %v", description, r)
+			m.addViolation("%s: recovery panicked: %v", description, r)
 		}
 	}()
 	store, err := openStore(disk)
 	if err != nil {
-		m.addViolation("%s: the folder does not open: %v", description, err)
+		m.addViolation("%s: opening the store failed: %v", description, err)
 		return
 	}
 	store.BeginRecovery(kindOrders)
@@ -193,19 +196,19 @@
 	store.MarkRecovered()
 }
 
-// checkLoad compares what a store loads of a kind with what was saved.
+// checkLoad compares the record that a store loads of a kind with those that were saved.
 func (m *matrix) checkLoad(store *durable.Store, kind, description string, required int) {
 	issued := m.issued[kind]
 	r, ok := store.Load(kind, payloadVersion)
 	switch {
 	case !ok && required >= 0:
-		m.addViolation("%s: nothing of %s is left, generation %d was safe", description, kind, required)
+		m.addViolation("%s: no %s record loaded, want generation %d or later", description, kind, required)
 	case !ok:
 		m.LoadedNone++
 	case r.Generation >= uint64(len(issued)) || !slices.Equal(r.Payload, issued[r.Generation]):
-		m.addViolation("%s: %s of generation %d was never written so", description, kind, r.Generation)
+		m.addViolation("%s: loaded %s record of generation %d was never saved with this payload", description, kind, r.Generation)
 	case int(r.Generation) < required:
-		m.addViolation("%s: %s of generation %d, %d was safe", description, kind, r.Generation, required)
+		m.addViolation("%s: loaded %s record of generation %d, want %d or later", description, kind, r.Generation, required)
 	case int(r.Generation) == len(issued)-1:
 		m.LoadedNewest++
 	default:
@@ -219,19 +222,18 @@
 	}
 }
 
-// draw returns true once in oneIn calls on average; always if oneIn is 1 or less.
-func (m *matrix) draw(oneIn int) bool {
+// sample returns true at random, on average in one call in oneIn; always if oneIn is 1 or less.
+func (m *matrix) sample(oneIn int) bool {
 	return oneIn <= 1 || m.rng.IntN(oneIn) == 0
 }
 
-// noteError keeps the first error.
-func (m *matrix) noteError(err error) {
+func (m *matrix) keepFirstError(err error) {
 	if m.err == nil {
 		m.err = err
 	}
 }
 
-// openStore opens a store on an emulated disk, without a log.
+// openStore opens a store on an emulated disk and discards its log lines.
 func openStore(fs durable.FS) (*durable.Store, error) {
 	return durable.OpenStore(fs, owner, durable.ReadWrite, func(string, ...any) {})
 }
--- a/internal/lab/crash/powerloss.go
+++ b/internal/lab/crash/powerloss.go
@@ -2,50 +2,55 @@
 
 import (
 	"errors"
+	"fmt"
 	"maps"
 	"slices"
 )
 
-// maxUnsynced bounds the unsynced changes of names whose subsets are enumerated. A save has at most four.
-const maxUnsynced = 8
+// maxUnsyncedChanges limits the unsynced changes of directory entries, since all subsets of them are enumerated. A save has at
+// most four.
+const maxUnsyncedChanges = 8
 
-// errTooManyUnsynced means that the outcomes of a power loss are too many to enumerate.
-var errTooManyUnsynced = errors.New("too many changes without a sync to go through them all")
+// errTooManyUnsyncedChanges means that a power loss has too many possible outcomes to enumerate.
+var errTooManyUnsyncedChanges = errors.New("too many unsynced changes of directory entries")
 
-// forEachPowerLoss calls visit with each folder that a power loss at this moment may leave: with any subset of the
-// unsynced changes of names, and for each file that is not synced its previous content, any prefix of the new one, and as
-// many zero bytes. Only one file at a time has other than its synced content, since a store writes one at a time.
-func (d *Disk) forEachPowerLoss(visit func(*Disk)) error {
-	if len(d.unsynced) > maxUnsynced {
-		return errTooManyUnsynced
+// forEachPowerLossOutcome calls visit with each folder that a power loss at this moment may leave. The folders have any subset
+// of the unsynced changes of directory entries. An unsynced file has its previous content, any prefix of the new content, or
+// zero bytes in the length of the new content. In each folder at most one file has other than its synced content, since a
+// store writes one file at a time.
+func (d *Disk) forEachPowerLossOutcome(visit func(*Disk)) error {
+	if len(d.unsyncedChanges) > maxUnsyncedChanges {
+		return fmt.Errorf("enumerate outcomes of a power loss: %w: %d, at most %d are supported",
+			errTooManyUnsyncedChanges, len(d.unsyncedChanges), maxUnsyncedChanges)
 	}
-	for subset := range 1 << len(d.unsynced) {
-		forEachContent(d.namesAfter(subset), visit)
+	for subset := range 1 << len(d.unsyncedChanges) {
+		forEachContent(d.entriesAfter(subset), visit)
 	}
 	return nil
 }
 
-// namesAfter returns the names after a power loss that keeps a subset of the unsynced changes: those whose bit is set.
-func (d *Disk) namesAfter(subset int) map[string]*inode {
-	names := maps.Clone(d.synced)
-	for i, change := range d.unsynced {
+// entriesAfter returns the directory entries after a power loss. subset is a bit mask of the unsynced changes that survive.
+func (d *Disk) entriesAfter(subset int) map[string]*inode {
+	entries := maps.Clone(d.syncedEntries)
+	for i, change := range d.unsyncedChanges {
 		if subset&(1<<i) == 0 {
 			continue
 		}
 		if change.file == nil {
-			delete(names, change.name)
+			delete(entries, change.name)
 		} else {
-			names[change.name] = change.file
+			entries[change.name] = change.file
 		}
 	}
-	return names
+	return entries
 }
 
-// forEachContent calls visit with each folder that has the given names and contents as a power loss may leave them.
-func forEachContent(names map[string]*inode, visit func(*Disk)) {
+// forEachContent calls visit with each folder that has the given directory entries and file contents that a power loss may
+// leave.
+func forEachContent(entries map[string]*inode, visit func(*Disk)) {
 	synced := map[string][]byte{}
 	unsyncedFiles := map[*inode]bool{}
-	for name, file := range names {
+	for name, file := range entries {
 		synced[name] = file.synced
 		if !slices.Equal(file.data, file.synced) {
 			unsyncedFiles[file] = true
@@ -55,7 +60,7 @@
 	for file := range unsyncedFiles {
 		visitWith := func(content []byte) {
 			contents := maps.Clone(synced)
-			for name, other := range names {
+			for name, other := range entries {
 				if other == file {
 					contents[name] = content
 				}
--- a/internal/lab/crash/saves.go
+++ b/internal/lab/crash/saves.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// listBytesPerUpstream and statsBytesPerUpstream are about what the records of a balancer need for an upstream.
+	// listBytesPerUpstream and statsBytesPerUpstream are the approximate sizes of a balancer's records per upstream.
 	listBytesPerUpstream  = 150
 	statsBytesPerUpstream = 300
 
@@ -14,7 +14,7 @@
 	kindEndpointStats = "learnt"
 	kindOrders        = "orders"
 
-	// savesStream separates the random numbers of GenerateSaves from those that choose the cases.
+	// savesStream makes the random numbers of GenerateSaves independent of those that sample the cases.
 	savesStream = 1
 )
 
@@ -24,8 +24,8 @@
 	Payload []byte
 }
 
-// GenerateSaves returns a sequence of saves like those of a balancer with so many upstreams: in each round one of the
-// endpoint list, of the endpoint statistics, and of the operators' orders. The payloads are drawn by the seed.
+// GenerateSaves returns a sequence of saves like those of a balancer with the given number of upstreams. Each round saves the
+// endpoint list, the endpoint statistics and the operators' orders. The seed determines the payloads.
 func GenerateSaves(rounds, upstreams int, seed uint64) []Save {
 	rng := rand.New(rand.NewPCG(seed, savesStream))
 	var saves []Save
@@ -41,7 +41,7 @@
 	return saves
 }
 
-// randomText returns printable ASCII characters.
+// randomText returns size random printable ASCII characters.
 func randomText(rng *rand.Rand, size int) []byte {
 	const printable = '~' - ' ' + 1
 	text := make([]byte, size)
