--- a/internal/durable/errors.go
+++ b/internal/durable/errors.go
@@ -19,7 +19,7 @@
 	ErrForeignOwner = errors.New("record of another balancer or site")
 	// ErrUnsupportedVersion means that the version of a record's payload differs by more than one from this program's.
 	ErrUnsupportedVersion = errors.New("unsupported record version")
-	// ErrCrashLoop means that a record is discarded because several consecutive starts did not complete their recovery.
+	// ErrCrashLoop means that a record is quarantined because several consecutive starts did not complete their recovery.
 	ErrCrashLoop = errors.New("crash loop")
 	// ErrReadOnly means that a save was refused because another process holds the folder's lock.
 	ErrReadOnly = errors.New("state folder is locked by another process")
--- a/internal/durable/inspect.go
+++ b/internal/durable/inspect.go
@@ -18,7 +18,7 @@
 
 // Inspect reads all record files in a folder, including those of other owners and quarantined ones, and changes nothing. The
 // result is sorted by file name. It needs no lock: a file that a running balancer removes after the folder was listed has an
-// Err that wraps fs.ErrNotExist. Inspect returns an error if the folder can't be listed.
+// Err that wraps io/fs.ErrNotExist. Inspect returns an error if the folder can't be listed.
 func Inspect(fs FS) ([]InspectedFile, error) {
 	names, err := listFiles(fs)
 	if err != nil {
--- a/internal/durable/record.go
+++ b/internal/durable/record.go
@@ -14,7 +14,7 @@
 //	payload | payload checksum 8
 //
 // The header checksum is the xxhash64 of all bytes before it. The payload checksum is the xxhash64 of the header checksum
-// and the payload. No data follow. A file that differs in any bit from what was written is not a valid record.
+// and the payload, and is the end of the file. A file that differs in any bit from what was written is not a valid record.
 const (
 	recordMagic  = "SPRUCEST"
 	recordFormat = 1
--- a/internal/durable/recovery.go
+++ b/internal/durable/recovery.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// maxFailedRecoveries is the number of consecutive starts without a complete recovery from which on the loaded state is
+	// maxFailedRecoveries is the number of consecutive starts without a complete recovery after which the loaded state is
 	// assumed to be the cause.
 	maxFailedRecoveries = 3
-	// maxFailedRecoveriesForOrders is the same number for operators' orders, which are discarded last.
+	// maxFailedRecoveriesForOrders is the corresponding number for operators' orders, which are quarantined last.
 	maxFailedRecoveriesForOrders = 2 * maxFailedRecoveries
 
 	failedRecoveriesFile = "starts"
@@ -20,9 +20,9 @@
 	failedRecoveriesFileSize = 8
 )
 
-// BeginRecovery counts a start. To end a crash loop, it quarantines the records that earlier starts loaded once
-// maxFailedRecoveries starts in a row have not reached MarkRecovered, and the records of orderKinds, which hold operators'
-// orders, once maxFailedRecoveriesForOrders have not.
+// BeginRecovery counts a start. If maxFailedRecoveries consecutive starts before it have not reached MarkRecovered, it ends
+// the crash loop by quarantining the records that they may have loaded. The records of orderKinds, which hold operators'
+// orders, are quarantined only after maxFailedRecoveriesForOrders such starts.
 func (s *Store) BeginRecovery(orderKinds ...string) {
 	if s.access == ReadOnly {
 		return
--- a/internal/durable/writer.go
+++ b/internal/durable/writer.go
@@ -29,7 +29,7 @@
 	Owner string
 	// MinInterval is the minimum time between two asynchronous saves of one kind; 0 saves as soon as possible.
 	MinInterval time.Duration
-	// OrderKinds are the kinds that hold operators' orders: in a crash loop their records are discarded last.
+	// OrderKinds are the kinds that hold operators' orders: in a crash loop their records are quarantined last.
 	OrderKinds []string
 	// Log must not be nil. It is also called from the Writer's goroutine.
 	Log LogFunc
@@ -40,7 +40,7 @@
 type Writer struct {
 	options Options
 	folder  LockableFS
-	// loaded are the records loaded at the start, by kind. It is not changed after StartWriterOn.
+	// loaded holds the records loaded at the start, by kind. It is not changed after StartWriterOn.
 	loaded map[string]Record
 
 	mu sync.Mutex
@@ -114,7 +114,7 @@
 	return w
 }
 
-// Load returns the record of a kind that was loaded at the start, and false if there was none. The caller must not change
+// Load returns the record of a kind that was loaded at the start, and false if none was loaded. The caller must not change
 // the payload.
 func (w *Writer) Load(kind string) (Record, bool) {
 	r, ok := w.loaded[kind]
