--- a/balancer/bands.go
+++ b/balancer/bands.go
@@ -54,7 +54,7 @@
 // adjustShares cuts the share factors of saturated endpoints and lets the others grow back, both in steps. The threshold is
 // relative to the fleet's median, so that a rise of utilization on all endpoints cuts no share.
 func (s *endpointSet) adjustShares() {
-	median := s.valueAbove(2, func(e *endpoint) float64 { return e.utilization.area })
+	median := s.quantile(2, func(e *endpoint) float64 { return e.utilization.area })
 	threshold := max(minAreaThreshold, areaThresholdRatio*median)
 	for _, e := range s.tracked {
 		if e.utilization.readings >= bandWindowReadings/2 && e.utilization.area > threshold {
@@ -68,8 +68,8 @@
 
 // updateStats recomputes the statistics of the subset at the end of a period.
 func (s *endpointSet) updateStats() {
-	s.stats.utilization = s.valueAbove(2, func(e *endpoint) float64 { return e.utilization.mean })
-	s.stats.baselineLatency = s.valueAbove(4, func(e *endpoint) float64 { return e.latency.baseline })
+	s.stats.utilization = s.quantile(2, func(e *endpoint) float64 { return e.utilization.mean })
+	s.stats.baselineLatency = s.quantile(4, func(e *endpoint) float64 { return e.latency.baseline })
 }
 
 // estimateWorkPerWeight estimates how much work per unit of weight warm endpoints can do in a period at full utilization.
--- a/balancer/bands_test.go
+++ b/balancer/bands_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestMeanDeviation(t *testing.T) {
-	mean, deviation := stats.MeanDeviation([]float64{0.2, 0.4, 0.4, 0.4, 0.5, 0.5, 0.7, 0.9})
+	mean, deviation := stats.MeanStdDev([]float64{0.2, 0.4, 0.4, 0.4, 0.5, 0.5, 0.7, 0.9})
 	// The squares of the deviations sum to 0.32.
 	if math.Abs(mean-0.5) > tolerance || math.Abs(deviation-0.2) > tolerance {
 		t.Errorf("mean %v, deviation %v; want 0.5, 0.2", mean, deviation)
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -45,7 +45,7 @@
 func (w *bandWindow) add(reading float64) {
 	w.window[w.readings%bandWindowReadings] = reading
 	w.readings++
-	w.mean, w.deviation = stats.MeanDeviation(w.window[:min(w.readings, bandWindowReadings)])
+	w.mean, w.deviation = stats.MeanStdDev(w.window[:min(w.readings, bandWindowReadings)])
 }
 
 // reset discards all readings.
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -71,13 +71,13 @@
 	})
 }
 
-// valueAbove returns the 1/n quantile of a value over the endpoints of the subset that have readings: the median for n = 2.
-func (s *endpointSet) valueAbove(n int, value func(*endpoint) float64) float64 {
+// quantile returns the 1/n quantile of a value over the endpoints of the subset that have readings: the median for n = 2.
+func (s *endpointSet) quantile(n int, value func(*endpoint) float64) float64 {
 	samples := make([]float64, 0, len(s.tracked)+1)
 	for e := range s.inUse() {
 		if e.utilization.readings > 0 {
 			samples = append(samples, value(e))
 		}
 	}
-	return stats.ValueAbove(n, samples)
+	return stats.Quantile(n, samples)
 }
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -68,11 +68,11 @@
 		}
 	}
 	if len(local) == 0 || len(remote) == 0 || int(size) >= len(active) || b.locality.disabled {
-		return ring.From(active, start)
+		return ring.Rotate(active, start)
 	}
 	localSize := size * float64(len(local)*len(zones)) / float64(len(active))
 	localSize = math.Round(max(1, min(size-1, localSize))) // at least one remote endpoint, for its readings
 	n := min(len(local), int(localSize))
-	local, remote = ring.From(local, start), ring.From(remote, start)
+	local, remote = ring.Rotate(local, start), ring.Rotate(remote, start)
 	return slices.Concat(local[:n], remote, local[n:])
 }
--- a/internal/proxy/upstreamconn.go
+++ b/internal/proxy/upstreamconn.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	if state != socket.Quiet || c.reader.Buffered() > 0 {
+	if state != socket.Idle || c.reader.Buffered() > 0 {
 		return errStale
 	}
 	return nil
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -11,9 +11,9 @@
 	return id ^ id>>32
 }
 
-// From returns the elements of a ring in a new slice, in ring order, beginning at start: a fraction of the ring from 0, its
+// Rotate returns the elements of a ring in a new slice, in ring order, beginning at start: a fraction of the ring from 0, its
 // first element, to 1 (exclusive).
-func From[T any](elements []T, start float64) []T {
+func Rotate[T any](elements []T, start float64) []T {
 	first := int(start * float64(len(elements)))
 	return slices.Concat(elements[first:], elements[:first])
 }
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -39,11 +39,11 @@
 		{0.25, []string{"b", "c", "d", "a"}},
 		{0.99, []string{"d", "a", "b", "c"}},
 	} {
-		if got := From(elements, c.start); !slices.Equal(got, c.want) {
+		if got := Rotate(elements, c.start); !slices.Equal(got, c.want) {
 			t.Errorf("from %v: got %v, want %v", c.start, got, c.want)
 		}
 	}
-	if got := From([]string(nil), 0.5); len(got) != 0 {
+	if got := Rotate([]string(nil), 0.5); len(got) != 0 {
 		t.Errorf("got %v from an empty ring, want none", got)
 	}
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -20,7 +20,7 @@
 
 // The states of a connection.
 const (
-	Quiet    State = iota // open, with no data to read
+	Idle     State = iota // open, with no data to read
 	Readable              // open or closed, with data to read
 	Closed                // closed or reset by the peer, with no data to read
 )
@@ -50,11 +50,11 @@
 	case n > 0:
 		return Readable, nil
 	case errors.Is(peekErr, syscall.EAGAIN):
-		return Quiet, nil
+		return Idle, nil
 	case peekErr == nil || isDisconnect(peekErr):
 		return Closed, nil
 	default:
-		return Quiet, fmt.Errorf("%w: %w", ErrPeekFailed, peekErr)
+		return Idle, fmt.Errorf("%w: %w", ErrPeekFailed, peekErr)
 	}
 }
 
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -16,7 +16,7 @@
 		action func(peer *net.TCPConn) error
 		state  State
 	}{
-		{"open", func(*net.TCPConn) error { return nil }, Quiet},
+		{"open", func(*net.TCPConn) error { return nil }, Idle},
 		{"bytes wait", func(peer *net.TCPConn) error { _, err := peer.Write([]byte("x")); return err }, Readable},
 		{"write side closed", func(peer *net.TCPConn) error { return peer.CloseWrite() }, Closed},
 		{"closed", func(peer *net.TCPConn) error { return peer.Close() }, Closed},
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -16,8 +16,8 @@
 	*mean += weight * (sample - *mean)
 }
 
-// MeanDeviation returns the mean and the population standard deviation of samples. Without samples both are 0.
-func MeanDeviation(samples []float64) (mean, deviation float64) {
+// MeanStdDev returns the mean and the population standard deviation of samples. Without samples both are 0.
+func MeanStdDev(samples []float64) (mean, deviation float64) {
 	for _, x := range samples {
 		mean += x / float64(len(samples))
 	}
@@ -28,10 +28,10 @@
 	return mean, math.Sqrt(variance)
 }
 
-// ValueAbove returns the sample that is greater than one n-th of the samples: the upper median for n = 2, the lower quartile
+// Quantile returns the sample that is greater than one n-th of the samples: the upper median for n = 2, the lower quartile
 // for n = 4. n must be at least 2. Without samples it returns 0. It sorts samples, and may overwrite the element beyond the
 // end of the slice if there is capacity for one.
-func ValueAbove(n int, samples []float64) float64 {
+func Quantile(n int, samples []float64) float64 {
 	slices.Sort(samples)
 	return append(samples, 0)[len(samples)/n]
 }
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -27,7 +27,7 @@
 		{"population deviation, not sample deviation", []float64{2, 4, 4, 4, 5, 5, 7, 9}, 5, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			mean, deviation := MeanDeviation(c.samples)
+			mean, deviation := MeanStdDev(c.samples)
 			if math.Abs(mean-c.mean) > 1e-12 || math.Abs(deviation-c.deviation) > 1e-12 {
 				t.Errorf("got %v and %v, want %v and %v", mean, deviation, c.mean, c.deviation)
 			}
@@ -49,7 +49,7 @@
 		{"lower quartile", 4, []float64{8, 7, 6, 5, 4, 3, 2, 1}, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := ValueAbove(c.n, c.samples); got != c.want {
+			if got := Quantile(c.n, c.samples); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
