--- a/internal/framing/conn.go
+++ b/internal/framing/conn.go
@@ -41,12 +41,12 @@
 	return &Conn{Conn: c, now: now, headTimeout: headTimeout, headStartedAt: now()}
 }
 
-// HeadAt returns when the first byte of the current request arrived, on the clock of NewConn. For the first request it is
+// HeadStartedAt returns when the first byte of the current request arrived, on the clock of NewConn. For the first request it is
 // when the connection was accepted. Only the reader's goroutine may call it.
-func (c *Conn) HeadAt() time.Duration { return c.headStartedAt }
+func (c *Conn) HeadStartedAt() time.Duration { return c.headStartedAt }
 
-// OnAnswered records that the current request has been answered.
-func (c *Conn) OnAnswered() {
+// MarkAnswered records that the current request has been answered.
+func (c *Conn) MarkAnswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.answeredCount++
@@ -100,15 +100,15 @@
 	return closes
 }
 
-// IsShut reports whether reading has ended by CloseIfIdle or EndAfterResponse: bytes that arrive from now on are dropped.
-func (c *Conn) IsShut() bool {
+// HasStoppedReading reports whether reading has ended by CloseIfIdle or EndAfterResponse: bytes that arrive from now on are dropped.
+func (c *Conn) HasStoppedReading() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.readingEnded
 }
 
-// IsClosed reports whether CloseIfIdle has closed the connection.
-func (c *Conn) IsClosed() bool {
+// IsClosedIdle reports whether CloseIfIdle has closed the connection.
+func (c *Conn) IsClosedIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closedIdle
--- a/internal/framing/conn_test.go
+++ b/internal/framing/conn_test.go
@@ -33,7 +33,7 @@
 		err := read("more")
 		assertEqual(t, "reading has ended", errors.Is(err, net.ErrClosed), next == "")
 		assertEqual(t, "closed before the response has ended", c.CloseIfIdle(), false)
-		c.OnAnswered()
+		c.MarkAnswered()
 		assertEqual(t, "closed after the response", c.CloseIfIdle(), next == "")
 		assertEqual(t, "closed a second time", c.CloseIfIdle(), false)
 	}
--- a/internal/framing/readahead.go
+++ b/internal/framing/readahead.go
@@ -11,9 +11,9 @@
 // be forwarded. To detect it, a Conn reads ahead while the request waits for its response.
 
 const (
-	// ReadAheadBuffer is how many bytes after an unanswered request are buffered. Clients send one request at a time, so a
+	// ReadAheadBufferSize is how many bytes after an unanswered request are buffered. Clients send one request at a time, so a
 	// client that sends more is faulty: the rest is discarded, and reading fails after the buffered bytes.
-	ReadAheadBuffer = 4 << 10
+	ReadAheadBufferSize = 4 << 10
 	// maxReadAhead bounds the bytes that are read after one request.
 	maxReadAhead = 16 << 20
 	// readBufferSize bounds the bytes of one read.
@@ -24,7 +24,7 @@
 var readBuffers = sync.Pool{New: func() any { return new([readBufferSize]byte) }}
 
 // errReadAheadOverflow ends a connection whose client has sent more than ReadAheadBuffer after an unanswered request.
-var errReadAheadOverflow = fmt.Errorf("client sent more than %d bytes after an unanswered request", ReadAheadBuffer)
+var errReadAheadOverflow = fmt.Errorf("client sent more than %d bytes after an unanswered request", ReadAheadBufferSize)
 
 // readAhead is the state of reading ahead, after the current request of a client connection. The connection's lock guards
 // it.
@@ -116,7 +116,7 @@
 
 // bufferReadAhead buffers bytes that were read ahead, unless the buffer would overflow. The caller holds the lock.
 func (c *Conn) bufferReadAhead(p []byte) {
-	c.bufferOverflowed = c.bufferOverflowed || len(c.buffered)+len(p) > ReadAheadBuffer
+	c.bufferOverflowed = c.bufferOverflowed || len(c.buffered)+len(p) > ReadAheadBufferSize
 	if len(p) == 0 || c.bufferOverflowed {
 		return
 	}
--- a/internal/proxy/clientconns.go
+++ b/internal/proxy/clientconns.go
@@ -47,7 +47,7 @@
 	c.metrics.added(state)
 	c.open[conn] = connStatus{state: state, since: c.now()}
 	if state == http.StateIdle {
-		conn.OnAnswered()
+		conn.MarkAnswered()
 		c.closeIfEnding(conn)
 	}
 	if state == http.StateNew && len(c.open) > c.max {
@@ -62,7 +62,7 @@
 	switch {
 	case ending:
 		c.closeIfIdle(conn, cause)
-	case conn.IsShut(): // the drain that shut it has ended in the meantime
+	case conn.HasStoppedReading(): // the drain that shut it has ended in the meantime
 		c.closeIfIdle(conn, closedByDrain)
 	}
 }
@@ -95,7 +95,7 @@
 			idleSince = status.since
 		}
 	}
-	if !victim.CloseIfIdle() && !victim.IsClosed() { // a request has begun on it since the check above
+	if !victim.CloseIfIdle() && !victim.IsClosedIdle() { // a request has begun on it since the check above
 		victim = newConn
 		newConn.Close()
 	}
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -179,7 +179,7 @@
 			}
 			return all.String()
 		}, 4},
-		{"too much", func(*testBalancer) string { return strings.Repeat("x", 2*framing.ReadAheadBuffer) }, 1},
+		{"too much", func(*testBalancer) string { return strings.Repeat("x", 2*framing.ReadAheadBufferSize) }, 1},
 		{"a length and chunks", func(*testBalancer) string {
 			return "POST /pay/x HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"
 		}, 1},
--- a/internal/proxy/requestparse.go
+++ b/internal/proxy/requestparse.go
@@ -36,7 +36,7 @@
 	var buffered []byte
 	complete := true
 	if r.ContentLength != 0 {
-		body.setFirstByteTimeout(arrivedAt - conn.HeadAt())
+		body.setFirstByteTimeout(arrivedAt - conn.HeadStartedAt())
 		buffered, complete, err = f.bodyBudget.readBody(body, r.ContentLength, func() bool { return false })
 		if err != nil {
 			f.bodyBudget.release(cap(buffered))
