--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -15,10 +15,10 @@
 const (
 	// WatchTimeout is how long the service may hold a watch call open until there is a newer list.
 	WatchTimeout = 2 * time.Second
-	// AnswerTimeout bounds the wait for a response to a fetch and, from the end of WatchTimeout, to a watch call. The service
+	// ResponseTimeout bounds the wait for a response to a fetch and, from the end of WatchTimeout, to a watch call. The service
 	// counts a change of the list as delivered 2 s after WatchTimeout, so an agent that does not respond has to be detected
 	// earlier.
-	AnswerTimeout = 1 * time.Second
+	ResponseTimeout = 1 * time.Second
 	// WatchInterval is the minimum time from the start of one watch call to the next, for an agent that responds at once. The
 	// service counts a call that comes 200 ms after the last response as a new watch.
 	WatchInterval = 100 * time.Millisecond
@@ -78,7 +78,7 @@
 	}
 	for ctx.Err() == nil {
 		nextCall := time.After(WatchInterval)
-		update := c.call(ctx, c.watchURL(), WatchTimeout+AnswerTimeout)
+		update := c.call(ctx, c.watchURL(), WatchTimeout+ResponseTimeout)
 		if update.Err != nil {
 			if ctx.Err() != nil {
 				return
@@ -99,7 +99,7 @@
 
 // fetch requests the complete list once, and delivers it or the failure.
 func (c *client) fetch(ctx context.Context) {
-	update := c.call(ctx, c.url, AnswerTimeout)
+	update := c.call(ctx, c.url, ResponseTimeout)
 	if update.Err == nil || ctx.Err() == nil {
 		c.deliver(update)
 	}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -83,9 +83,9 @@
 // Fetch requests the complete list once, on a goroutine of its own.
 func (w *Watcher) Fetch() { go w.client.fetch(w.ctx) }
 
-// MoveTo starts a watch of the service at another address (host:port), from no revision: revisions of different services
+// SwitchTo starts a watch of the service at another address (host:port), from no revision: revisions of different services
 // are unrelated. The watch of the previous service runs until a response of the new one has been accepted.
-func (w *Watcher) MoveTo(address string) {
+func (w *Watcher) SwitchTo(address string) {
 	previous := w.client
 	w.revision = 0
 	w.lastAcceptedSequence = 0
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -51,7 +51,7 @@
 // logs the connections that are still open.
 func (f *frontend) closeIdleWhileDraining(ctx context.Context) {
 	grace := time.After(timelimit.DrainIdleGrace)
-	report := time.After(timelimit.Drain)
+	report := time.After(timelimit.DrainLimit)
 	sweep := time.NewTicker(drainSweepInterval)
 	defer sweep.Stop()
 	select {
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -139,5 +139,5 @@
 func (e discoveryMoved) apply(l *loop) {
 	slog.Info("discovery address changed", "address", e.address)
 	l.saver.SetDiscovery(e.address)
-	l.discovery.MoveTo(e.address)
+	l.discovery.SwitchTo(e.address)
 }
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -61,7 +61,7 @@
 		now:        eventLoop.now,
 		lifecycle:  lifecycle{longestDeadline: c.longestDeadline()},
 		acceptor: acceptor{
-			listener:  framing.NewListener(listener, eventLoop.now, timelimit.ClientRead),
+			listener:  framing.NewListener(listener, eventLoop.now, timelimit.ClientReadTimeout),
 			inherited: c.inheritsListener(),
 			ended:     make(chan struct{}),
 		},
@@ -78,9 +78,9 @@
 	}
 	f.server = http.Server{
 		Handler:           f,
-		ReadHeaderTimeout: timelimit.ClientRead,
-		WriteTimeout:      timelimit.ClientRead + f.lifecycle.longestDeadline + timelimit.ClientWrite,
-		IdleTimeout:       timelimit.ClientIdle,
+		ReadHeaderTimeout: timelimit.ClientReadTimeout,
+		WriteTimeout:      timelimit.ClientReadTimeout + f.lifecycle.longestDeadline + timelimit.ClientWriteTimeout,
+		IdleTimeout:       timelimit.ClientIdleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ConnContext:       contextWithConn,
 		ConnState:         f.conns.track,
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -15,8 +15,8 @@
 // Guards against longer limits, such as 5 s for the head and 10 s for the body, for which each such client would hold a file
 // descriptor.
 func TestSlowClientsAreDisconnected(t *testing.T) {
-	if timelimit.ClientRead >= 3*time.Second {
-		t.Errorf("timelimit.ClientRead: got %v, want less than 3 s", timelimit.ClientRead)
+	if timelimit.ClientReadTimeout >= 3*time.Second {
+		t.Errorf("timelimit.ClientRead: got %v, want less than 3 s", timelimit.ClientReadTimeout)
 	}
 	upstream := newTestUpstream(t, respondOK)
 	b := newBalancer(t, activeMember("s-00000001", upstream))
@@ -25,7 +25,7 @@
 	const complete = head + "Content-Length: 0\r\n\r\n"
 	for _, sent := range []string{"", "PO", head, head + "Content-Length: 9\r\n\r\nbody", complete + "P", complete + "POST"} {
 		c := b.dialConn(t)
-		c.SetDeadline(time.Now().Add(2 * timelimit.ClientRead)) // reached only on a failure
+		c.SetDeadline(time.Now().Add(2 * timelimit.ClientReadTimeout)) // reached only on a failure
 		if _, err := io.WriteString(c, sent); err != nil {
 			t.Fatal(err)
 		}
@@ -54,7 +54,7 @@
 	openConn := func(state http.ConnState) net.Conn {
 		c, peer := net.Pipe()
 		t.Cleanup(func() { c.Close(); peer.Close() })
-		framed := framing.NewConn(c, f.now, timelimit.ClientRead)
+		framed := framing.NewConn(c, f.now, timelimit.ClientReadTimeout)
 		f.conns.track(framed, http.StateNew)
 		if state == http.StateNew {
 			return c
--- a/internal/proxy/idleclose_test.go
+++ b/internal/proxy/idleclose_test.go
@@ -111,7 +111,7 @@
 	b := newBalancer(t)
 	client, conn := net.Pipe()
 	defer client.Close()
-	c := framing.NewConn(conn, b.proxy.front.now, timelimit.ClientRead)
+	c := framing.NewConn(conn, b.proxy.front.now, timelimit.ClientReadTimeout)
 	const head = "GET /read/x HTTP/1.1\r\nHost: x\r\n\r\n"
 	go func() { _, _ = io.WriteString(client, head) }()
 	if _, err := io.ReadFull(c, make([]byte, len(head))); err != nil {
--- a/internal/proxy/killdeadline_test.go
+++ b/internal/proxy/killdeadline_test.go
@@ -21,8 +21,8 @@
 	assertEqual(t, "while it serves", f.lifecycle.schedule().BeforeKill(shutdownAt+2*time.Second, timeout), timeout)
 	f.lifecycle.shutdown.begun.Store(true)
 	for _, x := range []struct{ longest, since, want time.Duration }{
-		{4 * time.Second, timelimit.KillDelay - timelimit.AnswerMargin - 1, timeout},
-		{4 * time.Second, timelimit.KillDelay - timelimit.AnswerMargin, timelimit.KillDeadlineCap},
+		{4 * time.Second, timelimit.KillDelay - timelimit.ResponseMargin - 1, timeout},
+		{4 * time.Second, timelimit.KillDelay - timelimit.ResponseMargin, timelimit.KillDeadlineCap},
 		{4 * time.Second, 2 * time.Second, 1350 * time.Millisecond},
 		{time.Second, 2 * time.Second, 0},
 		{time.Second, time.Second, 350 * time.Millisecond},
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -74,11 +74,11 @@
 		now:         l.now,
 	}
 	l.saver = savedstate.NewSaver(savedstate.Options{
-		Writer:    c.StateWriter,
-		Discovery: c.Discovery,
-		Known:     c.Known,
-		IDOf:      l.endpointIDs.idOf,
-		Log:       slog.Info,
+		Writer:         c.StateWriter,
+		Discovery:      c.Discovery,
+		ConfiguredList: c.Known,
+		IDOf:           l.endpointIDs.idOf,
+		Log:            slog.Info,
 	})
 	l.discovery = discovery.NewWatcher(ctx, c.Discovery, l.saver.Initial().Revision)
 	if l.saver.IsRestored() {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -115,7 +115,7 @@
 // callLoop runs a function on the loop's goroutine and waits for it to return.
 func (p *Proxy) callLoop(do func(l *loop)) error {
 	call := loopCall{do, make(chan struct{})}
-	timeout := time.NewTimer(timelimit.LoopCall)
+	timeout := time.NewTimer(timelimit.EventLoopCallTimeout)
 	defer timeout.Stop()
 	select {
 	case p.loop.events <- call:
--- a/internal/proxy/requestbody.go
+++ b/internal/proxy/requestbody.go
@@ -32,7 +32,7 @@
 	return &requestBody{
 		body:       r.Body,
 		control:    http.NewResponseController(w),
-		credit:     timelimit.ClientRead,
+		credit:     timelimit.ClientReadTimeout,
 		onComplete: func() {},
 		failed:     make(chan struct{}),
 	}
@@ -40,7 +40,7 @@
 
 // setFirstByteTimeout sets how long the first byte of the body may take, given that reading the head took headTime.
 func (b *requestBody) setFirstByteTimeout(headTime time.Duration) {
-	b.credit = min(timelimit.ClientRead, max(timelimit.FirstBodyByte, timelimit.RequestSilence-headTime))
+	b.credit = min(timelimit.ClientReadTimeout, max(timelimit.FirstBodyByte, timelimit.RequestSilence-headTime))
 }
 
 func (b *requestBody) Read(p []byte) (int, error) {
@@ -50,7 +50,7 @@
 	}
 	n, err := b.body.Read(p)
 	earned := time.Duration(n) * time.Second / minBodyRate
-	b.credit = min(timelimit.ClientRead, b.credit-time.Since(began)+earned)
+	b.credit = min(timelimit.ClientReadTimeout, b.credit-time.Since(began)+earned)
 	switch {
 	case err == io.EOF:
 		_ = b.control.SetReadDeadline(time.Time{}) // fails only on a closed connection, where the next read fails too
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -185,7 +185,7 @@
 	other, peer := net.Pipe()
 	defer other.Close()
 	defer peer.Close()
-	f.conns.track(framing.NewConn(other, f.now, timelimit.ClientRead), http.StateNew) // over the limit, with no idle connection to evict: it is closed itself
+	f.conns.track(framing.NewConn(other, f.now, timelimit.ClientReadTimeout), http.StateNew) // over the limit, with no idle connection to evict: it is closed itself
 	if _, err := peer.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the new connection: %v, want its end", err)
 	}
--- a/internal/proxy/watch_test.go
+++ b/internal/proxy/watch_test.go
@@ -113,8 +113,8 @@
 // call again before that. Guards against detecting an unresponsive agent a second later: until then a draining upstream
 // would have got requests.
 func TestUnresponsiveDiscoveryIsPolledAgain(t *testing.T) {
-	if discovery.AnswerTimeout >= 2*time.Second {
-		t.Errorf("AnswerTimeout is %v, want less than 2 s", discovery.AnswerTimeout)
+	if discovery.ResponseTimeout >= 2*time.Second {
+		t.Errorf("AnswerTimeout is %v, want less than 2 s", discovery.ResponseTimeout)
 	}
 	b := newBalancer(t)
 	<-b.discovery.calls
--- a/internal/savedstate/saver.go
+++ b/internal/savedstate/saver.go
@@ -26,8 +26,8 @@
 	Writer Writer
 	// Discovery is the address (host:port) of the discovery service.
 	Discovery string
-	// Known is the configured endpoint list.
-	Known discovery.List
+	// ConfiguredList is the configured endpoint list.
+	ConfiguredList discovery.List
 	// IDOf returns the decision module's ID for an ID of discovery. Only SaveList and Restore call it.
 	IDOf func(id string) balancer.EndpointID
 	// Log writes a log line. Its arguments are those of slog.Info. It must not block.
@@ -61,7 +61,7 @@
 		idOf:        options.IDOf,
 		log:         options.Log,
 		discovery:   options.Discovery,
-		initialList: options.Known,
+		initialList: options.ConfiguredList,
 		members:     map[string]discovery.Entry{},
 		names:       map[balancer.EndpointID]string{},
 	}
@@ -115,8 +115,8 @@
 		}
 	}
 	sameService := saved.Discovery == options.Discovery
-	isNewer := sameService && saved.List.Revision > options.Known.Revision
-	if !isNewer && len(options.Known.Members) > 0 {
+	isNewer := sameService && saved.List.Revision > options.ConfiguredList.Revision
+	if !isNewer && len(options.ConfiguredList.Members) > 0 {
 		return
 	}
 	s.initialList = saved.List
--- a/internal/timelimit/limits.go
+++ b/internal/timelimit/limits.go
@@ -11,28 +11,28 @@
 // responseWriteTime is the time for writing a response, without a scheduling delay.
 const responseWriteTime = 50 * time.Millisecond
 
-// AnswerMargin is how long before the limit of a drain or of a shutdown a request is answered. The process may be delayed
+// ResponseMargin is how long before the limit of a drain or of a shutdown a request is answered. The process may be delayed
 // once before it handles the order or signal from which the limit counts, and again before it writes the response.
-const AnswerMargin = 2*MaxSchedulingDelay + responseWriteTime
+const ResponseMargin = 2*MaxSchedulingDelay + responseWriteTime
 
 // Limits of client connections and their requests.
 const (
-	// ClientRead bounds how long a client may take to send the head of a request, which for the first request includes the
+	// ClientReadTimeout bounds how long a client may take to send the head of a request, which for the first request includes the
 	// time since the connection was accepted. It also caps the time credit of a client that sends a body: the credit
 	// decreases while the client sends nothing, and increases with the bytes that it sends.
 	//
 	// Platform: a client that sends nothing is disconnected within 3 s of connecting.
-	ClientRead = 2500 * time.Millisecond
+	ClientReadTimeout = 2500 * time.Millisecond
 	// RequestSilence bounds the time from the beginning of a request to the first bytes of its body.
 	//
 	// Platform: a client that stops in the middle of a request is disconnected within 3 s.
 	RequestSilence = 2900 * time.Millisecond
 	// FirstBodyByte is the minimum time allowed for the first bytes of a body, if RequestSilence leaves less after a slow head.
 	FirstBodyByte = 400 * time.Millisecond
-	// ClientWrite bounds how long a client may take to read its response, or each part of a streamed response.
-	ClientWrite = 10 * time.Second
-	// ClientIdle bounds how long a connection may be idle between two requests.
-	ClientIdle = 2 * time.Minute
+	// ClientWriteTimeout bounds how long a client may take to read its response, or each part of a streamed response.
+	ClientWriteTimeout = 10 * time.Second
+	// ClientIdleTimeout bounds how long a connection may be idle between two requests.
+	ClientIdleTimeout = 2 * time.Minute
 	// EvictionMinIdle is how long a connection must have been idle before it may be closed for a new one, when the limit on
 	// connections is reached.
 	EvictionMinIdle = 2 * time.Second
@@ -66,12 +66,12 @@
 	//
 	// Platform: health checks come every 0.1 s, and new connections for 0.2 s after a failed one.
 	DrainIdleGrace = 500 * time.Millisecond
-	// Drain is how long after its beginning a drain should have released the clients. Connections that are still open then are
+	// DrainLimit is how long after its beginning a drain should have released the clients. Connections that are still open then are
 	// logged.
 	//
 	// Platform: 4 s after the operators' order no connection is idle, or has a request in progress that is younger than
 	// DrainRecentRequest.
-	Drain = 4 * time.Second
+	DrainLimit = 4 * time.Second
 	// DrainRecentRequest is the age below which a request counts as recent at the limit Drain.
 	DrainRecentRequest = 2 * time.Second
 )
@@ -86,7 +86,7 @@
 	ShutdownFirstByte = 50 * time.Millisecond
 	// ShutdownLimit is how long client connections may stay open beyond the longest deadline of all classes. So a response
 	// that begins at its deadline has as much time to be read as any other.
-	ShutdownLimit = ClientWrite
+	ShutdownLimit = ClientWriteTimeout
 	// KillDelay is the time from SIGTERM to SIGKILL beyond the longest deadline of all classes.
 	//
 	// Platform: a request that arrives later than this after SIGTERM has to be answered before SIGKILL.
@@ -99,11 +99,11 @@
 
 // Limits of operators' calls.
 const (
-	// LoopCall bounds the wait of a goroutine for a function that it has the event loop run: operators' calls, a change of the
+	// EventLoopCallTimeout bounds the wait of a goroutine for a function that it has the event loop run: operators' calls, a change of the
 	// fleet's size, and the last snapshot.
 	//
 	// Platform: operators get a response within 1 s.
-	LoopCall = 700 * time.Millisecond
+	EventLoopCallTimeout = 700 * time.Millisecond
 	// OperatorConnection bounds how long an operator's client may take to send its call, and again to read the response and
 	// close the connection.
 	OperatorConnection = 2 * time.Second
--- a/internal/timelimit/schedule.go
+++ b/internal/timelimit/schedule.go
@@ -36,22 +36,22 @@
 	if !s.Drain.Begun {
 		return timeout
 	}
-	exempt := Window{s.Drain.At, Drain - DrainRecentRequest - AnswerMargin}
-	limit := Window{s.Drain.At, Drain}
+	exempt := Window{s.Drain.At, DrainLimit - DrainRecentRequest - ResponseMargin}
+	limit := Window{s.Drain.At, DrainLimit}
 	if !exempt.IsOver(arrivedAt) || limit.IsOver(arrivedAt) {
 		return timeout
 	}
-	return min(timeout, max(0, limit.Remaining(arrivedAt)-AnswerMargin))
+	return min(timeout, max(0, limit.Remaining(arrivedAt)-ResponseMargin))
 }
 
 // BeforeKill returns the time that a request has from its arrival to SIGKILL. It is timeout unless a shutdown has begun and
 // the request arrived too late to be sure of its own timeout. Then the result may exceed timeout; Remaining returns the
 // smaller of the two.
 func (s Schedule) BeforeKill(arrivedAt, timeout time.Duration) time.Duration {
-	unaffected := Window{s.Shutdown.At, KillDelay - AnswerMargin}
+	unaffected := Window{s.Shutdown.At, KillDelay - ResponseMargin}
 	if !s.Shutdown.Begun || !unaffected.IsOver(arrivedAt) {
 		return timeout
 	}
 	kill := Window{s.Shutdown.At, min(s.LongestDeadline, KillDeadlineCap) + KillDelay}
-	return max(0, kill.Remaining(arrivedAt)-AnswerMargin)
+	return max(0, kill.Remaining(arrivedAt)-ResponseMargin)
 }
