--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -62,7 +62,7 @@
 	limitResources(config)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	slog.Info("starting", "name", config.Name, "listen", config.Listen, "endpoints", len(config.Known.Members),
+	slog.Info("starting", "name", config.Name, "listen", config.Listen, "endpoints", len(config.KnownEndpoints.Members),
 		"management", config.Management, "inherited_listener", config.ListenFD != 0, "unused_keys", config.UnusedKeys)
 	listener, err := config.OpenListener()
 	if err != nil {
@@ -144,7 +144,7 @@
 func limitResources(config proxy.Config) {
 	runtime.GOMAXPROCS(maxCores)
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(config.SoftMemory())
+	debug.SetMemoryLimit(config.SoftMemoryLimit())
 }
 
 // startManagement serves management calls at an address until stop is called, and stop returns once the server has ended. An
--- a/internal/proxy/acceptfailure_test.go
+++ b/internal/proxy/acceptfailure_test.go
@@ -75,7 +75,7 @@
 	listener.setBroken(syscall.EBADF)
 	b.sendRaw(t, "checkin", "") // ends the pending accept call; the next call fails
 	<-upstream.arrivals
-	eventually(t, "the shutdown has begun", b.proxy.front.lifecycle.shutdown.isActive)
+	eventually(t, "the shutdown has begun", b.proxy.frontend.lifecycle.shutdown.isActive)
 	close(release)
 	assertEqual(t, "status", <-first, 200)
 	err := <-b.ended
--- a/internal/proxy/bodybudget.go
+++ b/internal/proxy/bodybudget.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// maxBody is the number of bytes of a request or response body that are buffered before the rest is streamed. Only a
+	// maxBufferedBody is the number of bytes of a request or response body that are buffered before the rest is streamed. Only a
 	// request whose body is buffered completely can be sent again, and only a response that is buffered completely can be
 	// discarded and requested again.
-	maxBody = 64 << 10
+	maxBufferedBody = 64 << 10
 	// minBodyBuffer is the number of bytes of a body that are buffered even if the budget is exhausted.
 	minBodyBuffer = 4 << 10
 	// bodyBufferGrowth is the factor by which a full body buffer grows.
@@ -42,8 +42,8 @@
 // reached, the budget is exhausted, or stop returns true after a read that returned data. The capacity of the returned
 // slice is reserved in the budget; the caller releases it, also if err is not nil.
 func (b *byteBudget) readBody(r io.Reader, length int64, stop func() bool) (body []byte, complete bool, err error) {
-	limit := maxBody
-	if length >= 0 && length < maxBody {
+	limit := maxBufferedBody
+	if length >= 0 && length < maxBufferedBody {
 		limit = int(length)
 	}
 	body = make([]byte, 0, min(limit, minBodyBuffer))
--- a/internal/proxy/clientconns.go
+++ b/internal/proxy/clientconns.go
@@ -40,10 +40,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state == http.StateClosed || state == http.StateHijacked {
-		c.forget(conn)
+		c.untrack(conn)
 		return
 	}
-	c.forget(conn) // removes it from the gauge of its previous state
+	c.untrack(conn) // removes it from the gauge of its previous state
 	c.metrics.added(state)
 	c.open[conn] = connStatus{state: state, since: c.now()}
 	if state == http.StateIdle {
@@ -74,8 +74,8 @@
 	}
 }
 
-// forget stops tracking a connection, if it is tracked. The caller holds the lock.
-func (c *clientConns) forget(conn *framing.Conn) {
+// untrack stops tracking a connection, if it is tracked. The caller holds the lock.
+func (c *clientConns) untrack(conn *framing.Conn) {
 	status, tracked := c.open[conn]
 	if !tracked {
 		return
@@ -100,7 +100,7 @@
 		newConn.Close()
 	}
 	c.metrics.countClose(closedByLimit)
-	c.forget(victim) // net/http reports StateClosed only after the connection's goroutine has noticed the close
+	c.untrack(victim) // net/http reports StateClosed only after the connection's goroutine has noticed the close
 }
 
 // nearLimit reports whether more than 7/8 of the allowed connections are open, so that each should be closed after its
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -43,12 +43,12 @@
 	MemoryMB int
 	// Sockets is the limit on open sockets of the process.
 	Sockets int
-	// Known is the last known endpoint list. It may be stale.
-	Known discovery.List
+	// KnownEndpoints is the last known endpoint list. It may be stale.
+	KnownEndpoints discovery.List
 	// Settings are the settings of the decision module.
 	Settings balancer.Settings
-	// Links has the timeouts of connections to upstreams.
-	Links wire.ConnectionTimeouts
+	// ConnectionTimeouts has the timeouts of connections to upstreams.
+	ConnectionTimeouts wire.ConnectionTimeouts
 	// StateWriter saves the state that has to outlive the process. If it is nil, nothing is saved.
 	StateWriter savedstate.Writer
 	// UnusedKeys has the top-level keys of the configuration file that this program does not use, sorted. They are not an
@@ -198,14 +198,14 @@
 // toConfig validates the file and converts it to a Config.
 func (f *configFile) toConfig() (Config, error) {
 	c := Config{
-		Name:       f.Name,
-		Listen:     f.Listen,
-		Discovery:  f.Discovery,
-		Management: f.Management,
-		Known:      f.Known,
-		MemoryMB:   f.Limits.MemoryMB,
-		Sockets:    f.Limits.Sockets,
-		UnusedKeys: unusedKeys(f.text),
+		Name:           f.Name,
+		Listen:         f.Listen,
+		Discovery:      f.Discovery,
+		Management:     f.Management,
+		KnownEndpoints: f.Known,
+		MemoryMB:       f.Limits.MemoryMB,
+		Sockets:        f.Limits.Sockets,
+		UnusedKeys:     unusedKeys(f.text),
 	}
 	if err := c.checkAddresses(); err != nil {
 		return c, err
@@ -224,7 +224,7 @@
 	if err := c.decodeSettings(f.Settings); err != nil {
 		return c, err
 	}
-	for _, m := range c.Known.Members {
+	for _, m := range c.KnownEndpoints.Members {
 		if err := m.Validate(); err != nil {
 			return c, fmt.Errorf("known: %w", err)
 		}
@@ -254,14 +254,14 @@
 		return errors.New("settings are missing")
 	}
 	var err error
-	c.Settings, c.Links, err = wire.DecodeSettings(text)
+	c.Settings, c.ConnectionTimeouts, err = wire.DecodeSettings(text)
 	if err != nil {
 		return err
 	}
 	if err := c.Settings.Validate(); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if c.Links.KeepAlive <= 0 || c.Links.ConnectTimeout <= 0 {
+	if c.ConnectionTimeouts.KeepAlive <= 0 || c.ConnectionTimeouts.ConnectTimeout <= 0 {
 		return errors.New("settings: limits: keepalive_us and connect_timeout_us must be greater than zero")
 	}
 	return nil
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -37,8 +37,8 @@
 	}
 	assertEqual(t, "name", c.Name, "n4")
 	assertEqual(t, "seed", c.Seed, uint64(0x8c1f30d27a5be964))
-	assertEqual(t, "known", c.Known.Revision, uint64(41))
-	assertEqual(t, "keep-alive", c.Links.KeepAlive, time.Minute)
+	assertEqual(t, "known", c.KnownEndpoints.Revision, uint64(41))
+	assertEqual(t, "keep-alive", c.ConnectionTimeouts.KeepAlive, time.Minute)
 	assertEqual(t, "classes", len(c.Settings.Classes), 3)
 	assertEqual(t, "management", c.Management, "") // none is configured
 }
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -28,7 +28,7 @@
 				t.Run(fmt.Sprintf("retry %v, upload %v, time-out %v", retry, upload, ownTimeout), func(t *testing.T) {
 					upstream, gate := newTestUpstream(t, respondOK), newDialGate(t)
 					l := newTestLoop(t, 10)
-					l.dialer.openConn = recordingOpener(gate.open)
+					l.dialer.openConn = recordingDial(gate.open)
 					addEndpoint(l, 1, upstream)
 					r := l.requestFor(1, budget)
 					if upload {
@@ -81,7 +81,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			upstream, gate := newTestUpstream(t, respondOK), newDialGate(t)
 			l := newTestLoop(t, 10)
-			l.dialer.openConn = recordingOpener(gate.open)
+			l.dialer.openConn = recordingDial(gate.open)
 			addEndpoint(l, 1, upstream)
 			r := l.requestFor(1, x.budget)
 			if x.upload {
@@ -104,7 +104,7 @@
 func (l *loop) requestFor(id balancer.RequestID, budget time.Duration) *request {
 	r := l.addRequest(id)
 	r.Timeout, r.deadline = budget, l.now()+budget
-	clientLedger.add(r.message.header.Get("X-Request-Id"), budget)
+	clientDeadlines.add(r.message.header.Get("X-Request-Id"), budget)
 	return r
 }
 
@@ -113,7 +113,7 @@
 	r.Upload, r.deadline = true, noDeadline
 	r.message.rest, r.message.contentLength = rest, length
 	r.timeLeft = func(_, timeout time.Duration) time.Duration { return timeout }
-	clientLedger.put(r.message.header.Get("X-Request-Id"), &clientRequest{budget: r.Timeout})
+	clientDeadlines.put(r.message.header.Get("X-Request-Id"), &clientRequest{budget: r.Timeout})
 }
 
 // The deadline of a pipelined request counts from its own last byte, although the request waits until the one before it is
--- a/internal/proxy/deadlineledger_test.go
+++ b/internal/proxy/deadlinerecorder_test.go
@@ -11,9 +11,9 @@
 // deadlineTolerance is the amount by which the operators' rules let a forwarded deadline exceed the time that is left.
 const deadlineTolerance = 10 * time.Millisecond
 
-// clientLedger records how long the clients of the current test wait and when each attempt was written. The test upstreams
+// clientDeadlines records how long the clients of the current test wait and when each attempt was written. The test upstreams
 // check the deadline of each attempt against it.
-var clientLedger = &deadlineLedger{requests: map[string]*clientRequest{}, written: map[writtenAttempt]time.Time{}}
+var clientDeadlines = &deadlineLedger{requests: map[string]*clientRequest{}, written: map[writtenAttempt]time.Time{}}
 
 // deadlineLedger records when requests were received and when attempts were written. It is safe for concurrent use.
 type deadlineLedger struct {
--- a/internal/proxy/debuglog.go
+++ b/internal/proxy/debuglog.go
@@ -5,6 +5,6 @@
 	"log/slog"
 )
 
-// debugLogged reports whether debug messages are logged. Check it before calling slog.Debug, to avoid computing the
+// debugEnabled reports whether debug messages are logged. Check it before calling slog.Debug, to avoid computing the
 // attributes for nothing.
-func debugLogged() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
+func debugEnabled() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
--- a/internal/proxy/dialer_test.go
+++ b/internal/proxy/dialer_test.go
@@ -15,7 +15,7 @@
 
 // testDialer returns a dialer whose clock is stopped at one hour.
 func testDialer() dialer {
-	return dialer{openConn: recordingOpener(nil), timeout: time.Second, attemptsWritten: &metrics.Counter{}, bodyBudget: newByteBudget(1 << 20),
+	return dialer{openConn: recordingDial(nil), timeout: time.Second, attemptsWritten: &metrics.Counter{}, bodyBudget: newByteBudget(1 << 20),
 		now: func() time.Duration { return time.Hour }}
 }
 
@@ -25,7 +25,7 @@
 		m.header = http.Header{}
 	}
 	m.header.Set("X-Request-Id", "direct")
-	clientLedger.add("direct", time.Second)
+	clientDeadlines.add("direct", time.Second)
 	return &attempt{request: &request{}, message: m, endpoint: &endpoint{}, address: address, conn: c, deadline: time.Hour + time.Second}
 }
 
@@ -111,8 +111,8 @@
 		{"a head of 2 MB", raw("HTTP/1.1 200 OK\r\n"+strings.Repeat("X-Pad: "+strings.Repeat("x", 1000)+"\r\n", 2000)+"Content-Length: 2\r\n\r\nab", false), balancer.Reset, false},
 		{"80000 responses with 1xx", raw(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 80000)+"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", false), balancer.Reset, false},
 		{"no HTTP", raw("what?\r\n\r\n", false), balancer.Reset, false},
-		{"a large error", raw("HTTP/1.1 500 X\r\nContent-Length: 65537\r\n\r\n"+strings.Repeat("x", maxBody+1), true), balancer.Error, false},
-		{"503 not run, large", raw("HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nConnection: close\r\n\r\n"+strings.Repeat("x", maxBody+1), false), balancer.Rejected, false},
+		{"a large error", raw("HTTP/1.1 500 X\r\nContent-Length: 65537\r\n\r\n"+strings.Repeat("x", maxBufferedBody+1), true), balancer.Error, false},
+		{"503 not run, large", raw("HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nConnection: close\r\n\r\n"+strings.Repeat("x", maxBufferedBody+1), false), balancer.Rejected, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newTestUpstream(t, c.answer)
@@ -166,7 +166,7 @@
 func TestConnectTimeoutIsRetriedElsewhere(t *testing.T) {
 	dead, alive := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
 	b := newBalancerWith(t, newTestDiscovery(t), func(c *Config) {
-		connectTimeout := c.Links.ConnectTimeout
+		connectTimeout := c.ConnectionTimeouts.ConnectTimeout
 		c.openConn = func(network, address string, timeout time.Duration) (net.Conn, error) {
 			if timeout != connectTimeout {
 				t.Errorf("connect timeout %v, want %v from the settings", timeout, connectTimeout)
--- a/internal/proxy/disconnect_test.go
+++ b/internal/proxy/disconnect_test.go
@@ -81,15 +81,15 @@
 			dialed := 0
 			for range clients {
 				c := b.sendRaw(t, []string{"read", "pay", "checkin"}[rng.IntN(3)], "")
-				id := fmt.Sprintf("%016x", lastID)
+				id := fmt.Sprintf("%016x", lastRequestID)
 				phase := rng.IntN(4)
 				if phase == 0 { // its disconnect may be detected before a connection is requested
 					c.Close()
-					eventually(t, "the request has been read", func() bool { return clientLedger.knows(id) })
+					eventually(t, "the request has been read", func() bool { return clientDeadlines.knows(id) })
 					b.awaitClientsClosed(t)
 					b.awaitRequestsClosed(t)
 					forbidden[id] = true
-					dialed += gate.openUntil(t, func() bool { return b.attemptsOut(t) == 0 })
+					dialed += gate.openUntil(t, func() bool { return b.attemptsInFlight(t) == 0 })
 					b.awaitSettled(t)
 					b.runInLoop(t, func(l *loop) { l.CloseIdle(1) })
 					continue
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -129,7 +129,7 @@
 			group.Go(func() { order() })
 		}
 		group.Wait()
-		if ordered, draining := b.proxy.loop.saver.CurrentOrders().Drain, b.proxy.front.lifecycle.drain.isActive(); ordered != draining {
+		if ordered, draining := b.proxy.loop.saver.CurrentOrders().Drain, b.proxy.frontend.lifecycle.drain.isActive(); ordered != draining {
 			t.Fatalf("round %d: the saved order is %v, the state %v", round, ordered, draining)
 		}
 	}
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -130,7 +130,7 @@
 
 // logEnd logs at debug level how the request ended.
 func (x *exchange) logEnd(began time.Time) {
-	if !debugLogged() {
+	if !debugEnabled() {
 		return
 	}
 	header := x.httpRequest.Header
--- a/internal/proxy/fakes_test.go
+++ b/internal/proxy/fakes_test.go
@@ -64,7 +64,7 @@
 		if err != nil {
 			return
 		}
-		clientLedger.check(tb, r)
+		clientDeadlines.check(tb, r)
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -77,7 +77,7 @@
 		tb.Fatal(err)
 	}
 	change(&c)
-	c.openConn = recordingOpener(c.openConn)
+	c.openConn = recordingDial(c.openConn)
 	opened, err := c.OpenListener()
 	if err != nil {
 		tb.Fatal(err)
@@ -113,7 +113,7 @@
 	}
 	return func(c *Config) {
 		var err error
-		if c.Settings, c.Links, err = wire.DecodeSettings(json.RawMessage(text)); err != nil {
+		if c.Settings, c.ConnectionTimeouts, err = wire.DecodeSettings(json.RawMessage(text)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -151,11 +151,11 @@
 	}
 }
 
-var lastID int
+var lastRequestID int
 
 // newRequest returns a well-formed request of a class. Headers are pairs of a name and a value.
 func (b *testBalancer) newRequest(class, body string, headers ...string) *http.Request {
-	lastID++
+	lastRequestID++
 	method := http.MethodPost
 	if class == "read" {
 		method = http.MethodGet
@@ -164,11 +164,11 @@
 	if err != nil {
 		panic(err)
 	}
-	r.Header.Set("X-Request-Id", fmt.Sprintf("%016x", lastID))
+	r.Header.Set("X-Request-Id", fmt.Sprintf("%016x", lastRequestID))
 	r.Header.Set("X-Class", class)
 	r.Header.Set("X-Deadline-Ms", "4000")
 	if class == "pay" {
-		r.Header.Set("Idempotency-Key", strconv.Itoa(lastID))
+		r.Header.Set("Idempotency-Key", strconv.Itoa(lastRequestID))
 	}
 	for i := 0; i < len(headers); i += 2 {
 		r.Header.Set(headers[i], headers[i+1])
@@ -301,11 +301,11 @@
 // awaitClientsClosed waits until no client connection is open.
 func (b *testBalancer) awaitClientsClosed(t *testing.T) {
 	t.Helper()
-	eventually(t, "no client connection is open", func() bool { return b.proxy.front.conns.count() == 0 })
+	eventually(t, "no client connection is open", func() bool { return b.proxy.frontend.conns.count() == 0 })
 }
 
-// attemptsOut returns the number of attempts in flight.
-func (b *testBalancer) attemptsOut(t *testing.T) (out int) {
+// attemptsInFlight returns the number of attempts in flight.
+func (b *testBalancer) attemptsInFlight(t *testing.T) (out int) {
 	t.Helper()
 	b.runInLoop(t, func(l *loop) {
 		for _, p := range l.endpoints {
--- a/internal/proxy/idleclose_test.go
+++ b/internal/proxy/idleclose_test.go
@@ -77,7 +77,7 @@
 					partialRequest{Conn: c, in: in}.answer(t)
 					sent++
 				}
-				f := b.proxy.front
+				f := b.proxy.frontend
 				eventually(t, "the connection is idle", f.allIdle)
 				listener.armed.Store(true)
 				sendRequest()
@@ -111,18 +111,18 @@
 	b := newBalancer(t)
 	client, conn := net.Pipe()
 	defer client.Close()
-	c := framing.NewConn(conn, b.proxy.front.now, timelimit.ClientReadTimeout)
+	c := framing.NewConn(conn, b.proxy.frontend.now, timelimit.ClientReadTimeout)
 	const head = "GET /read/x HTTP/1.1\r\nHost: x\r\n\r\n"
 	go func() { _, _ = io.WriteString(client, head) }()
 	if _, err := io.ReadFull(c, make([]byte, len(head))); err != nil {
 		t.Fatal(err)
 	}
 	c.EndAfterResponse() // as during a drain, which has ended when the response is complete
-	b.proxy.front.conns.track(c, http.StateActive)
-	b.proxy.front.conns.track(c, http.StateIdle)
+	b.proxy.frontend.conns.track(c, http.StateActive)
+	b.proxy.frontend.conns.track(c, http.StateIdle)
 	client.SetReadDeadline(time.Now().Add(time.Second))
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("reading from the connection: got %v, want %v", err, io.EOF)
 	}
-	b.proxy.front.conns.track(c, http.StateClosed)
+	b.proxy.frontend.conns.track(c, http.StateClosed)
 }
--- a/internal/proxy/killdeadline_test.go
+++ b/internal/proxy/killdeadline_test.go
@@ -15,7 +15,7 @@
 // late request is therefore shortly before SIGKILL, however long its client would wait; an earlier request keeps its own.
 func TestLateRequestIsAnsweredBeforeSIGKILL(t *testing.T) {
 	b := newBalancer(t)
-	f := b.proxy.front
+	f := b.proxy.frontend
 	const shutdownAt, timeout = time.Hour, 9 * time.Second
 	f.lifecycle.shutdown.startedAt.Store(int64(shutdownAt))
 	assertEqual(t, "while it serves", f.lifecycle.schedule().BeforeKill(shutdownAt+2*time.Second, timeout), timeout)
@@ -44,16 +44,16 @@
 	release := make(chan struct{})
 	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
 	b := newBalancer(t, activeMember("s-00000001", upstream))
-	f := b.proxy.front
+	f := b.proxy.frontend
 	body, client := io.Pipe()
 	r := b.newRequest("checkin", "")
-	r.Body, r.ContentLength = body, 2*maxBody
+	r.Body, r.ContentLength = body, 2*maxBufferedBody
 	status := make(chan int, 1)
 	go func() {
 		got, _ := b.do(t, r)
 		status <- got
 	}()
-	if _, err := client.Write(make([]byte, 2*maxBody-1)); err != nil {
+	if _, err := client.Write(make([]byte, 2*maxBufferedBody-1)); err != nil {
 		t.Fatal(err)
 	}
 	var q *request
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -19,9 +19,9 @@
 	return c.Sockets / 2
 }
 
-// SoftMemory returns the target size of the heap in bytes: 60 % of the memory limit, or half of that if another process may
+// SoftMemoryLimit returns the target size of the heap in bytes: 60 % of the memory limit, or half of that if another process may
 // run at the same time.
-func (c *Config) SoftMemory() int64 {
+func (c *Config) SoftMemoryLimit() int64 {
 	total := int64(c.MemoryMB) << 20 * 6 / 10
 	if c.inheritsListener() {
 		return total / 2
@@ -30,4 +30,4 @@
 }
 
 // bodyBudgetBytes bounds the total size, in bytes, of all body buffers.
-func (c *Config) bodyBudgetBytes() int64 { return c.SoftMemory() / 5 }
+func (c *Config) bodyBudgetBytes() int64 { return c.SoftMemoryLimit() / 5 }
--- a/internal/proxy/listener_test.go
+++ b/internal/proxy/listener_test.go
@@ -125,7 +125,7 @@
 	}
 	alone := c
 	alone.ListenFD = 0
-	if two, one := 2*c.SoftMemory(), alone.SoftMemory(); two > one {
+	if two, one := 2*c.SoftMemoryLimit(), alone.SoftMemoryLimit(); two > one {
 		t.Errorf("memory of two processes: got %d bytes, want at most %d", two, one)
 	}
 	const others = 32 // descriptors of each process for listeners, discovery, operators and standard streams
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -70,13 +70,13 @@
 	l.pool = &connPool{
 		endpoints:   l.endpoints,
 		maxOpen:     c.maxUpstreamConns(),
-		idleTimeout: timelimit.UpstreamIdle(c.Links.KeepAlive),
+		idleTimeout: timelimit.UpstreamIdle(c.ConnectionTimeouts.KeepAlive),
 		now:         l.now,
 	}
 	l.saver = savedstate.NewSaver(savedstate.Options{
 		Writer:         c.StateWriter,
 		Discovery:      c.Discovery,
-		ConfiguredList: c.Known,
+		ConfiguredList: c.KnownEndpoints,
 		IDOf:           l.endpointIDs.idOf,
 		Log:            slog.Info,
 	})
@@ -96,7 +96,7 @@
 	}
 	return dialer{
 		openConn:        open,
-		timeout:         c.Links.ConnectTimeout,
+		timeout:         c.ConnectionTimeouts.ConnectTimeout,
 		attemptsWritten: attemptsWritten,
 		bodyBudget:      newByteBudget(c.bodyBudgetBytes()),
 		now:             now,
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -18,7 +18,7 @@
 	c := testConfig(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	c.openConn = recordingOpener(nil)
+	c.openConn = recordingDial(nil)
 	l := newLoop(ctx, &c)
 	if err := l.start(&c); err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 	r := &request{reply: make(chan response, 1), deadline: l.now() + time.Minute,
 		message: message{requestLine: "POST /x", host: "x", header: http.Header{"X-Request-Id": {text}}}}
 	r.ID = id
-	clientLedger.add(text, time.Minute)
+	clientDeadlines.add(text, time.Minute)
 	l.requests[id] = r
 	return r
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -18,11 +18,11 @@
 // Proxy is a balancer with its connections to clients, upstreams and discovery. Its methods may be called from any
 // goroutine.
 type Proxy struct {
-	config  Config
-	loop    *loop
-	front   *frontend
-	cancel  context.CancelFunc // ends the loop and the goroutines that it has started
-	serving atomic.Bool
+	config   Config
+	loop     *loop
+	frontend *frontend
+	cancel   context.CancelFunc // ends the loop and the goroutines that it has started
+	serving  atomic.Bool
 }
 
 // New returns a balancer for the clients of listener. It does not serve requests before Run, but accepts operators' orders.
@@ -31,9 +31,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &Proxy{config: c, cancel: cancel}
 	p.loop = newLoop(ctx, &p.config)
-	p.front = newFrontend(&p.config, listener, p.loop)
+	p.frontend = newFrontend(&p.config, listener, p.loop)
 	if p.loop.saver.CurrentOrders().Drain {
-		p.front.startDrain() // before an operator's order can arrive
+		p.frontend.startDrain() // before an operator's order can arrive
 	}
 	return p
 }
@@ -47,19 +47,19 @@
 	}
 	go p.loop.run()
 	serveResult := make(chan error, 1)
-	go func() { serveResult <- p.front.serve() }()
+	go func() { serveResult <- p.frontend.serve() }()
 	p.serving.Store(true)
 	for {
 		select {
 		case err := <-serveResult: // the listener has failed; accepted requests must still be answered
 			slog.Error("listener failed, shutting down", "err", err)
-			p.front.shutDown()
+			p.frontend.shutDown()
 			p.saveLastSnapshot()
 			return err
 		case address := <-discoveryAddresses:
 			p.loop.post(discoveryMoved{address})
 		case <-ctx.Done():
-			p.front.shutDown()
+			p.frontend.shutDown()
 			p.saveLastSnapshot()
 			return nil
 		}
@@ -77,9 +77,9 @@
 	switch {
 	case !p.serving.Load():
 		return false, "starting"
-	case p.front.lifecycle.shutdown.isActive():
+	case p.frontend.lifecycle.shutdown.isActive():
 		return false, "stopping"
-	case p.front.lifecycle.drain.isActive():
+	case p.frontend.lifecycle.drain.isActive():
 		return true, "draining"
 	}
 	return true, "serving"
@@ -88,13 +88,13 @@
 // StartDrain drains the balancer without ending the process. done is false if the order could not be saved and may not
 // outlive the process.
 func (p *Proxy) StartDrain() (done bool, state string) {
-	p.front.startDrain()
+	p.frontend.startDrain()
 	return p.saveDrainOrder()
 }
 
 // EndDrain ends a drain. done is false if the order could not be saved and may not outlive the process.
 func (p *Proxy) EndDrain() (done bool, state string) {
-	p.front.endDrain()
+	p.frontend.endDrain()
 	return p.saveDrainOrder()
 }
 
@@ -102,7 +102,7 @@
 func (p *Proxy) saveDrainOrder() (done bool, state string) {
 	_, state = p.Ready()
 	// The state is read inside the update: of concurrent orders, the last to be saved saves the state that results from all.
-	err := p.loop.saver.UpdateOrders(func(o *savedstate.Orders) { o.Drain = p.front.lifecycle.drain.isActive() })
+	err := p.loop.saver.UpdateOrders(func(o *savedstate.Orders) { o.Drain = p.frontend.lifecycle.drain.isActive() })
 	if err != nil {
 		return false, state + ", " + err.Error()
 	}
--- a/internal/proxy/recording_test.go
+++ b/internal/proxy/recording_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// recordingOpener wraps open so that upstream connections record in clientLedger when each attempt is written.
-func recordingOpener(open dialFunc) dialFunc {
+// recordingDial wraps open so that upstream connections record in clientLedger when each attempt is written.
+func recordingDial(open dialFunc) dialFunc {
 	if open == nil {
 		open = net.DialTimeout
 	}
@@ -29,7 +29,7 @@
 
 func (c recordingUpstreamConn) Write(p []byte) (int, error) {
 	if bytes.Contains(p, []byte("\r\nX-Deadline-Ms: ")) {
-		clientLedger.attemptWritten(string(p))
+		clientDeadlines.attemptWritten(string(p))
 	}
 	return c.Conn.Write(p)
 }
@@ -110,7 +110,7 @@
 	if r.complete = c.bodyRemaining == 0; !r.complete {
 		c.request, c.tail = r, ""
 	}
-	clientLedger.put(fieldOf(head, "X-Request-Id"), r)
+	clientDeadlines.put(fieldOf(head, "X-Request-Id"), r)
 }
 
 // recordBody records the bytes at the beginning of p that belong to the current body, and returns their number.
@@ -126,8 +126,8 @@
 		complete = strings.HasPrefix(c.tail, "0\r\n\r\n") || strings.Contains(c.tail, "\r\n0\r\n") && strings.HasSuffix(c.tail, "\r\n\r\n")
 		c.tail = c.tail[max(0, len(c.tail)-64):]
 	}
-	clientLedger.mu.Lock()
-	defer clientLedger.mu.Unlock()
+	clientDeadlines.mu.Lock()
+	defer clientDeadlines.mu.Unlock()
 	c.request.lastByte, c.request.complete = now, complete
 	if complete {
 		c.request = nil
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -57,7 +57,7 @@
 	a.outcomeDelivered = true
 	req := a.request
 	now := l.now()
-	if debugLogged() {
+	if debugEnabled() {
 		slog.Debug("attempt ended", "request_id", req.message.header.Get("X-Request-Id"), "attempt", a.index,
 			"endpoint", a.address, "status", r.status, "elapsed", (now - a.sentAt).Round(time.Millisecond), "request_closed", req.closed)
 	}
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -83,7 +83,7 @@
 		if resp.ContentLength < 0 {
 			return time.Since(began) > unknownLengthBufferTime
 		}
-		return resp.ContentLength > maxBody
+		return resp.ContentLength > maxBufferedBody
 	})
 	if err == nil && complete && c.readLimit.N <= 0 { // the read limit ended the body, not the upstream
 		err = io.ErrUnexpectedEOF
--- a/internal/proxy/responsestream_test.go
+++ b/internal/proxy/responsestream_test.go
@@ -128,7 +128,7 @@
 		{"buffered, idempotent", "read", 100, 200},
 		{"buffered, not idempotent", "checkin", 100, 502},
 		{"only the head", "checkin", 0, 502},
-		{"streamed", "read", 8 * maxBody, 0},
+		{"streamed", "read", 8 * maxBufferedBody, 0},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			proceed := make(chan struct{})
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	x.rest = text.String()[half:]
-	eventually(t, "part of the head has been read", b.proxy.front.anyPartialRequest)
+	eventually(t, "part of the head has been read", b.proxy.frontend.anyPartialRequest)
 	return x
 }
 
@@ -158,21 +158,21 @@
 	b := newBalancer(t, activeMember("s-00000001", s))
 	x := b.sendPartialRequest(t)
 	b.cancel()
-	<-b.proxy.front.acceptor.ended // the listener is closed, and idle connections are being closed
+	<-b.proxy.frontend.acceptor.ended // the listener is closed, and idle connections are being closed
 	for range 3 {
-		b.proxy.front.conns.closeIdle(0, closedByDrain)
+		b.proxy.frontend.conns.closeIdle(0, closedByDrain)
 	}
 	x.sendRest(t)
 	x.answer(t)
 	b.awaitEnd(t)
-	assertEqual(t, "open connections", b.proxy.front.conns.count(), 0)
+	assertEqual(t, "open connections", b.proxy.frontend.conns.count(), 0)
 }
 
 // A connection with a partial request is not closed by a drain either, nor evicted at the connection limit.
 func TestPartialRequestKeepsItsConnection(t *testing.T) {
 	s := newTestUpstream(t, respondOK)
 	b := newBalancer(t, activeMember("s-00000001", s))
-	f := b.proxy.front
+	f := b.proxy.frontend
 	x := b.sendPartialRequest(t)
 	f.conns.closeIdle(0, closedByDrain)
 	f.conns.mu.Lock()
--- a/internal/proxy/upstreamconn.go
+++ b/internal/proxy/upstreamconn.go
@@ -14,7 +14,7 @@
 const (
 	// maxResponseRead is the maximum number of bytes read for the head, framing and buffered body of a response, including
 	// the 1xx responses before it. It bounds the memory that an upstream can use by sending endlessly.
-	maxResponseRead = 8 * maxBody
+	maxResponseRead = 8 * maxBufferedBody
 	// responseReaderSize is the size, in bytes, of the read buffer of a connection.
 	responseReaderSize = 2 << 10
 )
