--- a/balancer/logevents.go
+++ b/balancer/logevents.go
@@ -25,8 +25,8 @@
 // EndpointUnresponsive reports that an endpoint is ejected because it has not responded in time. It gets one trial at a time
 // until it responds.
 type EndpointUnresponsive struct {
-	Endpoint EndpointID
-	Silence  time.Duration // how long the oldest attempt has waited without any response from the endpoint
+	Endpoint    EndpointID
+	WaitingTime time.Duration // how long the oldest attempt has waited without any response from the endpoint
 }
 
 // ZoneEjected reports that a zone is ejected because most of its endpoints are unhealthy. It gets one trial at a time until
@@ -34,7 +34,7 @@
 type ZoneEjected struct {
 	Zone      string
 	Unhealthy int // number of unhealthy endpoints in the zone
-	Members   int // number of endpoints in the zone that this balancer uses
+	Endpoints int // number of endpoints in the zone that this balancer uses
 }
 
 // ZoneRecoveryStarted reports that the trials of an ejected zone have succeeded, and that its traffic share now grows in
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -33,7 +33,7 @@
 // markUnresponsive ejects an endpoint until it responds. Meanwhile it gets one trial at a time. The first one is due after
 // the response timeout of a request with workUnits.
 func (b *Balancer) markUnresponsive(e *endpoint, workUnits float64, now time.Duration) {
-	b.log.add(now, EndpointUnresponsive{Endpoint: e.ID, Silence: e.waitingTime(e.oldestAttempt(), now)})
+	b.log.add(now, EndpointUnresponsive{Endpoint: e.ID, WaitingTime: e.waitingTime(e.oldestAttempt(), now)})
 	e.outlier.unresponsive = true
 	e.outlier.backoff = b.responseTimeout(e, workUnits)
 	e.outlier.nextTrialAt = now + e.outlier.backoff
--- a/balancer/restore.go
+++ b/balancer/restore.go
@@ -45,7 +45,7 @@
 	}
 	e.shareFactor = 1 - weight*(1-max(minShareFactor, min(1, finiteOrZero(saved.ShareFactor))))
 	e.outlier.errorRate = weight * min(1, finiteOrZero(saved.ErrorRate))
-	e.work.mean = weight * finiteOrZero(saved.WorkRate)
+	e.work.mean = weight * finiteOrZero(saved.MeanPeriodWork)
 	if saved.ConcurrencyLimit > 0 && isFiniteNonNegative(saved.ConcurrencyLimit) {
 		initial := b.endpoints.initialLimit
 		e.limit.current = initial + weight*(max(b.endpoints.minLimit(), saved.ConcurrencyLimit)-initial)
@@ -66,8 +66,8 @@
 // restoreZone restores the state of a zone. A zone that was ejected must pass its trials first.
 func (b *Balancer) restoreZone(z *zone, saved ZoneStats, now time.Duration) {
 	health := &z.health
-	health.stepMultiple = max(1, min(saved.HoldPeriods, maxStepMultiple))
-	if saved.Failed && health.recoveredShare == 1 {
+	health.stepMultiple = max(1, min(saved.StepMultiple, maxStepMultiple))
+	if saved.Ejected && health.recoveredShare == 1 {
 		health.ejected = true
 		health.recovering = false
 		health.recoveredShare = recoveryStep
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -7,7 +7,7 @@
 type Snapshot struct {
 	TakenAt          time.Duration      `json:"At"`
 	Latency          float64            `json:"Latency"` // mean latency, ns
-	MeanCost         float64            `json:"Cost"`    // mean cost hint, ns
+	MeanCostHint     float64            `json:"Cost"`    // mean cost hint, ns
 	ClassLatency     map[string]float64 `json:"Classes"` // mean latency of each class, ns, by name
 	LocalShare       float64            `json:"Stay"`    // fraction of the traffic that stays in the zone
 	RegionShare      float64            `json:"Keep"`    // fraction of the traffic that stays in the region
@@ -30,7 +30,7 @@
 	ErrorRate        float64       `json:"Errors"`    // moving average of errors, 0 to 1
 	LatencyEWMA      float64       `json:"Slow"`      // slower moving average of the latency per unit of work, ns
 	BaselineLatency  float64       `json:"Calm"`      // lowest value of that average, ns
-	WorkRate         float64       `json:"Work"`      // moving average of the work sent in a period, in mean requests
+	MeanPeriodWork   float64       `json:"Work"`      // moving average of the work sent in a period, in mean requests
 	SlowStartUsed    float64       `json:"Spent"`     // slow-start budget in use, in mean requests
 	WarmingUp        bool          `json:"Cold"`      // in slow start
 	Unresponsive     bool          `json:"Silent"`    // ejected as unresponsive
@@ -41,9 +41,9 @@
 // ZoneStats is the saved state of a zone.
 type ZoneStats struct {
 	Name           string  `json:"Name"`
-	Failed         bool    `json:"Failed"` // ejected on the evidence of its endpoints
+	Ejected        bool    `json:"Failed"` // ejected on the evidence of its endpoints
 	RecoveredShare float64 `json:"Back"`   // recovered fraction of the traffic share
-	HoldPeriods    int     `json:"Hold"`   // duration of a recovery step, in units of the shortest one
+	StepMultiple   int     `json:"Hold"`   // duration of a recovery step, in units of the shortest one
 }
 
 // TakeSnapshot returns the current state. The result shares no memory with the Balancer.
@@ -51,7 +51,7 @@
 	snapshot := Snapshot{
 		TakenAt:          now,
 		Latency:          b.means.latency,
-		MeanCost:         b.means.costHint,
+		MeanCostHint:     b.means.costHint,
 		ClassLatency:     map[string]float64{},
 		LocalShare:       b.locality.localShare,
 		RegionShare:      b.locality.regionShare,
@@ -88,7 +88,7 @@
 		ErrorRate:        e.outlier.errorRate,
 		LatencyEWMA:      e.latency.smoothed,
 		BaselineLatency:  e.latency.baseline,
-		WorkRate:         e.work.mean,
+		MeanPeriodWork:   e.work.mean,
 		SlowStartUsed:    e.slowStart.budget.Level,
 		WarmingUp:        e.slowStart.active,
 		Unresponsive:     e.outlier.unresponsive,
@@ -101,9 +101,9 @@
 func (z *zone) stats() ZoneStats {
 	return ZoneStats{
 		Name:           z.name,
-		Failed:         z.health.ejected,
+		Ejected:        z.health.ejected,
 		RecoveredShare: z.health.recoveredShare,
-		HoldPeriods:    z.health.stepMultiple,
+		StepMultiple:   z.health.stepMultiple,
 	}
 }
 
@@ -139,7 +139,7 @@
 // restoreFleet restores the statistics over all endpoints.
 func (b *Balancer) restoreFleet(snapshot Snapshot) {
 	b.means.latency = snapshot.Latency
-	b.means.costHint = finiteOrZero(snapshot.MeanCost)
+	b.means.costHint = finiteOrZero(snapshot.MeanCostHint)
 	b.endpoints.stats.workPerWeight = finiteOrZero(snapshot.WorkPerWeight)
 	b.endpoints.stats.maxWorkPerWeight = finiteOrZero(snapshot.MaxWorkPerWeight)
 	for name, c := range b.clients.classes {
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -50,7 +50,7 @@
 // setAllNumbers sets all floating-point values of a snapshot and of its endpoints.
 func setAllNumbers(snapshot *Snapshot, value float64) {
 	snapshot.Latency = value
-	snapshot.MeanCost = value
+	snapshot.MeanCostHint = value
 	snapshot.WorkPerWeight = value
 	snapshot.MaxWorkPerWeight = value
 	snapshot.LocalShare = value
@@ -65,7 +65,7 @@
 		e.ErrorRate = value
 		e.LatencyEWMA = value
 		e.BaselineLatency = value
-		e.WorkRate = value
+		e.MeanPeriodWork = value
 	}
 }
 
--- a/balancer/zonehealth.go
+++ b/balancer/zonehealth.go
@@ -134,7 +134,7 @@
 	case b.mayEject(z, totalWeight):
 		health.eject(now)
 		health.backoff = firstTrialTicks * b.tick
-		b.log.add(now, ZoneEjected{Zone: z.name, Unhealthy: health.unhealthy, Members: health.members})
+		b.log.add(now, ZoneEjected{Zone: z.name, Unhealthy: health.unhealthy, Endpoints: health.members})
 		return true
 	case health.isDegraded() && health.recoveredShare > degradedFraction:
 		health.degrade()
--- a/internal/proxy/decisionlog.go
+++ b/internal/proxy/decisionlog.go
@@ -11,9 +11,9 @@
 	switch e := event.(type) {
 	case balancer.EndpointUnresponsive:
 		slog.Info("endpoint unresponsive",
-			"endpoint", l.endpoints.addressOf(e.Endpoint), "endpoint_id", e.Endpoint, "elapsed", e.Silence)
+			"endpoint", l.endpoints.addressOf(e.Endpoint), "endpoint_id", e.Endpoint, "elapsed", e.WaitingTime)
 	case balancer.ZoneEjected:
-		slog.Info("zone ejected", "zone", e.Zone, "unhealthy", e.Unhealthy, "in_use", e.Members)
+		slog.Info("zone ejected", "zone", e.Zone, "unhealthy", e.Unhealthy, "in_use", e.Endpoints)
 	case balancer.ZoneRecoveryStarted:
 		slog.Info("zone recovery started", "zone", e.Zone, "step_periods", e.StepPeriods)
 	case balancer.RequestsShed:
--- a/internal/proxy/decisionlog_test.go
+++ b/internal/proxy/decisionlog_test.go
@@ -18,11 +18,11 @@
 		text  string
 		keys  []any
 	}{
-		{balancer.EndpointUnresponsive{Endpoint: 7, Silence: time.Second}, "endpoint unresponsive",
+		{balancer.EndpointUnresponsive{Endpoint: 7, WaitingTime: time.Second}, "endpoint unresponsive",
 			[]any{"endpoint", "192.0.2.7:80", "endpoint_id", balancer.EndpointID(7), "elapsed", time.Second}},
-		{balancer.EndpointUnresponsive{Endpoint: 8, Silence: time.Second}, "endpoint unresponsive",
+		{balancer.EndpointUnresponsive{Endpoint: 8, WaitingTime: time.Second}, "endpoint unresponsive",
 			[]any{"endpoint", "unknown", "endpoint_id", balancer.EndpointID(8), "elapsed", time.Second}},
-		{balancer.ZoneEjected{Zone: "z", Unhealthy: 3, Members: 4}, "zone ejected",
+		{balancer.ZoneEjected{Zone: "z", Unhealthy: 3, Endpoints: 4}, "zone ejected",
 			[]any{"zone", "z", "unhealthy", int64(3), "in_use", int64(4)}},
 		{balancer.ZoneRecoveryStarted{Zone: "z", StepPeriods: 6}, "zone recovery started", []any{"zone", "z", "step_periods", int64(6)}},
 		{balancer.RequestsShed{QueueLength: 5}, "request shed", []any{"queue_length", int64(5)}},
--- a/internal/wire/logtext.go
+++ b/internal/wire/logtext.go
@@ -10,9 +10,9 @@
 func logText(event balancer.LogEvent) string {
 	switch e := event.(type) {
 	case balancer.EndpointUnresponsive:
-		return fmt.Sprintf("endpoint %d unresponsive for %v: trials only", e.Endpoint, e.Silence)
+		return fmt.Sprintf("endpoint %d unresponsive for %v: trials only", e.Endpoint, e.WaitingTime)
 	case balancer.ZoneEjected:
-		return fmt.Sprintf("zone %q: %d of %d endpoints unhealthy: trials only", e.Zone, e.Unhealthy, e.Members)
+		return fmt.Sprintf("zone %q: %d of %d endpoints unhealthy: trials only", e.Zone, e.Unhealthy, e.Endpoints)
 	case balancer.ZoneRecoveryStarted:
 		return fmt.Sprintf("zone %q responds again: its share grows by steps of %d periods", e.Zone, e.StepPeriods)
 	case balancer.RequestsShed:
