--- a/internal/durable/errors_test.go
+++ b/internal/durable/errors_test.go
@@ -31,7 +31,7 @@
 		{ErrReadOnly, ErrReadOnly, "state folder is locked by another process", "another process holds the folder"},
 	} {
 		t.Run(c.text, func(t *testing.T) {
-			if c.err.Error() != c.text || OperatorText(c.err) != c.operator || !errors.Is(ForOperators(c.err), c.sentinel) {
+			if c.err.Error() != c.text || OperatorText(c.err) != c.operator || !errors.Is(WithOperatorText(c.err), c.sentinel) {
 				t.Errorf("%v, to operators %s; want %s, %s and %v", c.err, OperatorText(c.err), c.text, c.operator, c.sentinel)
 			}
 			var record *RecordError
--- a/internal/durable/operatortext.go
+++ b/internal/durable/operatortext.go
@@ -36,8 +36,8 @@
 // Unwrap returns the cause.
 func (e *operatorError) Unwrap() error { return e.cause }
 
-// ForOperators wraps an error of this package so that its text is its OperatorText.
-func ForOperators(err error) error { return &operatorError{cause: err} }
+// WithOperatorText wraps an error of this package so that its text is its OperatorText.
+func WithOperatorText(err error) error { return &operatorError{cause: err} }
 
 // OperatorText returns the text of an error of this package as it appears in answers to operators and in the output of
 // balancerctl state. Operators' scripts may compare this text, so it keeps its wording even where that of Error differs.
--- a/internal/savedstate/saver.go
+++ b/internal/savedstate/saver.go
@@ -236,11 +236,11 @@
 		err = s.writer.SaveSync(KindOrders, versionOrders, time.Now(), text)
 	}
 	if err != nil && !errors.Is(err, durable.ErrWriteTimeout) {
-		return fmt.Errorf("but not kept: %w", durable.ForOperators(err))
+		return fmt.Errorf("but not kept: %w", durable.WithOperatorText(err))
 	}
 	s.orders = next // after a time-out too: the disk may still save it, and later orders must build on it
 	if err != nil {
-		return fmt.Errorf("but not kept yet: %w", durable.ForOperators(err))
+		return fmt.Errorf("but not kept yet: %w", durable.WithOperatorText(err))
 	}
 	return nil
 }
