--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -39,10 +39,10 @@
 	ListenFD int
 	// Seed seeds the random number generator that makes all random choices.
 	Seed uint64
-	// MemoryMB is the memory limit of the process, in MiB.
-	MemoryMB int
-	// Sockets is the limit on open sockets of the process.
-	Sockets int
+	// MemoryMiB is the memory limit of the process, in MiB.
+	MemoryMiB int
+	// MaxSockets is the limit on open sockets of the process.
+	MaxSockets int
 	// KnownEndpoints is the last known endpoint list. It may be stale.
 	KnownEndpoints discovery.List
 	// Settings are the settings of the decision module.
@@ -203,8 +203,8 @@
 		Discovery:      f.Discovery,
 		Management:     f.Management,
 		KnownEndpoints: f.Known,
-		MemoryMB:       f.Limits.MemoryMB,
-		Sockets:        f.Limits.Sockets,
+		MemoryMiB:      f.Limits.MemoryMB,
+		MaxSockets:     f.Limits.Sockets,
 		UnusedKeys:     unusedKeys(f.text),
 	}
 	if err := c.checkAddresses(); err != nil {
@@ -215,11 +215,11 @@
 	if err != nil {
 		return c, fmt.Errorf("seed: %w", err)
 	}
-	if c.MemoryMB < minMemoryMB {
-		return c, fmt.Errorf("limits: memory_mb is %d; at least %d is needed", c.MemoryMB, minMemoryMB)
+	if c.MemoryMiB < minMemoryMB {
+		return c, fmt.Errorf("limits: memory_mb is %d; at least %d is needed", c.MemoryMiB, minMemoryMB)
 	}
-	if c.Sockets < minSockets {
-		return c, fmt.Errorf("limits: sockets is %d; at least %d are needed", c.Sockets, minSockets)
+	if c.MaxSockets < minSockets {
+		return c, fmt.Errorf("limits: sockets is %d; at least %d are needed", c.MaxSockets, minSockets)
 	}
 	if err := c.decodeSettings(f.Settings); err != nil {
 		return c, err
--- a/internal/proxy/deadlinerecorder_test.go
+++ b/internal/proxy/deadlinechecker_test.go
@@ -13,10 +13,10 @@
 
 // clientDeadlines records how long the clients of the current test wait and when each attempt was written. The test upstreams
 // check the deadline of each attempt against it.
-var clientDeadlines = &deadlineLedger{requests: map[string]*clientRequest{}, written: map[writtenAttempt]time.Time{}}
+var clientDeadlines = &deadlineChecker{requests: map[string]*clientRequest{}, written: map[writtenAttempt]time.Time{}}
 
-// deadlineLedger records when requests were received and when attempts were written. It is safe for concurrent use.
-type deadlineLedger struct {
+// deadlineChecker records when requests were received and when attempts were written. It is safe for concurrent use.
+type deadlineChecker struct {
 	mu       sync.Mutex                   // guards the fields below
 	requests map[string]*clientRequest    // by request id
 	written  map[writtenAttempt]time.Time // when each attempt was written
@@ -25,7 +25,7 @@
 // writtenAttempt identifies an attempt by the request id and deadline that it carries.
 type writtenAttempt struct{ id, milliseconds string }
 
-// clientRequest is a request as the balancer received it. It is guarded by the lock of the ledger.
+// clientRequest is a request as the balancer received it. It is guarded by the lock of the checker.
 type clientRequest struct {
 	budget   time.Duration // how long the client waits after the last byte
 	lastByte time.Time     // when the latest byte was received
@@ -33,18 +33,18 @@
 }
 
 // add records a complete request that was not received on a client connection.
-func (l *deadlineLedger) add(id string, budget time.Duration) {
+func (l *deadlineChecker) add(id string, budget time.Duration) {
 	l.put(id, &clientRequest{budget: budget, lastByte: time.Now(), complete: true})
 }
 
-func (l *deadlineLedger) put(id string, r *clientRequest) {
+func (l *deadlineChecker) put(id string, r *clientRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.requests[id] = r
 }
 
 // remaining returns how much longer than now the client of a request waits. ok is false if no client has sent the request.
-func (l *deadlineLedger) remaining(id string, now time.Time) (remaining time.Duration, ok bool) {
+func (l *deadlineChecker) remaining(id string, now time.Time) (remaining time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.requests[id]
@@ -58,14 +58,14 @@
 }
 
 // knows reports whether the balancer has received a request.
-func (l *deadlineLedger) knows(id string) bool {
+func (l *deadlineChecker) knows(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.requests[id] != nil
 }
 
 // attemptWritten records that the head of an attempt is about to be written.
-func (l *deadlineLedger) attemptWritten(head string) {
+func (l *deadlineChecker) attemptWritten(head string) {
 	key := writtenAttempt{fieldOf(head, "X-Request-Id"), fieldOf(head, "X-Deadline-Ms")}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,7 +73,7 @@
 }
 
 // firstByteOf returns when the connection wrote an attempt. The upstream's own time would be too late on a busy machine.
-func (l *deadlineLedger) firstByteOf(r *http.Request) (time.Time, bool) {
+func (l *deadlineChecker) firstByteOf(r *http.Request) (time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at, ok := l.written[writtenAttempt{r.Header.Get("X-Request-Id"), r.Header.Get("X-Deadline-Ms")}]
@@ -81,7 +81,7 @@
 }
 
 // check fails the test if the deadline of an attempt exceeds the time that its client still waited when the attempt was written.
-func (l *deadlineLedger) check(tb testing.TB, r *http.Request) {
+func (l *deadlineChecker) check(tb testing.TB, r *http.Request) {
 	tb.Helper()
 	id := r.Header.Get("X-Request-Id")
 	if id == "" && (r.URL.Path == "/load" || r.URL.Path == "/healthz") {
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -6,23 +6,23 @@
 // for the clients of its successor.
 func (c *Config) maxUpstreamConns() int {
 	if c.inheritsListener() {
-		return c.Sockets / 6
+		return c.MaxSockets / 6
 	}
-	return c.Sockets * 3 / 8
+	return c.MaxSockets * 3 / 8
 }
 
 // maxClientConns bounds the connections that the client listener accepts, including those that are not from clients.
 func (c *Config) maxClientConns() int {
 	if c.inheritsListener() {
-		return c.Sockets * 2 / 5
+		return c.MaxSockets * 2 / 5
 	}
-	return c.Sockets / 2
+	return c.MaxSockets / 2
 }
 
 // SoftMemoryLimit returns the target size of the heap in bytes: 60 % of the memory limit, or half of that if another process may
 // run at the same time.
 func (c *Config) SoftMemoryLimit() int64 {
-	total := int64(c.MemoryMB) << 20 * 6 / 10
+	total := int64(c.MemoryMiB) << 20 * 6 / 10
 	if c.inheritsListener() {
 		return total / 2
 	}
--- a/internal/proxy/listener_test.go
+++ b/internal/proxy/listener_test.go
@@ -129,13 +129,13 @@
 		t.Errorf("memory of two processes: got %d bytes, want at most %d", two, one)
 	}
 	const others = 32 // descriptors of each process for listeners, discovery, operators and standard streams
-	if n := 2*(c.maxUpstreamConns()+others) + c.Sockets/3; n > c.Sockets {
-		t.Errorf("descriptors of two processes: got %d, want at most %d", n, c.Sockets)
+	if n := 2*(c.maxUpstreamConns()+others) + c.MaxSockets/3; n > c.MaxSockets {
+		t.Errorf("descriptors of two processes: got %d, want at most %d", n, c.MaxSockets)
 	}
 	// Guards against attempts of the process that shuts down using almost all of the connections that clients may have, so that
 	// requests for its successor are refused.
-	if n := 2 * c.maxUpstreamConns(); n > c.Sockets/3 {
-		t.Errorf("attempts of two processes: got %d, want at most the %d client connections", n, c.Sockets/3)
+	if n := 2 * c.maxUpstreamConns(); n > c.MaxSockets/3 {
+		t.Errorf("attempts of two processes: got %d, want at most the %d client connections", n, c.MaxSockets/3)
 	}
 }
 
