--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -16,7 +16,7 @@
 	updates chan Update
 	// cancelWatch ends the current watch. Without one it does nothing.
 	cancelWatch context.CancelFunc
-	// cancelPreviousWatch ends the watch of the service before the last MoveTo, which runs until a response of the current
+	// cancelPreviousWatch ends the watch of the service before the last SwitchTo, which runs until a response of the current
 	// service has been accepted. Without one it does nothing.
 	cancelPreviousWatch context.CancelFunc
 
@@ -98,7 +98,7 @@
 	previous.http.CloseIdleConnections()
 }
 
-// IsFromPrevious reports whether an update is from a service before the last MoveTo. Its revision is unrelated to those of
+// IsFromPrevious reports whether an update is from a service before the last SwitchTo. Its revision is unrelated to those of
 // the current service.
 func (w *Watcher) IsFromPrevious(update Update) bool { return update.source != w.client }
 
--- a/internal/framing/conn.go
+++ b/internal/framing/conn.go
@@ -14,12 +14,12 @@
 // ambiguous head. It also tracks what net/http does not report: when each request arrived, and whether a request has begun
 // on a connection that net/http considers idle.
 //
-// Read and HeadAt must be called from one goroutine at a time; all other methods are safe for concurrent use.
+// Read and HeadStartedAt must be called from one goroutine at a time; all other methods are safe for concurrent use.
 type Conn struct {
 	net.Conn
 	now         func() time.Duration // the caller's clock
 	headTimeout time.Duration        // see NewConn
-	// headStartedAt is the result of HeadAt. Only the reader's goroutine uses it.
+	// headStartedAt is the result of HeadStartedAt. Only the reader's goroutine uses it.
 	headStartedAt time.Duration
 
 	mu            sync.Mutex // guards the fields below
--- a/internal/proxy/bodybudget.go
+++ b/internal/proxy/bodybudget.go
@@ -17,7 +17,7 @@
 )
 
 // byteBudget bounds the total size of all body buffers. When it is exhausted, bodies are streamed before they reach
-// maxBody, through buffers whose number is bounded by the connection limit. It is safe for concurrent use.
+// maxBufferedBody, through buffers whose number is bounded by the connection limit. It is safe for concurrent use.
 type byteBudget struct{ available atomic.Int64 }
 
 func newByteBudget(bytes int64) *byteBudget {
@@ -38,7 +38,7 @@
 // release returns n bytes to the budget. For a body that readBody returned, n is the capacity of the slice.
 func (b *byteBudget) release(n int) { b.available.Add(int64(n)) }
 
-// readBody buffers a body of the given length, or of unknown length (-1). It stops when the body is complete, maxBody is
+// readBody buffers a body of the given length, or of unknown length (-1). It stops when the body is complete, maxBufferedBody is
 // reached, the budget is exhausted, or stop returns true after a read that returned data. The capacity of the returned
 // slice is reserved in the budget; the caller releases it, also if err is not nil.
 func (b *byteBudget) readBody(r io.Reader, length int64, stop func() bool) (body []byte, complete bool, err error) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -109,7 +109,7 @@
 	return true, state
 }
 
-// errBusy means that the loop did not complete a call within timelimit.LoopCall. The function may still run later.
+// errBusy means that the loop did not complete a call within timelimit.EventLoopCallTimeout. The function may still run later.
 var errBusy = errors.New("the balancer is too busy to answer")
 
 // callLoop runs a function on the loop's goroutine and waits for it to return.
