--- a/internal/fleet/errors.go
+++ b/internal/fleet/errors.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// SettingError says which key of a fleet file has a value that can't be used, and why.
+// SettingError reports a key of the fleet file that has an invalid value, or lacks a required one.
 type SettingError struct {
-	Key    string // with its table, as in "state.every"
+	Key    string // with its table, such as "state.every"
 	Reason string
 }
 
 // Error returns one line with the key and the reason.
 func (e *SettingError) Error() string { return e.Key + ": " + e.Reason }
 
-// badSetting returns a SettingError with a formatted reason.
-func badSetting(key, format string, args ...any) error {
+// settingErrorf returns a SettingError with a formatted reason.
+func settingErrorf(key, format string, args ...any) error {
 	return &SettingError{Key: key, Reason: fmt.Sprintf(format, args...)}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,7 +1,8 @@
-// Package fleet reads the fleet file, a TOML file that the environment variable RELAY_FLEET names. It has the settings of a
-// balancer that are not part of the platform's own configuration. Without the file every setting has its zero value.
+// Package fleet reads the fleet file, a TOML file whose path is in the environment variable RELAY_FLEET. It holds the
+// balancer settings that are not part of the platform's own configuration. Without the file every setting has its zero
+// value.
 //
-// The package checks the form and the ranges of what it reads. It opens no other file and has no state.
+// The package validates the syntax and the ranges of the settings. It opens no other file and has no state.
 package fleet
 
 import (
@@ -13,22 +14,22 @@
 	"sprucehill/internal/tomlfile"
 )
 
-// EnvironmentVariable names the fleet file.
+// EnvironmentVariable is the name of the environment variable with the path of the fleet file.
 const EnvironmentVariable = "RELAY_FLEET"
 
-// File is a fleet file.
+// File holds the settings of a fleet file.
 type File struct {
 	Regions    Regions    `toml:"regions"`
 	Log        Log        `toml:"log"`
 	State      State      `toml:"state"`
 	Membership Membership `toml:"membership"`
-	// Digest is the xxhash64 of the file's text; 0: no file. Members exchange it, so that an operator sees which of them have
-	// the same file.
+	// Digest is the xxhash64 of the file's text, or 0 without a file. Members publish it, so that an operator can see which
+	// of them have the same file.
 	Digest uint64 `toml:"-"`
 }
 
-// Load reads the file that the environment names, and returns the zero value if it names none. An error is one line that
-// names the file and, if one is at fault, the key.
+// Load reads the file that the environment variable names, and returns the zero value if the variable is empty. The error is
+// one line that names the file and, if a setting is invalid, its key.
 func Load(getenv func(string) string) (File, error) {
 	path := getenv(EnvironmentVariable)
 	if path == "" {
@@ -41,8 +42,8 @@
 	return Parse(path, text)
 }
 
-// Parse parses and validates the text of a fleet file. The path is for messages. An error is one line that begins with it:
-// an error of tomlfile.Decode, or a SettingError that is wrapped.
+// Parse parses and validates the text of a fleet file. The path is only used in error messages, each of which is one line
+// that begins with it. The error is one of tomlfile.Decode or wraps a SettingError.
 func Parse(path string, text []byte) (File, error) {
 	var f File
 	if err := tomlfile.Decode(path, text, &f); err != nil {
@@ -68,5 +69,5 @@
 	return f.Log.validate()
 }
 
-// Localities returns the region/zone of each zone. It is nil if the file has no regions.
+// Localities returns the locality, region/zone, of each zone. It is nil if the file has no regions.
 func (f File) Localities() map[string]string { return f.Regions.localities() }
--- a/internal/fleet/log.go
+++ b/internal/fleet/log.go
@@ -7,13 +7,13 @@
 
 // Log configures the balancer's log.
 type Log struct {
-	// Format is plain (the same as without the file), text (key=value) or json.
+	// Format is plain (the default), text (key=value) or json.
 	Format string `toml:"format"`
-	// Level is info (the same as without the file) or debug, with a line for each request and attempt.
+	// Level is info (the default) or debug, which adds a line for each request and attempt.
 	Level string `toml:"level"`
 }
 
-// logHandlers has a constructor of each format's handler. It is nil for the default logger of package slog.
+// logHandlers maps each format to the constructor of its handler; nil selects the default logger of package slog.
 var logHandlers = map[string]func(io.Writer, *slog.HandlerOptions) slog.Handler{
 	"":      nil,
 	"plain": nil,
@@ -21,7 +21,7 @@
 	"json":  func(w io.Writer, o *slog.HandlerOptions) slog.Handler { return slog.NewJSONHandler(w, o) },
 }
 
-// logLevels has the levels by their names.
+// logLevels maps the name of each level to the level; an empty name selects the default.
 var logLevels = map[string]slog.Level{
 	"":      slog.LevelInfo,
 	"info":  slog.LevelInfo,
@@ -30,15 +30,15 @@
 
 func (l Log) validate() error {
 	if _, known := logHandlers[l.Format]; !known {
-		return badSetting("log.format", "%q is none of plain, text and json", l.Format)
+		return settingErrorf("log.format", "unknown format %q: must be plain, text or json", l.Format)
 	}
 	if _, known := logLevels[l.Level]; !known {
-		return badSetting("log.level", "%q is neither info nor debug", l.Level)
+		return settingErrorf("log.level", "unknown level %q: must be info or debug", l.Level)
 	}
 	return nil
 }
 
-// Handler returns a new handler that writes the log to w, or nil if the default logger is to stay.
+// Handler returns a new handler that writes the log to w, or nil if the format is that of the default logger.
 func (l Log) Handler(w io.Writer) slog.Handler {
 	newHandler := logHandlers[l.Format]
 	if newHandler == nil {
@@ -47,5 +47,5 @@
 	return newHandler(w, &slog.HandlerOptions{Level: l.MinLevel()})
 }
 
-// MinLevel returns the lowest level that is written.
+// MinLevel returns the lowest level that is logged.
 func (l Log) MinLevel() slog.Level { return logLevels[l.Level] }
--- a/internal/fleet/regions.go
+++ b/internal/fleet/regions.go
@@ -5,23 +5,23 @@
 	"strings"
 )
 
-// Regions has the zones of each region, for sites whose discovery names zones without their region.
+// Regions maps each region to its zones, for sites whose discovery names zones without their region.
 type Regions map[string][]string
 
 func (r Regions) validate() error {
 	regionOf := map[string]string{}
 	for region, zones := range r {
-		if !isPlainName(region) {
-			return badSetting("regions", "%q is no name of a region: it may not be empty or have a slash", region)
+		if !isValidName(region) {
+			return settingErrorf("regions", "invalid region name %q: must not be empty or contain a slash", region)
 		}
 		for _, zone := range zones {
-			if !isPlainName(zone) {
-				return badSetting("regions."+region, "%q is no name of a zone: it may not be empty or have a slash", zone)
+			if !isValidName(zone) {
+				return settingErrorf("regions."+region, "invalid zone name %q: must not be empty or contain a slash", zone)
 			}
 			if other, taken := regionOf[zone]; taken {
 				both := []string{other, region}
 				slices.Sort(both)
-				return badSetting("regions", "zone %q stands in both %s and %s", zone, both[0], both[1])
+				return settingErrorf("regions", "zone %q is listed in both %s and %s", zone, both[0], both[1])
 			}
 			regionOf[zone] = region
 		}
@@ -29,10 +29,10 @@
 	return nil
 }
 
-// isPlainName reports whether a name can be a part of region/zone.
-func isPlainName(name string) bool { return name != "" && !strings.Contains(name, "/") }
+// isValidName reports whether a name can be either part of a locality, region/zone.
+func isValidName(name string) bool { return name != "" && !strings.Contains(name, "/") }
 
-// localities returns the region/zone of each zone, or nil if there are none.
+// localities returns the locality, region/zone, of each zone, or nil if there are no zones.
 func (r Regions) localities() map[string]string {
 	var localityOf map[string]string
 	for region, zones := range r {
