--- a/internal/membership/change.go
+++ b/internal/membership/change.go
@@ -1,22 +1,22 @@
 package membership
 
-// ChangeKind is what has happened to a member.
+// ChangeKind is the kind of an event that happened to a member.
 type ChangeKind string
 
-// The kinds of change.
+// The kinds of changes.
 const (
 	Joined    ChangeKind = "joined"
-	Returned  ChangeKind = "returned"  // it was lost or had left, and answers again
-	Updated   ChangeKind = "updated"   // it publishes something else about itself
-	Lost      ChangeKind = "lost"      // it no longer answers
-	Left      ChangeKind = "left"      // it has announced its shutdown
-	Succeeded ChangeKind = "succeeded" // a newer process has taken over from it
-	Duplicate ChangeKind = "duplicate" // a newer process runs beside it under its name
+	Returned  ChangeKind = "returned"  // was lost or had left, and is confirmed alive again
+	Updated   ChangeKind = "updated"   // published metadata has changed
+	Lost      ChangeKind = "lost"      // failed without announcing its shutdown
+	Left      ChangeKind = "left"      // announced its shutdown
+	Succeeded ChangeKind = "succeeded" // replaced by a newer process of its name in an upgrade or a restart
+	Duplicate ChangeKind = "duplicate" // a newer process of its name runs at the same time by mistake
 )
 
-// Change is one change of the member table.
+// Change describes one change of the member table.
 type Change struct {
 	Kind          ChangeKind
-	Member        Member // after the change, or as seen last; of Succeeded and Duplicate the older process
-	PreviousState State  // if Kind is Updated; it may equal Member.State
+	Member        Member // after the change, or as last seen; for Succeeded and Duplicate the older process
+	PreviousState State  // set if Kind is Updated; may equal Member.State
 }
--- a/internal/membership/convergence.go
+++ b/internal/membership/convergence.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	// viewReportTTL is for how long a member's last report of its view digest is taken as its view.
+	// viewReportTTL is how long a member's last reported view digest is considered current.
 	viewReportTTL = 30 * time.Second
-	// maxReportsNeeded is how many other members must report the same view, in a fleet that has more, before the view is
-	// agreed.
-	maxReportsNeeded = 30
+	// maxRequiredReports caps the number of other members that must report the same view before the view is agreed. Smaller
+	// fleets require a report of every other member.
+	maxRequiredReports = 30
 )
 
-// Convergence is how many other members have reported their view within viewReportTTL.
+// Convergence counts the other members that reported their view within viewReportTTL.
 type Convergence struct {
-	Agreeing  int // with the same view as this process
-	Diverging int // with another view
+	Agreeing  int // same view as this process
+	Diverging int // different view
 }
 
-// Convergence compares the views that other members have reported with this process's.
+// Convergence compares the views that other members reported with this process's view.
 func (t *MemberTable) Convergence(now time.Duration) Convergence {
 	var c Convergence
 	digest := t.Digest()
 	for _, process := range t.active() {
-		hasReported := process.viewReportedAt > 0 && now-process.viewReportedAt <= viewReportTTL
-		if process.ProcessID() == t.self || !hasReported {
+		reportIsRecent := process.viewReportedAt > 0 && now-process.viewReportedAt <= viewReportTTL
+		if process.ProcessID() == t.self || !reportIsRecent {
 			continue
 		}
 		if process.viewDigest == digest {
@@ -34,31 +34,32 @@
 	return c
 }
 
-// DivergentAddresses lists the addresses of members that have reported another view within maxAge.
+// DivergentAddresses returns the addresses of the members that reported a different view within maxAge.
 func (t *MemberTable) DivergentAddresses(now, maxAge time.Duration) []string {
 	var addresses []string
 	digest := t.Digest()
 	for _, process := range t.sortedAlive() {
-		hasReported := process.viewReportedAt > 0 && now-process.viewReportedAt < maxAge
-		if hasReported && process.viewDigest != digest {
+		reportIsRecent := process.viewReportedAt > 0 && now-process.viewReportedAt < maxAge
+		if reportIsRecent && process.viewDigest != digest {
 			addresses = append(addresses, process.Address)
 		}
 	}
 	return addresses
 }
 
-// Quorum is how many of the members that were agreed last are in the view.
+// Quorum compares the view with the agreed membership: the members of the last view that the fleet agreed on.
 type Quorum struct {
-	Present int // agreed members that are in the view
+	Present int // agreed members in the view
 	Agreed  int // all agreed members
 }
 
 // HasMajority reports whether more than half of the agreed members are present.
 func (q Quorum) HasMajority() bool { return 2*q.Present > q.Agreed }
 
-// UpdateAgreedMembers returns the quorum, and makes the view the agreed membership if no recent report differs from it, enough members report it,
-// and it has a majority of the agreed membership before; so a minority side of a partition never takes itself for the
-// fleet. Members that departed rejoinPeriod ago or earlier are dropped from the agreed membership.
+// UpdateAgreedMembers makes the view the agreed membership if no recent report differs from it, enough members report the
+// same view, and the view has a majority of the previous agreed membership. So the minority side of a partition never
+// considers itself the whole fleet. Members that departed rejoinPeriod ago or earlier are dropped from the agreed membership.
+// It returns the resulting quorum.
 func (t *MemberTable) UpdateAgreedMembers(now time.Duration) Quorum {
 	active := t.active()
 	for id, departed := range t.departed {
@@ -68,8 +69,8 @@
 	}
 	quorum := t.quorum()
 	c := t.Convergence(now)
-	reportsNeeded := min(len(active)-1, maxReportsNeeded)
-	hasConverged := c.Diverging == 0 && c.Agreeing >= reportsNeeded
+	requiredReports := min(len(active)-1, maxRequiredReports)
+	hasConverged := c.Diverging == 0 && c.Agreeing >= requiredReports
 	if !hasConverged || !quorum.HasMajority() {
 		return quorum
 	}
@@ -80,7 +81,7 @@
 	return Quorum{Present: len(active), Agreed: len(active)}
 }
 
-// quorum counts the agreed members that are in the view.
+// quorum counts the agreed members, and those of them that are in the view.
 func (t *MemberTable) quorum() Quorum {
 	q := Quorum{Agreed: len(t.agreedNames)}
 	active := t.active()
--- a/internal/membership/delegates.go
+++ b/internal/membership/delegates.go
@@ -10,18 +10,18 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// viewDigestSize is the size of the payload of a probe's ack: the digest of the sender's view, big endian.
+// viewDigestSize is the size in bytes of the payload of a probe's ack: the digest of the sender's view, in big endian.
 const viewDigestSize = 8
 
 var (
-	_ memberlist.Delegate      = metaDelegate{}
+	_ memberlist.Delegate      = metadataDelegate{}
 	_ memberlist.AliveDelegate = aliveDelegate{}
 	_ memberlist.EventDelegate = eventDelegate{}
 	_ memberlist.PingDelegate  = pingDelegate{}
 )
 
-// memberOf decodes and validates what a node of memberlist publishes.
-func memberOf(peer *memberlist.Node) (Member, error) {
+// memberFromNode decodes and validates the metadata that a memberlist node publishes.
+func memberFromNode(peer *memberlist.Node) (Member, error) {
 	m, err := decodeMetadata(peer.Meta)
 	if err == nil && m.ProcessID().nodeName() != peer.Name {
 		err = fmt.Errorf("%w: node %.80q publishes %s", ErrIdentityMismatch, peer.Name, m.ProcessID().nodeName())
@@ -30,23 +30,23 @@
 	return m, err
 }
 
-// metaDelegate provides this member's metadata. It uses neither user messages nor user state.
-type metaDelegate struct{ node *Node }
+// metadataDelegate provides this member's metadata. Memberlist's user messages and user state are not used.
+type metadataDelegate struct{ node *Node }
 
-func (d metaDelegate) NodeMeta(int) []byte {
+func (d metadataDelegate) NodeMeta(int) []byte {
 	d.node.mu.Lock()
 	defer d.node.mu.Unlock()
 	encoded, err := encodeMetadata(d.node.self)
-	if err != nil { // Start has validated it
+	if err != nil { // can't happen: Start has validated the member
 		return nil
 	}
 	return encoded
 }
 
-func (d metaDelegate) NotifyMsg([]byte)                { d.node.countRejectedMessage() }
-func (d metaDelegate) GetBroadcasts(int, int) [][]byte { return nil }
-func (d metaDelegate) LocalState(bool) []byte          { return nil }
-func (d metaDelegate) MergeRemoteState([]byte, bool)   {}
+func (d metadataDelegate) NotifyMsg([]byte)                { d.node.countRejectedMessage() }
+func (d metadataDelegate) GetBroadcasts(int, int) [][]byte { return nil }
+func (d metadataDelegate) LocalState(bool) []byte          { return nil }
+func (d metadataDelegate) MergeRemoteState([]byte, bool)   {}
 
 func (n *Node) countRejectedMessage() {
 	n.mu.Lock()
@@ -54,18 +54,18 @@
 	n.rejectedMessages++
 }
 
-// aliveDelegate rejects nodes with invalid metadata.
+// aliveDelegate rejects and counts nodes with invalid metadata.
 type aliveDelegate struct{ node *Node }
 
 func (d aliveDelegate) NotifyAlive(peer *memberlist.Node) error {
-	_, err := memberOf(peer)
+	_, err := memberFromNode(peer)
 	if err != nil {
 		d.node.countRejectedMessage()
 	}
 	return err
 }
 
-// eventDelegate records in the member table who joins, changes, fails and leaves.
+// eventDelegate records in the member table which members join, change, fail and leave.
 type eventDelegate struct{ node *Node }
 
 func (d eventDelegate) NotifyJoin(peer *memberlist.Node) { d.NotifyUpdate(peer) }
@@ -73,7 +73,7 @@
 func (d eventDelegate) NotifyUpdate(peer *memberlist.Node) {
 	d.node.mu.Lock()
 	defer d.node.mu.Unlock()
-	m, err := memberOf(peer)
+	m, err := memberFromNode(peer)
 	if err != nil {
 		return
 	}
@@ -83,7 +83,7 @@
 func (d eventDelegate) NotifyLeave(peer *memberlist.Node) {
 	d.node.mu.Lock()
 	defer d.node.mu.Unlock()
-	m, err := memberOf(peer)
+	m, err := memberFromNode(peer)
 	if err != nil {
 		return
 	}
@@ -94,7 +94,7 @@
 	}
 }
 
-// pingDelegate exchanges view digests on the acks of probes.
+// pingDelegate exchanges view digests in the payloads of probes' acks.
 type pingDelegate struct{ node *Node }
 
 func (d pingDelegate) AckPayload() []byte {
@@ -106,7 +106,7 @@
 func (d pingDelegate) NotifyPingComplete(peer *memberlist.Node, _ time.Duration, payload []byte) {
 	d.node.mu.Lock()
 	defer d.node.mu.Unlock()
-	m, err := memberOf(peer)
+	m, err := memberFromNode(peer)
 	if err != nil || len(payload) != viewDigestSize {
 		return
 	}
--- a/internal/membership/departed_processes.go
+++ b/internal/membership/departed_processes.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// rejoinPeriod is for how long the address of a lost process is tried, so that a partitioned fleet heals by itself.
+	// rejoinPeriod is how long this member tries to reach a lost process, so that a partitioned fleet heals by itself.
 	rejoinPeriod = time.Hour
-	// departedRetention is for how long a departed process is remembered. One that is seen meanwhile must answer before it is active
-	// again.
+	// departedRetention is how long a departed process is remembered. If it is reported alive in this time, it must be
+	// confirmed before it is active again.
 	departedRetention = 24 * time.Hour
-	// maxDepartedProcesses bounds the departed processes that are remembered; beyond it the oldest is forgotten.
+	// maxDepartedProcesses bounds the number of remembered departed processes; the oldest is evicted first.
 	maxDepartedProcesses = 1024
 )
 
 // departedProcess is a process that was lost or has left.
 type departedProcess struct {
-	address     string // empty if it left: it is not tried again
-	departedAt  time.Duration
-	lastTriedAt time.Duration
+	address       string // empty if the process left: it is not retried
+	departedAt    time.Duration
+	lastAttemptAt time.Duration
 }
 
-// limitDeparted forgets the process that departed first if there are too many.
-func (t *MemberTable) limitDeparted() {
+// evictOldestDeparted removes the process that departed first if there are more than maxDepartedProcesses.
+func (t *MemberTable) evictOldestDeparted() {
 	if len(t.departed) <= maxDepartedProcesses {
 		return
 	}
@@ -35,43 +35,43 @@
 	delete(t.departed, oldest)
 }
 
-// forgetDeparted forgets the processes that departed long ago and have not come back.
-func (t *MemberTable) forgetDeparted(now time.Duration) {
+// removeExpiredDeparted removes the processes that departed departedRetention ago or earlier and are not alive again.
+func (t *MemberTable) removeExpiredDeparted(now time.Duration) {
 	maps.DeleteFunc(t.departed, func(id ProcessID, departed *departedProcess) bool {
 		return t.alive[id] == nil && now-departed.departedAt >= departedRetention
 	})
 }
 
-// awaitsRejoin reports whether a departed process was lost and its address is still tried.
-func (t *MemberTable) awaitsRejoin(now time.Duration, id ProcessID, departed *departedProcess) bool {
+// isRejoinCandidate reports whether a departed process was lost and its address is still retried.
+func (t *MemberTable) isRejoinCandidate(now time.Duration, id ProcessID, departed *departedProcess) bool {
 	return departed.address != "" && t.alive[id] == nil && now-departed.departedAt < rejoinPeriod
 }
 
-// LostCount returns how many lost processes are still tried.
+// LostCount returns the number of lost processes that are still retried.
 func (t *MemberTable) LostCount(now time.Duration) int {
 	count := 0
 	for id, departed := range t.departed {
-		if t.awaitsRejoin(now, id, departed) {
+		if t.isRejoinCandidate(now, id, departed) {
 			count++
 		}
 	}
 	return count
 }
 
-// NextRejoinAddress returns the address of the lost process whose last attempt is longest ago, and counts as an attempt.
-// There is at most one attempt per process in minInterval. Empty: none is due.
+// NextRejoinAddress returns the address of the lost process with the oldest attempt to reach it, and records a new attempt.
+// It returns each process at most once per minInterval, and an empty address if no attempt is due.
 func (t *MemberTable) NextRejoinAddress(now, minInterval time.Duration) string {
 	var next *departedProcess
 	for _, id := range slices.SortedFunc(maps.Keys(t.departed), compareProcessIDs) {
 		departed := t.departed[id]
-		isDue := t.awaitsRejoin(now, id, departed) && now-departed.lastTriedAt >= minInterval
-		if isDue && (next == nil || departed.lastTriedAt < next.lastTriedAt) {
+		isDue := t.isRejoinCandidate(now, id, departed) && now-departed.lastAttemptAt >= minInterval
+		if isDue && (next == nil || departed.lastAttemptAt < next.lastAttemptAt) {
 			next = departed
 		}
 	}
 	if next == nil {
 		return ""
 	}
-	next.lastTriedAt = now
+	next.lastAttemptAt = now
 	return next.address
 }
--- a/internal/membership/errors.go
+++ b/internal/membership/errors.go
@@ -5,35 +5,35 @@
 	"fmt"
 )
 
-// Errors that callers tell apart with errors.Is. KeyFileError and InvalidMemberError say which file or member is wrong.
+// Errors that callers distinguish with errors.Is. KeyFileError and InvalidMemberError add the file or the member.
 var (
 	// ErrInvalidKey means that a line of a key file is not an encryption key.
-	ErrInvalidKey = errors.New("is no key of 16, 24 or 32 bytes in base64")
+	ErrInvalidKey = errors.New("not a base64-encoded key of 16, 24 or 32 bytes")
 	// ErrKeyCount means that a key file has no keys, or more than maxKeys.
 	ErrKeyCount = errors.New("number of keys out of range")
 	// ErrKeyFileTooLarge means that a key file has more than maxKeyFileSize bytes.
 	ErrKeyFileTooLarge = errors.New("key file too large")
-	// ErrInvalidMember means that a member has an invalid field. Every InvalidMemberError is one.
+	// ErrInvalidMember means that a member has an invalid field. Every InvalidMemberError wraps it.
 	ErrInvalidMember = errors.New("invalid member")
 	// ErrMetadataTooLarge means that a member's encoded metadata exceeds maxMetadataSize.
 	ErrMetadataTooLarge = errors.New("metadata too large")
-	// ErrUnsupportedMetadata means that a member's metadata needs a later version of this program.
+	// ErrUnsupportedMetadata means that a member's metadata requires a later version of this program.
 	ErrUnsupportedMetadata = errors.New("unsupported metadata format")
-	// ErrIdentityMismatch means that a node of memberlist publishes the metadata of another process.
-	ErrIdentityMismatch = errors.New("node name and metadata differ")
+	// ErrIdentityMismatch means that a memberlist node publishes the metadata of another process.
+	ErrIdentityMismatch = errors.New("node name does not match metadata")
 )
 
-// KeyFileError says what is wrong with the file of encryption keys.
+// KeyFileError reports a key file that can't be read or is invalid.
 type KeyFileError struct {
 	Path string
-	Line int   // from 1; 0 if the error is not about a line
-	Err  error // ErrInvalidKey, ErrKeyCount, ErrKeyFileTooLarge, or an error of the operating system; possibly wrapped
+	Line int   // 1-based; 0 if the error doesn't concern a single line
+	Err  error // ErrInvalidKey, ErrKeyCount, ErrKeyFileTooLarge or an error of the operating system, possibly wrapped
 }
 
-// Error names the file, the line if one is at fault, and the cause.
+// Error returns the file, the line if the error concerns one, and the cause.
 func (e *KeyFileError) Error() string {
 	if e.Line > 0 {
-		return fmt.Sprintf("membership: key file %s: line %d %v", e.Path, e.Line, e.Err)
+		return fmt.Sprintf("membership: key file %s: line %d: %v", e.Path, e.Line, e.Err)
 	}
 	return fmt.Sprintf("membership: key file %s: %v", e.Path, e.Err)
 }
@@ -41,14 +41,14 @@
 // Unwrap returns the cause.
 func (e *KeyFileError) Unwrap() error { return e.Err }
 
-// InvalidMemberError says which field of a member is invalid, and why.
+// InvalidMemberError reports an invalid field of a member.
 type InvalidMemberError struct {
-	Member string // its name, which may be invalid itself
+	Member string // name, which may be the invalid field
 	Field  string
 	Reason string
 }
 
-// Error names the member, at most 20 bytes of it, the field and the reason.
+// Error returns the member's name, truncated to 20 characters, the field and the reason.
 func (e *InvalidMemberError) Error() string {
 	return fmt.Sprintf("%v %.20q: %s %s", ErrInvalidMember, e.Member, e.Field, e.Reason)
 }
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -18,8 +18,8 @@
 // Time is virtual in the tests that use a testFleet: real memberlist and real nodes on an emulated network.
 
 var (
-	plays = flag.Uint64("plays", 1, "number of seeds that each scenario of the emulated fleet runs with")
-	span  = flag.Duration("span", 40*time.Second, "duration of the scenario with packet loss, and age of replayed packets")
+	seedCount        = flag.Uint64("plays", 1, "number of seeds that each scenario of the emulated fleet runs with")
+	scenarioDuration = flag.Duration("span", 40*time.Second, "duration of the scenario with packet loss, and age of replayed packets")
 )
 
 const (
@@ -42,7 +42,7 @@
 // runScenario runs a scenario in virtual time with a fleet of size members that agree, once for each seed.
 func runScenario(t *testing.T, size int, scenario func(f *testFleet)) {
 	t.Helper()
-	for seed := range *plays {
+	for seed := range *seedCount {
 		synctest.Test(t, func(t *testing.T) {
 			f := &testFleet{t: t, net: gossip.New(seed+1, networkDelay)}
 			defer f.close(seed + 1)
@@ -50,7 +50,7 @@
 				f.nodes = append(f.nodes, f.start(f.options(i)))
 			}
 			if size > 0 {
-				f.within(time.Minute, "the fleet agrees", func() bool { return f.agree(f.nodes, size) })
+				f.waitFor(time.Minute, "the fleet agrees", func() bool { return f.viewsAgree(f.nodes, size) })
 			}
 			time.Sleep(settleTime)
 			scenario(f)
@@ -122,8 +122,8 @@
 	return slices.Clone(f.log[from:])
 }
 
-// within waits until a condition holds, fails the test after limit, and returns how long it took.
-func (f *testFleet) within(limit time.Duration, what string, condition func() bool) time.Duration {
+// waitFor waits until a condition holds, fails the test after limit, and returns how long it took.
+func (f *testFleet) waitFor(limit time.Duration, what string, condition func() bool) time.Duration {
 	f.t.Helper()
 	start := time.Now()
 	pollInterval := time.Duration(max(20, len(f.nodes))) * time.Millisecond
@@ -136,8 +136,8 @@
 	return time.Since(start)
 }
 
-// agree reports whether all nodes have the same view of a size.
-func (f *testFleet) agree(nodes []*membership.Node, size int) bool {
+// viewsAgree reports whether all nodes have the same view of a size.
+func (f *testFleet) viewsAgree(nodes []*membership.Node, size int) bool {
 	first := nodes[0].Status().View
 	return len(first.Members) == size && allNodes(nodes, func(s membership.Status) bool {
 		return s.View.Digest() == first.Digest()
--- a/internal/membership/keyring.go
+++ b/internal/membership/keyring.go
@@ -15,23 +15,23 @@
 const (
 	// maxKeyFileSize bounds the key file, in bytes.
 	maxKeyFileSize = 4096
-	// maxKeys is the largest number of keys in a key file.
+	// maxKeys is the maximum number of keys in a key file.
 	maxKeys = 8
 )
 
-// keyring is the keys of a file that encrypt gossip: one of 16, 24 or 32 bytes in base64 per line. The first encrypts, all
-// decrypt. A key is rotated without downtime by appending the new key everywhere, then moving it to the front everywhere,
-// then removing the old one. A nil keyring has no keys, and gossip is in the clear.
+// keyring holds the encryption keys of a key file, which has one base64-encoded key of 16, 24 or 32 bytes per line. The first
+// key, the primary one, encrypts; all keys decrypt. To rotate a key without downtime, append the new key on all members, then
+// move it to the front on all members, then remove the old one. A nil keyring has no keys, and gossip is not encrypted.
 //
-// It is not safe for concurrent use; memberlist's Keyring inside it is.
+// It is not safe for concurrent use, unlike memberlist's Keyring inside it.
 type keyring struct {
 	path     string
-	lastText string // content of the file at the last load; empty after a read error
+	lastText string // file content at the last load; empty after a read error
 	keys     [][]byte
 	ring     *memberlist.Keyring
 }
 
-// loadKeyring reads a key file. An empty path gives a nil keyring.
+// loadKeyring loads a key file. It returns a nil keyring for an empty path.
 func loadKeyring(path string) (*keyring, error) {
 	if path == "" {
 		return nil, nil
@@ -51,7 +51,7 @@
 	return &keyring{path: path, lastText: text, keys: keys, ring: ring}, nil
 }
 
-// memberlistRing returns the keys in memberlist's form, nil without keys.
+// memberlistRing returns memberlist's Keyring, or nil without keys.
 func (k *keyring) memberlistRing() *memberlist.Keyring {
 	if k == nil {
 		return nil
@@ -59,8 +59,8 @@
 	return k.ring
 }
 
-// reload applies the file's content if it has changed since the last load. An invalid or unreadable file leaves the keys as
-// they are and is reported once.
+// reload applies the file's content if it has changed since the last load. It returns the error of an invalid or unreadable
+// file once, and keeps the current keys.
 func (k *keyring) reload() (changed bool, err error) {
 	if k == nil {
 		return false, nil
@@ -85,7 +85,7 @@
 	return true, k.replaceKeys(keys)
 }
 
-// replaceKeys makes keys the ring's only ones. The new primary key is in use before any key is removed.
+// replaceKeys replaces all keys of the ring. The new primary key is in use before any key is removed.
 func (k *keyring) replaceKeys(keys [][]byte) error {
 	var errs []error
 	for _, key := range keys {
@@ -102,7 +102,7 @@
 	return errors.Join(errs...)
 }
 
-// readKeyFile reads a file of at most maxKeyFileSize bytes.
+// readKeyFile reads a key file of at most maxKeyFileSize bytes.
 func readKeyFile(path string) (string, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -120,7 +120,7 @@
 }
 
 // parseKeys decodes the keys in the text of a key file, one per line. Blank lines and lines that start with # are skipped.
-// The path is for messages.
+// The path is only used in errors.
 func parseKeys(path, text string) ([][]byte, error) {
 	var keys [][]byte
 	for i, line := range strings.Split(text, "\n") {
@@ -135,7 +135,7 @@
 		keys = append(keys, key)
 	}
 	if len(keys) == 0 || len(keys) > maxKeys {
-		cause := fmt.Errorf("%w: %d keys, not 1 to %d", ErrKeyCount, len(keys), maxKeys)
+		cause := fmt.Errorf("%w: got %d keys, want 1 to %d", ErrKeyCount, len(keys), maxKeys)
 		return nil, &KeyFileError{Path: path, Err: cause}
 	}
 	return keys, nil
--- a/internal/membership/keyring_test.go
+++ b/internal/membership/keyring_test.go
@@ -13,7 +13,7 @@
 	"sprucehill/internal/membership"
 )
 
-// keyLine is the line of a key file with a key of 32 equal bytes.
+// keyLine returns a line of a key file with a key of 32 equal bytes.
 func keyLine(b byte) string {
 	return base64.StdEncoding.EncodeToString([]byte(strings.Repeat(string(rune(b)), 32))) + "\n"
 }
@@ -25,7 +25,7 @@
 	}
 }
 
-// keyFiles is the key files of the members of a fleet.
+// keyFiles manages the key files of the members of a fleet.
 type keyFiles struct {
 	t    *testing.T
 	dir  string
@@ -56,8 +56,8 @@
 	return f.start(options)
 }
 
-// A key is rotated in three steps while the fleet is partitioned; a member with another key stays out; an invalid file
-// changes nothing and is logged.
+// A key rotation in three steps during a partition keeps all members in the fleet. A member with another key can't join. An
+// invalid key file is logged and leaves the keys as they are.
 func TestKeyRotationDuringPartition(t *testing.T) {
 	const size = 4
 	files := keyFiles{t: t, dir: t.TempDir(), size: size}
@@ -67,46 +67,46 @@
 		for i := range size {
 			f.nodes = append(f.nodes, files.start(f, i))
 		}
-		f.within(time.Minute, "the fleet agrees", func() bool { return f.agree(f.nodes, size) })
-		testStrangerStaysOut(t, f, files)
+		f.waitFor(time.Minute, "the fleet agrees", func() bool { return f.viewsAgree(f.nodes, size) })
+		testMemberWithOtherKeyIsExcluded(t, f, files)
 
 		f.cut(func(i, j int) bool { return i/2 != j/2 })
-		f.within(10*time.Second, "the fleet is partitioned", func() bool { return f.agree(f.nodes[:2], 2) && f.agree(f.nodes[2:], 2) })
+		f.waitFor(10*time.Second, "the fleet is partitioned", func() bool { return f.viewsAgree(f.nodes[:2], 2) && f.viewsAgree(f.nodes[2:], 2) })
 		files.writeAll(keyLine('a') + keyLine('b'))
 		files.writeAll(keyLine('b') + keyLine('a'))
 		f.heal()
-		f.within(10*time.Second, "healed with two keys", func() bool { return f.agree(f.nodes, size) })
+		f.waitFor(10*time.Second, "the fleet agrees with two keys after the partition", func() bool { return f.viewsAgree(f.nodes, size) })
 		files.writeAll(keyLine('b'))
 
 		files.write(0, "no key\n")
 		time.Sleep(20 * time.Second)
-		if !f.agree(f.nodes, size) {
-			t.Error("not all members are in with the new key")
+		if !f.viewsAgree(f.nodes, size) {
+			t.Error("members disagree after the rotation to the new key and the write of an invalid key file")
 		}
-		if !slices.ContainsFunc(f.logSince(0), func(line string) bool { return strings.Contains(line, "line 1 is no key") }) {
-			t.Error("an invalid file is not logged")
+		if !slices.ContainsFunc(f.logSince(0), func(line string) bool { return strings.Contains(line, "line 1: not a base64-encoded key") }) {
+			t.Error("the invalid key file was not logged")
 		}
 	})
 }
 
-// testStrangerStaysOut starts one more member with another key for a while.
-func testStrangerStaysOut(t *testing.T, f *testFleet, files keyFiles) {
+// testMemberWithOtherKeyIsExcluded starts one more member with another key for 10 s, and fails if it joins.
+func testMemberWithOtherKeyIsExcluded(t *testing.T, f *testFleet, files keyFiles) {
 	t.Helper()
 	size := len(f.nodes)
 	files.write(size, keyLine('x'))
-	stranger := files.start(f, size)
+	memberWithOtherKey := files.start(f, size)
 	time.Sleep(10 * time.Second)
-	if n := len(stranger.Status().View.Members); n != 1 || !f.agree(f.nodes, size) {
-		t.Errorf("with another key it sees %d", n)
+	if n := len(memberWithOtherKey.Status().View.Members); n != 1 || !f.viewsAgree(f.nodes, size) {
+		t.Errorf("a member with another key has a view of %d members, want 1, or the fleet disagrees", n)
 	}
-	stranger.Close()
+	memberWithOtherKey.Close()
 }
 
-// Starting with an invalid key file fails with an error that names the file and the reason.
+// Start returns an error that names the file and the reason for an invalid key file.
 func TestInvalidKeyFileIsReported(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"empty", "", "0 keys"},
-		{"key too short", "c2hvcnQ=\n", "line 1 is no key"},
+		{"key too short", "c2hvcnQ=\n", "line 1: not a base64-encoded key"},
 		{"too many keys", strings.Repeat(keyLine('a'), 9), "9 keys"},
 		{"file too large", strings.Repeat("# long\n", 1000), "more than 4096 bytes"},
 	} {
@@ -115,7 +115,7 @@
 			writeFile(t, path, c.text)
 			_, err := membership.Start(membership.Options{KeyFile: path, Self: membership.Member{Name: "a", Incarnation: 1}})
 			if err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), path) {
-				t.Errorf("%v, want %q", err, c.want)
+				t.Errorf("Start returned error %v, want one with %q and %q", err, path, c.want)
 			}
 		})
 	}
--- a/internal/membership/log_writer.go
+++ b/internal/membership/log_writer.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// transportErrorLogInterval is the least time between two log lines on memberlist's warnings and errors.
+	// transportErrorLogInterval is the minimum time between two logged warnings or errors of memberlist.
 	transportErrorLogInterval = 10 * time.Second
-	// maxTransportErrorLength bounds the text of memberlist in such a line, in bytes.
+	// maxTransportErrorLength is the length in bytes to which memberlist's text in a log line is truncated.
 	maxTransportErrorLength = 200
 )
 
-// logWriter receives memberlist's own log. It counts warnings and errors, and logs at most one of them in
-// transportErrorLogInterval. The other lines are dropped, since all changes of members are logged from the member table.
+// logWriter receives memberlist's log. It counts warnings and errors, and logs at most one of them per
+// transportErrorLogInterval. It drops all other lines, because changes of members are logged from the member table.
 type logWriter struct{ node *Node }
 
 func (w logWriter) Write(line []byte) (int, error) {
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -9,9 +9,9 @@
 // State is the lifecycle state that a member publishes.
 type State uint8
 
-// The states. Their numbers are part of the metadata on the wire.
+// The states. Their numeric values are wire format, in the metadata.
 const (
-	Joining  State = iota // started, accepts no clients yet
+	Joining  State = iota // started, doesn't accept clients yet
 	Serving               // accepts clients
 	Draining              // rejects new clients; may return to Serving
 	Leaving               // shutting down
@@ -19,7 +19,7 @@
 
 var stateNames = []string{"joining", "serving", "draining", "leaving"}
 
-// String returns the state's name, as in the answer to the management call members and in the log.
+// String returns the state's name, which the log and the response to the management call members contain.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -27,7 +27,7 @@
 	return "unknown"
 }
 
-// parseState returns the state with a name, or Joining if there is none.
+// parseState returns the state with a name, or Joining for an unknown name.
 func parseState(name string) State {
 	for i, stateName := range stateNames {
 		if stateName == name {
@@ -37,37 +37,38 @@
 	return Joining
 }
 
-// maxTextLength bounds each text field of a member, in bytes.
-const maxTextLength = 64
+// maxTextFieldLength bounds each text field of a member, in bytes.
+const maxTextFieldLength = 64
 
-// Member is what one process publishes about itself. Its text fields have at most 64 bytes, all printable and not blank.
+// Member is the metadata that one process publishes about itself. Its text fields have at most maxTextFieldLength bytes, and
+// only printable characters other than whitespace.
 type Member struct {
-	Name        string // of the balancer, not empty and without a slash; of the processes of one name the newest is active
-	Incarnation uint64 // of the process, at least 1; a later process of the same name has a higher one
+	Name        string // of the balancer, not empty and without a slash; only the newest process of a name is active
+	Incarnation uint64 // of the process, at least 1; higher for a later process of the same name
 	Zone        string // may be empty
 	Region      string // may be empty
-	Version     string // of the program
+	Version     string // of the balancer program
 	State       State
-	Capacity    int    // requests per second that it is meant to carry; 0: unknown
-	Config      uint64 // digest of its fleet file
-	Successor   bool   // it took over the clients' listener from the process before it
-	Address     string // host:port at which the transport reaches it; not part of the metadata
+	Capacity    int    // intended load in requests per second; 0 if unknown
+	Config      uint64 // digest of the fleet file; 0 without a file
+	Successor   bool   // inherited the client listener from the previous process in an upgrade
+	Address     string // host:port for the transport; not part of the metadata
 }
 
 // ProcessID returns the identity of the member's process.
 func (m Member) ProcessID() ProcessID { return ProcessID{Name: m.Name, Incarnation: m.Incarnation} }
 
-// ProcessID identifies one process of a name.
+// ProcessID identifies one of the processes that use a name, by its incarnation.
 type ProcessID struct {
 	Name        string
 	Incarnation uint64
 }
 
-// nodeName is the name of the process in memberlist. It is unique per process, so that two processes of one name are both
-// visible.
+// nodeName returns the name of the process in memberlist. It is unique per process, so that two processes of the same name
+// are both visible.
 func (id ProcessID) nodeName() string { return fmt.Sprintf("%s/%x", id.Name, id.Incarnation) }
 
-// validate returns an InvalidMemberError on the first invalid field.
+// validate returns an InvalidMemberError for the first invalid field.
 func (m Member) validate() error {
 	if m.Name == "" {
 		return m.invalid("name", "is empty")
@@ -75,11 +76,11 @@
 	for _, field := range []struct{ name, text string }{
 		{"name", m.Name}, {"zone", m.Zone}, {"region", m.Region}, {"version", m.Version},
 	} {
-		if len(field.text) > maxTextLength {
-			return m.invalid(field.name, fmt.Sprintf("%.20q exceeds %d bytes", field.text, maxTextLength))
+		if len(field.text) > maxTextFieldLength {
+			return m.invalid(field.name, fmt.Sprintf("%.20q exceeds %d bytes", field.text, maxTextFieldLength))
 		}
 		if strings.ContainsFunc(field.text, isBlankOrUnprintable) {
-			return m.invalid(field.name, fmt.Sprintf("%.20q has blanks or unprintable characters", field.text))
+			return m.invalid(field.name, fmt.Sprintf("%.20q contains whitespace or unprintable characters", field.text))
 		}
 	}
 	switch {
--- a/internal/membership/member_table.go
+++ b/internal/membership/member_table.go
@@ -7,59 +7,59 @@
 	"time"
 )
 
-// confirmAfter is for how long a process that came back after it had departed may go without an answer: had it been only an old
-// message that somebody replayed, memberlist would have found it dead again by then.
+// confirmAfter is how long a departed process that is reported alive again must stay alive to be confirmed without an
+// answer. If a replayed old message had reported it alive, memberlist would have detected it as failed again by then.
 const confirmAfter = 3 * time.Second
 
-// MemberTable is what a balancer knows of the processes of its fleet, its own included. Its methods take the current time
-// as the time since a fixed start. It is not safe for concurrent use.
+// MemberTable holds what a balancer knows of the processes of its fleet, including its own. Its methods take the current
+// time as the duration since a fixed start. It is not safe for concurrent use.
 type MemberTable struct {
-	self          ProcessID
-	alive         map[ProcessID]*aliveProcess
-	departed      map[ProcessID]*departedProcess
-	agreedNames   map[string]bool // names of the members in the last agreed view
-	pending       []Change        // not yet returned by TakeChanges
-	activeCache   map[string]*aliveProcess
-	viewCache     *View
-	viewCacheHash uint64 // digest of viewCache
+	self            ProcessID
+	alive           map[ProcessID]*aliveProcess
+	departed        map[ProcessID]*departedProcess
+	agreedNames     map[string]bool          // names of the members in the last view that the fleet agreed on
+	pendingChanges  []Change                 // not yet returned by TakeChanges
+	activeCache     map[string]*aliveProcess // nil if invalid
+	viewCache       *View                    // nil if invalid
+	viewDigestCache uint64                   // digest of viewCache
 }
 
 // aliveProcess is a process that memberlist considers alive.
 type aliveProcess struct {
 	Member
-	unconfirmed        bool          // it had departed and has not answered since; it is not active
-	since              time.Duration // when it joined or came back
-	viewDigest         uint64        // of its own view, as it reported last
-	viewReportedAt     time.Duration // 0: never
-	supersededReported bool          // a Succeeded or Duplicate change was recorded
+	unconfirmed        bool          // had departed and is not confirmed since; not active
+	aliveSince         time.Duration // when it joined or came back
+	viewDigest         uint64        // digest of its own view, as last reported
+	viewReportedAt     time.Duration // 0 if never
+	supersededReported bool          // a Succeeded or Duplicate change has been recorded
 }
 
-// NewMemberTable returns a table with this process alone.
+// NewMemberTable returns a table that contains only this process.
 func NewMemberTable(now time.Duration, self Member) *MemberTable {
 	return &MemberTable{
 		self:        self.ProcessID(),
-		alive:       map[ProcessID]*aliveProcess{self.ProcessID(): {Member: self, since: now}},
+		alive:       map[ProcessID]*aliveProcess{self.ProcessID(): {Member: self, aliveSince: now}},
 		departed:    map[ProcessID]*departedProcess{},
 		agreedNames: map[string]bool{self.Name: true},
 	}
 }
 
-// invalidateCaches must be called after each change of which processes are active or of what a member publishes.
+// invalidateCaches must be called on each change of the set of active processes or of a member's metadata.
 func (t *MemberTable) invalidateCaches() {
 	t.activeCache = nil
 	t.viewCache = nil
 }
 
-func (t *MemberTable) record(c Change) { t.pending = append(t.pending, c) }
+func (t *MemberTable) recordChange(c Change) { t.pendingChanges = append(t.pendingChanges, c) }
 
 // TakeChanges returns the changes since the last call.
 func (t *MemberTable) TakeChanges() []Change {
-	changes := t.pending
-	t.pending = nil
+	changes := t.pendingChanges
+	t.pendingChanges = nil
 	return changes
 }
 
-// ObserveAlive records that a process is alive and what it publishes: a new one, one that came back, or an update.
+// ObserveAlive records that a process, which may be new, known or departed, is alive, and the metadata that it publishes.
 func (t *MemberTable) ObserveAlive(now time.Duration, m Member) {
 	id := m.ProcessID()
 	if known := t.alive[id]; known != nil {
@@ -68,9 +68,9 @@
 	}
 	_, hadDeparted := t.departed[id]
 	t.invalidateCaches()
-	t.alive[id] = &aliveProcess{Member: m, since: now, unconfirmed: hadDeparted}
+	t.alive[id] = &aliveProcess{Member: m, aliveSince: now, unconfirmed: hadDeparted}
 	if !hadDeparted {
-		t.record(Change{Kind: Joined, Member: m})
+		t.recordChange(Change{Kind: Joined, Member: m})
 	}
 	t.recordSuperseded(m.Name)
 }
@@ -82,13 +82,13 @@
 	}
 	t.invalidateCaches()
 	known.Member = m
-	t.record(Change{Kind: Updated, Member: m, PreviousState: previous.State})
+	t.recordChange(Change{Kind: Updated, Member: m, PreviousState: previous.State})
 }
 
-// ObserveFailed records that a process was found dead. Its address is tried again for a while.
+// ObserveFailed records that a process was detected as failed. Its address is retried for rejoinPeriod.
 func (t *MemberTable) ObserveFailed(now time.Duration, id ProcessID) { t.remove(now, id, Lost) }
 
-// ObserveLeft records that a process has announced its shutdown.
+// ObserveLeft records that a process announced its shutdown.
 func (t *MemberTable) ObserveLeft(now time.Duration, id ProcessID) { t.remove(now, id, Left) }
 
 func (t *MemberTable) remove(now time.Duration, id ProcessID, kind ChangeKind) {
@@ -98,34 +98,34 @@
 	}
 	t.invalidateCaches()
 	delete(t.alive, id)
-	if !process.unconfirmed { // otherwise its return was never reported
-		t.record(Change{Kind: kind, Member: process.Member})
+	if !process.unconfirmed { // otherwise its return has not been reported
+		t.recordChange(Change{Kind: kind, Member: process.Member})
 	}
-	departed := &departedProcess{departedAt: now, lastTriedAt: now}
+	departed := &departedProcess{departedAt: now, lastAttemptAt: now}
 	if kind == Lost {
 		departed.address = process.Address
 	}
 	t.departed[id] = departed
-	t.limitDeparted()
+	t.evictOldestDeparted()
 }
 
-// RecordAck records that a process has answered this one and which digest its own view has.
+// RecordAck records that a process answered this one, and the digest of its view.
 func (t *MemberTable) RecordAck(now time.Duration, id ProcessID, viewDigest uint64) {
 	if process := t.alive[id]; process != nil {
 		process.viewDigest = viewDigest
-		process.viewReportedAt = max(now, 1) // 0 stands for never
+		process.viewReportedAt = max(now, 1) // 0 means never
 		t.confirm(process)
 	}
 }
 
-// ConfirmAlive records that a process has answered this one.
+// ConfirmAlive records that a process answered this one.
 func (t *MemberTable) ConfirmAlive(id ProcessID) {
 	if process := t.alive[id]; process != nil {
 		t.confirm(process)
 	}
 }
 
-// confirm makes a process that had departed active again.
+// confirm confirms a process that had departed, so that it can be active again.
 func (t *MemberTable) confirm(process *aliveProcess) {
 	if !process.unconfirmed {
 		return
@@ -133,11 +133,11 @@
 	t.invalidateCaches()
 	process.unconfirmed = false
 	delete(t.departed, process.ProcessID())
-	t.record(Change{Kind: Returned, Member: process.Member})
+	t.recordChange(Change{Kind: Returned, Member: process.Member})
 	t.recordSuperseded(process.Name)
 }
 
-// recordSuperseded records a change, once, for each process of a name that a newer one replaces.
+// recordSuperseded records a change, once, for each process of a name that a newer one has replaced.
 func (t *MemberTable) recordSuperseded(name string) {
 	confirmed := t.confirmedProcesses(name)
 	if len(confirmed) < 2 {
@@ -154,11 +154,11 @@
 		if newest.Successor || older.State == Leaving {
 			kind = Succeeded
 		}
-		t.record(Change{Kind: kind, Member: older.Member})
+		t.recordChange(Change{Kind: kind, Member: older.Member})
 	}
 }
 
-// confirmedProcesses lists the confirmed processes of a name, the oldest first.
+// confirmedProcesses returns the confirmed processes of a name, oldest first.
 func (t *MemberTable) confirmedProcesses(name string) []*aliveProcess {
 	var confirmed []*aliveProcess
 	for id, process := range t.alive {
@@ -170,12 +170,12 @@
 	return confirmed
 }
 
-// compareProcessIDs orders by name, then by incarnation.
+// compareProcessIDs compares by name, then by incarnation.
 func compareProcessIDs(x, y ProcessID) int {
 	return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.Incarnation, y.Incarnation))
 }
 
-// sortedAlive lists the processes that are alive in a fixed order.
+// sortedAlive returns the processes that are alive, ordered by compareProcessIDs.
 func (t *MemberTable) sortedAlive() []*aliveProcess {
 	processes := make([]*aliveProcess, 0, len(t.alive))
 	for _, id := range slices.SortedFunc(maps.Keys(t.alive), compareProcessIDs) {
@@ -184,17 +184,18 @@
 	return processes
 }
 
-// Tick confirms processes that have stayed alive for confirmAfter and forgets those that departed before departedRetention.
+// Tick confirms the processes that have stayed alive for confirmAfter, and removes those that departed departedRetention ago or
+// earlier.
 func (t *MemberTable) Tick(now time.Duration) {
 	for _, process := range t.sortedAlive() {
-		if now-process.since >= confirmAfter {
+		if now-process.aliveSince >= confirmAfter {
 			t.confirm(process)
 		}
 	}
-	t.forgetDeparted(now)
+	t.removeExpiredDeparted(now)
 }
 
-// Unconfirmed returns the processes that must answer before they are active.
+// Unconfirmed returns the processes that are alive but not confirmed.
 func (t *MemberTable) Unconfirmed() []Member {
 	var members []Member
 	for _, process := range t.sortedAlive() {
@@ -205,7 +206,7 @@
 	return members
 }
 
-// AliveAddresses returns the set of the addresses, host:port, of all processes that are alive, this one's included.
+// AliveAddresses returns the set of the addresses, host:port, of all processes that are alive, including this one.
 func (t *MemberTable) AliveAddresses() map[string]bool {
 	addresses := map[string]bool{}
 	for _, process := range t.alive {
@@ -214,8 +215,8 @@
 	return addresses
 }
 
-// active returns the active process of each name: the newest confirmed one. The map is the table's own and must not be
-// changed.
+// active returns the active process of each name: the newest confirmed one. Callers must not modify the map, which is
+// cached.
 func (t *MemberTable) active() map[string]*aliveProcess {
 	if t.activeCache != nil {
 		return t.activeCache
@@ -241,10 +242,10 @@
 // Digest returns the digest of the view.
 func (t *MemberTable) Digest() uint64 {
 	t.currentView()
-	return t.viewCacheHash
+	return t.viewDigestCache
 }
 
-// currentView returns the view from the cache, which it fills if need be.
+// currentView returns the cached view, and computes it if the cache is invalid.
 func (t *MemberTable) currentView() *View {
 	if t.viewCache != nil {
 		return t.viewCache
@@ -255,17 +256,17 @@
 	}
 	slices.SortFunc(view.Members, func(x, y Member) int { return cmp.Compare(x.Name, y.Name) })
 	t.viewCache = view
-	t.viewCacheHash = view.Digest()
+	t.viewDigestCache = view.Digest()
 	return view
 }
 
-// Fenced returns the active process of this process's name, and true if it is another one.
+// Fenced returns the active process of this process's name, and whether that is another process, which fences this one.
 func (t *MemberTable) Fenced() (active Member, fenced bool) {
 	process := t.active()[t.self.Name]
 	return process.Member, process.ProcessID() != t.self
 }
 
-// HighestIncarnation returns the highest incarnation seen of this process's name, other than its own; 0: none.
+// HighestIncarnation returns the highest incarnation seen among other processes of this process's name, or 0 if there are none.
 func (t *MemberTable) HighestIncarnation() uint64 {
 	highest := uint64(0)
 	for id := range t.alive {
--- a/internal/membership/member_table_test.go
+++ b/internal/membership/member_table_test.go
@@ -105,9 +105,9 @@
 			t.Fatalf("%s counts with incarnation %d, want %d", member.Name, member.Incarnation, want[member.Name])
 		}
 	}
-	wantCounting := want[self.Name]
-	if counting, fenced := m.table.Fenced(); fenced != (wantCounting > self.Incarnation) || counting.Incarnation != wantCounting {
-		t.Fatalf("fenced %v by incarnation %d, want by %d", fenced, counting.Incarnation, wantCounting)
+	wantActiveIncarnation := want[self.Name]
+	if active, fenced := m.table.Fenced(); fenced != (wantActiveIncarnation > self.Incarnation) || active.Incarnation != wantActiveIncarnation {
+		t.Fatalf("fenced %v by incarnation %d, want by %d", fenced, active.Incarnation, wantActiveIncarnation)
 	}
 	if got := len(m.table.Unconfirmed()); got != len(m.unconfirmed) {
 		t.Fatalf("%d unconfirmed processes, want %d", got, len(m.unconfirmed))
--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -107,7 +107,7 @@
 	c.PushPullInterval = pushPullInterval
 	c.TCPTimeout = streamTimeout
 	c.Keyring = n.keys.memberlistRing()
-	c.Delegate = metaDelegate{n}
+	c.Delegate = metadataDelegate{n}
 	c.Events = eventDelegate{n}
 	c.Ping = pingDelegate{n}
 	c.Alive = aliveDelegate{n}
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -109,7 +109,7 @@
 	if list == nil {
 		return nil
 	}
-	return shutDown(list)
+	return leaveAndShutDown(list)
 }
 
 // now is the time since the node's start, as the member table and the fleet sizer take it.
@@ -142,7 +142,7 @@
 		if !n.raiseIncarnation() {
 			return nil
 		}
-		if err := shutDown(list); err != nil {
+		if err := leaveAndShutDown(list); err != nil {
 			return err
 		}
 	}
@@ -162,8 +162,8 @@
 	return true
 }
 
-// shutDown announces that this process leaves and ends its memberlist.
-func shutDown(list *memberlist.Memberlist) error {
+// leaveAndShutDown announces that this process leaves and ends its memberlist.
+func leaveAndShutDown(list *memberlist.Memberlist) error {
 	if err := errors.Join(list.Leave(broadcastTimeout), list.Shutdown()); err != nil {
 		return fmt.Errorf("membership: leaving: %w", err)
 	}
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -17,12 +17,12 @@
 		t := f.t
 		f.net.Kill(gossip.Address(5))
 		rest := f.without(5)
-		took := f.within(5*time.Second, "the failed member is removed", func() bool { return f.agree(rest, 11) })
+		took := f.waitFor(5*time.Second, "the failed member is removed", func() bool { return f.viewsAgree(rest, 11) })
 		t.Logf("removed by all after %v", took)
 		if err := rest[0].Close(); err != nil {
 			t.Fatal(err)
 		}
-		took = f.within(2*time.Second, "the member that left is removed", func() bool { return f.agree(rest[1:], 10) })
+		took = f.waitFor(2*time.Second, "the member that left is removed", func() bool { return f.viewsAgree(rest[1:], 10) })
 		t.Logf("removed by all after leaving in %v", took)
 	})
 }
@@ -42,10 +42,10 @@
 	size := len(f.nodes)
 	side := func(i int) int { return i * sides / size }
 	f.cut(func(i, j int) bool { return side(i) != side(j) })
-	f.within(10*time.Second, "each side sees itself", func() bool {
+	f.waitFor(10*time.Second, "each side sees itself", func() bool {
 		return allNodes(f.nodes, func(s membership.Status) bool { return len(s.View.Members) == size/sides })
 	})
-	f.within(time.Second, "no side has a majority, and all report it", func() bool {
+	f.waitFor(time.Second, "no side has a majority, and all report it", func() bool {
 		return allNodes(f.nodes, func(s membership.Status) bool { return s.Minority })
 	})
 	if got := f.nodes[0].Status().FleetSize.BudgetDivisor; got != size {
@@ -53,7 +53,7 @@
 	}
 	time.Sleep(30 * time.Second)
 	f.heal()
-	took := f.within(10*time.Second, "healed", func() bool { return f.agree(f.nodes, size) })
+	took := f.waitFor(10*time.Second, "healed", func() bool { return f.viewsAgree(f.nodes, size) })
 	t.Logf("%d sides: agreed after %v", sides, took)
 }
 
@@ -63,7 +63,7 @@
 		t := f.t
 		f.setFault(allLinks, gossip.Fault{LossRate: 0.1, MaxJitter: 20 * time.Millisecond, DuplicateRate: 0.05})
 		logStart := f.logLength()
-		time.Sleep(*span)
+		time.Sleep(*scenarioDuration)
 		for _, line := range f.logSince(logStart) {
 			if strings.Contains(line, "lost") || strings.Contains(line, "returned") {
 				t.Error(line)
@@ -89,10 +89,10 @@
 		f.heal()
 		f.net.Freeze(gossip.Address(3))
 		rest := f.without(3)
-		f.within(5*time.Second, "the frozen member is removed", func() bool { return f.agree(rest, 11) })
+		f.waitFor(5*time.Second, "the frozen member is removed", func() bool { return f.viewsAgree(rest, 11) })
 		time.Sleep(20 * time.Second)
 		f.net.Unfreeze(gossip.Address(3))
-		t.Logf("back after %v", f.within(10*time.Second, "it is back", func() bool { return f.agree(f.nodes, 12) }))
+		t.Logf("back after %v", f.waitFor(10*time.Second, "it is back", func() bool { return f.viewsAgree(f.nodes, 12) }))
 	})
 }
 
@@ -101,7 +101,7 @@
 	runScenario(t, 5, func(f *testFleet) {
 		t := f.t
 		recorded := recordPacketsOfDeadMember(t, f)
-		time.Sleep(*span)
+		time.Sleep(*scenarioDuration)
 		if len(recorded) < 10 {
 			t.Fatalf("only %d packets were recorded", len(recorded))
 		}
@@ -114,7 +114,7 @@
 		}
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			if !f.agree(f.nodes, 5) {
+			if !f.viewsAgree(f.nodes, 5) {
 				t.Fatalf("views changed: %q", f.logSince(logStart))
 			}
 		}
@@ -137,10 +137,10 @@
 		})
 	}
 	member := f.start(f.options(5))
-	f.within(time.Minute, "it has joined", func() bool { return f.agree(append(f.nodes, member), 6) })
+	f.waitFor(time.Minute, "it has joined", func() bool { return f.viewsAgree(append(f.nodes, member), 6) })
 	time.Sleep(10 * time.Second)
 	f.net.Kill(gossip.Address(5))
-	f.within(5*time.Second, "it is removed", func() bool { return f.agree(f.nodes, 5) })
+	f.waitFor(5*time.Second, "it is removed", func() bool { return f.viewsAgree(f.nodes, 5) })
 	member.Close()
 	return recorded
 }
@@ -165,13 +165,13 @@
 		options.Self.Incarnation = 5 // from a clock that is far behind
 		newer := f.start(options)
 		f.nodes = append(f.nodes, newer)
-		f.within(10*time.Second, "the older process is fenced", func() bool { return f.agree(f.nodes, 4) && older.Status().Fenced })
+		f.waitFor(10*time.Second, "the older process is fenced", func() bool { return f.viewsAgree(f.nodes, 4) && older.Status().Fenced })
 		if newer.Status().Fenced || newer.Status().Self.Incarnation <= older.Status().Self.Incarnation {
 			t.Error("the newer process does not count")
 		}
 		newer.Close()
 		f.nodes = f.nodes[:4]
-		f.within(10*time.Second, "the older process counts again", func() bool { return f.agree(f.nodes, 4) && !older.Status().Fenced })
+		f.waitFor(10*time.Second, "the older process counts again", func() bool { return f.viewsAgree(f.nodes, 4) && !older.Status().Fenced })
 	})
 }
 
@@ -187,17 +187,17 @@
 			f.nodes[i].Close()
 			f.nodes[i] = f.start(f.options(i))
 		}
-		took := f.within(15*time.Second, "all are back", func() bool { return f.agree(f.nodes, 12) })
+		took := f.waitFor(15*time.Second, "all are back", func() bool { return f.viewsAgree(f.nodes, 12) })
 		t.Logf("agreed after %v", took)
 		for i := 12; i < 36; i++ {
 			f.nodes = append(f.nodes, f.start(f.options(i)))
 		}
-		took = f.within(15*time.Second, "all have joined", func() bool { return f.agree(f.nodes, 36) })
+		took = f.waitFor(15*time.Second, "all have joined", func() bool { return f.viewsAgree(f.nodes, 36) })
 		t.Logf("24 more joined after %v", took)
 	})
 }
 
-var members = flag.Int("members", 40, "size of the fleet that TestCost measures")
+var costTestFleetSize = flag.Int("members", 40, "size of the fleet that TestCost measures")
 
 // The traffic of each member of a large fleet and the time until a failed member is removed.
 func TestCost(t *testing.T) {
@@ -205,7 +205,7 @@
 		idlePeriod        = 10 * time.Second
 		maxBytesPerSecond = 20_000
 	)
-	runScenario(t, *members, func(f *testFleet) {
+	runScenario(t, *costTestFleetSize, func(f *testFleet) {
 		t := f.t
 		before := bytesSent(f)
 		time.Sleep(idlePeriod)
@@ -213,7 +213,7 @@
 		failed := len(f.nodes) / 2
 		f.net.Kill(gossip.Address(failed))
 		rest := f.without(failed)
-		took := f.within(20*time.Second, "the failed member is removed", func() bool { return f.agree(rest, len(rest)) })
+		took := f.waitFor(20*time.Second, "the failed member is removed", func() bool { return f.viewsAgree(rest, len(rest)) })
 		t.Logf("%d members: %.0f bytes a second each in packets, a failed one is removed by all after %v", len(f.nodes), bytesPerSecond, took)
 		if bytesPerSecond > maxBytesPerSecond {
 			t.Errorf("%.0f bytes a second", bytesPerSecond)
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -18,20 +18,20 @@
 // tick publishes this process's state, confirms processes that came back, logs changes and delivers the fleet size.
 func (n *Node) tick() {
 	state := n.options.CurrentState()
-	list, unconfirmed, stateChanged := n.setOwnState(state)
+	list, unconfirmed, stateChanged := n.updateOwnState(state)
 	if list == nil {
 		return
 	}
 	if stateChanged {
 		_ = list.UpdateNode(broadcastTimeout) // after a timeout the update still spreads
 	}
-	answered := pingSome(list, unconfirmed)
-	size := n.advance(answered)
+	answered := pingRandom(list, unconfirmed)
+	size := n.updateMembership(answered)
 	n.deliverFleetSize(size)
 }
 
-// setOwnState records this process's state and returns what the rest of the tick works on.
-func (n *Node) setOwnState(state State) (list *memberlist.Memberlist, unconfirmed []Member, changed bool) {
+// updateOwnState records this process's state and returns what the rest of the tick works on.
+func (n *Node) updateOwnState(state State) (list *memberlist.Memberlist, unconfirmed []Member, changed bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	unconfirmed = n.table.Unconfirmed()
@@ -41,8 +41,8 @@
 	return n.list, unconfirmed, changed
 }
 
-// pingSome pings at most maxPingsPerTick of the members, in random order, and returns those that answered.
-func pingSome(list *memberlist.Memberlist, members []Member) []Member {
+// pingRandom pings at most maxPingsPerTick of the members, in random order, and returns those that answered.
+func pingRandom(list *memberlist.Memberlist, members []Member) []Member {
 	var answered []Member
 	for _, i := range rand.Perm(len(members))[:min(len(members), maxPingsPerTick)] {
 		m := members[i]
@@ -57,9 +57,9 @@
 	return answered
 }
 
-// advance confirms the members that answered, brings the member table and what follows from it up to date, and returns the
+// updateMembership confirms the members that answered, brings the member table and what follows from it up to date, and returns the
 // fleet size.
-func (n *Node) advance(answered []Member) FleetSize {
+func (n *Node) updateMembership(answered []Member) FleetSize {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
