--- a/internal/membership/fleet_size_test.go
+++ b/internal/membership/fleet_size_test.go
@@ -7,14 +7,14 @@
 	"pgregory.net/rapid"
 )
 
-// seenSize is a fleet size that was seen until a time.
+// seenSize is a fleet size and the time until which it was seen.
 type seenSize struct {
 	until time.Duration
 	size  int
 }
 
-// The divisor of budgets is never below a fleet size seen within the last 10 s, the divisor of routing changes gradually,
-// and both end at the size seen last.
+// The divisor of budgets is never below a fleet size seen within the last 10 s, the divisor of routing falls gradually, and
+// both converge to the size seen last.
 func TestBudgetDivisorNeverBelowRecentFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(0)
@@ -34,26 +34,27 @@
 			checkBudgetDivisor(t, now, before, history)
 		}
 		if end := sizer.Current(now + 10*time.Minute); end.RoutingDivisor != size || end.BudgetDivisor != size {
-			t.Fatalf("ends at %+v, want %d", end, size)
+			t.Fatalf("after 10 min the fleet size is %+v, want both divisors to be %d", end, size)
 		}
 	})
 }
 
-// checkRoutingDivisorFall fails if the divisor of routing fell by more than a quarter or one per second, and rounding.
+// checkRoutingDivisorFall fails the test if the divisor of routing fell by more than a quarter or 1 per second, whichever is
+// more, plus 2 for rounding.
 func checkRoutingDivisorFall(t *rapid.T, before, after FleetSize, elapsed time.Duration) {
 	t.Helper()
 	limit := max(float64(before.RoutingDivisor)*0.25*elapsed.Seconds(), elapsed.Seconds()) + 2
 	if float64(before.RoutingDivisor-after.RoutingDivisor) > limit {
-		t.Fatalf("the divisor of routing went from %d to %d in %v", before.RoutingDivisor, after.RoutingDivisor, elapsed)
+		t.Fatalf("the divisor of routing fell from %d to %d in %v", before.RoutingDivisor, after.RoutingDivisor, elapsed)
 	}
 }
 
-// checkBudgetDivisor fails if the divisor of budgets is below a size seen within recentWindow.
+// checkBudgetDivisor fails the test if the divisor of budgets is below a size seen within recentWindow.
 func checkBudgetDivisor(t *rapid.T, now time.Duration, got FleetSize, history []seenSize) {
 	t.Helper()
 	for _, seen := range history {
 		if now-seen.until < recentWindow && got.BudgetDivisor < seen.size {
-			t.Fatalf("at %v the divisor of budgets is %d, %d were seen at %v", now, got.BudgetDivisor, seen.size, seen.until)
+			t.Fatalf("at %v the divisor of budgets is %d, but a fleet size of %d was seen until %v", now, got.BudgetDivisor, seen.size, seen.until)
 		}
 	}
 }
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -15,7 +15,7 @@
 	"sprucehill/internal/membership"
 )
 
-// Time is virtual in the tests that use a testFleet: real memberlist and real nodes on an emulated network.
+// Tests with a testFleet run nodes with the real memberlist on an emulated network, in virtual time.
 
 var (
 	seedCount        = flag.Uint64("plays", 1, "number of seeds that each scenario of the emulated fleet runs with")
@@ -23,13 +23,13 @@
 )
 
 const (
-	// networkDelay is how long a packet takes one way.
+	// networkDelay is the one-way latency of the emulated network.
 	networkDelay = 500 * time.Microsecond
-	// settleTime is enough for all members to report to each other that they agree.
+	// settleTime is long enough for all members to report to each other that their views agree.
 	settleTime = 10 * time.Second
 )
 
-// testFleet is nodes on one emulated network.
+// testFleet is a fleet of nodes on one emulated network.
 type testFleet struct {
 	t     *testing.T
 	net   *gossip.Network
@@ -39,7 +39,7 @@
 	log []string
 }
 
-// runScenario runs a scenario in virtual time with a fleet of size members that agree, once for each seed.
+// runScenario runs a scenario, once for each seed, in virtual time with a fleet of size members whose views agree.
 func runScenario(t *testing.T, size int, scenario func(f *testFleet)) {
 	t.Helper()
 	for seed := range *seedCount {
@@ -58,21 +58,21 @@
 	}
 }
 
-// close closes all nodes and, after a failure, logs the end of the fleet's log.
+// close closes all nodes and, if the test has failed, shows the last lines of the nodes' logs.
 func (f *testFleet) close(seed uint64) {
 	var closing sync.WaitGroup
 	for _, n := range f.nodes {
 		closing.Go(func() { n.Close() })
 	}
 	closing.Wait()
-	time.Sleep(10 * time.Second) // outstanding probes must time out before virtual time ends with the scenario
+	time.Sleep(10 * time.Second) // outstanding probes must time out before the end of the synctest bubble
 	if f.t.Failed() {
 		const shownLines = 30
-		f.t.Logf("seed %d; the last lines: %q", seed, f.logSince(max(0, f.logLength()-shownLines)))
+		f.t.Logf("seed %d, last log lines: %q", seed, f.logSince(max(0, f.logLength()-shownLines)))
 	}
 }
 
-// options returns the options of member i, which serves in a fleet with the seeds 0 and 1.
+// options returns the options of member i, which is in state Serving and has members 0 and 1 as seeds.
 func (f *testFleet) options(i int) membership.Options {
 	return membership.Options{
 		Self: membership.Member{
@@ -104,7 +104,7 @@
 	return n
 }
 
-// without returns the nodes but for node i.
+// without returns all nodes except node i.
 func (f *testFleet) without(i int) []*membership.Node {
 	return slices.Delete(slices.Clone(f.nodes), i, i+1)
 }
@@ -115,28 +115,28 @@
 	return len(f.log)
 }
 
-// logSince returns the lines of all nodes' logs from line from on.
+// logSince returns the lines of all nodes' logs, starting at index from.
 func (f *testFleet) logSince(from int) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.log[from:])
 }
 
-// waitFor waits until a condition holds, fails the test after limit, and returns how long it took.
+// waitFor waits until a condition holds and returns how long that took. It fails the test after limit.
 func (f *testFleet) waitFor(limit time.Duration, what string, condition func() bool) time.Duration {
 	f.t.Helper()
 	start := time.Now()
 	pollInterval := time.Duration(max(20, len(f.nodes))) * time.Millisecond
 	for !condition() {
 		if time.Since(start) > limit {
-			f.t.Fatalf("not within %v: %s", limit, what)
+			f.t.Fatalf("timed out after %v waiting for this condition: %s", limit, what)
 		}
 		time.Sleep(pollInterval)
 	}
 	return time.Since(start)
 }
 
-// viewsAgree reports whether all nodes have the same view of a size.
+// viewsAgree reports whether all nodes have the same view, and it contains size members.
 func (f *testFleet) viewsAgree(nodes []*membership.Node, size int) bool {
 	first := nodes[0].Status().View
 	return len(first.Members) == size && allNodes(nodes, func(s membership.Status) bool {
@@ -149,12 +149,12 @@
 	return !slices.ContainsFunc(nodes, func(n *membership.Node) bool { return !condition(n.Status()) })
 }
 
-// linkFilter selects the links from member i to member j.
+// linkFilter reports whether the directed link from member i to member j is selected.
 type linkFilter func(i, j int) bool
 
 func allLinks(int, int) bool { return true }
 
-// cut cuts the links selected.
+// cut cuts the selected links.
 func (f *testFleet) cut(selected linkFilter) { f.setFault(selected, gossip.Fault{Cut: true}) }
 
 // heal removes all faults.
--- a/internal/membership/format_test.go
+++ b/internal/membership/format_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// exampleMember has a value other than zero in each field.
+// exampleMember returns a member with a nonzero value in each field.
 func exampleMember() Member {
 	return Member{Name: "lb-1", Incarnation: 1 << 63, Zone: "dc-a", Region: "java", Version: "v1.2", State: Draining, Capacity: 50,
 		Config: 255, Successor: true, Address: "10.0.0.1:7946"}
 }
 
-// exampleStatus has a value other than zero in each field.
+// exampleStatus returns a status with a nonzero value in each field.
 func exampleStatus() Status {
 	return Status{
 		Self:             exampleMember(),
@@ -30,7 +30,7 @@
 	}
 }
 
-// The encoded forms are read by other processes, of other versions too, and must not change by accident.
+// The encoded forms are read by other processes, including those of other versions, and must not change by accident.
 func TestEncodedFormsAreStable(t *testing.T) {
 	metadata, err := encodeMetadata(exampleMember())
 	if err != nil {
--- a/internal/membership/member_table_test.go
+++ b/internal/membership/member_table_test.go
@@ -13,13 +13,13 @@
 	return Member{Name: name, Incarnation: incarnation, State: Serving, Address: "10.0.0.1:1"}
 }
 
-// tableModel is a simple model of a MemberTable, which random operations are applied to as well.
+// tableModel is a simplified model of a MemberTable. The test applies the same random operations to both.
 type tableModel struct {
 	table       *MemberTable
 	now         time.Duration
 	alive       map[ProcessID]bool
 	lost        map[ProcessID]bool
-	unconfirmed map[ProcessID]time.Duration // alive again and not confirmed, since when
+	unconfirmed map[ProcessID]time.Duration // time at which each unconfirmed process was alive again
 }
 
 func newTableModel(self Member) *tableModel {
@@ -87,7 +87,7 @@
 	delete(m.lost, id)
 }
 
-// check compares the table with the model.
+// check fails the test if the table differs from the model.
 func (m *tableModel) check(t *rapid.T) {
 	self := m.table.self
 	want := map[string]uint64{self.Name: self.Incarnation}
@@ -98,24 +98,24 @@
 	}
 	view := m.table.View()
 	if len(view.Members) != len(want) {
-		t.Fatalf("%v count, want %v", view.Members, want)
+		t.Fatalf("the view is %v, want %v", view.Members, want)
 	}
 	for _, member := range view.Members {
 		if want[member.Name] != member.Incarnation {
-			t.Fatalf("%s counts with incarnation %d, want %d", member.Name, member.Incarnation, want[member.Name])
+			t.Fatalf("the active incarnation of %s is %d, want %d", member.Name, member.Incarnation, want[member.Name])
 		}
 	}
 	wantActiveIncarnation := want[self.Name]
 	if active, fenced := m.table.Fenced(); fenced != (wantActiveIncarnation > self.Incarnation) || active.Incarnation != wantActiveIncarnation {
-		t.Fatalf("fenced %v by incarnation %d, want by %d", fenced, active.Incarnation, wantActiveIncarnation)
+		t.Fatalf("fenced %v, active incarnation %d, want active incarnation %d", fenced, active.Incarnation, wantActiveIncarnation)
 	}
 	if got := len(m.table.Unconfirmed()); got != len(m.unconfirmed) {
 		t.Fatalf("%d unconfirmed processes, want %d", got, len(m.unconfirmed))
 	}
 }
 
-// Whatever the sequence of events: the newest confirmed process of each name counts, this process never leaves the table,
-// and a lost process counts again only after it has answered or has been back for confirmAfter.
+// For any sequence of events, the newest confirmed process of each name is active, this process is never removed from the
+// table, and a departed process is active again only after it has answered or has been alive again for confirmAfter.
 func TestTableCountsNewestConfirmedProcess(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newTableModel(testMember("a", 2))
@@ -129,7 +129,7 @@
 	})
 }
 
-// A successor by handover and a mistaken second start are reported differently, each once.
+// A successor in an upgrade and a duplicate started by mistake are reported as different changes, each once.
 func TestSuccessorAndDuplicateAreDistinguished(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -151,13 +151,13 @@
 				kinds = append(kinds, change.Kind)
 			}
 			if !slices.Equal(kinds, []ChangeKind{Joined, c.want}) {
-				t.Errorf("changes %v, want joined and %v", kinds, c.want)
+				t.Errorf("got changes %v, want joined and %v", kinds, c.want)
 			}
 		})
 	}
 }
 
-// Lost processes are tried in turn, with a pause; those that left are not.
+// Lost processes are retried in turn, at most once per interval. Processes that left are not retried.
 func TestLostProcessesAreRetriedInTurn(t *testing.T) {
 	table := NewMemberTable(0, testMember("a", 1))
 	for i := range 3 {
@@ -176,11 +176,12 @@
 		tried = append(tried, table.NextRejoinAddress(time.Second+time.Duration(i), time.Second))
 	}
 	if want := []string{"0", "1", "", ""}; !slices.Equal(tried, want) {
-		t.Errorf("tried %q, want %q", tried, want)
+		t.Errorf("retried addresses %q, want %q", tried, want)
 	}
 }
 
-// In a fleet whose members come and go for long, the lost processes that are remembered stay bounded and are forgotten.
+// The number of remembered lost processes is bounded in a fleet with high churn, and they are removed after
+// departedRetention.
 func TestLostProcessesAreBounded(t *testing.T) {
 	table := NewMemberTable(0, testMember("a", 1))
 	for i := range 2 * maxDepartedProcesses {
@@ -189,11 +190,11 @@
 		table.ObserveFailed(time.Second+time.Duration(i), m.ProcessID())
 	}
 	if len(table.departed) > maxDepartedProcesses {
-		t.Errorf("%d lost processes are remembered", len(table.departed))
+		t.Errorf("%d lost processes are remembered, want at most %d", len(table.departed), maxDepartedProcesses)
 	}
 	end := 2 * departedRetention
 	table.Tick(end)
 	if table.LostCount(end) != 0 || len(table.departed) > 0 {
-		t.Errorf("%d lost processes are remembered after %v", len(table.departed), end)
+		t.Errorf("%d lost processes are remembered after %v, want none", len(table.departed), end)
 	}
 }
--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -10,34 +10,36 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// The settings of memberlist. A fleet of 12 detects a failed process within 1 to 2 s; docs/membership.md has measurements.
+// Settings of memberlist. With them a fleet of 12 detects a failed process within 1 to 2 s; see docs/membership.md for
+// measurements.
 const (
-	// probeInterval is the time between two probes by each member, so that each is probed about once in it, whatever the
-	// size of the fleet.
+	// probeInterval is the time between two probes sent by a member. Each member is probed about once per interval, whatever
+	// the size of the fleet.
 	probeInterval = 200 * time.Millisecond
-	// probeTimeout is for how long a direct ack is awaited before other members are requested to probe.
+	// probeTimeout is how long a member waits for a direct ack before it requests indirect probes.
 	probeTimeout = 100 * time.Millisecond
-	// indirectProbes is the number of members that are requested to probe.
+	// indirectProbes is the number of other members that are requested to probe indirectly.
 	indirectProbes = 3
-	// suspicionMultiplier, times probeInterval and the logarithm of the fleet's size, is the least time in which a suspect
-	// can refute that it is dead.
+	// suspicionMultiplier, times probeInterval and the logarithm of the fleet size, is the minimum time for a suspected member
+	// to refute the suspicion.
 	suspicionMultiplier = 4
-	// suspicionMaxMultiplier times that least time is the longest, while few others confirm the suspicion.
+	// suspicionMaxMultiplier, times that minimum, is the maximum time, which applies while few other members confirm the
+	// suspicion.
 	suspicionMaxMultiplier = 2
-	// gossipInterval is the time between two rounds of gossip.
+	// gossipInterval is the time between two gossip rounds.
 	gossipInterval = 100 * time.Millisecond
-	// deadGossipPeriod is for how long dead members still get gossip, so that one that was frozen learns that it is
+	// deadGossipPeriod is how long dead members are still sent gossip, so that a member that was frozen learns that it is
 	// considered dead.
 	deadGossipPeriod = 30 * time.Second
-	// pushPullInterval is the time between two exchanges of the full state; memberlist scales it up beyond 32 members.
+	// pushPullInterval is the time between two exchanges of the full state. Memberlist increases it for more than 32 members.
 	pushPullInterval = 10 * time.Second
-	// streamTimeout bounds the establishment of a TCP connection and each read and write on it.
+	// streamTimeout limits the time to establish a TCP connection, and each read and write on it.
 	streamTimeout = time.Second
-	// broadcastTimeout bounds the wait until an update or a leave has been gossiped.
+	// broadcastTimeout limits the wait until an update or a leave has been sent to other members.
 	broadcastTimeout = 500 * time.Millisecond
 )
 
-// createMemberlist binds the address and starts memberlist with an empty member table.
+// createMemberlist binds the address and starts memberlist with a member table that contains only this process.
 func (n *Node) createMemberlist() (*memberlist.Memberlist, error) {
 	bind, advertise, err := n.options.addresses()
 	if err != nil {
@@ -55,38 +57,39 @@
 	n.mu.Unlock()
 	list, err := memberlist.Create(n.memberlistConfig(self, bind, advertise))
 	if err != nil {
-		return nil, fmt.Errorf("membership: listening at %s: %w", n.options.Listen, err)
+		return nil, fmt.Errorf("membership: listening on %s: %w", n.options.Listen, err)
 	}
 	return list, nil
 }
 
-// addresses parses the addresses to bind and to advertise.
+// addresses parses the address to bind and the address to advertise.
 func (o Options) addresses() (bind, advertise netip.AddrPort, err error) {
 	bind, err = netip.ParseAddrPort(o.Listen)
 	if err != nil {
-		return bind, advertise, fmt.Errorf("membership: listen: %w", err)
+		return bind, advertise, fmt.Errorf("membership: parsing listen address: %w", err)
 	}
 	if o.Advertise == "" {
 		return bind, bind, nil
 	}
 	advertise, err = netip.ParseAddrPort(o.Advertise)
 	if err != nil {
-		return bind, advertise, fmt.Errorf("membership: tell: %w", err) // the key in the fleet file
+		return bind, advertise, fmt.Errorf("membership: parsing advertised address (key tell): %w", err)
 	}
 	return bind, advertise, nil
 }
 
-// checkAddressIsFree listens for a moment. memberlist's own error does not wrap EADDRINUSE, which Start tests for.
+// checkAddressIsFree listens on an address and closes the listener again. Start tests for EADDRINUSE, which memberlist's own
+// error doesn't wrap.
 func checkAddressIsFree(address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return fmt.Errorf("membership: %w", err)
+		return fmt.Errorf("membership: checking that the listen address is free: %w", err)
 	}
 	listener.Close()
 	return nil
 }
 
-// memberlistConfig is memberlist's configuration for a LAN with this package's settings and delegates.
+// memberlistConfig returns memberlist's default configuration for a LAN with this package's settings and delegates.
 func (n *Node) memberlistConfig(self Member, bind, advertise netip.AddrPort) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	c.Name = self.ProcessID().nodeName()
--- a/internal/membership/metadata.go
+++ b/internal/membership/metadata.go
@@ -8,15 +8,15 @@
 const (
 	// maxMetadataSize bounds the encoded metadata of a member, in bytes (memberlist.MetaMaxSize).
 	maxMetadataSize = 512
-	// metadataFormat is the version of the encoding. A later version may add keys freely, because readers ignore unknown
-	// ones; it raises metadata.MinReader only if an older reader would misinterpret the result.
+	// metadataFormat is the version of the encoding. A later version may add keys, because readers ignore unknown keys. It
+	// must raise metadata.MinReader only if an older reader would misinterpret the result.
 	metadataFormat = 1
 )
 
-// metadata is the encoded form of a member that memberlist gossips along with its name. The JSON keys are wire format.
+// metadata is the encoded form of a member, which memberlist gossips along with the node name. The JSON keys are wire format.
 type metadata struct {
 	Format      int    `json:"f"`
-	MinReader   int    `json:"s"` // oldest format whose readers interpret this correctly
+	MinReader   int    `json:"s"` // lowest format whose readers interpret this metadata correctly
 	Name        string `json:"n"`
 	Incarnation uint64 `json:"i"`
 	Zone        string `json:"z,omitempty"`
@@ -65,7 +65,7 @@
 		return Member{}, fmt.Errorf("decoding metadata: %w", err)
 	}
 	if data.MinReader < 1 || data.MinReader > metadataFormat {
-		return Member{}, fmt.Errorf("%w %d: it needs a reader of format %d, supported is %d", ErrUnsupportedMetadata, data.Format, data.MinReader, metadataFormat)
+		return Member{}, fmt.Errorf("%w %d: requires a reader of format %d, this reader supports format %d", ErrUnsupportedMetadata, data.Format, data.MinReader, metadataFormat)
 	}
 	m := Member{
 		Name:        data.Name,
--- a/internal/membership/metadata_test.go
+++ b/internal/membership/metadata_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A member survives encoding and decoding with all its fields.
+// Encoding and decoding preserves all fields of a member.
 func TestMetadataRoundTrip(t *testing.T) {
 	m := Member{Name: "lb-1", Incarnation: 1 << 63, Zone: "dc-a", Region: "java", Version: "v1.2", State: Draining, Capacity: 50, Config: 1<<64 - 1, Successor: true}
 	encoded, err := encodeMetadata(m)
@@ -13,14 +13,14 @@
 		t.Fatal(err)
 	}
 	if got, err := decodeMetadata(encoded); err != nil || got != m {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("decoded %+v, %v, want %+v", got, err, m)
 	}
 }
 
-// Metadata of a later format that this one's readers understand is accepted, unknown keys included.
+// Metadata of a later format that permits readers of this format is accepted, and its unknown keys are ignored.
 func TestMetadataOfLaterFormat(t *testing.T) {
 	if got, err := decodeMetadata([]byte(`{"f":2,"s":1,"n":"b","i":4,"new":{"x":1}}`)); err != nil || got.Name != "b" {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("decoded %+v, %v, want member b", got, err)
 	}
 }
 
@@ -37,13 +37,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got, err := decodeMetadata([]byte(c.encoded)); err == nil {
-				t.Errorf("%.40q is accepted: %+v", c.encoded, got)
+				t.Errorf("decoding %.40q returned %+v, want an error", c.encoded, got)
 			}
 		})
 	}
 }
 
-// No input makes decoding panic, and what is accepted is valid.
+// Decoding never panics, and each decoded member is valid.
 func FuzzMetadata(f *testing.F) {
 	f.Add([]byte(`{"f":1,"s":1,"n":"b","i":4,"t":1}`))
 	f.Fuzz(func(t *testing.T, encoded []byte) {
@@ -52,7 +52,7 @@
 			return
 		}
 		if err := m.validate(); err != nil {
-			t.Fatalf("%q is accepted: %v", encoded, err)
+			t.Fatalf("decoding %q returned an invalid member: %v", encoded, err)
 		}
 	})
 }
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -5,7 +5,7 @@
 	"io"
 )
 
-// WriteMetrics writes the membership's part of the metrics, one per line. It returns the first error of w.
+// WriteMetrics writes the metrics of the membership, one per line. It returns the first error of w.
 func (s Status) WriteMetrics(w io.Writer) error {
 	if err := s.writeStateCounts(w); err != nil {
 		return err
@@ -46,5 +46,5 @@
 	return nil
 }
 
-// boolMetrics is the values of a metric that is true or false.
+// boolMetrics maps a truth value to the value of its metric.
 var boolMetrics = map[bool]int{false: 0, true: 1}
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -12,35 +12,36 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Options says who this member is and how it reaches the others.
+// Options configures a Node: the identity of this member, its addresses and its callbacks.
 type Options struct {
-	// Self is what this process publishes. Its incarnation is a lower bound: one above all seen of its name is taken.
+	// Self is the metadata that this process publishes. Its incarnation is a lower bound: on joining, the node raises it above
+	// all others seen of its name.
 	Self Member
-	// Listen is the IP:port to bind, for UDP and TCP.
+	// Listen is the IP:port to bind for UDP and TCP.
 	Listen string
-	// Advertise is the IP:port at which others reach this member; empty: Listen.
+	// Advertise is the IP:port at which other members reach this one. It defaults to Listen.
 	Advertise string
-	// Seeds are the host:port of some members, which may be down or this one itself.
+	// Seeds are the host:port of some members. They may be down, and may include this member.
 	Seeds []string
-	// KeyFile is the path of the encryption keys, 1 to 8; empty: gossip is in the clear, and whoever reaches the port can
-	// be a member.
+	// KeyFile is the path of the file with 1 to maxKeys encryption keys. If it is empty, gossip is not encrypted, and
+	// whoever can reach the port can become a member.
 	KeyFile string
-	// Configured is the fleet's size and this member's rank by configuration, in use until another member is seen.
+	// Configured is the configured fleet size and rank of this member, which apply until another member is seen.
 	Configured Placement
-	// PreviousSize is the fleet's size known from before a restart, or 0.
+	// PreviousSize is the fleet size that was persisted before a restart, or 0.
 	PreviousSize int
-	// Log writes a line of constant text and alternating keys and values. It must not block or call the Node.
+	// Log logs a constant message with alternating keys and values. It must not block or call the Node.
 	Log func(text string, keys ...any)
-	// CurrentState returns this process's state, changes of which are published. It must not block.
+	// CurrentState returns this process's state. Each tick publishes it if it has changed. It must not block.
 	CurrentState func() State
-	// OnFleetSize is called by one goroutine at each change of the fleet size, with this process's incarnation. After an
-	// error it is called again.
+	// OnFleetSize is called by one goroutine on each change of the fleet size, with this process's incarnation. It is called
+	// again on the next tick if it returns an error.
 	OnFleetSize func(incarnation uint64, size FleetSize) error
-	// NewTransport makes the transport to use in place of sockets, if it is not nil.
+	// NewTransport, if not nil, returns the transport to use instead of sockets.
 	NewTransport func() memberlist.Transport
 }
 
-// Node is this process's part in the fleet's membership. Its methods are safe for concurrent use. Close ends it.
+// Node runs the membership protocol for this process until Close. Its methods are safe for concurrent use.
 type Node struct {
 	options Options
 	start   time.Time
@@ -48,24 +49,24 @@
 	stop    context.CancelFunc
 	loops   sync.WaitGroup
 
-	// mu is never locked during a call of memberlist, since memberlist calls the delegates with locks of its own.
+	// mu is never held during a call to memberlist, because memberlist holds locks of its own when it calls the delegates.
 	mu                     sync.Mutex
-	list                   *memberlist.Memberlist // nil: not joined, because another process has the address
+	list                   *memberlist.Memberlist // nil while not joined, such as when another process uses the address
 	self                   Member
 	table                  *MemberTable
 	sizer                  *FleetSizer
-	deliveredSize          FleetSize // accepted by Options.OnFleetSize last
+	deliveredSize          FleetSize // last size that Options.OnFleetSize accepted
 	rejectedMessages       int
 	transportErrors        int
 	transportErrorLoggedAt time.Time
-	fenced                 bool          // as logged last
-	minority               bool          // as logged last
+	fenced                 bool          // as last logged
+	minority               bool          // as last logged
 	viewChangedAt          time.Duration // since start
 }
 
-// Start joins the fleet. It waits for at most about a second for a seed. Until another member answers, this is a fleet of
-// one that uses the configured size. If another process has the address, the node joins once it is free. The error is an
-// InvalidMemberError, a KeyFileError, or says why the address can't be used. The caller must close the node.
+// Start joins the fleet. It waits about 1 s at most for a seed. Until another member answers, the view contains only this
+// process and the configured fleet size applies. If another process uses the address, the node joins once it is free. The
+// error is an InvalidMemberError, a KeyFileError, or the reason why the address can't be used. The caller must close the node.
 func Start(o Options) (*Node, error) {
 	if _, err := encodeMetadata(o.Self); err != nil {
 		return nil, err
@@ -85,7 +86,7 @@
 	n.deliveredSize = n.sizer.Current(0)
 	err = n.join()
 	switch {
-	case errors.Is(err, syscall.EADDRINUSE): // the process before it, in an upgrade, or a mistake
+	case errors.Is(err, syscall.EADDRINUSE): // used by the previous process, during an upgrade, or by mistake
 		o.Log("membership address in use", "listen", o.Listen, "err", err)
 	case err != nil:
 		return nil, err
@@ -97,8 +98,8 @@
 	return n, nil
 }
 
-// Close leaves the fleet, announces that to the others for at most broadcastTimeout, and waits for the node's goroutines. It
-// is called once. After an error the others find this process dead.
+// Close waits for the node's goroutines and leaves the fleet, which it announces to the other members for at most
+// broadcastTimeout. It must be called only once. After an error the other members detect this process as failed.
 func (n *Node) Close() error {
 	n.stop()
 	n.loops.Wait()
@@ -112,10 +113,10 @@
 	return leaveAndShutDown(list)
 }
 
-// now is the time since the node's start, as the member table and the fleet sizer take it.
+// now returns the time since the node's start, which is the time base of the member table and the fleet sizer.
 func (n *Node) now() time.Duration { return time.Since(n.start) }
 
-// runWithJitter calls do until ctx ends, about once per interval; the jitter keeps members from acting in step.
+// runWithJitter calls do about once per interval until ctx is done. The jitter prevents members from acting simultaneously.
 func runWithJitter(ctx context.Context, interval time.Duration, do func()) {
 	for {
 		select {
@@ -127,8 +128,9 @@
 	}
 }
 
-// join joins the fleet. The clock that this process's incarnation comes from may be behind that of the process before it:
-// if the first view shows an incarnation that is not lower, it leaves and joins again under the next one.
+// join joins the fleet. The clock that this process's incarnation was taken from may be behind the clock of the previous
+// process. So if the member table then contains an incarnation of its name that is not lower, the node leaves and joins again
+// with the next higher one.
 func (n *Node) join() error {
 	for {
 		list, err := n.createMemberlist()
@@ -148,8 +150,8 @@
 	}
 }
 
-// raiseIncarnation takes a higher incarnation if this process's is not above all seen of its name. The node then has to
-// join again.
+// raiseIncarnation raises this process's incarnation above all others seen of its name, and reports whether it had to. If so,
+// the node must join again.
 func (n *Node) raiseIncarnation() (raised bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -162,10 +164,10 @@
 	return true
 }
 
-// leaveAndShutDown announces that this process leaves and ends its memberlist.
+// leaveAndShutDown announces that this process leaves, and shuts its memberlist down.
 func leaveAndShutDown(list *memberlist.Memberlist) error {
 	if err := errors.Join(list.Leave(broadcastTimeout), list.Shutdown()); err != nil {
-		return fmt.Errorf("membership: leaving: %w", err)
+		return fmt.Errorf("membership: leaving the fleet: %w", err)
 	}
 	return nil
 }
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -11,23 +11,24 @@
 	"sprucehill/internal/membership"
 )
 
-// A member that fails without notice is removed by all others, and one that leaves is removed at once.
+// All other members remove a member that fails without notice within 5 s, and one that leaves within 2 s.
 func TestFailedAndLeavingMembersAreRemoved(t *testing.T) {
 	runScenario(t, 12, func(f *testFleet) {
 		t := f.t
 		f.net.Kill(gossip.Address(5))
 		rest := f.without(5)
 		took := f.waitFor(5*time.Second, "the failed member is removed", func() bool { return f.viewsAgree(rest, 11) })
-		t.Logf("removed by all after %v", took)
+		t.Logf("all members removed the failed member after %v", took)
 		if err := rest[0].Close(); err != nil {
 			t.Fatal(err)
 		}
 		took = f.waitFor(2*time.Second, "the member that left is removed", func() bool { return f.viewsAgree(rest[1:], 10) })
-		t.Logf("removed by all after leaving in %v", took)
+		t.Logf("all members removed the member that left after %v", took)
 	})
 }
 
-// Partitioned in two and in three, each side serves on and reports that it has no majority; healed, all agree again.
+// In a partition into two or three equal sides, each side continues to serve with a view of its own members, which report
+// that they have no majority. After the partition heals, all views agree again.
 func TestPartitionsHeal(t *testing.T) {
 	runScenario(t, 12, func(f *testFleet) {
 		t := f.t
@@ -42,10 +43,10 @@
 	size := len(f.nodes)
 	side := func(i int) int { return i * sides / size }
 	f.cut(func(i, j int) bool { return side(i) != side(j) })
-	f.waitFor(10*time.Second, "each side sees itself", func() bool {
+	f.waitFor(10*time.Second, "the view of each member is its side of the partition", func() bool {
 		return allNodes(f.nodes, func(s membership.Status) bool { return len(s.View.Members) == size/sides })
 	})
-	f.waitFor(time.Second, "no side has a majority, and all report it", func() bool {
+	f.waitFor(time.Second, "all members report that their side has no majority", func() bool {
 		return allNodes(f.nodes, func(s membership.Status) bool { return s.Minority })
 	})
 	if got := f.nodes[0].Status().FleetSize.BudgetDivisor; got != size {
@@ -53,11 +54,11 @@
 	}
 	time.Sleep(30 * time.Second)
 	f.heal()
-	took := f.waitFor(10*time.Second, "healed", func() bool { return f.viewsAgree(f.nodes, size) })
-	t.Logf("%d sides: agreed after %v", sides, took)
+	took := f.waitFor(10*time.Second, "all views agree after the partition healed", func() bool { return f.viewsAgree(f.nodes, size) })
+	t.Logf("%d sides: all views agree %v after the partition healed", sides, took)
 }
 
-// With a tenth of all packets lost, some delayed and some duplicated, no member is taken for dead.
+// No member is considered failed while a tenth of all packets are lost, some are delayed and some are duplicated.
 func TestPacketLossRemovesNobody(t *testing.T) {
 	runScenario(t, 12, func(f *testFleet) {
 		t := f.t
@@ -72,8 +73,8 @@
 	})
 }
 
-// A link that is cut one way and a member that only some reach remove nobody; a frozen member is removed, and is back when
-// it resumes.
+// No member is removed because of a link that is cut in one direction or a member that only some others can reach. A frozen
+// member is removed, and returns when it resumes.
 func TestPartialConnectivityAndFrozenMember(t *testing.T) {
 	runScenario(t, 12, func(f *testFleet) {
 		t := f.t
@@ -92,18 +93,18 @@
 		f.waitFor(5*time.Second, "the frozen member is removed", func() bool { return f.viewsAgree(rest, 11) })
 		time.Sleep(20 * time.Second)
 		f.net.Unfreeze(gossip.Address(3))
-		t.Logf("back after %v", f.waitFor(10*time.Second, "it is back", func() bool { return f.viewsAgree(f.nodes, 12) }))
+		t.Logf("the frozen member returned after %v", f.waitFor(10*time.Second, "the frozen member returns after it resumed", func() bool { return f.viewsAgree(f.nodes, 12) }))
 	})
 }
 
-// Replayed packets of a dead member do not revive it, and malformed ones change nothing but a count.
+// Replayed packets of a dead member don't make it active again. Malformed packets are counted and otherwise ignored.
 func TestReplayedAndMalformedPackets(t *testing.T) {
 	runScenario(t, 5, func(f *testFleet) {
 		t := f.t
 		recorded := recordPacketsOfDeadMember(t, f)
 		time.Sleep(*scenarioDuration)
 		if len(recorded) < 10 {
-			t.Fatalf("only %d packets were recorded", len(recorded))
+			t.Fatalf("recorded only %d packets, want at least 10", len(recorded))
 		}
 		logStart := f.logLength()
 		for i, packet := range recorded {
@@ -124,11 +125,11 @@
 	})
 }
 
-// recordPacketsOfDeadMember starts member 5, records what it sends to the others, and kills it.
+// recordPacketsOfDeadMember starts member 5, records the packets that it sends to the others, and kills it.
 func recordPacketsOfDeadMember(t *testing.T, f *testFleet) [][]byte {
 	t.Helper()
 	const maxRecorded = 1000
-	var recorded [][]byte // the network calls the recorders one at a time
+	var recorded [][]byte // needs no lock: the network calls one recorder at a time
 	for i := range 5 {
 		f.net.RecordPackets(gossip.Address(i), func(packet []byte, from string) {
 			if from == gossip.Address(5) && len(recorded) < maxRecorded {
@@ -137,10 +138,10 @@
 		})
 	}
 	member := f.start(f.options(5))
-	f.waitFor(time.Minute, "it has joined", func() bool { return f.viewsAgree(append(f.nodes, member), 6) })
+	f.waitFor(time.Minute, "member 5 has joined", func() bool { return f.viewsAgree(append(f.nodes, member), 6) })
 	time.Sleep(10 * time.Second)
 	f.net.Kill(gossip.Address(5))
-	f.waitFor(5*time.Second, "it is removed", func() bool { return f.viewsAgree(f.nodes, 5) })
+	f.waitFor(5*time.Second, "member 5 is removed", func() bool { return f.viewsAgree(f.nodes, 5) })
 	member.Close()
 	return recorded
 }
@@ -155,7 +156,8 @@
 	}
 }
 
-// Of two processes of one name the newer counts, whatever its clock; the older serves on, fenced, until the newer leaves.
+// Of two processes of the same name the newer is active, even if its clock is far behind. The older continues to
+// run, fenced, until the newer leaves.
 func TestDuplicateNameFencesOlderProcess(t *testing.T) {
 	runScenario(t, 4, func(f *testFleet) {
 		t := f.t
@@ -167,15 +169,16 @@
 		f.nodes = append(f.nodes, newer)
 		f.waitFor(10*time.Second, "the older process is fenced", func() bool { return f.viewsAgree(f.nodes, 4) && older.Status().Fenced })
 		if newer.Status().Fenced || newer.Status().Self.Incarnation <= older.Status().Self.Incarnation {
-			t.Error("the newer process does not count")
+			t.Error("the newer process is fenced or doesn't have the higher incarnation")
 		}
 		newer.Close()
 		f.nodes = f.nodes[:4]
-		f.waitFor(10*time.Second, "the older process counts again", func() bool { return f.viewsAgree(f.nodes, 4) && !older.Status().Fenced })
+		f.waitFor(10*time.Second, "the older process is active again", func() bool { return f.viewsAgree(f.nodes, 4) && !older.Status().Fenced })
 	})
 }
 
-// All members but one are killed and restarted at once, so that no seed is alive; then many join at once.
+// The fleet recovers when all members but one, including the seeds, are killed and restarted at once. Then many members join
+// at once.
 func TestMassRestartAndMassJoin(t *testing.T) {
 	runScenario(t, 12, func(f *testFleet) {
 		t := f.t
@@ -187,19 +190,20 @@
 			f.nodes[i].Close()
 			f.nodes[i] = f.start(f.options(i))
 		}
-		took := f.waitFor(15*time.Second, "all are back", func() bool { return f.viewsAgree(f.nodes, 12) })
-		t.Logf("agreed after %v", took)
+		took := f.waitFor(15*time.Second, "all restarted members have joined", func() bool { return f.viewsAgree(f.nodes, 12) })
+		t.Logf("all views agree %v after the mass restart", took)
 		for i := 12; i < 36; i++ {
 			f.nodes = append(f.nodes, f.start(f.options(i)))
 		}
-		took = f.waitFor(15*time.Second, "all have joined", func() bool { return f.viewsAgree(f.nodes, 36) })
-		t.Logf("24 more joined after %v", took)
+		took = f.waitFor(15*time.Second, "all new members have joined", func() bool { return f.viewsAgree(f.nodes, 36) })
+		t.Logf("24 more members joined within %v", took)
 	})
 }
 
 var costTestFleetSize = flag.Int("members", 40, "size of the fleet that TestCost measures")
 
-// The traffic of each member of a large fleet and the time until a failed member is removed.
+// In a large fleet the packets that each member sends stay below a limit in bytes per second, and all members remove a failed
+// one within 20 s. The test logs both figures.
 func TestCost(t *testing.T) {
 	const (
 		idlePeriod        = 10 * time.Second
@@ -214,14 +218,14 @@
 		f.net.Kill(gossip.Address(failed))
 		rest := f.without(failed)
 		took := f.waitFor(20*time.Second, "the failed member is removed", func() bool { return f.viewsAgree(rest, len(rest)) })
-		t.Logf("%d members: %.0f bytes a second each in packets, a failed one is removed by all after %v", len(f.nodes), bytesPerSecond, took)
+		t.Logf("%d members: each sends %.0f bytes per second in packets; all removed a failed member after %v", len(f.nodes), bytesPerSecond, took)
 		if bytesPerSecond > maxBytesPerSecond {
-			t.Errorf("%.0f bytes a second", bytesPerSecond)
+			t.Errorf("each member sends %.0f bytes per second, want at most %d", bytesPerSecond, maxBytesPerSecond)
 		}
 	})
 }
 
-// bytesSent is what all members have sent in packets so far.
+// bytesSent returns the number of bytes that all members have sent in packets so far.
 func bytesSent(f *testFleet) int {
 	total := 0
 	for i := range f.nodes {
--- a/internal/membership/rejoin.go
+++ b/internal/membership/rejoin.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	// rejoinInterval is the mean time between two rounds of rejoining.
+	// rejoinInterval is the mean time between two calls of Node.rejoin.
 	rejoinInterval = 500 * time.Millisecond
-	// minRetryInterval is the least time between two attempts at a lost process, and for how long a report of another view
-	// is a reason to exchange state.
+	// minRetryInterval is the minimum time between two attempts to reach a lost process, and how long a report of a different
+	// view is a reason to exchange state.
 	minRetryInterval = time.Second
 )
 
-// rejoin joins the fleet if the address was taken before; otherwise it reloads the keys and heals partitions.
+// rejoin joins the fleet if the address was in use before. Otherwise it reloads the keys and exchanges state, which heals
+// partitions.
 func (n *Node) rejoin() {
 	n.mu.Lock()
 	joined := n.list != nil
@@ -29,7 +30,7 @@
 	n.exchangeState()
 }
 
-// reloadKeys applies a change of the key file and logs it.
+// reloadKeys applies a change of the key file, and logs the change or the error.
 func (n *Node) reloadKeys() {
 	changed, err := n.keys.reload()
 	switch {
@@ -40,8 +41,8 @@
 	}
 }
 
-// exchangeState exchanges the full state with a seed and a lost process that are not in the member table, and with a member
-// that has reported another view.
+// exchangeState exchanges the full state with one seed and one lost process that are not alive in the member table, and with
+// one member that reported a different view.
 func (n *Node) exchangeState() {
 	n.mu.Lock()
 	now := n.now()
@@ -63,7 +64,7 @@
 		targets = append(targets, pickRandom(divergent))
 	}
 	if len(targets) > 0 {
-		_, _ = list.Join(targets) // whoever doesn't answer is tried again in a later round
+		_, _ = list.Join(targets) // addresses that don't answer are retried in a later call
 	}
 }
 
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// Status is what a member sees at one moment. The JSON keys are those of balancerctl members --json.
+// Status is the state of the membership as one member sees it. The JSON keys are part of the output of balancerctl members
+// --json.
 type Status struct {
 	Self             Member
 	View             View
-	Fenced           bool          // another process is active under this one's name
-	Minority         bool          // no majority of the last agreed membership is in the view
-	Agreeing         int           `json:"Same"`  // members that recently reported the same view
-	Diverging        int           `json:"Other"` // members that recently reported another one
-	Lost             int           // processes that have failed and that this one tries to reach
-	RejectedMessages int           `json:"Refused"`  // invalid metadata and messages, since the start
-	TransportErrors  int           `json:"Grumbles"` // warnings and errors of memberlist, since the start
+	Fenced           bool          // another process of this one's name is active
+	Minority         bool          // the view has no majority of the agreed membership
+	Agreeing         int           `json:"Same"`  // other members that reported the same view within viewReportTTL
+	Diverging        int           `json:"Other"` // other members that reported a different view within viewReportTTL
+	Lost             int           // lost processes that this one still tries to reach
+	RejectedMessages int           `json:"Refused"`  // rejected messages and invalid metadata since the start
+	TransportErrors  int           `json:"Grumbles"` // warnings and errors of memberlist since the start
 	FleetSize        FleetSize     `json:"Division"`
-	ViewAge          time.Duration `json:"Age"` // since the last change of the member table
+	ViewAge          time.Duration `json:"Age"` // time since the last change of the member table
 }
 
-// Status returns what this member sees at the moment.
+// Status returns the current status.
 func (n *Node) Status() Status {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/membership/status_text.go
+++ b/internal/membership/status_text.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// The two kinds of line in the answer to the management call members, for both writing and reading.
+// Formats of the lines in the response to the management call members, for both writing and parsing.
 const (
 	selfLineFormat   = "self %q incarnation %d state %s fenced %t minority %t digest %x same %d differ %d lost %d refused %d complaints %d balancers %d rank %d most %d"
 	memberLineFormat = "member %q incarnation %d state %s zone %q region %q version %q capacity %d config %x at %s"
 )
 
-// Write writes the answer to the management call members: a line on this member and one on each in the view. It returns the
-// first error of w.
+// Write writes the response to the management call members: a line for this member and one for each member in the view. It
+// returns the first error of w.
 func (s Status) Write(w io.Writer) error {
 	_, err := fmt.Fprintf(w, selfLineFormat+"\n",
 		s.Self.Name, s.Self.Incarnation, s.Self.State,
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// ReadStatus parses the lines that Write has written, without their ends. It also returns the digest of the view that the
-// writer stated. The error names the first line that can't be parsed.
+// ReadStatus parses the lines that Write has written, without their line feeds. It also returns the digest of the writer's
+// view, which the line on the writer states. The error quotes the first line that can't be parsed.
 func ReadStatus(lines []string) (s Status, viewDigest uint64, err error) {
 	for _, line := range lines {
 		if strings.HasPrefix(line, "self ") {
@@ -45,7 +45,7 @@
 			err = s.readMemberLine(line)
 		}
 		if err != nil {
-			return Status{}, 0, fmt.Errorf("%q is no line on a member: %w", line, err)
+			return Status{}, 0, fmt.Errorf("parsing membership status line %q: %w", line, err)
 		}
 	}
 	return s, viewDigest, nil
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -11,11 +11,11 @@
 const (
 	// tickInterval is the mean time between two ticks.
 	tickInterval = 100 * time.Millisecond
-	// maxPingsPerTick bounds the pings of one tick to unconfirmed processes.
+	// maxPingsPerTick is the maximum number of pings to unconfirmed processes per tick.
 	maxPingsPerTick = 16
 )
 
-// tick publishes this process's state, confirms processes that came back, logs changes and delivers the fleet size.
+// tick publishes this process's state, confirms processes that are alive again, logs changes and delivers the fleet size.
 func (n *Node) tick() {
 	state := n.options.CurrentState()
 	list, unconfirmed, stateChanged := n.updateOwnState(state)
@@ -23,14 +23,15 @@
 		return
 	}
 	if stateChanged {
-		_ = list.UpdateNode(broadcastTimeout) // after a timeout the update still spreads
+		_ = list.UpdateNode(broadcastTimeout) // after a timeout memberlist still gossips the update
 	}
 	answered := pingRandom(list, unconfirmed)
 	size := n.updateMembership(answered)
 	n.deliverFleetSize(size)
 }
 
-// updateOwnState records this process's state and returns what the rest of the tick works on.
+// updateOwnState records this process's state and whether it has changed, and returns the memberlist, which is nil if the node
+// hasn't joined, and the unconfirmed members.
 func (n *Node) updateOwnState(state State) (list *memberlist.Memberlist, unconfirmed []Member, changed bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -57,8 +58,8 @@
 	return answered
 }
 
-// updateMembership confirms the members that answered, brings the member table and what follows from it up to date, and returns the
-// fleet size.
+// updateMembership confirms the members that answered, updates the member table and the status derived from it, logs the
+// changes, and returns the fleet size.
 func (n *Node) updateMembership(answered []Member) FleetSize {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -80,7 +81,7 @@
 	return n.sizer.Current(now)
 }
 
-// logChange writes a line for a change. n.mu is locked.
+// logChange logs a change. The caller holds n.mu.
 func (n *Node) logChange(c Change) {
 	keys := []any{
 		"member", c.Member.Name,
@@ -105,7 +106,7 @@
 	}
 }
 
-// updateFenced logs a change of whether another process is active under this one's name. n.mu is locked.
+// updateFenced updates whether another process of this one's name is active, and logs a change of that. The caller holds n.mu.
 func (n *Node) updateFenced() {
 	active, fenced := n.table.Fenced()
 	if fenced == n.fenced {
@@ -127,7 +128,8 @@
 	}
 }
 
-// updateMinority logs a change of whether a majority of the agreed members is in the view. n.mu is locked.
+// updateMinority updates whether the view lacks a majority of the agreed members, and logs a change of that. The caller holds
+// n.mu.
 func (n *Node) updateMinority(now time.Duration) {
 	quorum := n.table.UpdateAgreedMembers(now)
 	minority := !quorum.HasMajority()
@@ -143,8 +145,8 @@
 	}
 }
 
-// observePlacement takes the view's size into account, unless this process is alone in it: then the configured or last size
-// stays. n.mu is locked.
+// observePlacement passes this process's placement in the view to the fleet sizer. If the process is alone in its view, the
+// configured or last size remains in use. The caller holds n.mu.
 func (n *Node) observePlacement(now time.Duration) {
 	view := n.table.View()
 	if len(view.Members) > 1 {
@@ -152,7 +154,7 @@
 	}
 }
 
-// deliverFleetSize calls OnFleetSize if the fleet size differs from the one accepted last.
+// deliverFleetSize calls OnFleetSize if the fleet size differs from the last one that it accepted.
 func (n *Node) deliverFleetSize(size FleetSize) {
 	n.mu.Lock()
 	delivered := n.deliveredSize
@@ -162,7 +164,7 @@
 		return
 	}
 	if err := n.options.OnFleetSize(incarnation, size); err != nil {
-		return // the next tick tries again
+		return // retried by the next tick
 	}
 	n.mu.Lock()
 	n.deliveredSize = size
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -13,8 +13,8 @@
 	Members []Member
 }
 
-// Digest hashes the names and incarnations in the view. It leaves out the members' states: a drain is no divergence about
-// who is a member.
+// Digest hashes the names and incarnations in the view. It excludes the members' states, because views that differ only in
+// states, as during a drain, agree on the membership.
 func (v View) Digest() uint64 {
 	digest := xxhash.New()
 	var incarnation [8]byte
@@ -26,18 +26,19 @@
 	return digest.Sum64()
 }
 
-// Has reports whether a name is in the view.
+// Has reports whether the view contains a member with a name.
 func (v View) Has(name string) bool {
 	_, found := slices.BinarySearchFunc(v.Members, name, func(m Member, name string) int { return cmp.Compare(m.Name, name) })
 	return found
 }
 
-// Placement returns the place of a balancer among the serving ones, which it is counted among whatever its state.
+// Placement returns the rank of a balancer among the serving balancers, and their number. The balancer itself is included
+// whatever its state.
 //
-// It is rendezvous hashing: ranks are assigned in order, each to the remaining member with the highest hash of member and
-// rank. It needs no history, so that all who see the same members compute the same ranks, and few ranks change when a
-// member leaves: its rank goes to the next best, whose own rank passes on in turn, always to a higher rank. That is about
-// ln n of n ranks.
+// Ranks are assigned by rendezvous hashing: in ascending order, each to the remaining member with the highest hash of member
+// and rank. This needs no history, so that all balancers with the same view compute the same ranks, and few ranks change when
+// a member leaves: its rank goes to the member with the next highest hash, whose previous, higher rank is reassigned in the
+// same way. About ln n of n ranks change.
 func (v View) Placement(name string) Placement {
 	remaining := v.rankCandidates(name)
 	placement := Placement{Serving: len(remaining)}
@@ -60,7 +61,7 @@
 	hash uint64
 }
 
-// rankCandidates lists the serving members and the named balancer.
+// rankCandidates returns the serving members and the named balancer.
 func (v View) rankCandidates(name string) []rankCandidate {
 	var candidates []rankCandidate
 	for _, m := range v.Members {
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -17,7 +17,7 @@
 	return v
 }
 
-// Ranks are 0 to n-1, each once, and one leaver changes about ln n of them.
+// The ranks of n members are 0 to n-1, each once, and about ln n of them change when one member leaves.
 func TestRanksAreStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before := viewOf(rapid.IntRange(2, 60).Draw(t, "members"))
@@ -30,7 +30,7 @@
 			placement := before.Placement(m.Name)
 			rank := placement.Rank
 			if seen[rank] || rank < 0 || rank >= placement.Serving || placement.Serving != size {
-				t.Fatalf("%s has the placement %+v in a view of %d", m.Name, placement, size)
+				t.Fatalf("%s has placement %+v in a view of %d members, which is out of range or a duplicate", m.Name, placement, size)
 			}
 			seen[rank] = true
 			if i != leaver && after.Placement(m.Name).Rank != rank {
@@ -38,7 +38,7 @@
 			}
 		}
 		if limit := 4 * bits.Len(uint(size)); changed > limit {
-			t.Fatalf("%d of %d ranks changed, more than %d", changed, size, limit)
+			t.Fatalf("%d of %d ranks changed, want at most %d", changed, size, limit)
 		}
 	})
 }
