--- a/internal/membership/convergence.go
+++ b/internal/membership/convergence.go
@@ -5,8 +5,8 @@
 const (
 	// viewReportTTL is how long a member's last reported view digest is considered current.
 	viewReportTTL = 30 * time.Second
-	// maxRequiredReports caps the number of other members that must report the same view before the view is agreed. Smaller
-	// fleets require a report of every other member.
+	// maxRequiredReports caps the number of other members that must report the same view before the view is agreed. In a
+	// fleet with fewer other members, all of them must.
 	maxRequiredReports = 30
 )
 
@@ -58,8 +58,8 @@
 
 // UpdateAgreedMembers makes the view the agreed membership if no recent report differs from it, enough members report the
 // same view, and the view has a majority of the previous agreed membership. So the minority side of a partition never
-// considers itself the whole fleet. Members that departed rejoinPeriod ago or earlier are dropped from the agreed membership.
-// It returns the resulting quorum.
+// considers itself the whole fleet. Members that departed rejoinPeriod ago or earlier, and are not active again, are
+// dropped from the agreed membership. It returns the resulting quorum.
 func (t *MemberTable) UpdateAgreedMembers(now time.Duration) Quorum {
 	active := t.active()
 	for id, departed := range t.departed {
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -21,8 +21,8 @@
 // # Errors
 //
 // Start returns a KeyFileError or an InvalidMemberError for an invalid configuration, and wraps the error of the operating
-// system if the address can't be bound. The errors of a running Node are logged; rejected messages and memberlist's errors are counted in
-// Status.
+// system if the address can't be bound. The errors of a running Node are logged. Status counts rejected messages and the
+// errors of memberlist.
 //
 // # Concurrency
 //
--- a/internal/membership/fleet_size.go
+++ b/internal/membership/fleet_size.go
@@ -104,7 +104,7 @@
 	if now <= s.updatedAt {
 		return
 	}
-	s.routingDivisor = approach(s.routingDivisor, float64(s.current.Serving), routingChangeRate, now-s.updatedAt)
+	s.routingDivisor = moveToward(s.routingDivisor, float64(s.current.Serving), routingChangeRate, now-s.updatedAt)
 	for len(s.floors) > 0 && s.floors[0].expires <= now {
 		s.decayBudgetDivisor(s.floors[0].expires)
 		s.floors = s.floors[1:]
@@ -120,14 +120,14 @@
 		lowerBound = max(lowerBound, s.floors[0].size)
 	}
 	if s.budgetDivisor > float64(lowerBound) {
-		s.budgetDivisor = approach(s.budgetDivisor, float64(lowerBound), budgetDecayRate, until-s.updatedAt)
+		s.budgetDivisor = moveToward(s.budgetDivisor, float64(lowerBound), budgetDecayRate, until-s.updatedAt)
 	}
 	s.updatedAt = max(s.updatedAt, until)
 }
 
-// approach moves a number towards a target for the elapsed time, at a rate of a fraction of the number per second, but not less
-// than minChangeRate.
-func approach(from, target, ratePerSecond float64, elapsed time.Duration) float64 {
+// moveToward moves a number towards a target for the elapsed time. Its rate per second is a fraction of the number, but at
+// least minChangeRate.
+func moveToward(from, target, ratePerSecond float64, elapsed time.Duration) float64 {
 	step := max(from*ratePerSecond, minChangeRate) * elapsed.Seconds()
 	return from + max(-step, min(target-from, step))
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -71,33 +71,33 @@
 // validate returns an InvalidMemberError for the first invalid field.
 func (m Member) validate() error {
 	if m.Name == "" {
-		return m.invalid("name", "is empty")
+		return m.invalidField("name", "is empty")
 	}
 	for _, field := range []struct{ name, text string }{
 		{"name", m.Name}, {"zone", m.Zone}, {"region", m.Region}, {"version", m.Version},
 	} {
 		if len(field.text) > maxTextFieldLength {
-			return m.invalid(field.name, fmt.Sprintf("%.20q exceeds %d bytes", field.text, maxTextFieldLength))
+			return m.invalidField(field.name, fmt.Sprintf("%.20q exceeds %d bytes", field.text, maxTextFieldLength))
 		}
-		if strings.ContainsFunc(field.text, isBlankOrUnprintable) {
-			return m.invalid(field.name, fmt.Sprintf("%.20q contains whitespace or unprintable characters", field.text))
+		if strings.ContainsFunc(field.text, isSpaceOrUnprintable) {
+			return m.invalidField(field.name, fmt.Sprintf("%.20q contains whitespace or unprintable characters", field.text))
 		}
 	}
 	switch {
 	case strings.Contains(m.Name, "/"):
-		return m.invalid("name", "contains a slash")
+		return m.invalidField("name", "contains a slash")
 	case m.Incarnation == 0:
-		return m.invalid("incarnation", "is 0")
+		return m.invalidField("incarnation", "is 0")
 	case int(m.State) >= len(stateNames):
-		return m.invalid("state", fmt.Sprintf("%d is unknown", m.State))
+		return m.invalidField("state", fmt.Sprintf("%d is unknown", m.State))
 	case m.Capacity < 0:
-		return m.invalid("capacity", fmt.Sprintf("%d is negative", m.Capacity))
+		return m.invalidField("capacity", fmt.Sprintf("%d is negative", m.Capacity))
 	}
 	return nil
 }
 
-func (m Member) invalid(field, reason string) error {
+func (m Member) invalidField(field, reason string) error {
 	return &InvalidMemberError{Member: m.Name, Field: field, Reason: reason}
 }
 
-func isBlankOrUnprintable(r rune) bool { return !unicode.IsGraphic(r) || unicode.IsSpace(r) }
+func isSpaceOrUnprintable(r rune) bool { return !unicode.IsGraphic(r) || unicode.IsSpace(r) }
--- a/internal/membership/member_table.go
+++ b/internal/membership/member_table.go
@@ -31,7 +31,7 @@
 	aliveSince         time.Duration // when it joined or came back
 	viewDigest         uint64        // digest of its own view, as last reported
 	viewReportedAt     time.Duration // 0 if never
-	supersededReported bool          // a Succeeded or Duplicate change has been recorded
+	supersededReported bool          // a ReplacedBySuccessor or ReplacedByDuplicate change has been recorded
 }
 
 // NewMemberTable returns a table that contains only this process.
@@ -150,9 +150,9 @@
 			continue
 		}
 		older.supersededReported = true
-		kind := Duplicate
+		kind := ReplacedByDuplicate
 		if newest.Successor || older.State == Leaving {
-			kind = Succeeded
+			kind = ReplacedBySuccessor
 		}
 		t.recordChange(Change{Kind: kind, Member: older.Member})
 	}
@@ -184,8 +184,8 @@
 	return processes
 }
 
-// Tick confirms the processes that have stayed alive for confirmAfter, and removes those that departed departedRetention ago or
-// earlier.
+// Tick confirms the processes that have stayed alive for confirmAfter, and removes those that departed departedRetention ago
+// or earlier.
 func (t *MemberTable) Tick(now time.Duration) {
 	for _, process := range t.sortedAlive() {
 		if now-process.aliveSince >= confirmAfter {
@@ -266,7 +266,8 @@
 	return process.Member, process.ProcessID() != t.self
 }
 
-// HighestIncarnation returns the highest incarnation seen among other processes of this process's name, or 0 if there are none.
+// HighestIncarnation returns the highest incarnation seen among other processes of this process's name, or 0 if there are
+// none.
 func (t *MemberTable) HighestIncarnation() uint64 {
 	highest := uint64(0)
 	for id := range t.alive {
--- a/internal/membership/member_table_test.go
+++ b/internal/membership/member_table_test.go
@@ -136,8 +136,8 @@
 		successor bool
 		want      ChangeKind
 	}{
-		{"successor", true, Succeeded},
-		{"duplicate", false, Duplicate},
+		{"successor", true, ReplacedBySuccessor},
+		{"duplicate", false, ReplacedByDuplicate},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table := NewMemberTable(0, testMember("a", 2))
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -14,8 +14,8 @@
 
 // Options configures a Node: the identity of this member, its addresses and its callbacks.
 type Options struct {
-	// Self is the metadata that this process publishes. Its incarnation is a lower bound: on joining, the node raises it above
-	// all others seen of its name.
+	// Self is the metadata that this process publishes. Its incarnation is a lower bound: on joining, the node raises it
+	// above all others seen of its name.
 	Self Member
 	// Listen is the IP:port to bind for UDP and TCP.
 	Listen string
@@ -66,7 +66,7 @@
 
 // Start joins the fleet. It waits about 1 s at most for a seed. Until another member answers, the view contains only this
 // process and the configured fleet size applies. If another process uses the address, the node joins once it is free. The
-// error is an InvalidMemberError, a KeyFileError, or the reason why the address can't be used. The caller must close the node.
+// error is an InvalidMemberError, a KeyFileError, or the reason why the address can't be used. The caller must call Close.
 func Start(o Options) (*Node, error) {
 	if _, err := encodeMetadata(o.Self); err != nil {
 		return nil, err
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -30,8 +30,8 @@
 	n.deliverFleetSize(size)
 }
 
-// updateOwnState records this process's state and whether it has changed, and returns the memberlist, which is nil if the node
-// hasn't joined, and the unconfirmed members.
+// updateOwnState records this process's state in the member table. It returns the memberlist, which is nil if the node hasn't
+// joined, the unconfirmed members, and whether the state has changed.
 func (n *Node) updateOwnState(state State) (list *memberlist.Memberlist, unconfirmed []Member, changed bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -99,14 +99,15 @@
 		n.options.Log("member lost", keys...)
 	case Left:
 		n.options.Log("member left", keys...)
-	case Succeeded:
+	case ReplacedBySuccessor:
 		n.options.Log("member replaced by successor", keys...)
-	case Duplicate:
+	case ReplacedByDuplicate:
 		n.options.Log("member replaced by duplicate", keys...)
 	}
 }
 
-// updateFenced updates whether another process of this one's name is active, and logs a change of that. The caller holds n.mu.
+// updateFenced updates whether another process of this one's name is active, and logs a change of that. The caller holds
+// n.mu.
 func (n *Node) updateFenced() {
 	active, fenced := n.table.Fenced()
 	if fenced == n.fenced {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -136,8 +136,8 @@
 	return table
 }
 
-// elementType unwraps slices and then a map to the type of their elements. The keys of a map are names chosen in the file, such
-// as those of regions, and not settings.
+// elementType unwraps slices and then a map to the type of their elements. The keys of a map are names chosen in the file,
+// such as those of regions, and not settings.
 func elementType(t reflect.Type) reflect.Type {
 	for t.Kind() == reflect.Slice {
 		t = t.Elem()
