--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -11,27 +11,28 @@
 const (
 	// tickInterval is the mean time between two ticks.
 	tickInterval = 100 * time.Millisecond
-	// maxPingsPerTick bounds the pings of one tick to unconfirmed processes.
+	// maxPingsPerTick is the maximum number of pings to unconfirmed processes per tick.
 	maxPingsPerTick = 16
 )
 
-// tick publishes this process's state, confirms processes that came back, logs changes and delivers the fleet size.
+// tick publishes this process's state, confirms processes that are alive again, logs changes and delivers the fleet size.
 func (n *Node) tick() {
 	state := n.options.CurrentState()
-	list, unconfirmed, stateChanged := n.setOwnState(state)
+	list, unconfirmed, stateChanged := n.updateOwnState(state)
 	if list == nil {
 		return
 	}
 	if stateChanged {
-		_ = list.UpdateNode(broadcastTimeout) // after a timeout the update still spreads
+		_ = list.UpdateNode(broadcastTimeout) // after a timeout memberlist still gossips the update
 	}
-	answered := pingSome(list, unconfirmed)
-	size := n.advance(answered)
+	answered := pingRandom(list, unconfirmed)
+	size := n.updateMembership(answered)
 	n.deliverFleetSize(size)
 }
 
-// setOwnState records this process's state and returns what the rest of the tick works on.
-func (n *Node) setOwnState(state State) (list *memberlist.Memberlist, unconfirmed []Member, changed bool) {
+// updateOwnState records this process's state in the member table. It returns the memberlist, which is nil if the node hasn't
+// joined, the unconfirmed members, and whether the state has changed.
+func (n *Node) updateOwnState(state State) (list *memberlist.Memberlist, unconfirmed []Member, changed bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	unconfirmed = n.table.Unconfirmed()
@@ -41,8 +42,8 @@
 	return n.list, unconfirmed, changed
 }
 
-// pingSome pings at most maxPingsPerTick of the members, in random order, and returns those that answered.
-func pingSome(list *memberlist.Memberlist, members []Member) []Member {
+// pingRandom pings at most maxPingsPerTick of the members, in random order, and returns those that answered.
+func pingRandom(list *memberlist.Memberlist, members []Member) []Member {
 	var answered []Member
 	for _, i := range rand.Perm(len(members))[:min(len(members), maxPingsPerTick)] {
 		m := members[i]
@@ -57,9 +58,9 @@
 	return answered
 }
 
-// advance confirms the members that answered, brings the member table and what follows from it up to date, and returns the
-// fleet size.
-func (n *Node) advance(answered []Member) FleetSize {
+// updateMembership confirms the members that answered, updates the member table and the status derived from it, logs the
+// changes, and returns the fleet size.
+func (n *Node) updateMembership(answered []Member) FleetSize {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
@@ -80,7 +81,7 @@
 	return n.sizer.Current(now)
 }
 
-// logChange writes a line for a change. n.mu is locked.
+// logChange logs a change. The caller holds n.mu.
 func (n *Node) logChange(c Change) {
 	keys := []any{
 		"member", c.Member.Name,
@@ -98,14 +99,15 @@
 		n.options.Log("member lost", keys...)
 	case Left:
 		n.options.Log("member left", keys...)
-	case Succeeded:
+	case ReplacedBySuccessor:
 		n.options.Log("member replaced by successor", keys...)
-	case Duplicate:
+	case ReplacedByDuplicate:
 		n.options.Log("member replaced by duplicate", keys...)
 	}
 }
 
-// updateFenced logs a change of whether another process is active under this one's name. n.mu is locked.
+// updateFenced updates whether another process of this one's name is active, and logs a change of that. The caller holds
+// n.mu.
 func (n *Node) updateFenced() {
 	active, fenced := n.table.Fenced()
 	if fenced == n.fenced {
@@ -127,7 +129,8 @@
 	}
 }
 
-// updateMinority logs a change of whether a majority of the agreed members is in the view. n.mu is locked.
+// updateMinority updates whether the view lacks a majority of the agreed members, and logs a change of that. The caller holds
+// n.mu.
 func (n *Node) updateMinority(now time.Duration) {
 	quorum := n.table.UpdateAgreedMembers(now)
 	minority := !quorum.HasMajority()
@@ -143,8 +146,8 @@
 	}
 }
 
-// observePlacement takes the view's size into account, unless this process is alone in it: then the configured or last size
-// stays. n.mu is locked.
+// observePlacement passes this process's placement in the view to the fleet sizer. If the process is alone in its view, the
+// configured or last size remains in use. The caller holds n.mu.
 func (n *Node) observePlacement(now time.Duration) {
 	view := n.table.View()
 	if len(view.Members) > 1 {
@@ -152,7 +155,7 @@
 	}
 }
 
-// deliverFleetSize calls OnFleetSize if the fleet size differs from the one accepted last.
+// deliverFleetSize calls OnFleetSize if the fleet size differs from the last one that it accepted.
 func (n *Node) deliverFleetSize(size FleetSize) {
 	n.mu.Lock()
 	delivered := n.deliveredSize
@@ -162,7 +165,7 @@
 		return
 	}
 	if err := n.options.OnFleetSize(incarnation, size); err != nil {
-		return // the next tick tries again
+		return // retried by the next tick
 	}
 	n.mu.Lock()
 	n.deliveredSize = size
