--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -148,7 +148,7 @@
 			gate.openAllNow()
 			in := bufio.NewReader(c)
 			for range 2 {
-				partialRequest{Conn: c, in: in}.answer(t) // the upstream checks its deadline against clientLedger
+				partialRequest{Conn: c, in: in}.answer(t) // the upstream checks its deadline against clientDeadlines
 			}
 		})
 	}
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -47,7 +47,7 @@
 	f.drainSweep.stop = nil
 }
 
-// closeIdleWhileDraining closes idle connections from timelimit.DrainIdleGrace on until ctx ends. After timelimit.Drain it
+// closeIdleWhileDraining closes idle connections from timelimit.DrainIdleGrace on until ctx ends. After timelimit.DrainLimit it
 // logs the connections that are still open.
 func (f *frontend) closeIdleWhileDraining(ctx context.Context) {
 	grace := time.After(timelimit.DrainIdleGrace)
--- a/internal/proxy/recording_test.go
+++ b/internal/proxy/recording_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// recordingDial wraps open so that upstream connections record in clientLedger when each attempt is written.
+// recordingDial wraps open so that upstream connections record in clientDeadlines when each attempt is written.
 func recordingDial(open dialFunc) dialFunc {
 	if open == nil {
 		open = net.DialTimeout
@@ -50,7 +50,7 @@
 	return ""
 }
 
-// recordingListener accepts client connections that record their requests in clientLedger.
+// recordingListener accepts client connections that record their requests in clientDeadlines.
 type recordingListener struct{ *net.TCPListener }
 
 func (l recordingListener) Accept() (net.Conn, error) {
--- a/internal/proxy/responsewriter.go
+++ b/internal/proxy/responsewriter.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// extendWriteDeadline sets the write deadline to timelimit.ClientWrite from now. That fails only on a closed connection,
+// extendWriteDeadline sets the write deadline to timelimit.ClientWriteTimeout from now. That fails only on a closed connection,
 // where the next write fails too.
 func extendWriteDeadline(control *http.ResponseController) {
 	_ = control.SetWriteDeadline(time.Now().Add(timelimit.ClientWriteTimeout))
