--- a/cmd/balancerctl/call.go
+++ b/cmd/balancerctl/call.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// callTimeout bounds a management call, with its connection. A balancer has to answer within 1 s.
+	// callTimeout bounds a management call, connecting included. A balancer has to answer within 1 s.
 	callTimeout = 3 * time.Second
-	// maxAnswerSize bounds what is read of an answer, in bytes.
-	maxAnswerSize = 1 << 20
+	// maxResponseBytes bounds how much of a response is read.
+	maxResponseBytes = 1 << 20
 
-	// refusalPrefix is how the answer to a call that was refused begins.
+	// refusalPrefix starts the response to a call that was refused.
 	refusalPrefix = "NO "
-	// lastLine ends an answer of several lines.
-	lastLine = "END"
+	// responseEndLine ends a response of several lines.
+	responseEndLine = "END"
 )
 
 var (
-	errNoAnswer        = errors.New("no answer")
-	errTruncatedAnswer = errors.New("the answer is cut: it has no END")
+	errEmptyResponse     = errors.New("empty response")
+	errTruncatedResponse = errors.New("response truncated: last line is not END")
 )
 
 // callCmd is the command "call".
@@ -34,7 +34,7 @@
 	Words   []string `arg:"" help:"The call: check, vars, drain-on, drain-off, members, zone-status, zone-leave Z or zone-return Z."`
 }
 
-// Run makes the call and prints its answer. It returns errCheckFailed if the balancer refuses the call.
+// Run makes the call and prints its response. It returns errCheckFailed if the balancer refuses the call.
 func (c *callCmd) Run(ctx context.Context) error {
 	lines, err := callManagement(ctx, c.Address, strings.Join(c.Words, " "))
 	if err != nil {
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// callManagement makes a management call and returns the lines of its answer, without lastLine. It returns an error if the
-// answer is empty or is not complete within callTimeout.
+// callManagement makes a management call and returns the lines of the response, without responseEndLine. It returns an error
+// if the response is empty or is not complete within callTimeout.
 func callManagement(ctx context.Context, address, call string) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -60,22 +60,22 @@
 	}
 	defer connection.Close()
 	if deadline, ok := ctx.Deadline(); ok {
-		connection.SetDeadline(deadline) // if it fails, so does the write below
+		connection.SetDeadline(deadline) // if this fails, so does the write below
 	}
 	if _, err := fmt.Fprintln(connection, call); err != nil {
-		return nil, fmt.Errorf("%s: %w", address, err)
+		return nil, fmt.Errorf("sending the call %q to %s: %w", call, address, err)
 	}
-	lines, err := readAnswer(connection)
+	lines, err := readResponse(connection)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", address, err)
+		return nil, fmt.Errorf("reading the response of %s to the call %q: %w", address, call, err)
 	}
 	return lines, nil
 }
 
-// readAnswer reads an answer: one line, or several that end with lastLine.
-func readAnswer(r io.Reader) ([]string, error) {
+// readResponse reads a response: one line, or several that end with responseEndLine.
+func readResponse(r io.Reader) ([]string, error) {
 	var lines []string
-	scanner := bufio.NewScanner(io.LimitReader(r, maxAnswerSize))
+	scanner := bufio.NewScanner(io.LimitReader(r, maxResponseBytes))
 	for scanner.Scan() {
 		lines = append(lines, scanner.Text())
 	}
@@ -83,14 +83,14 @@
 		return nil, err
 	}
 	if len(lines) == 0 {
-		return nil, errNoAnswer
+		return nil, errEmptyResponse
 	}
 	last := len(lines) - 1
-	if lines[last] == lastLine {
+	if lines[last] == responseEndLine {
 		return lines[:last], nil
 	}
 	if len(lines) > 1 {
-		return nil, errTruncatedAnswer
+		return nil, errTruncatedResponse
 	}
 	return lines, nil
 }
--- a/cmd/balancerctl/compare.go
+++ b/cmd/balancerctl/compare.go
@@ -54,9 +54,9 @@
 // play plays both sides on the same seeds.
 func (c *compareCmd) play(ctx context.Context, a, b compare.Side) (*compare.Result, error) {
 	p := newProgress(nil)
-	defer p.end()
+	defer p.clear()
 	return compare.Run(ctx, a, b, c.Seed, c.Plays, func(play int, side string, s *measure.Summary) {
-		p.say(fmt.Sprintf("play %d of %d: %s scored %.3f", play+1, c.Plays, side, s.Score))
+		p.show(fmt.Sprintf("play %d of %d: %s scored %.3f", play+1, c.Plays, side, s.Score))
 	})
 }
 
--- a/cmd/balancerctl/fleetquery_test.go
+++ b/cmd/balancerctl/fleetquery_test.go
@@ -12,8 +12,8 @@
 	"sprucehill/internal/membership"
 )
 
-// operators answers calls as a balancer does, from a table.
-func operators(t *testing.T, answers map[string]string) string {
+// startManagementServer starts a server that answers management calls with the given responses, and returns its address.
+func startManagementServer(t *testing.T, responses map[string]string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -23,14 +23,15 @@
 	go func() {
 		for c, err := l.Accept(); err == nil; c, err = l.Accept() {
 			line, _ := bufio.NewReader(c).ReadString('\n')
-			_, _ = io.WriteString(c, answers[strings.TrimSpace(line)]) // a short answer fails the assertions on it
+			_, _ = io.WriteString(c, responses[strings.TrimSpace(line)]) // a response cut short fails the assertions on it
 			c.Close()
 		}
 	}()
 	return l.Addr().String()
 }
 
-// The search of roles finds nothing, and a rule that is taken out.
+// lab explore finds no violation in the lease protocol, finds one if a rule of the protocol is disabled, and rejects a number
+// of voters that is out of range.
 func TestExplore(t *testing.T) {
 	for args, want := range map[string]int{"--states=3000": exitOK, "--broken=greedy --crashes=0": exitCheckFailed, "--voters=9": exitUnusable} {
 		if code := run(append([]string{"lab", "explore"}, strings.Fields(args)...)); code != want {
@@ -39,7 +40,7 @@
 	}
 }
 
-// Two that see the same, one that sees something else, and one without membership.
+// members fails if two balancers have different views of the fleet, or if one of them has no membership.
 func TestMembersOfAFleet(t *testing.T) {
 	view := func(names ...string) string {
 		var s membership.Status
@@ -51,10 +52,10 @@
 		if err := s.Write(&b); err != nil {
 			t.Fatal(err)
 		}
-		return operators(t, map[string]string{"members": b.String() + "END\n"})
+		return startManagementServer(t, map[string]string{"members": b.String() + "END\n"})
 	}
 	one, two, other := view("a", "b"), view("a", "b"), view("a")
-	off := operators(t, map[string]string{"members": "NO there is no membership\n"})
+	off := startManagementServer(t, map[string]string{"members": "NO there is no membership\n"})
 	all := queryAll(context.Background(), []string{one, off}, fetchMemberView)
 	if s := all[0].Status; s == nil || s.Self.State != membership.Draining || len(s.View.Members) != 2 ||
 		s.View.Members[1] != (membership.Member{Name: "b", Incarnation: 1 << 62, State: membership.Serving, Address: "127.0.0.1:7"}) {
@@ -70,13 +71,14 @@
 	}
 }
 
-// One that serves, one with a zone that failed, one whose answer is cut, and one that is not there, side by side.
+// status sums metrics over their labels and lists failed zones. A balancer whose response is truncated, or that refuses the
+// connection, is not serving.
 func TestStatusOfAFleet(t *testing.T) {
 	vars := "svc_passed{category=\"a\"} 3\nsvc_passed{category=\"b\"} 4\nsvc_in_progress 1\nsvc_zone_state{zone=\"r/x\"} 2\nsvc_zone_share{zone=\"r/x\"} 9\n"
-	good := operators(t, map[string]string{"check": "YES serving\n", "vars": vars + "END\n", "zone-leave r/x": "NO it is not known\n"})
-	cut := operators(t, map[string]string{"check": "YES serving\n", "vars": vars})
+	good := startManagementServer(t, map[string]string{"check": "YES serving\n", "vars": vars + "END\n", "zone-leave r/x": "NO it is not known\n"})
+	cut := startManagementServer(t, map[string]string{"check": "YES serving\n", "vars": vars})
 	all := queryAll(context.Background(), []string{good, cut, "127.0.0.1:1"}, fetchStatus)
-	if s := all[0]; !s.Serving || s.Figures["svc_passed"] != 7 || !slices.Equal(s.ZonesNotOK, []string{"r/x failed"}) || s.Figures["svc_zone_share"] != 0 {
+	if s := all[0]; !s.Serving || s.Metrics["svc_passed"] != 7 || !slices.Equal(s.ZonesNotOK, []string{"r/x failed"}) || s.Metrics["svc_zone_share"] != 0 {
 		t.Errorf("%+v", s)
 	}
 	for _, s := range all[1:] {
@@ -85,9 +87,9 @@
 		}
 	}
 	if code := run([]string{"status", good}); code != exitOK {
-		t.Errorf("status of one that serves exits with %d", code)
+		t.Errorf("status of a serving balancer exits with %d, want %d", code, exitOK)
 	}
 	if code := run([]string{"call", good, "zone-leave", "r/x"}); code != exitCheckFailed {
-		t.Errorf("a call answered with NO exits with %d", code)
+		t.Errorf("a refused call exits with %d, want %d", code, exitCheckFailed)
 	}
 }
--- a/cmd/balancerctl/lab.go
+++ b/cmd/balancerctl/lab.go
@@ -81,7 +81,7 @@
 	}
 	p := newProgress(d)
 	r, err := c.play(ctx, d, out, p)
-	p.end()
+	p.clear()
 	if err != nil {
 		return err
 	}
@@ -122,20 +122,20 @@
 		if c.Workers == 0 {
 			c.Workers = runtime.GOMAXPROCS(0)
 		}
-		return lab.Model(ctx, d, model.Options{Workers: c.Workers, Policy: c.Policy, Progress: p.at})
+		return lab.Model(ctx, d, model.Options{Workers: c.Workers, Policy: c.Policy, Progress: p.showElapsed})
 	}
 	balancer, err := program.Find(c.Program)
 	if err != nil {
 		return nil, err
 	}
 	if !c.NoBuild {
-		p.say("building " + balancer.Root)
+		p.show("building " + balancer.Root)
 		if err := balancer.Build(ctx); err != nil {
 			return nil, err
 		}
 	}
-	p.say("starting")
-	return lab.Live(ctx, d, live.Options{Command: balancer.Command(), Dir: balancer.Root, Work: out, Progress: p.at})
+	p.show("starting")
+	return lab.Live(ctx, d, live.Options{Command: balancer.Command(), Dir: balancer.Root, Work: out, Progress: p.showElapsed})
 }
 
 // writeJSON writes a value to standard output as indented JSON.
--- a/cmd/balancerctl/main.go
+++ b/cmd/balancerctl/main.go
@@ -1,8 +1,8 @@
-// Command balancerctl is for the operators and engineers of the balancer. Its lab plays scenarios, called days, of an
-// emulated fleet.
+// Command balancerctl queries and controls running balancers, inspects and repairs their state folders, and runs the lab:
+// scenarios of an emulated fleet, comparisons of two versions, and searches for violations of the fleet's rules.
 //
-// It exits with 0 on success, 1 if a check failed (a rule was broken, a comparison was not as expected, a balancer refused a
-// call), and 2 if the input can't be used or the machine is too small for the run.
+// It exits with 0 on success, 1 if a check failed (a rule was violated, a comparison was not as expected, a balancer refused
+// a call), and 2 if the input is invalid or the machine is too small for the run.
 package main
 
 import (
@@ -20,49 +20,50 @@
 
 // The exit codes.
 const (
-	exitOK          = 0 // success
-	exitCheckFailed = 1 // a check failed
-	exitUnusable    = 2 // the input can't be used, or the machine is too small for the run
+	exitOK          = 0
+	exitCheckFailed = 1
+	exitUnusable    = 2 // the input is invalid, or the machine is too small for the run
 )
 
-// errCheckFailed means that a command was carried out and its check failed. The exit code is exitCheckFailed.
-var errCheckFailed = errors.New("the claim failed")
+// errCheckFailed means that a command ran to its end and its check failed. The exit code is exitCheckFailed.
+var errCheckFailed = errors.New("check failed")
 
-// cli is the command line.
+// cli defines the commands and flags for kong.
 type cli struct {
 	Lab struct {
-		Run   runCmd   `cmd:"" help:"Play a day and report what came of it."`
-		Check checkCmd `cmd:"" help:"Tell whether a day file can be used."`
-		Show  showCmd  `cmd:"" help:"Show a day's fleet, network, load and timetable as tables."`
+		Run   runCmd   `cmd:"" help:"Run a scenario and report its results."`
+		Check checkCmd `cmd:"" help:"Check whether a scenario file is valid."`
+		Show  showCmd  `cmd:"" help:"Show a scenario's fleet, network, load and faults as tables."`
 
-		Compare compareCmd `cmd:"" help:"Play the same days and seeds on two sides and tell which differences are beyond noise."`
-		Scale   scaleCmd   `cmd:"" help:"Model a day on fleets of several sizes and plot what each costs."`
-		Explore exploreCmd `cmd:"" help:"Search all that may happen to a role that one member alone may hold."`
-		Crash   crashCmd   `cmd:"" help:"Cut the power of a state folder at every byte, flip every byte, and look what is read."`
-	} `cmd:"" help:"Play days of an emulated fleet: regions, faults, clients, and a checker of the rules."`
+		Compare compareCmd `cmd:"" help:"Run a scenario with the same seeds on two sides and report which differences are statistically significant."`
+		Scale   scaleCmd   `cmd:"" help:"Model a scenario on fleets of several sizes and plot the time and memory that each takes."`
+		Explore exploreCmd `cmd:"" help:"Search the reachable states of the lease protocol for one in which two members hold the same role."`
+		Crash   crashCmd   `cmd:"" help:"Simulate a power loss at every byte that is written to a state folder and a flip of every byte, and check what is read afterwards."`
+	} `cmd:"" help:"Run scenarios of an emulated fleet with regions, faults and clients, and check that no rule is violated."`
 
-	Call   callCmd   `cmd:"" help:"Make an operators' call at a balancer's management address."`
-	Status statusCmd `cmd:"" help:"Show what several balancers say of themselves, side by side."`
+	Call   callCmd   `cmd:"" help:"Make a call to a balancer's management address."`
+	Status statusCmd `cmd:"" help:"Show the status of several balancers side by side."`
 
-	Members membersCmd `cmd:"" help:"Show which balancers there are, as several of them see it."`
+	Members membersCmd `cmd:"" help:"Show the members of the fleet as several balancers see them."`
 
-	State stateCmd `cmd:"" help:"Look at the records that a balancer has on disk, check and repair them."`
+	State stateCmd `cmd:"" help:"List, verify, export and repair the records that a balancer has on disk."`
 
-	InstallCompletions kongplete.InstallCompletions `cmd:"" help:"Write the completion of this command for your shell, to be put in its start file."`
+	InstallCompletions kongplete.InstallCompletions `cmd:"" help:"Print the shell completion script of this command, to be added to the start-up file of your shell."`
 }
 
-const about = `The command of the load balancer's operators and engineers.
+// about is the description in the help text.
+const about = `Queries and controls balancers, and tests them in a lab.
 
-A day is a TOML file: a fleet in regions and zones, its clients, and a timetable of faults. To begin:
+A scenario is a TOML file: a fleet in regions and zones, its clients, and a schedule of faults. To begin:
 
     balancerctl lab show examples/quickstart.toml
     balancerctl lab run examples/quickstart.toml
 
-It exits with 0 if all is good, 1 if a rule was broken or a claim failed, and 2 if the input can't be used.`
+It exits with 0 on success, 1 if a rule was violated or a check failed, and 2 if the input is invalid.`
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run runs a command line and returns the exit code.
+// run parses and executes a command line and returns the exit code.
 func run(args []string) int {
 	var c cli
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -76,7 +77,7 @@
 	kongplete.Complete(parser, kongplete.WithPredictor("file", complete.PredictFiles("*.toml")))
 	call, err := parser.Parse(args)
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "sprucehill: %v\nsprucehill --help tells more\n", err)
+		fmt.Fprintf(os.Stderr, "sprucehill: %v\nrun balancerctl --help for usage\n", err)
 		return exitUnusable
 	}
 	switch err := call.Run(ctx); {
--- a/cmd/balancerctl/members.go
+++ b/cmd/balancerctl/members.go
@@ -15,7 +15,7 @@
 	fleetQuery
 }
 
-// memberView is one balancer's view of its fleet. The field names are the keys of its JSON.
+// memberView is one balancer's view of its fleet. The field names are its JSON keys.
 type memberView struct {
 	Address string
 	Error   string             `json:",omitempty"` // why there is no view
@@ -23,20 +23,20 @@
 	Status  *membership.Status `json:",omitempty"`
 }
 
-// Run shows the balancers' views. It returns errCheckFailed if one gives no view or two views differ.
+// Run shows the balancers' views. It returns errCheckFailed if a view is missing or two views differ.
 func (c *membersCmd) Run(ctx context.Context) error {
 	report := fleetReport[memberView]{query: fetchMemberView, show: showMembers, check: checkViewsAgree}
 	return report.run(ctx, c.fleetQuery)
 }
 
-// checkViewsAgree returns errCheckFailed unless all balancers gave the same view.
+// checkViewsAgree returns errCheckFailed unless all balancers reported the same view.
 func checkViewsAgree(views []memberView) error {
 	for _, v := range views {
 		switch {
 		case v.Error != "":
 			return fmt.Errorf("%w: %s: %s", errCheckFailed, v.Address, v.Error)
 		case v.Digest != views[0].Digest:
-			return fmt.Errorf("%w: %s and %s see different fleets", errCheckFailed, views[0].Address, v.Address)
+			return fmt.Errorf("%w: %s and %s have different views of the fleet", errCheckFailed, views[0].Address, v.Address)
 		}
 	}
 	return nil
@@ -58,7 +58,8 @@
 	return memberView{Address: address, Digest: fmt.Sprintf("%x", digest), Status: &status}
 }
 
-// showMembers writes a row on each balancer that was queried, and the members in the first view.
+// showMembers writes a table with a row for each balancer that was queried, and one of the members in the first view that
+// was received.
 func showMembers(w io.Writer, views []memberView) {
 	rows := [][]any{{"asked", "is", "sees", "digest", "same", "differ", "lost", "divides by", "safely by", "rank", ""}}
 	for _, v := range views {
@@ -77,7 +78,7 @@
 	writeTable(w, rows...)
 }
 
-// memberViewRow is the row on one balancer in the table of showMembers.
+// memberViewRow returns the row of one balancer in the table of showMembers.
 func memberViewRow(v memberView) []any {
 	s := v.Status
 	if s == nil {
--- a/cmd/balancerctl/progress.go
+++ b/cmd/balancerctl/progress.go
@@ -10,36 +10,36 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// progress shows the progress of a run, if standard error is a terminal.
+// progress shows the progress of a command on standard error, if that is a terminal.
 type progress struct {
-	length time.Duration // of the day; 0: unknown
-	on     bool          // standard error is a terminal
+	length  time.Duration // of the scenario; 0: unknown
+	enabled bool          // whether standard error is a terminal
 }
 
-// newProgress returns the progress of a day; nil: the run is not of one day, and at must not be called.
-func newProgress(d *scenario.Scenario) *progress {
-	p := &progress{on: term.IsTerminal(int(os.Stderr.Fd()))}
-	if d != nil {
-		p.length = d.Length.D()
+// newProgress returns the progress of a scenario. sc may be nil; then showElapsed must not be called.
+func newProgress(sc *scenario.Scenario) *progress {
+	p := &progress{enabled: term.IsTerminal(int(os.Stderr.Fd()))}
+	if sc != nil {
+		p.length = sc.Length.D()
 	}
 	return p
 }
 
-// say shows a text in place of the one before.
-func (p *progress) say(what string) {
-	if p.on {
-		fmt.Fprintf(os.Stderr, "\r\x1b[K%s ...", what)
+// show replaces the text that is shown.
+func (p *progress) show(text string) {
+	if p.enabled {
+		fmt.Fprintf(os.Stderr, "\r\x1b[K%s ...", text)
 	}
 }
 
-// at shows how much time of the day has passed.
-func (p *progress) at(t time.Duration) {
-	p.say(fmt.Sprintf("%3.0f%%  %v of %v", 100*t.Seconds()/p.length.Seconds(), t.Round(time.Second), p.length))
+// showElapsed shows how much of the scenario's time has passed.
+func (p *progress) showElapsed(elapsed time.Duration) {
+	p.show(fmt.Sprintf("%3.0f%%  %v of %v", 100*elapsed.Seconds()/p.length.Seconds(), elapsed.Round(time.Second), p.length))
 }
 
-// end removes the text that is shown.
-func (p *progress) end() {
-	if p.on {
+// clear removes the text that is shown.
+func (p *progress) clear() {
+	if p.enabled {
 		fmt.Fprint(os.Stderr, "\r\x1b[K")
 	}
 }
--- a/cmd/balancerctl/scale.go
+++ b/cmd/balancerctl/scale.go
@@ -63,8 +63,8 @@
 		}
 		scaled := d.Scaled(factor)
 		p := newProgress(scaled)
-		measured, err := measureCost(ctx, scaled, model.Options{Workers: c.Workers, Progress: p.at})
-		p.end()
+		measured, err := measureCost(ctx, scaled, model.Options{Workers: c.Workers, Progress: p.showElapsed})
+		p.clear()
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/balancerctl/state_test.go
+++ b/cmd/balancerctl/state_test.go
@@ -10,7 +10,7 @@
 	"sprucehill/internal/durable"
 )
 
-// newStateFolder returns the path of a state folder with one valid record, of the kind "list".
+// newStateFolder makes a state folder with one valid record of the kind "list", and returns its path.
 func newStateFolder(t *testing.T) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "state")
@@ -56,7 +56,7 @@
 			"aside." + damaged + ": set aside: torn or damaged: shorter than a head\n2 states, all that are used are whole\n", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			stdout, stderr, code := call(t, append([]string{"state"}, c.args...)...)
+			stdout, stderr, code := runCommand(t, append([]string{"state"}, c.args...)...)
 			if code != c.code || stdout != c.stdout || !strings.Contains(stderr, c.stderr) {
 				t.Errorf("exit %d, want %d\n%s\nwant\n%s\n%s", code, c.code, stdout, c.stdout, stderr)
 			}
@@ -66,7 +66,7 @@
 
 func TestStateShowJSON(t *testing.T) {
 	dir := newStateFolder(t)
-	stdout, stderr, code := call(t, "state", "show", "--json", dir)
+	stdout, stderr, code := runCommand(t, "state", "show", "--json", dir)
 	for _, part := range []string{
 		`"File": "list-0000000000000000.state"`, `"Kind": "list"`, `"Owner": "b@s"`, `"Version": 3`, `"Generation": 0`,
 		`"SavedAt": "2001-09-09T`, `"Bytes": 7`, `"Verdict": "whole"`,
--- a/cmd/balancerctl/status.go
+++ b/cmd/balancerctl/status.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// servingAnswer is the answer to the call check of a balancer that accepts clients and does not drain.
-	servingAnswer = "YES serving"
+	// servingResponse is the response to the call check of a balancer that accepts clients and does not drain.
+	servingResponse = "YES serving"
 
-	// zoneStateMetric is the metric of a zone's state, an index of zoneStates.
+	// zoneStateMetric is the metric of a zone's state. Its value is an index into zoneStates.
 	zoneStateMetric = "svc_zone_state"
-	// zoneMetricPrefix is how the names of all metrics by zone begin.
+	// zoneMetricPrefix starts the names of all metrics by zone.
 	zoneMetricPrefix = "svc_zone_"
 )
 
@@ -23,13 +23,13 @@
 	fleetQuery
 }
 
-// balancerStatus is the state of one balancer. The field names are the keys of its JSON.
+// balancerStatus is the status of one balancer, as --json writes it. A field without a tag has its name as its key.
 type balancerStatus struct {
 	Address    string
-	Check      string         // its answer to the call check, or why there is no status
-	Serving    bool           // it accepts clients and does not drain
-	Figures    map[string]int `json:",omitempty"` // metrics by name, summed over their labels; without those by zone
-	ZonesNotOK []string       `json:",omitempty"` // zones whose state is not "well", with their state
+	Check      string         // the response to the call check, or why there is no status
+	Serving    bool           // accepts clients and does not drain
+	Metrics    map[string]int `json:"Figures,omitempty"` // values by metric name, summed over labels; metrics by zone are left out
+	ZonesNotOK []string       `json:",omitempty"`        // zones in another state than "well", each with its state
 }
 
 // Run shows the status of the balancers. It returns errCheckFailed if any of them does not serve.
@@ -50,14 +50,14 @@
 
 // fetchStatus queries one balancer.
 func fetchStatus(ctx context.Context, address string) balancerStatus {
-	status := balancerStatus{Address: address, Figures: map[string]int{}}
-	answer, err := callManagement(ctx, address, "check")
+	status := balancerStatus{Address: address, Metrics: map[string]int{}}
+	response, err := callManagement(ctx, address, "check")
 	if err != nil {
 		status.fail(err)
 		return status
 	}
-	status.Check = answer[0]
-	status.Serving = status.Check == servingAnswer
+	status.Check = response[0]
+	status.Serving = status.Check == servingResponse
 	metrics, err := callManagement(ctx, address, "vars")
 	if err != nil {
 		status.fail(err)
@@ -71,51 +71,51 @@
 	return status
 }
 
-// fail records why there is no status.
+// fail records the error that prevented a complete status.
 func (s *balancerStatus) fail(err error) {
 	s.Check = err.Error()
 	s.Serving = false
 }
 
-// zoneStates are the names of the values of zoneStateMetric.
+// zoneStates has the name of each value of zoneStateMetric.
 var zoneStates = []string{"well", "doubtful", "failed", "left", "returning"}
 
-// addMetric adds a line of the answer to vars: name{label="x"} value.
+// addMetric adds a line of the response to the call vars: name{label="x"} value.
 func (s *balancerStatus) addMetric(line string) error {
 	separator := strings.LastIndexByte(line, ' ')
 	value, err := strconv.Atoi(line[separator+1:])
 	if separator < 1 || err != nil {
-		return fmt.Errorf("%s: %q is no figure", s.Address, line)
+		return fmt.Errorf("metrics of %s: line %q does not end with an integer value", s.Address, line)
 	}
 	name, labels, hasLabels := strings.Cut(line[:separator], "{")
 	switch {
 	case name == zoneStateMetric && value > 0:
 		return s.addZoneState(line, labels, value)
 	case strings.HasPrefix(name, zoneMetricPrefix) && hasLabels:
-		return nil // the table shows no other metric by zone
+		return nil // showStatus has no column for other metrics by zone
 	default:
-		s.Figures[name] += value
+		s.Metrics[name] += value
 		return nil
 	}
 }
 
-// addZoneState adds a zone that is not well. line is the metric, labels its part from zone= on.
+// addZoneState adds a zone in another state than "well". labels is the part of the line behind the opening brace.
 func (s *balancerStatus) addZoneState(line, labels string, state int) error {
 	quoted := strings.TrimSuffix(strings.TrimPrefix(labels, "zone="), "}")
 	zone, err := strconv.Unquote(quoted)
 	if err != nil || state >= len(zoneStates) {
-		return fmt.Errorf("%s: %s names no zone and state", s.Address, line)
+		return fmt.Errorf("metrics of %s: line %q has no zone label or an unknown zone state", s.Address, line)
 	}
 	s.ZonesNotOK = append(s.ZonesNotOK, zone+" "+zoneStates[state])
 	return nil
 }
 
-// shownMetrics are the metrics in the table of showStatus.
+// shownMetrics are the metrics that have a column in the table of showStatus.
 var shownMetrics = []string{
 	"svc_in_progress", "svc_passed", "svc_dropped", "svc_bad_gateway", "svc_known_upstreams", "svc_skipped_upstreams",
 }
 
-// showStatus writes a row on each balancer.
+// showStatus writes a table with a row for each balancer.
 func showStatus(w io.Writer, statuses []balancerStatus) {
 	rows := [][]any{{"balancer", "", "in progress", "passed", "dropped", "bad gateway", "known", "skipped", "zones that are not well"}}
 	for _, s := range statuses {
@@ -124,11 +124,11 @@
 	writeTable(w, rows...)
 }
 
-// statusRow is the row on one balancer in the table of showStatus.
+// statusRow returns the row of one balancer in the table of showStatus.
 func statusRow(s balancerStatus) []any {
 	row := []any{s.Address, s.Check}
 	for _, name := range shownMetrics {
-		if value, ok := s.Figures[name]; ok {
+		if value, ok := s.Metrics[name]; ok {
 			row = append(row, value)
 		} else {
 			row = append(row, "-")
--- a/cmd/balancerctl/table.go
+++ b/cmd/balancerctl/table.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// writeTable writes rows in columns.
+// writeTable writes rows as columns aligned by spaces.
 func writeTable(w io.Writer, rows ...[]any) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, row := range rows {
@@ -17,7 +17,7 @@
 		}
 		fmt.Fprintln(t, strings.Join(texts, "\t"))
 	}
-	t.Flush() // w is standard output or a buffer
+	t.Flush() // the error is of no use: w is standard output or a buffer
 }
 
 // percent formats a ratio as a percentage.
