--- a/cmd/balancerctl/comparecommand.go
+++ b/cmd/balancerctl/comparecommand.go
@@ -16,33 +16,33 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// commandSide plays the model engine with the command of another work tree, and so with its decision module.
+// commandSide runs the model engine of another work tree, and so that tree's decision module, by starting its command.
 type commandSide struct{ name, file, command string }
 
-// newCommandSide builds the command of a work tree.
+// newCommandSide builds the command of a work tree and returns a side that runs it.
 func newCommandSide(ctx context.Context, name, root, file string) (compare.Side, error) {
 	command := filepath.Join(root, "bin", "lab-of-side")
 	build := exec.CommandContext(ctx, "go", "build", "-o", command, commandPackage(root))
 	build.Dir = root
 	if out, err := build.CombinedOutput(); err != nil {
-		return nil, fmt.Errorf("%w: %s has no model engine that builds: %s", scenario.ErrInput, name, strings.TrimSpace(string(out)))
+		return nil, fmt.Errorf("%w: %s: building %s in %s failed: %s", scenario.ErrInput, name, commandPackage(root), root, strings.TrimSpace(string(out)))
 	}
 	return &commandSide{name: name, file: file, command: command}, nil
 }
 
-// commandPackage returns the package of this command in a work tree. Earlier commits have it as cmd/sprucehill.
+// commandPackage returns the path of this command's package in a work tree. It was cmd/sprucehill in earlier commits.
 func commandPackage(root string) string {
-	const formerName = "./cmd/sprucehill"
-	if _, err := os.Stat(filepath.Join(root, formerName)); err == nil {
-		return formerName
+	const formerPackage = "./cmd/sprucehill"
+	if _, err := os.Stat(filepath.Join(root, formerPackage)); err == nil {
+		return formerPackage
 	}
 	return "./cmd/balancerctl"
 }
 
-// Name returns the argument that the side was made from.
+// Name returns the command-line argument that selects the side.
 func (s *commandSide) Name() string { return s.name }
 
-// Play plays the day once, by a seed.
+// Play runs the scenario once with the given seed.
 func (s *commandSide) Play(ctx context.Context, seed uint64) (*measure.Summary, error) {
 	output, err := s.run(ctx, seed)
 	if err != nil {
@@ -50,28 +50,28 @@
 	}
 	var summary measure.Summary
 	if err := json.Unmarshal(output, &summary); err != nil {
-		return nil, fmt.Errorf("reading its summary: %w", err)
+		return nil, fmt.Errorf("parsing the summary written by %s: %w", s.command, err)
 	}
 	return &summary, nil
 }
 
-// run runs the command and returns its standard output. A run that broke a rule is no error: the summary says so.
+// run runs the command and returns its standard output. The violation of a rule is not an error, as the summary contains it.
 func (s *commandSide) run(ctx context.Context, seed uint64) ([]byte, error) {
-	var output, problems bytes.Buffer
+	var output, errorOutput bytes.Buffer
 	cmd := exec.CommandContext(ctx, s.command, "lab", "run", s.file,
 		"--engine", "model",
 		"--json",
 		"--seed", fmt.Sprint(seed),
 		"--out", filepath.Join(filepath.Dir(s.command), "lab"))
 	cmd.Stdout = &output
-	cmd.Stderr = &problems
+	cmd.Stderr = &errorOutput
 	err := cmd.Run()
 	var exit *exec.ExitError
 	if errors.As(err, &exit) && exit.ExitCode() == exitCheckFailed {
 		return output.Bytes(), nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%w: %s", err, strings.TrimSpace(problems.String()))
+		return nil, fmt.Errorf("running %s: %w: %s", s.command, err, strings.TrimSpace(errorOutput.String()))
 	}
 	return output.Bytes(), nil
 }
--- a/cmd/balancerctl/comparelive.go
+++ b/cmd/balancerctl/comparelive.go
@@ -12,13 +12,13 @@
 	"sprucehill/internal/lab/program"
 )
 
-// liveSide plays with real processes of a work tree.
+// liveSide runs the live engine with balancer processes of a work tree.
 type liveSide struct {
 	name, file, out string
 	program         *program.Program
 }
 
-// newLiveSide builds the balancer of a work tree.
+// newLiveSide builds the balancer of a work tree and returns a side that runs it.
 func (c *compareCmd) newLiveSide(ctx context.Context, name, root, file string) (compare.Side, error) {
 	p, err := program.Find(root)
 	if err != nil {
@@ -27,28 +27,28 @@
 	if err := p.Build(ctx); err != nil {
 		return nil, err
 	}
-	out := filepath.Join(c.Out, strings.Map(plainRune, name))
+	out := filepath.Join(c.Out, strings.Map(safeFolderRune, name))
 	return &liveSide{name: name, file: file, out: out, program: p}, nil
 }
 
-// plainRune replaces a rune that is not suitable for the name of a folder.
-func plainRune(r rune) rune {
+// safeFolderRune replaces a rune that is not wanted in the name of a folder.
+func safeFolderRune(r rune) rune {
 	if strings.ContainsRune("/: .", r) {
 		return '-'
 	}
 	return r
 }
 
-// Name returns the argument that the side was made from.
+// Name returns the command-line argument that selects the side.
 func (s *liveSide) Name() string { return s.name }
 
-// Play plays the day once, by a seed.
+// Play runs the scenario once with the given seed.
 func (s *liveSide) Play(ctx context.Context, seed uint64) (*measure.Summary, error) {
-	d, err := loadSeeded(s.file, seed)
+	sc, err := loadWithSeed(s.file, seed)
 	if err != nil {
 		return nil, err
 	}
-	r, err := lab.Live(ctx, d, live.Options{Command: s.program.Command(), Dir: s.program.Root, Work: s.out})
+	r, err := lab.Live(ctx, sc, live.Options{Command: s.program.Command(), Dir: s.program.Root, Work: s.out})
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/balancerctl/comparemodel.go
+++ b/cmd/balancerctl/comparemodel.go
@@ -9,29 +9,29 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// loadSeeded loads a day file with another seed.
-func loadSeeded(file string, seed uint64) (*scenario.Scenario, error) {
-	d, err := scenario.LoadFile(file)
+// loadWithSeed loads a scenario file and replaces its seed.
+func loadWithSeed(file string, seed uint64) (*scenario.Scenario, error) {
+	sc, err := scenario.LoadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	d.Seed = seed
-	return d, nil
+	sc.Seed = seed
+	return sc, nil
 }
 
-// modelSide plays the model engine in this process.
+// modelSide runs the model engine in this process.
 type modelSide struct{ name, file, policy string }
 
-// Name returns the argument that the side was made from.
+// Name returns the command-line argument that selects the side.
 func (s *modelSide) Name() string { return s.name }
 
-// Play plays the day once, by a seed.
+// Play runs the scenario once with the given seed.
 func (s *modelSide) Play(ctx context.Context, seed uint64) (*measure.Summary, error) {
-	d, err := loadSeeded(s.file, seed)
+	sc, err := loadWithSeed(s.file, seed)
 	if err != nil {
 		return nil, err
 	}
-	r, err := lab.Model(ctx, d, model.Options{Workers: 4, Policy: s.policy})
+	r, err := lab.Model(ctx, sc, model.Options{Workers: 4, Policy: s.policy})
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/balancerctl/compareside.go
+++ b/cmd/balancerctl/compareside.go
@@ -11,8 +11,9 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// side makes the side that an argument of the command names. removeFiles removes its temporary files; it is never nil.
-func (c *compareCmd) side(ctx context.Context, argument string) (s compare.Side, removeFiles func(), err error) {
+// newSideFromArgument returns the side that a command-line argument selects. removeFiles removes its temporary files; it is
+// never nil.
+func (c *compareCmd) newSideFromArgument(ctx context.Context, argument string) (s compare.Side, removeFiles func(), err error) {
 	kind, value, _ := strings.Cut(argument, ":")
 	switch kind {
 	case "this":
@@ -26,22 +27,22 @@
 	case "commit":
 		return c.newCommitSide(ctx, argument, value)
 	default:
-		err = fmt.Errorf("%w: %q is no side: write this, commit:REV, tree:PATH, policy:NAME or day:FILE", scenario.ErrInput, argument)
+		err = fmt.Errorf("%w: %q is no side: want this, commit:REV, tree:PATH, policy:NAME or day:FILE", scenario.ErrInput, argument)
 	}
 	return s, func() {}, err
 }
 
-// newPolicySide makes the side that plays the day with a baseline policy.
+// newPolicySide returns the side that runs the scenario with a baseline policy.
 func (c *compareCmd) newPolicySide(name, policy string) (compare.Side, error) {
 	if c.Engine != "model" {
-		return nil, fmt.Errorf("%w: %s: baselines are policies of the model engine", scenario.ErrInput, name)
+		return nil, fmt.Errorf("%w: %s: policies are available with --engine model only", scenario.ErrInput, name)
 	}
 	return &modelSide{name: name, file: c.Day, policy: policy}, nil
 }
 
-// newCommitSide makes the side that plays the day with the balancer of a commit.
+// newCommitSide returns the side that runs the scenario with the balancer of a commit.
 func (c *compareCmd) newCommitSide(ctx context.Context, name, rev string) (s compare.Side, removeFiles func(), err error) {
-	root, removeFiles, err := checkout(ctx, rev)
+	root, removeFiles, err := addWorktree(ctx, rev)
 	if err != nil {
 		return nil, removeFiles, err
 	}
@@ -49,7 +50,7 @@
 	return s, removeFiles, err
 }
 
-// newSide makes the side that plays a day with the balancer of a work tree, on the selected engine.
+// newSide returns the side that runs a scenario file with the balancer of a work tree, on the selected engine.
 func (c *compareCmd) newSide(ctx context.Context, name, root, file string) (compare.Side, error) {
 	if _, err := scenario.LoadFile(file); err != nil {
 		return nil, err
@@ -63,19 +64,19 @@
 	return newCommandSide(ctx, name, root, file)
 }
 
-// checkout makes a temporary worktree of a commit. remove removes it; it is never nil.
-func checkout(ctx context.Context, rev string) (dir string, remove func(), err error) {
+// addWorktree adds a temporary git worktree of a commit. remove removes it; it is never nil.
+func addWorktree(ctx context.Context, rev string) (dir string, remove func(), err error) {
 	dir, err = os.MkdirTemp("", "sprucehill-commit-")
 	if err != nil {
 		return "", func() {}, err
 	}
 	remove = func() {
-		_ = exec.Command("git", "worktree", "remove", "--force", dir).Run() // a worktree that is left over shows in git worktree list
+		_ = exec.Command("git", "worktree", "remove", "--force", dir).Run() // if it fails, git worktree list shows the worktree that is left
 		os.RemoveAll(dir)
 	}
 	out, err := exec.CommandContext(ctx, "git", "worktree", "add", "--detach", dir, rev).CombinedOutput()
 	if err != nil {
-		return "", remove, fmt.Errorf("%w: commit %s: %s", scenario.ErrInput, rev, strings.TrimSpace(string(out)))
+		return "", remove, fmt.Errorf("%w: adding a worktree of commit %s: %s", scenario.ErrInput, rev, strings.TrimSpace(string(out)))
 	}
 	return dir, remove, nil
 }
--- a/cmd/balancerctl/comparetext.go
+++ b/cmd/balancerctl/comparetext.go
@@ -8,18 +8,18 @@
 	"sprucehill/internal/lab/compare"
 )
 
-// showComparison writes the table of measures with their ratios.
+// showComparison writes a table with a row for each measure.
 func showComparison(w io.Writer, r *compare.Result, file, engine string) {
-	fmt.Fprintf(w, "A %s against B %s: %s, %s engine, %d plays each, seeds %d to %d\n\n", r.A, r.B, file, engine, r.Plays,
+	fmt.Fprintf(w, "A %s against B %s: %s, %s engine, %d runs each, seeds %d to %d\n\n", r.A, r.B, file, engine, r.Plays,
 		r.Seeds[0], r.Seeds[len(r.Seeds)-1])
-	rows := [][]any{{"", "A", "B", "B/A", "over plays", "B-A", "beyond noise"}}
+	rows := [][]any{{"", "A", "B", "B/A", "range of B/A", "B-A", "beyond noise"}}
 	for _, row := range r.Rows {
 		rows = append(rows, comparisonRow(row))
 	}
 	writeTable(w, rows...)
 }
 
-// comparisonRow has the cells of one measure.
+// comparisonRow returns the row of one measure.
 func comparisonRow(row compare.Row) []any {
 	ratio := "-"
 	spread := "-"
@@ -34,12 +34,12 @@
 		ratio,
 		spread,
 		fmt.Sprintf("%+.4g ± %.2g", row.MeanDiff, row.DiffHalfInterval),
-		verdict(row),
+		formatSignificance(row),
 	}
 }
 
-// verdict returns the words for whether a difference is beyond noise, and which way.
-func verdict(row compare.Row) string {
+// formatSignificance formats whether a difference is beyond noise, and if so which side is better.
+func formatSignificance(row compare.Row) string {
 	switch {
 	case !row.IsBeyondNoise:
 		return "no"
--- a/cmd/balancerctl/crash.go
+++ b/cmd/balancerctl/crash.go
@@ -14,38 +14,38 @@
 
 // crashCmd is the command "lab crash".
 type crashCmd struct {
-	Upstreams int    `help:"Upstreams of the balancer whose states are saved." default:"12"`
-	Rounds    int    `help:"Saves of each kind." default:"4"`
-	Every     int    `help:"Try one case in so many, drawn by the seed; 1: all." default:"1"`
-	Again     int    `help:"Cut the power again in one recovery of so many; 0: never." default:"100"`
-	Seed      uint64 `help:"Draws states and cases." default:"1"`
+	Upstreams int    `help:"Number of upstreams in the saved records." default:"12"`
+	Rounds    int    `help:"Number of saves of each kind of record." default:"4"`
+	Every     int    `help:"Run one case in this many, chosen by the seed; 1: all." default:"1"`
+	Again     int    `help:"Simulate another power loss in one recovery in this many; 0: in none." default:"100"`
+	Seed      uint64 `help:"Seed of the records and of the choice of cases." default:"1"`
 }
 
-// Run runs the crash matrix and prints its counts and violations. It returns errCheckFailed if there is a violation.
+// Run runs the matrix of crashes and prints its counts and violations. It returns errCheckFailed if there is a violation.
 func (c *crashCmd) Run() error {
 	if !c.isInRange() {
-		return errors.New("--upstreams: 1 to 5000; --rounds: 1 to 100; --every: 1 and more; --again: 0 and more")
+		return errors.New("flag out of range: --upstreams must be 1 to 5000, --rounds 1 to 100, --every at least 1, --again at least 0")
 	}
 	saves := crash.GenerateSaves(c.Rounds, c.Upstreams, c.Seed)
 	r, err := crash.Run(saves, crash.Options{SampleOneIn: c.Every, RecoveryCutOneIn: c.Again, Seed: c.Seed})
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%d cases: power cut %d, byte flipped %d, power cut again in the recovery %d\n",
+	fmt.Printf("%d cases: %d with a power loss, %d with a flipped byte, %d with another power loss during recovery\n",
 		r.Cases(), r.PowerCuts, r.ByteFlips, r.RecoveryCuts)
-	fmt.Printf("states read: the newest %d times, the one before %d, none where none had been saved %d\n",
+	fmt.Printf("records loaded: %d times the newest, %d times an older one that is allowed, %d times none because none had been saved\n",
 		r.LoadedNewest, r.LoadedPrevious, r.LoadedNone)
 	for _, violation := range r.Violations {
 		fmt.Println("WRONG:", violation)
 	}
 	if len(r.Violations) > 0 {
-		return fmt.Errorf("%w: a state was lost, or one read that was never written", errCheckFailed)
+		return fmt.Errorf("%w: a saved record was lost, or a record was loaded that had never been saved", errCheckFailed)
 	}
-	fmt.Println("every one was written, and none that was safe was lost")
+	fmt.Println("no saved record was lost, and every loaded record had been saved")
 	return nil
 }
 
-// isInRange reports whether all flags have values that can be used.
+// isInRange reports whether all flags have valid values.
 func (c *crashCmd) isInRange() bool {
 	return c.Upstreams >= 1 && c.Upstreams <= maxCrashUpstreams &&
 		c.Rounds >= 1 && c.Rounds <= maxCrashRounds &&
--- a/cmd/balancerctl/explore.go
+++ b/cmd/balancerctl/explore.go
@@ -10,19 +10,19 @@
 
 // exploreCmd is the command "lab explore".
 type exploreCmd struct {
-	Voters     int    `default:"3" help:"Voters, 2 to 5."`
-	Candidates int    `default:"2" help:"Voters that want the role."`
-	Crashes    int8   `default:"1" help:"Starts of a process anew, in all."`
-	Depth      int    `default:"12" help:"Steps to look ahead."`
-	States     int    `default:"1000000" help:"States to look at, at most; about 1 kB of memory each at the edge."`
-	Broken     string `default:"none" enum:"none,forgetful,greedy,deaf" help:"Take a rule out: a voter that starts again does not wait, a holder holds too long, a term is granted twice."`
+	Voters     int    `default:"3" help:"Number of voters, 2 to 5."`
+	Candidates int    `default:"2" help:"Number of voters that try to acquire the role."`
+	Crashes    int8   `default:"1" help:"Maximum number of process restarts in total."`
+	Depth      int    `default:"12" help:"Maximum number of steps from the initial state."`
+	States     int    `default:"1000000" help:"Maximum number of states; each state of the search frontier takes about 1 kB of memory."`
+	Broken     string `default:"none" enum:"none,forgetful,greedy,deaf" help:"Disable a rule of the protocol. forgetful: a restarted voter does not wait; greedy: a holder keeps the lease too long; deaf: a voter grants a term twice."`
 	JSON       bool   `name:"json" help:"Write the result as JSON."`
 }
 
-// Run searches and reports. It returns errCheckFailed if it finds a state that violates the invariant.
+// Run searches the states of the model and prints the result. It returns errCheckFailed if a state violates the invariant.
 func (c *exploreCmd) Run(context.Context) error {
 	if !c.isValid() {
-		return fmt.Errorf("2 to %d voters, 1 to as many candidates, and at least one step and state", leases.MaxVoters)
+		return fmt.Errorf("flag out of range: --voters must be 2 to %d, --candidates 1 to the number of voters, --depth and --states at least 1", leases.MaxVoters)
 	}
 	result := explore.Search(c.model(), explore.Limits{Depth: c.Depth, States: c.States})
 	if err := c.report(result); err != nil {
@@ -40,7 +40,7 @@
 		c.Depth >= 1 && c.States >= 1
 }
 
-// model returns the model that the flags describe.
+// model returns the model that the flags define.
 func (c *exploreCmd) model() leases.Model {
 	return leases.Model{
 		Voters:      c.Voters,
@@ -54,6 +54,7 @@
 	}
 }
 
+// report prints the size of the search and the shortest path to a violation.
 func (c *exploreCmd) report(result explore.Result) error {
 	if c.JSON {
 		return writeJSON(result)
--- a/cmd/balancerctl/lab.go
+++ b/cmd/balancerctl/lab.go
@@ -18,69 +18,69 @@
 
 // checkCmd is the command "lab check".
 type checkCmd struct {
-	File string `arg:"" help:"Day file." type:"existingfile" predictor:"file"`
+	File string `arg:"" help:"Scenario file." type:"existingfile" predictor:"file"`
 }
 
-// Run reads a day file and prints its size. It returns an error if the file can't be used.
+// Run checks a scenario file and prints the size of the scenario. It returns an error if the file is invalid.
 func (c *checkCmd) Run() error {
-	d, err := scenario.LoadFile(c.File)
+	sc, err := scenario.LoadFile(c.File)
 	if err != nil {
 		return err
 	}
-	f := d.Fleet()
-	fmt.Printf("%s: good: %d balancers, %d upstreams, %d zones, about %.0f requests in %v, %d faults\n", c.File,
-		len(f.Balancers), len(f.Upstreams), len(f.Zones), d.Load.Rate*d.Length.D().Seconds(), d.Length.D(), len(d.Faults))
+	fleet := sc.Fleet()
+	fmt.Printf("%s: valid: %d balancers, %d upstreams, %d zones, about %.0f requests in %v, %d faults\n", c.File,
+		len(fleet.Balancers), len(fleet.Upstreams), len(fleet.Zones), sc.Load.Rate*sc.Length.D().Seconds(), sc.Length.D(), len(sc.Faults))
 	return nil
 }
 
 // showCmd is the command "lab show".
 type showCmd struct {
-	File string `arg:"" help:"Day file." type:"existingfile" predictor:"file"`
-	JSON bool   `name:"json" help:"Write the day as JSON, with what the file leaves out."`
+	File string `arg:"" help:"Scenario file." type:"existingfile" predictor:"file"`
+	JSON bool   `name:"json" help:"Write the scenario as JSON, with the defaults for what the file leaves out."`
 }
 
-// Run prints a day.
+// Run prints a scenario.
 func (c *showCmd) Run() error {
-	d, err := scenario.LoadFile(c.File)
+	sc, err := scenario.LoadFile(c.File)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return writeJSON(d)
+		return writeJSON(sc)
 	}
-	showDay(os.Stdout, d)
+	showScenario(os.Stdout, sc)
 	return nil
 }
 
 // runCmd is the command "lab run".
 type runCmd struct {
-	File    string `arg:"" help:"Day file." type:"existingfile" predictor:"file"`
-	Engine  string `help:"live: real processes of the balancer on loopback. model: its decisions in virtual time." enum:"live,model" default:"live"`
-	Policy  string `help:"Model engine: what decides: sprucehill, round-robin, least-loaded, random-of-two or true-state." default:"sprucehill"`
-	Workers int    `help:"Model engine: workers at once; 0: one for each core. The outcome is the same."`
-	Seed    uint64 `help:"Draw the day by this seed instead of the file's."`
-	Out     string `help:"Folder for the report, and for logs of processes." default:"found/lab" type:"path"`
-	Program string `help:"Work tree of the balancer, built by its deploy/balancer.toml." default:"." type:"existingdir"`
-	NoBuild bool   `help:"Take the program as it was built last."`
+	File    string `arg:"" help:"Scenario file." type:"existingfile" predictor:"file"`
+	Engine  string `help:"live: real balancer processes on loopback. model: the decision module in virtual time." enum:"live,model" default:"live"`
+	Policy  string `help:"Model engine: the routing policy: sprucehill (the decision module), round-robin, least-loaded, random-of-two or true-state." default:"sprucehill"`
+	Workers int    `help:"Model engine: number of parallel workers; 0: one for each core. The result does not depend on it."`
+	Seed    uint64 `help:"Random seed, in place of that in the file."`
+	Out     string `help:"Folder for the report and the logs of the processes." default:"found/lab" type:"path"`
+	Program string `help:"Work tree of the balancer, which is built and started as its deploy/balancer.toml says." default:"." type:"existingdir"`
+	NoBuild bool   `help:"Use the balancer as it was built last."`
 	JSON    bool   `name:"json" help:"Write the summary as JSON."`
-	History bool   `help:"Keep every event in history.txt in the folder."`
+	History bool   `help:"Write every event to history.txt in the folder."`
 }
 
-// Run plays a day, and writes its report and summary. It returns errCheckFailed if a rule was broken.
+// Run runs a scenario, and writes its report and summary. It returns errCheckFailed if a rule was violated.
 func (c *runCmd) Run(ctx context.Context) error {
-	d, err := scenario.LoadFile(c.File)
+	sc, err := scenario.LoadFile(c.File)
 	if err != nil {
 		return err
 	}
 	if c.Seed != 0 {
-		d.Seed = c.Seed
+		sc.Seed = c.Seed
 	}
-	out := filepath.Join(c.Out, fmt.Sprintf("%s-%s-%d", d.Name, c.Engine, d.Seed))
+	out := filepath.Join(c.Out, fmt.Sprintf("%s-%s-%d", sc.Name, c.Engine, sc.Seed))
 	if err := os.MkdirAll(out, 0o755); err != nil {
 		return err
 	}
-	p := newProgress(d)
-	r, err := c.play(ctx, d, out, p)
+	p := newProgress(sc)
+	r, err := c.runScenario(ctx, sc, out, p)
 	p.clear()
 	if err != nil {
 		return err
@@ -92,7 +92,7 @@
 	case r.Summary.Lab != nil && r.Summary.Lab.VoidReason != "":
 		return fmt.Errorf("the run is void: %s", r.Summary.Lab.VoidReason)
 	case len(r.Violations) > 0:
-		return fmt.Errorf("%w: %d violations", errCheckFailed, len(r.Violations))
+		return fmt.Errorf("%w: %d violations of rules", errCheckFailed, len(r.Violations))
 	}
 	return nil
 }
@@ -116,13 +116,13 @@
 	return nil
 }
 
-// play plays the day on the selected engine. Its report goes into out.
-func (c *runCmd) play(ctx context.Context, d *scenario.Scenario, out string, p *progress) (*lab.Result, error) {
+// runScenario runs the scenario on the selected engine. The live engine writes the logs of the processes into out.
+func (c *runCmd) runScenario(ctx context.Context, sc *scenario.Scenario, out string, p *progress) (*lab.Result, error) {
 	if c.Engine == "model" {
 		if c.Workers == 0 {
 			c.Workers = runtime.GOMAXPROCS(0)
 		}
-		return lab.Model(ctx, d, model.Options{Workers: c.Workers, Policy: c.Policy, Progress: p.showElapsed})
+		return lab.Model(ctx, sc, model.Options{Workers: c.Workers, Policy: c.Policy, Progress: p.showElapsed})
 	}
 	balancer, err := program.Find(c.Program)
 	if err != nil {
@@ -134,8 +134,8 @@
 			return nil, err
 		}
 	}
-	p.show("starting")
-	return lab.Live(ctx, d, live.Options{Command: balancer.Command(), Dir: balancer.Root, Work: out, Progress: p.showElapsed})
+	p.show("starting the balancers")
+	return lab.Live(ctx, sc, live.Options{Command: balancer.Command(), Dir: balancer.Root, Work: out, Progress: p.showElapsed})
 }
 
 // writeJSON writes a value to standard output as indented JSON.
@@ -145,7 +145,7 @@
 	return enc.Encode(x)
 }
 
-// writeHistory writes a file with a line for each event.
+// writeHistory writes all events of a run to a file, one line each.
 func writeHistory(path string, r *lab.Result) error {
 	f, err := os.Create(path)
 	if err != nil {
--- a/cmd/balancerctl/scale.go
+++ b/cmd/balancerctl/scale.go
@@ -16,33 +16,33 @@
 
 // scaleCmd is the command "lab scale".
 type scaleCmd struct {
-	File    string    `arg:"" help:"Day file." type:"existingfile" predictor:"file"`
-	Factors []float64 `help:"Sizes of the fleet, as parts of the file's." default:"0.125,0.25,0.5,1"`
-	Workers int       `help:"Workers at once." default:"4"`
+	File    string    `arg:"" help:"Scenario file." type:"existingfile" predictor:"file"`
+	Factors []float64 `help:"Sizes of the fleet, as multiples of the size in the file." default:"0.125,0.25,0.5,1"`
+	Workers int       `help:"Number of parallel workers." default:"4"`
 	Out     string    `help:"Folder for the plot." default:"found/lab" type:"path"`
 	JSON    bool      `name:"json" help:"Write the costs as JSON."`
 }
 
-// cost is the cost of modelling a fleet of one size. The field names are the keys of its JSON.
+// cost is the time and memory that modelling a fleet of one size takes. The field names are its JSON keys.
 type cost struct {
 	Balancers, Upstreams int
 	Events               int
-	Seconds              float64 // real time
+	Seconds              float64 // elapsed time
 	CPU                  float64 // seconds of processor time
-	MemoryMB             float64 // largest resident set of this process so far, in MiB; fleets are measured by rising size
+	MemoryMB             float64 // peak resident set size of this process so far, in MiB; meaningful if the sizes of the fleet rise
 }
 
-// Run models the day on fleets of each size, and prints and plots the costs.
+// Run models the scenario on a fleet of each size, and prints and plots the costs.
 func (c *scaleCmd) Run(ctx context.Context) error {
-	d, err := scenario.LoadFile(c.File)
+	sc, err := scenario.LoadFile(c.File)
 	if err != nil {
 		return err
 	}
-	costs, err := c.measure(ctx, d)
+	costs, err := c.measure(ctx, sc)
 	if err != nil {
 		return err
 	}
-	path, err := c.plot(d, costs)
+	path, err := c.plot(sc, costs)
 	if err != nil {
 		return err
 	}
@@ -54,14 +54,14 @@
 	return nil
 }
 
-// measure models the day on a fleet of each size.
-func (c *scaleCmd) measure(ctx context.Context, d *scenario.Scenario) ([]cost, error) {
+// measure models the scenario on a fleet of each size and returns the costs.
+func (c *scaleCmd) measure(ctx context.Context, sc *scenario.Scenario) ([]cost, error) {
 	var costs []cost
 	for _, factor := range c.Factors {
 		if factor <= 0 {
-			return nil, fmt.Errorf("%w: --factors: %v is not over 0", scenario.ErrInput, factor)
+			return nil, fmt.Errorf("%w: --factors: got %v, want a number above 0", scenario.ErrInput, factor)
 		}
-		scaled := d.Scaled(factor)
+		scaled := sc.Scaled(factor)
 		p := newProgress(scaled)
 		measured, err := measureCost(ctx, scaled, model.Options{Workers: c.Workers, Progress: p.showElapsed})
 		p.clear()
@@ -74,23 +74,23 @@
 }
 
 // plot writes the plot of the costs and returns its path.
-func (c *scaleCmd) plot(d *scenario.Scenario, costs []cost) (string, error) {
+func (c *scaleCmd) plot(sc *scenario.Scenario, costs []cost) (string, error) {
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return "", err
 	}
-	points := report.Costs{Title: d.Name + ": cost of modelling against the size of the fleet"}
+	points := report.Costs{Title: sc.Name + ": cost of modelling by the size of the fleet"}
 	for _, x := range costs {
 		points.Size = append(points.Size, float64(x.Balancers+x.Upstreams))
 		points.Real = append(points.Real, x.Seconds)
 		points.CPU = append(points.CPU, x.CPU)
 	}
-	path := filepath.Join(c.Out, d.Name+"-cost.png")
+	path := filepath.Join(c.Out, sc.Name+"-cost.png")
 	return path, points.WritePNG(path)
 }
 
-// costRows has a row on each size.
+// costRows returns a table with a row for each size.
 func costRows(costs []cost) [][]any {
-	rows := [][]any{{"balancers", "upstreams", "events", "real s", "processor s", "most memory MB"}}
+	rows := [][]any{{"balancers", "upstreams", "events", "elapsed s", "CPU s", "peak memory MB"}}
 	for _, x := range costs {
 		rows = append(rows, []any{
 			x.Balancers, x.Upstreams, x.Events,
@@ -100,31 +100,31 @@
 	return rows
 }
 
-// measureCost models a day and returns its cost.
-func measureCost(ctx context.Context, d *scenario.Scenario, o model.Options) (cost, error) {
-	runtime.GC() // the garbage of the day before is not part of this one's cost
-	f := d.Fleet()
-	x := cost{Balancers: len(f.Balancers), Upstreams: len(f.Upstreams)}
+// measureCost models a scenario and returns its cost.
+func measureCost(ctx context.Context, sc *scenario.Scenario, options model.Options) (cost, error) {
+	runtime.GC() // collect the garbage of the scenario before, so that it does not count here
+	fleet := sc.Fleet()
+	result := cost{Balancers: len(fleet.Balancers), Upstreams: len(fleet.Upstreams)}
 	var before, after syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &before); err != nil {
-		return x, err
+		return result, err
 	}
-	began := time.Now()
-	events, err := model.Play(ctx, d, o)
+	start := time.Now()
+	events, err := model.Play(ctx, sc, options)
 	if err != nil {
-		return x, err
+		return result, err
 	}
-	x.Seconds = time.Since(began).Seconds()
+	result.Seconds = time.Since(start).Seconds()
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &after); err != nil {
-		return x, err
+		return result, err
 	}
-	x.Events = len(events)
-	x.CPU = (cpuTime(after) - cpuTime(before)).Seconds()
-	x.MemoryMB = float64(after.Maxrss) / 1024 // Linux gives KiB
-	return x, nil
+	result.Events = len(events)
+	result.CPU = (cpuTime(after) - cpuTime(before)).Seconds()
+	result.MemoryMB = float64(after.Maxrss) / 1024 // Linux reports KiB
+	return result, nil
 }
 
-// cpuTime returns the processor time of a process, in the kernel and outside.
+// cpuTime returns the CPU time of a process, in user and kernel mode.
 func cpuTime(usage syscall.Rusage) time.Duration {
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
--- a/cmd/balancerctl/state.go
+++ b/cmd/balancerctl/state.go
@@ -8,13 +8,13 @@
 	"sprucehill/internal/durable"
 )
 
-// stateCmd is the command group "state". Only repair changes the folder. What the commands print is read by operators'
-// scripts, so it has the words that they know.
+// stateCmd is the command group "state". Only repair changes the folder. Operators' scripts parse the output, so its wording
+// must not change.
 type stateCmd struct {
-	Show   stateShowCmd   `cmd:"" help:"List the records in a state folder."`
-	Verify stateVerifyCmd `cmd:"" help:"Check every record in a folder to the bit."`
+	Show   stateShowCmd   `cmd:"" help:"List the files in a state folder and whether each is a valid record."`
+	Verify stateVerifyCmd `cmd:"" help:"Check that every record in a state folder is valid."`
 	Export stateExportCmd `cmd:"" help:"Write the newest valid record of a kind, as JSON."`
-	Repair stateRepairCmd `cmd:"" help:"Quarantine files that are not valid records. The balancer must not run."`
+	Repair stateRepairCmd `cmd:"" help:"Quarantine the files that are not valid records. The balancer must not be running."`
 }
 
 const (
@@ -24,7 +24,7 @@
 	quarantinedVerdictPrefix = "set aside: "
 )
 
-// stateFile describes a file in a state folder. Its field names are the keys of its JSON.
+// stateFile describes a file in a state folder, as state show writes it.
 type stateFile struct {
 	File       string    `json:"File"`
 	Kind       string    `json:"Kind,omitempty"`
@@ -56,7 +56,7 @@
 	}
 }
 
-// inspectFolder opens a state folder and reads all records in it.
+// inspectFolder opens a state folder and reads all files in it.
 func inspectFolder(dir string) ([]durable.InspectedFile, error) {
 	folder, err := durable.OpenFolder(dir)
 	if err != nil {
@@ -68,7 +68,7 @@
 // stateShowCmd is the command "state show".
 type stateShowCmd struct {
 	Dir  string `arg:"" help:"State folder." type:"existingdir"`
-	JSON bool   `name:"json" help:"Write it as JSON."`
+	JSON bool   `name:"json" help:"Write the list as JSON."`
 }
 
 // Run lists the files of a state folder.
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// stateFileRows has a row on each file.
+// stateFileRows returns a table with a row for each file.
 func stateFileRows(files []stateFile) [][]any {
 	rows := [][]any{{"file", "kind", "owner", "version", "generation", "saved", "bytes", "verdict"}}
 	for _, f := range files {
@@ -106,7 +106,7 @@
 	Dir string `arg:"" help:"State folder." type:"existingdir"`
 }
 
-// Run lists the files that are not valid records in use. It fails if any of them is not quarantined.
+// Run prints the files that are not valid records in use. It returns errCheckFailed if any of them is not quarantined.
 func (c *stateVerifyCmd) Run() error {
 	inspected, err := inspectFolder(c.Dir)
 	if err != nil {
@@ -131,7 +131,7 @@
 // stateExportCmd is the command "state export".
 type stateExportCmd struct {
 	Dir  string `arg:"" help:"State folder." type:"existingdir"`
-	Kind string `arg:"" help:"list, learnt or orders."`
+	Kind string `arg:"" help:"Kind of the record: list, learnt or orders."`
 }
 
 // Run writes the payload of the newest valid record of a kind.
@@ -198,7 +198,7 @@
 	return nil
 }
 
-// printRepairedFile prints what came of the repair of a file.
+// printRepairedFile prints the outcome of the repair of a file.
 func printRepairedFile(file durable.RepairedFile) {
 	reason := durable.OperatorText(file.Reason)
 	if file.Err != nil {
--- a/cmd/balancerctl/table.go
+++ b/cmd/balancerctl/table.go
@@ -20,5 +20,5 @@
 	t.Flush() // the error is of no use: w is standard output or a buffer
 }
 
-// percent formats a ratio as a percentage.
-func percent(x float64) string { return fmt.Sprintf("%.1f%%", 100*x) }
+// formatPercent formats a ratio as a percentage.
+func formatPercent(x float64) string { return fmt.Sprintf("%.1f%%", 100*x) }
--- a/cmd/balancerctl/violationtext.go
+++ b/cmd/balancerctl/violationtext.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// maxShownTraceLines bounds how many lines of a request's history are printed; the report has all of it.
+	// maxShownTraceLines bounds how many lines of a violation's history are printed. The report has more, and history.txt all.
 	maxShownTraceLines = 12
 	// maxShownViolations bounds how many violations are printed in full.
 	maxShownViolations = 5
 )
 
-// showViolations writes which rules were broken, and the histories of the first violations.
+// showViolations writes how often each rule was violated, and the histories of the first violations.
 func showViolations(w io.Writer, r *lab.Result) {
 	for _, rule := range check.Rules {
 		if n := r.Summary.Broken[rule]; n > 0 {
