--- a/architecture_test.go
+++ b/architecture_test.go
@@ -12,8 +12,9 @@
 	"testing"
 )
 
-// imports is which packages of this module each may import, as docs/ARCHITECTURE.md has it. Tests may import more.
-var imports = map[string][]string{
+// allowedImports lists, for each package of this module, the other packages of the module that it may import, as in
+// docs/ARCHITECTURE.md. Test files may import more.
+var allowedImports = map[string][]string{
 	"balancer":              {"internal/stats", "internal/leakybucket", "internal/ring"},
 	"internal/leakybucket":  {},
 	"internal/ring":         {},
@@ -55,18 +56,20 @@
 	"cmd/balancerctl":       {"internal/lab/explore", "internal/lab/leases", "internal/membership", "internal/durable", "internal/lab/crash", "internal/lab", "internal/lab/scenario", "internal/lab/check", "internal/lab/compare", "internal/lab/live", "internal/lab/measure", "internal/lab/model", "internal/lab/program", "internal/lab/report"},
 }
 
-// Every package imports only what the map of packages allows, and the decision module neither clocks, sockets nor files.
+// Each package imports only the packages of this module that allowedImports lists for it. The decision module must stay free
+// of side effects, so it imports no package for sockets, files, processes or locks. It must not read a clock either; that is
+// not checked here, since it needs package time for durations.
 func TestImportRules(t *testing.T) {
-	impure := []string{"net", "os", "io/fs", "syscall", "net/http", "os/exec", "sync"}
+	forbiddenImports := []string{"net", "os", "io/fs", "syscall", "net/http", "os/exec", "sync"}
 	seen := map[string]bool{}
 	err := filepath.WalkDir(".", func(file string, e fs.DirEntry, err error) error {
 		if err != nil || e.IsDir() || !strings.HasSuffix(file, ".go") || strings.HasSuffix(file, "_test.go") {
 			return err
 		}
 		pkg := path.Dir(filepath.ToSlash(file))
-		allowed, known := imports[pkg]
+		allowed, known := allowedImports[pkg]
 		if seen[pkg] = true; !known {
-			t.Errorf("%s is not on the map of packages", pkg)
+			t.Errorf("package %s is missing in allowedImports", pkg)
 			return nil
 		}
 		parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.ImportsOnly)
@@ -78,12 +81,12 @@
 			if err != nil {
 				return err
 			}
-			if pkg == "balancer" && slices.Contains(impure, name) {
-				t.Errorf("%s: the decision module imports %s", file, name)
+			if pkg == "balancer" && slices.Contains(forbiddenImports, name) {
+				t.Errorf("%s: the decision module must not import %s", file, name)
 			}
 			own, ok := strings.CutPrefix(name, "sprucehill")
 			if own = strings.TrimPrefix(own, "/"); ok && !slices.Contains(allowed, own) {
-				t.Errorf("%s may not import %q", file, name)
+				t.Errorf("%s must not import %q", file, name)
 			}
 		}
 		return nil
@@ -91,9 +94,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for pkg := range imports {
+	for pkg := range allowedImports {
 		if !seen[pkg] {
-			t.Errorf("%q stands on the map, but there is no such package", pkg)
+			t.Errorf("allowedImports lists %q, but there is no such package", pkg)
 		}
 	}
 }
--- a/docs_test.go
+++ b/docs_test.go
@@ -18,32 +18,34 @@
 	"testing"
 )
 
-// What a page names in backquotes counts as code of this repository if it is one of these:
+// The following texts in backquotes on a page count as names of this repository's code:
 //
-//   - a path below one of topFolders, a file name that ends in .go, .md or .toml, or the target of a link;
-//   - a name with dots: `pkg.Name`, `Type.method`, `pkg.Type.field`. A dotted key of a configuration has to stand in a struct tag;
-//   - one word in camelCase or PascalCase, or any word with () behind it;
-//   - each word in the forms `file.go`: `a`, `b` and `a`, `b` (`file.go`), which has to be declared in that file.
+//   - a path below one of topFolders, a file name that ends in .go, .md or .toml, and the target of a link;
+//   - a qualified name: `pkg.Name`, `Type.method`, `pkg.Type.field`. The dotted key of a setting counts too: each of its parts
+//     has to be in a struct tag;
+//   - one word in camelCase or PascalCase, and any word followed by ();
+//   - each name in the forms `file.go`: `a`, `b` and `a`, `b` (`file.go`), which has to be declared in that file.
 //
-// Without backquotes too, the name of a test counts, and so do paths and -run patterns in commands. One lower-case word, a word
-// with _ or - and a word in capitals are settings, metrics, calls or commands, and no names of code.
+// Names of tests count without backquotes too, as do paths and the patterns of -run, -bench and -fuzz in commands. One word in
+// lower case, a word with _ or -, and a word in capitals do not count: they are settings, metrics, management calls or commands.
 var (
-	topFolders   = []string{".ci", "balancer", "cmd", "deploy", "docs", "examples", "internal", "tools"}
-	codeSpan     = regexp.MustCompile("`([^`]+)`")
-	link         = regexp.MustCompile(`\]\(([^)#:]+)(#[^)]*)?\)`)
-	testName     = regexp.MustCompile(`\b(Test|Fuzz|Benchmark|Example)[A-Z]\w*`)
-	runPattern   = regexp.MustCompile(`-(?:run|bench|fuzz)[ =]'?([\w|]+)`)
-	fileName     = regexp.MustCompile(`^[\w.*-]+\.(go|md|toml)$`)
-	dottedName   = regexp.MustCompile(`^[A-Za-z]\w*(\.[A-Za-z]\w*)+(\(\))?$`)
-	mixedCase    = regexp.MustCompile(`^([a-z]+[A-Z]|[A-Z]\w*[a-z])[A-Za-z0-9]*$`)
-	call         = regexp.MustCompile(`^\w+\(\)$`)
-	outputFile   = regexp.MustCompile(`\.(html|json|png|state)$`)
-	anyName      = regexp.MustCompile(`^[A-Za-z][\w.]*$`)
-	betweenNames = regexp.MustCompile(`^(,| and|, and)?\s+$`)
+	topFolders     = []string{".ci", "balancer", "cmd", "deploy", "docs", "examples", "internal", "tools"}
+	codeSpan       = regexp.MustCompile("`([^`]+)`")
+	linkTarget     = regexp.MustCompile(`\]\(([^)#:]+)(#[^)]*)?\)`)
+	testName       = regexp.MustCompile(`\b(Test|Fuzz|Benchmark|Example)[A-Z]\w*`)
+	runPattern     = regexp.MustCompile(`-(?:run|bench|fuzz)[ =]'?([\w|]+)`)
+	fileName       = regexp.MustCompile(`^[\w.*-]+\.(go|md|toml)$`)
+	qualifiedName  = regexp.MustCompile(`^[A-Za-z]\w*(\.[A-Za-z]\w*)+(\(\))?$`)
+	mixedCase      = regexp.MustCompile(`^([a-z]+[A-Z]|[A-Z]\w*[a-z])[A-Za-z0-9]*$`)
+	callForm       = regexp.MustCompile(`^\w+\(\)$`)
+	outputFile     = regexp.MustCompile(`\.(html|json|png|state)$`)
+	identifierPath = regexp.MustCompile(`^[A-Za-z][\w.]*$`)
+	listSeparator  = regexp.MustCompile(`^(,| and|, and)?\s+$`)
 )
 
-// namesOfOthers are names on the pages that belong to another project, or stand for any name.
-var namesOfOthers = map[string]string{
+// foreignNames has names on the pages that are not of this repository, each with the project that it belongs to. TestName
+// stands for any test.
+var foreignNames = map[string]string{
 	"Picker":                "grpc-go",
 	"Resolver":              "grpc-go",
 	"SubConn":               "grpc-go",
@@ -52,19 +54,20 @@
 	"TestName":              "any test",
 }
 
-// page is a Markdown file.
+// page is a Markdown page of the documentation.
 type page struct {
-	path string
-	text string // with the lines of code blocks emptied
-	code string // the code blocks
+	path       string
+	text       string // without the code blocks, whose lines are empty
+	codeBlocks string // only the code blocks; all other lines are empty
 }
 
-// mention is a backquoted text of a page.
+// mention is a text in backquotes on a page.
 type mention struct {
 	text       string
-	start, end int // in the page's text, backquotes included
+	start, end int // offsets in page.text, backquotes included
 }
 
+// readPages reads all pages of the documentation.
 func readPages(t *testing.T) []page {
 	t.Helper()
 	paths := []string{"README.md", "DEVELOPERS.md"}
@@ -84,10 +87,10 @@
 		p := page{path: filepath.ToSlash(file)}
 		for line := range strings.Lines(string(text)) {
 			if strings.HasPrefix(line, "    ") {
-				p.code += line
+				p.codeBlocks += line
 				p.text += "\n"
 			} else {
-				p.code += "\n"
+				p.codeBlocks += "\n"
 				p.text += line
 			}
 		}
@@ -96,6 +99,7 @@
 	return pages
 }
 
+// mentions returns all texts in backquotes. White space in them is reduced to single spaces.
 func (p page) mentions() []mention {
 	var mentions []mention
 	for _, at := range codeSpan.FindAllStringSubmatchIndex(p.text, -1) {
@@ -105,26 +109,27 @@
 	return mentions
 }
 
-// lineOf returns the number of the line that an offset of the page's text or code is in.
+// lineOf returns the number of the line that contains an offset of a text.
 func lineOf(text string, offset int) int { return 1 + strings.Count(text[:offset], "\n") }
 
-// codeIndex is what the Go files of the tree declare and use.
+// codeIndex contains the names that the Go files of the repository declare and use, and the paths of all its files.
 type codeIndex struct {
-	names    map[string]bool            // Name, Type.member, and both with the package before them
-	inFile   map[string]map[string]bool // the same by the path of a file
-	places   map[string][]string        // where the last part of a name is declared
-	bases    map[string][]string        // paths by the base name of all files
-	tests    []string                   // functions of test files that go test runs
-	literals bytes.Buffer               // all strings and struct tags, tests aside
+	names           map[string]bool            // Name, Type.member, and both qualified by their package
+	inFile          map[string]map[string]bool // the same, by the path of the declaring file
+	declarations    map[string][]string        // full names and files, by the last part of the name
+	filesByBaseName map[string][]string        // paths of all files and folders, by base name
+	testFunctions   []string                   // names of tests, benchmarks, fuzz tests and examples
+	stringLiterals  bytes.Buffer               // all strings and struct tags outside test files
 }
 
+// indexTree indexes all files of the repository. The journal is left out.
 func indexTree(t *testing.T) *codeIndex {
 	t.Helper()
 	index := &codeIndex{
-		names:  map[string]bool{},
-		inFile: map[string]map[string]bool{},
-		places: map[string][]string{},
-		bases:  map[string][]string{},
+		names:           map[string]bool{},
+		inFile:          map[string]map[string]bool{},
+		declarations:    map[string][]string{},
+		filesByBaseName: map[string][]string{},
 	}
 	err := filepath.WalkDir(".", func(file string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -134,7 +139,7 @@
 			return filepath.SkipDir
 		}
 		file = filepath.ToSlash(file)
-		index.bases[path.Base(file)] = append(index.bases[path.Base(file)], file)
+		index.filesByBaseName[path.Base(file)] = append(index.filesByBaseName[path.Base(file)], file)
 		if entry.IsDir() || path.Ext(file) != ".go" {
 			return nil
 		}
@@ -146,6 +151,7 @@
 	return index
 }
 
+// addFile adds the declarations, the string literals and the names used from other modules of a Go file.
 func (index *codeIndex) addFile(file string) error {
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
 	if err != nil {
@@ -175,7 +181,7 @@
 			}
 		case *ast.BasicLit:
 			if node.Kind == token.STRING && !strings.HasSuffix(file, "_test.go") {
-				index.literals.WriteString(node.Value + "\n")
+				index.stringLiterals.WriteString(node.Value + "\n")
 			}
 		}
 		return true
@@ -183,8 +189,9 @@
 	return nil
 }
 
-func (index *codeIndex) addDeclaration(file, pkg string, declaration ast.Decl) {
-	switch declaration := declaration.(type) {
+// addDeclaration adds the names that a top-level declaration declares.
+func (index *codeIndex) addDeclaration(file, pkg string, node ast.Decl) {
+	switch declaration := node.(type) {
 	case *ast.FuncDecl:
 		name := declaration.Name.Name
 		if declaration.Recv != nil {
@@ -193,7 +200,7 @@
 		}
 		index.add(file, pkg, name)
 		if strings.HasSuffix(file, "_test.go") && testName.MatchString(name) {
-			index.tests = append(index.tests, name)
+			index.testFunctions = append(index.testFunctions, name)
 		}
 	case *ast.GenDecl:
 		for _, spec := range declaration.Specs {
@@ -227,23 +234,26 @@
 	})
 }
 
+// addMember adds a field or method.
 func (index *codeIndex) addMember(file, pkg, typeName, member string) {
 	index.names[member] = true
 	index.inFile[file][member] = true
 	index.add(file, pkg, typeName+"."+member)
 }
 
+// add adds a declared name.
 func (index *codeIndex) add(file, pkg, name string) {
 	for _, form := range []string{name, pkg + "." + name} {
 		index.names[form] = true
 		index.inFile[file][form] = true
 	}
 	last := name[strings.LastIndex(name, ".")+1:]
-	index.places[last] = append(index.places[last], fmt.Sprintf("%s.%s (%s)", pkg, name, file))
+	index.declarations[last] = append(index.declarations[last], fmt.Sprintf("%s.%s (%s)", pkg, name, file))
 }
 
-func receiverType(expression ast.Expr) string {
-	switch expression := expression.(type) {
+// receiverType returns the name of a receiver's type, or "" if it has none.
+func receiverType(typeExpression ast.Expr) string {
+	switch expression := typeExpression.(type) {
 	case *ast.StarExpr:
 		return receiverType(expression.X)
 	case *ast.IndexExpr:
@@ -256,11 +266,11 @@
 	return ""
 }
 
-// findFiles returns the paths that a path or a bare file name stands for.
+// findFiles returns the files that a path, which may contain wildcards, or a bare file name refers to.
 func (index *codeIndex) findFiles(name string) []string {
 	name = strings.TrimSuffix(strings.TrimPrefix(name, "./"), "/")
 	if !strings.Contains(name, "/") {
-		return index.bases[name]
+		return index.filesByBaseName[name]
 	}
 	found, err := filepath.Glob(name)
 	if err != nil {
@@ -269,39 +279,39 @@
 	return found
 }
 
-// isPath reports whether a word is a path of this repository.
+// isPath reports whether a word has the form of a path in this repository.
 func isPath(word string) bool {
 	top, _, hasFolder := strings.Cut(strings.TrimPrefix(word, "./"), "/")
 	return hasFolder && slices.Contains(topFolders, top) && !strings.ContainsAny(word, "<>{} ")
 }
 
-// check returns what is wrong with a name that a page mentions, or nothing.
-func (index *codeIndex) check(name string) string {
+// checkName returns the problem of a name that a page mentions, or "" if there is none.
+func (index *codeIndex) checkName(name string) string {
 	bare := strings.TrimSuffix(name, "()")
 	switch {
-	case outputFile.MatchString(name), namesOfOthers[bare] != "": // a program writes or reads it, or it is no name of this tree
+	case outputFile.MatchString(name), foreignNames[bare] != "": // a file that a program writes or reads, or a name of another project
 	case isPath(name) || fileName.MatchString(name):
 		if len(index.findFiles(strings.TrimSuffix(name, "/..."))) == 0 {
 			return "no such file or folder"
 		}
-	case dottedName.MatchString(name) && !index.names[bare] && !index.isKey(bare),
-		(mixedCase.MatchString(name) || call.MatchString(name)) && !index.names[bare]:
-		return "no such name in the code" + index.hint(bare)
+	case qualifiedName.MatchString(name) && !index.names[bare] && !index.isKey(bare),
+		(mixedCase.MatchString(name) || callForm.MatchString(name)) && !index.names[bare]:
+		return "not declared in the code" + index.hint(bare)
 	}
 	return ""
 }
 
-// isKey reports whether each part of a dotted name is a key in a struct tag.
+// isKey reports whether each part of a dotted name is the key of a struct tag.
 func (index *codeIndex) isKey(name string) bool {
 	for part := range strings.SplitSeq(name, ".") {
-		if !bytes.Contains(index.literals.Bytes(), []byte(`:"`+part+`"`)) {
+		if !bytes.Contains(index.stringLiterals.Bytes(), []byte(`:"`+part+`"`)) {
 			return false
 		}
 	}
 	return true
 }
 
-// checkInFile returns what is wrong with a name that a page says to stand in a file, or nothing.
+// checkInFile returns the problem of a name that, by a page, is declared in a file, or "" if there is none.
 func (index *codeIndex) checkInFile(file, name string) string {
 	for _, candidate := range index.findFiles(file) {
 		if index.inFile[candidate][strings.TrimSuffix(name, "()")] {
@@ -311,54 +321,54 @@
 	return "not declared in " + file + index.hint(name)
 }
 
-// hint says where else the last part of a name is declared.
+// hint lists up to three places where the last part of a name is declared.
 func (index *codeIndex) hint(name string) string {
 	last := name[strings.LastIndex(name, ".")+1:]
-	if places := index.places[last]; len(places) > 0 {
-		return "; the tree has " + strings.Join(places[:min(len(places), 3)], ", ")
+	if places := index.declarations[last]; len(places) > 0 {
+		return "; declared elsewhere: " + strings.Join(places[:min(len(places), 3)], ", ")
 	}
 	return ""
 }
 
-// checkPage returns each wrong mention of a page, with its line.
+// checkPage returns a message on each mention of a page that refers to nothing in the repository.
 func (index *codeIndex) checkPage(p page) []string {
-	var wrong []string
+	var problems []string
 	report := func(text string, offset int, name, problem string) {
 		message := fmt.Sprintf("%s:%d: `%s`: %s", p.path, lineOf(text, offset), name, problem)
-		if problem != "" && !slices.Contains(wrong, message) {
-			wrong = append(wrong, message)
+		if problem != "" && !slices.Contains(problems, message) {
+			problems = append(problems, message)
 		}
 	}
 	mentions := p.mentions()
 	for i, m := range mentions {
-		report(p.text, m.start, m.text, index.check(m.text))
+		report(p.text, m.start, m.text, index.checkName(m.text))
 		if path.Ext(m.text) != ".go" {
 			continue
 		}
-		for _, name := range namesOfFile(p.text, mentions, i) {
+		for _, name := range namesOfMentionedFile(p.text, mentions, i) {
 			report(p.text, name.start, name.text, index.checkInFile(m.text, name.text))
 		}
 	}
-	for _, at := range link.FindAllStringSubmatchIndex(p.text, -1) {
+	for _, at := range linkTarget.FindAllStringSubmatchIndex(p.text, -1) {
 		target := path.Join(path.Dir(p.path), p.text[at[2]:at[3]])
 		if _, err := os.Stat(filepath.FromSlash(target)); err != nil {
-			report(p.text, at[2], target, "link to no file")
+			report(p.text, at[2], target, "the target of the link does not exist")
 		}
 	}
-	for _, text := range []string{p.text, p.code} {
-		index.checkTests(text, report)
+	for _, text := range []string{p.text, p.codeBlocks} {
+		index.checkTestsAndPaths(text, report)
 	}
-	return wrong
+	return problems
 }
 
-// namesOfFile returns the names that a page says to be in the file that mention i names: those behind a colon after it, or before
-// it where it stands in parentheses.
-func namesOfFile(text string, mentions []mention, i int) []mention {
+// namesOfMentionedFile returns the names that, by a page, are declared in the file of mention i: those that follow it after a
+// colon, and those that precede it if it is in parentheses.
+func namesOfMentionedFile(text string, mentions []mention, i int) []mention {
 	var names []mention
 	file := mentions[i]
 	if strings.HasPrefix(text[file.end:], ": `") {
-		for k := i + 1; k < len(mentions) && anyName.MatchString(mentions[k].text) && path.Ext(mentions[k].text) != ".go"; k++ {
-			if k > i+1 && !betweenNames.MatchString(text[mentions[k-1].end:mentions[k].start]) {
+		for k := i + 1; k < len(mentions) && identifierPath.MatchString(mentions[k].text) && path.Ext(mentions[k].text) != ".go"; k++ {
+			if k > i+1 && !listSeparator.MatchString(text[mentions[k-1].end:mentions[k].start]) {
 				break
 			}
 			names = append(names, mentions[k])
@@ -366,7 +376,7 @@
 	}
 	if strings.HasSuffix(text[:file.start], "(") && strings.HasPrefix(text[file.end:], ")") {
 		next := file.start - 1
-		for k := i - 1; k >= 0 && anyName.MatchString(mentions[k].text) && betweenNames.MatchString(text[mentions[k].end:next]); k-- {
+		for k := i - 1; k >= 0 && identifierPath.MatchString(mentions[k].text) && listSeparator.MatchString(text[mentions[k].end:next]); k-- {
 			names = append(names, mentions[k])
 			next = mentions[k].start
 		}
@@ -374,16 +384,17 @@
 	return names
 }
 
-// checkTests checks the names of tests, -run patterns and paths in a text, backquoted or not.
-func (index *codeIndex) checkTests(text string, report func(text string, offset int, name, problem string)) {
+// checkTestsAndPaths checks the names of tests, the patterns of -run, -bench and -fuzz, and the paths in a text, in backquotes
+// or not.
+func (index *codeIndex) checkTestsAndPaths(text string, report func(text string, offset int, name, problem string)) {
 	for _, at := range testName.FindAllStringIndex(text, -1) {
-		if name := text[at[0]:at[1]]; !index.names[name] && namesOfOthers[name] == "" {
+		if name := text[at[0]:at[1]]; !index.names[name] && foreignNames[name] == "" {
 			report(text, at[0], name, "no such test")
 		}
 	}
 	for _, at := range runPattern.FindAllStringSubmatchIndex(text, -1) {
 		pattern := text[at[2]:at[3]]
-		if !slices.ContainsFunc(index.tests, regexp.MustCompile(pattern).MatchString) {
+		if !slices.ContainsFunc(index.testFunctions, regexp.MustCompile(pattern).MatchString) {
 			report(text, at[2], pattern, "matches no test")
 		}
 	}
@@ -393,43 +404,44 @@
 			word, _, _ = strings.Cut(strings.TrimLeft(word, "`('\"|"), "`")
 			word = strings.TrimRight(word, "),;:.'\"|")
 			if isPath(word) {
-				report(text, offset, word, index.check(word))
+				report(text, offset, word, index.checkName(word))
 			}
 		}
 		offset += len(line)
 	}
 }
 
-// Every path, file, function, type, method and test that a page names exists.
+// Each path, file, function, type, method and test that a page mentions exists.
 func TestDocsNameExistingCode(t *testing.T) {
 	index := indexTree(t)
-	for _, name := range slices.Sorted(maps.Keys(namesOfOthers)) {
+	for _, name := range slices.Sorted(maps.Keys(foreignNames)) {
 		if index.names[name] {
-			t.Errorf("docs_test.go: %s is a name of this tree now: take it off the names of %s", name, namesOfOthers[name])
+			t.Errorf("docs_test.go: foreignNames has %s as a name of %s, but this repository declares it", name, foreignNames[name])
 		}
 	}
 	for _, p := range readPages(t) {
-		for _, wrong := range index.checkPage(p) {
-			t.Error(wrong)
+		for _, problem := range index.checkPage(p) {
+			t.Error(problem)
 		}
 	}
 }
 
-// Each package has a row in the table of packages.
+// Each package of allowedImports has a row in the table of packages in docs/ARCHITECTURE.md.
 func TestArchitectureListsEachPackage(t *testing.T) {
 	text, err := os.ReadFile("docs/ARCHITECTURE.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	firstCells := regexp.MustCompile("(?m)^\\| (`[^|]*) \\|").FindAllString(string(text), -1)
-	for _, pkg := range slices.Sorted(maps.Keys(imports)) {
+	for _, pkg := range slices.Sorted(maps.Keys(allowedImports)) {
 		if !strings.Contains(strings.Join(firstCells, "\n"), "`"+pkg+"`") {
 			t.Errorf("docs/ARCHITECTURE.md: `%s` has no row in the table of packages", pkg)
 		}
 	}
 }
 
-// Each log message in a table whose first column is named "line" is a string of the program; … stands for what is left out.
+// Each log message in the first column of a table is a string literal of the program, if the header of that column is "line".
+// An ellipsis (…) stands for a part of the message that is left out.
 func TestDocsQuoteLogMessages(t *testing.T) {
 	index := indexTree(t)
 	quoted := 0
@@ -445,8 +457,8 @@
 			for _, message := range codeSpan.FindAllStringSubmatch(first, -1) {
 				quoted++
 				for part := range strings.SplitSeq(message[1], "…") {
-					if !bytes.Contains(index.literals.Bytes(), []byte(strings.TrimSpace(part))) {
-						t.Errorf("%s:%d: `%s`: no string of the program has it", p.path, number, strings.TrimSpace(part))
+					if !bytes.Contains(index.stringLiterals.Bytes(), []byte(strings.TrimSpace(part))) {
+						t.Errorf("%s:%d: `%s`: not found in any string literal of the program", p.path, number, strings.TrimSpace(part))
 					}
 				}
 			}
@@ -457,8 +469,9 @@
 	}
 }
 
-// Each row of the glossary has four cells: the word, the field's term, identifiers, a sentence. Identifiers are qualified by their
-// package, or "-" stands where the code has none; words in backquotes are strings of the program.
+// Each row of the table in docs/glossary.md has four cells with text: the word, the usual term of the field, identifiers, and a
+// sentence. Identifiers are declared and qualified by their package; "-" means that the code has none. Words in backquotes are
+// part of a string literal of the program.
 func TestGlossaryIdentifiersExist(t *testing.T) {
 	index := indexTree(t)
 	rows := 0
@@ -474,8 +487,8 @@
 				continue
 			}
 			rows++
-			for _, wrong := range index.checkGlossaryRow(cells) {
-				t.Errorf("%s:%d: %s", p.path, number, wrong)
+			for _, problem := range index.checkGlossaryRow(cells) {
+				t.Errorf("%s:%d: %s", p.path, number, problem)
 			}
 		}
 	}
@@ -484,24 +497,25 @@
 	}
 }
 
+// checkGlossaryRow returns the problems of a row of the glossary.
 func (index *codeIndex) checkGlossaryRow(cells []string) []string {
 	if len(cells) != 4 || slices.ContainsFunc(cells, func(cell string) bool { return strings.TrimSpace(cell) == "" }) {
-		return []string{fmt.Sprintf("want four cells with text, have %q", cells)}
+		return []string{fmt.Sprintf("got cells %q, want four with text", cells)}
 	}
-	var wrong []string
+	var problems []string
 	for _, word := range codeSpan.FindAllStringSubmatch(cells[0], -1) {
-		if !bytes.Contains(index.literals.Bytes(), []byte(word[1])) {
-			wrong = append(wrong, fmt.Sprintf("`%s`: no string of the program has it", word[1]))
+		if !bytes.Contains(index.stringLiterals.Bytes(), []byte(word[1])) {
+			problems = append(problems, fmt.Sprintf("`%s`: not found in any string literal of the program", word[1]))
 		}
 	}
 	identifiers := codeSpan.FindAllStringSubmatch(cells[2], -1)
 	if len(identifiers) == 0 && strings.TrimSpace(cells[2]) != "-" {
-		wrong = append(wrong, fmt.Sprintf("the third cell names no identifier: %q", cells[2]))
+		problems = append(problems, fmt.Sprintf("got third cell %q, want identifiers in backquotes or -", cells[2]))
 	}
 	for _, identifier := range identifiers {
 		if name := identifier[1]; !strings.Contains(name, ".") || !index.names[name] {
-			wrong = append(wrong, fmt.Sprintf("`%s`: no such qualified name in the code%s", name, index.hint(name)))
+			problems = append(problems, fmt.Sprintf("`%s`: not a qualified name that the code declares%s", name, index.hint(name)))
 		}
 	}
-	return wrong
+	return problems
 }
