--- a/cmd/balancerctl/comparetext.go
+++ b/cmd/balancerctl/comparetext.go
@@ -22,17 +22,17 @@
 // comparisonRow returns the row of one measure.
 func comparisonRow(row compare.Row) []any {
 	ratio := "-"
-	spread := "-"
+	ratioRange := "-"
 	if row.RatioOfMeans != 0 {
 		ratio = fmt.Sprintf("%.3f", row.RatioOfMeans)
-		spread = fmt.Sprintf("%.3f to %.3f", row.LowestRatio, row.HighestRatio)
+		ratioRange = fmt.Sprintf("%.3f to %.3f", row.LowestRatio, row.HighestRatio)
 	}
 	return []any{
 		strings.TrimSpace(row.Measure + " " + row.Unit),
 		fmt.Sprintf("%.4g", row.MeanA),
 		fmt.Sprintf("%.4g", row.MeanB),
 		ratio,
-		spread,
+		ratioRange,
 		fmt.Sprintf("%+.4g ± %.2g", row.MeanDiff, row.DiffHalfInterval),
 		formatSignificance(row),
 	}
--- a/cmd/balancerctl/crash.go
+++ b/cmd/balancerctl/crash.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 
 	"sprucehill/internal/lab/crash"
@@ -24,7 +23,8 @@
 // Run runs the matrix of crashes and prints its counts and violations. It returns errCheckFailed if there is a violation.
 func (c *crashCmd) Run() error {
 	if !c.isInRange() {
-		return errors.New("flag out of range: --upstreams must be 1 to 5000, --rounds 1 to 100, --every at least 1, --again at least 0")
+		return fmt.Errorf("flag out of range: --upstreams must be 1 to %d, --rounds 1 to %d, --every at least 1, --again at least 0",
+			maxCrashUpstreams, maxCrashRounds)
 	}
 	saves := crash.GenerateSaves(c.Rounds, c.Upstreams, c.Seed)
 	r, err := crash.Run(saves, crash.Options{SampleOneIn: c.Every, RecoveryCutOneIn: c.Again, Seed: c.Seed})
