--- a/cmd/balancerctl/main.go
+++ b/cmd/balancerctl/main.go
@@ -36,7 +36,7 @@
 		Show  showCmd  `cmd:"" help:"Show a scenario's fleet, network, load and faults as tables."`
 
 		Compare compareCmd `cmd:"" help:"Run a scenario with the same seeds on two sides and report which differences are statistically significant."`
-		Scale   scaleCmd   `cmd:"" help:"Model a scenario on fleets of several sizes and plot the time and memory that each takes."`
+		Scale   scaleCmd   `cmd:"" help:"Model a scenario on fleets of several sizes, and report and plot the cost of each."`
 		Explore exploreCmd `cmd:"" help:"Search the reachable states of the lease protocol for one in which two members hold the same role."`
 		Crash   crashCmd   `cmd:"" help:"Simulate a power loss at every byte that is written to a state folder and a flip of every byte, and check what is read afterwards."`
 	} `cmd:"" help:"Run scenarios of an emulated fleet with regions, faults and clients, and check that no rule is violated."`
