--- a/internal/lab/program/program.go
+++ b/internal/lab/program/program.go
@@ -1,4 +1,5 @@
-// Package program finds and builds the balancer by its deploy file, as the platform does.
+// Package program locates a balancer's source tree by its deploy file, and builds and starts the balancer with the commands
+// in that file, as the platform does.
 package program
 
 import (
@@ -13,59 +14,60 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// deployFile is where a repository says how its program is built and run.
+// deployFile is the path, from the root of a source tree, of the file with the commands that build and run the balancer.
 const deployFile = "deploy/balancer.toml"
 
-// ErrNotFound says that there is no program here.
-var ErrNotFound = errors.New("no program")
+// ErrUnusable is wrapped by every error of Find and Build.
+var ErrUnusable = errors.New("no usable balancer program")
 
-// Program is a work tree that holds a balancer.
+// Program is a source tree with a balancer's deploy file.
 type Program struct {
-	Root  string
-	build string
-	run   string
+	Root         string // directory that contains deploy/
+	buildCommand string // for /bin/sh
+	runCommand   string // for /bin/sh
 }
 
-// Find looks for the deploy file in a folder and above it.
+// Find looks for the deploy file in a directory and, in turn, in each of its parents.
 func Find(dir string) (*Program, error) {
-	at, err := filepath.Abs(dir)
+	root, err := filepath.Abs(dir)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNotFound, err)
+		return nil, fmt.Errorf("%w: absolute path of %s: %w", ErrUnusable, dir, err)
 	}
-	for ; ; at = filepath.Dir(at) {
-		text, err := os.ReadFile(filepath.Join(at, deployFile))
+	for ; ; root = filepath.Dir(root) {
+		text, err := os.ReadFile(filepath.Join(root, deployFile))
 		if err == nil {
-			return parse(at, text)
+			return parse(root, text)
 		}
-		if at == filepath.Dir(at) {
-			return nil, fmt.Errorf("%w: %s is neither in %s nor above it", ErrNotFound, deployFile, dir)
+		if root == filepath.Dir(root) {
+			return nil, fmt.Errorf("%w: %s found neither in %s nor in a parent directory", ErrUnusable, deployFile, dir)
 		}
 	}
 }
 
+// parse reads a deploy file's text. root is the directory that contains deploy/.
 func parse(root string, text []byte) (*Program, error) {
-	var f struct {
+	var deploy struct {
 		Build string `toml:"build"`
 		Run   string `toml:"run"`
 	}
-	if err := toml.Unmarshal(text, &f); err != nil {
-		return nil, fmt.Errorf("%w: %s: %w", ErrNotFound, filepath.Join(root, deployFile), err)
+	if err := toml.Unmarshal(text, &deploy); err != nil {
+		return nil, fmt.Errorf("%w: parse %s: %w", ErrUnusable, filepath.Join(root, deployFile), err)
 	}
-	if f.Build == "" || f.Run == "" {
-		return nil, fmt.Errorf("%w: %s lacks build or run", ErrNotFound, filepath.Join(root, deployFile))
+	if deploy.Build == "" || deploy.Run == "" {
+		return nil, fmt.Errorf("%w: %s: build and run must both be set", ErrUnusable, filepath.Join(root, deployFile))
 	}
-	return &Program{Root: root, build: f.Build, run: f.Run}, nil
+	return &Program{Root: root, buildCommand: deploy.Build, runCommand: deploy.Run}, nil
 }
 
-// Build builds it. The error of a failed build contains what the build printed.
+// Build runs the build command in Root. The error of a failed build contains the command's output.
 func (p *Program) Build(ctx context.Context) error {
-	cmd := exec.CommandContext(ctx, "/bin/sh", "-c", p.build)
+	cmd := exec.CommandContext(ctx, "/bin/sh", "-c", p.buildCommand)
 	cmd.Dir = p.Root
 	if out, err := cmd.CombinedOutput(); err != nil {
-		return fmt.Errorf("%w: build in %s: %w: %s", ErrNotFound, p.Root, err, strings.TrimSpace(string(out)))
+		return fmt.Errorf("%w: build in %s: %w: %s", ErrUnusable, p.Root, err, strings.TrimSpace(string(out)))
 	}
 	return nil
 }
 
-// Command starts one balancer, from Root.
-func (p *Program) Command() []string { return []string{"/bin/sh", "-c", p.run} }
+// Command is the command line that starts one balancer. Its working directory has to be Root.
+func (p *Program) Command() []string { return []string{"/bin/sh", "-c", p.runCommand} }
