--- a/internal/lab/link/conn.go
+++ b/internal/lab/link/conn.go
@@ -11,16 +11,16 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// Conn is a connection between two parties, at the near one's end.
+// Conn is the near party's end of a connection to the far party.
 type Conn struct {
 	net.Conn
 	network   *Network
 	near, far scenario.Party
 	closed    chan struct{}
-	once      sync.Once // closes closed
+	closeOnce sync.Once // for closed
 }
 
-// Wrap makes an open connection one of the network.
+// Wrap puts an established connection under the control of the network.
 func (n *Network) Wrap(c net.Conn, near, far scenario.Party) *Conn {
 	wrapped := &Conn{Conn: c, network: n, near: near, far: far, closed: make(chan struct{})}
 	n.mu.Lock()
@@ -29,25 +29,25 @@
 	return wrapped
 }
 
-// waitInTransit waits for as long as size bytes that set out at a moment are in transit, or until the connection is
-// closed.
-func (c *Conn) waitInTransit(from, to scenario.Party, size int, setOutAt time.Time) error {
+// waitInTransit waits until size bytes that were sent at a given time have passed the link, or until the connection is
+// closed. Bytes that a cut holds back are sent again, with the full delay, when the link is up.
+func (c *Conn) waitInTransit(from, to scenario.Party, size int, sentAt time.Time) error {
 	for {
 		t := c.network.transit(from, to, size)
 		if t.cut {
 			select {
 			case <-t.changed:
-				setOutAt = time.Now() // it is sent again once the link is up
+				sentAt = time.Now()
 				continue
 			case <-c.closed:
 				return net.ErrClosed
 			}
 		}
-		left := t.delay - time.Since(setOutAt)
-		if left <= 0 {
+		remaining := t.delay - time.Since(sentAt)
+		if remaining <= 0 {
 			return nil
 		}
-		if err := c.sleep(left); err != nil {
+		if err := c.sleep(remaining); err != nil {
 			return err
 		}
 		if !c.network.transit(from, to, 0).cut {
@@ -56,7 +56,7 @@
 	}
 }
 
-// sleep waits for a time, or until the connection is closed.
+// sleep waits for d, or until the connection is closed.
 func (c *Conn) sleep(d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -68,7 +68,7 @@
 	}
 }
 
-// Read returns what the far party sent, once it has arrived. The end of the connection is delayed too.
+// Read returns what the far party sent, delayed by the link. The end of the connection is delayed too.
 func (c *Conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed) {
@@ -80,7 +80,8 @@
 	return n, err
 }
 
-// Write sends p. It returns when p has arrived in the far party's buffers.
+// Write delays p by the link and then writes it to the socket, so that p is in the far party's receive buffer when Write
+// returns.
 func (c *Conn) Write(p []byte) (int, error) {
 	if err := c.waitInTransit(c.near, c.far, len(p), time.Now()); err != nil {
 		return 0, err
@@ -88,8 +89,8 @@
 	return c.Conn.Write(p)
 }
 
-// Pending reports, without waiting, whether there are unread bytes or the end of the connection.
-func (c *Conn) Pending() (waiting, ended bool) {
+// Pending reports, without blocking, whether there are unread bytes and whether the connection has ended.
+func (c *Conn) Pending() (unread, ended bool) {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false, true
@@ -106,22 +107,23 @@
 	return n > 0, n <= 0 && !errors.Is(peekErr, syscall.EAGAIN)
 }
 
-// Close closes the connection. The far party notices when the link lets the end through.
+// Close closes the connection. The far party sees the end of the stream when the link delivers it.
 func (c *Conn) Close() error {
 	c.unregister()
 	return c.Conn.Close()
 }
 
-// Reset closes the connection at once, also under what is being sent.
+// Reset aborts the connection, with a TCP RST, even while data is being sent.
 func (c *Conn) Reset() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // an error means that it is closed already
+		_ = t.SetLinger(0) // an error means that the socket is closed already
 	}
 	c.Close()
 }
 
+// unregister ends the waits of the connection and removes it from the network.
 func (c *Conn) unregister() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.closed)
 		c.network.mu.Lock()
 		delete(c.network.conns, c)
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -11,7 +11,9 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-const cutDay = `
+// cutScenario has one balancer, one upstream and two faults: 0 cuts the link between them, and 1 cuts the direction from the
+// upstream to the balancer.
+const cutScenario = `
 length = "10s"
 [[region]]
 name = "r"
@@ -40,14 +42,18 @@
 one_way = true
 `
 
-var b, u = scenario.Party{Kind: scenario.BalancerParty}, scenario.Party{Kind: scenario.UpstreamParty}
+var (
+	balancerParty = scenario.Party{Kind: scenario.BalancerParty}
+	upstreamParty = scenario.Party{Kind: scenario.UpstreamParty}
+)
 
-// connect returns a network and the two ends of a connection over it: the balancer's own, and the upstream's.
+// connect returns a network with a listener of the upstream's and the two ends of a connection to it: far is the
+// balancer's plain socket, near the upstream's end in the network.
 func connect(t *testing.T) (*Network, *Listener, net.Conn, *Conn) {
 	t.Helper()
-	d := labtest.Day(t, cutDay)
-	n := New(d.NewPaths(d.Fleet()), 1)
-	l, err := n.Listen(u, b, "127.0.0.1:0")
+	sc := labtest.Day(t, cutScenario)
+	n := New(sc.NewPaths(sc.Fleet()), 1)
+	l, err := n.Listen(upstreamParty, balancerParty, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,10 +71,10 @@
 	return n, l, far, near
 }
 
-// arrives reports whether a byte from one end has come to the other within a time.
+// arrives reports whether a byte that is written at one end can be read at the other within a time.
 func arrives(t *testing.T, from io.Writer, to net.Conn, within time.Duration) bool {
 	t.Helper()
-	go func() { _, _ = io.WriteString(from, "x") }() // a byte that is not written does not arrive
+	go func() { _, _ = io.WriteString(from, "x") }() // an error shows as a byte that does not arrive
 	got := make(chan error, 1)
 	go func() {
 		_, err := io.ReadFull(to, make([]byte, 1))
@@ -85,11 +91,12 @@
 	}
 }
 
-// A cut link keeps its connections, silent; what was sent comes when it is up again.
+// A connection over a cut link is neither closed nor reset, and carries no data. What was sent during the cut arrives when
+// the link is up again.
 func TestCutIsSilent(t *testing.T) {
 	n, _, far, near := connect(t)
 	if !arrives(t, far, near, 10*time.Second) {
-		t.Fatal("nothing passes on a whole way")
+		t.Fatal("no byte arrived before the cut")
 	}
 	n.Apply(0, scenario.Begin)
 	got := make(chan error, 1)
@@ -102,28 +109,29 @@
 	}()
 	select {
 	case err := <-got:
-		t.Fatalf("a cut way passed a byte or an error on: %v", err)
+		t.Fatalf("read over a cut link returned (error %v); it must block", err)
 	case <-time.After(300 * time.Millisecond):
 	}
 	n.Apply(0, scenario.End)
 	if err := <-got; err != nil {
-		t.Fatalf("after the cut: %v", err)
+		t.Fatalf("read after the cut: %v", err)
 	}
 }
 
-// A link that is cut in one direction passes the other.
+// A link that is cut in one direction still delivers in the other.
 func TestOneWayCut(t *testing.T) {
 	n, _, far, near := connect(t)
 	n.Apply(1, scenario.Begin)
 	if !arrives(t, far, near, 10*time.Second) {
-		t.Error("balancer to upstream is not cut, but nothing passes")
+		t.Error("balancer to upstream is not cut, but no byte arrived")
 	}
 	if arrives(t, near, far, 300*time.Millisecond) {
-		t.Error("upstream to balancer is cut, but a byte passes")
+		t.Error("upstream to balancer is cut, but a byte arrived")
 	}
 }
 
-// New connections do not come up over a cut, are neither refused nor reset, and come up when it ends. Cuts overlap.
+// While a link is cut, a new connection is neither established nor refused nor reset. It is established after the last of
+// several overlapping cuts has ended.
 func TestCutTakesNoConnections(t *testing.T) {
 	n, l, _, _ := connect(t)
 	address := l.tcp.Addr().String()
@@ -132,20 +140,20 @@
 	n.Apply(0, scenario.End)
 	_, err := net.DialTimeout("tcp", address, 300*time.Millisecond)
 	if timeout := net.Error(nil); !errors.As(err, &timeout) || !timeout.Timeout() {
-		t.Errorf("over a cut: %v", err)
+		t.Errorf("dial over a cut link: got %v, want a timeout", err)
 	}
 	n.Apply(1, scenario.End)
 	c, err := net.DialTimeout("tcp", address, 10*time.Second)
 	if err != nil {
-		t.Fatalf("after the cut: %v", err)
+		t.Fatalf("dial after the cut: %v", err)
 	}
 	defer c.Close()
-	taken, err := l.Accept()
+	accepted, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	if taken.RemoteAddr().String() != c.LocalAddr().String() {
-		t.Errorf("took %v, not the connection that was opened", taken.RemoteAddr())
+	defer accepted.Close()
+	if accepted.RemoteAddr().String() != c.LocalAddr().String() {
+		t.Errorf("accepted the connection from %v, want the one from %v", accepted.RemoteAddr(), c.LocalAddr())
 	}
 }
--- a/internal/lab/link/listener.go
+++ b/internal/lab/link/listener.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// backlog is how many connections the kernel keeps for Accept while they are taken.
+	// backlog is the kernel's limit of established connections that wait for Accept, while the listener is not blocked.
 	backlog = 1024
-	// pendingWait is how long ResetPending looks for another connection.
-	pendingWait = 2 * time.Millisecond
-	// fillTimeout is how long blocking a listener may take to fill its backlog.
+	// pendingTimeout is how long ResetPending waits for another connection in the backlog.
+	pendingTimeout = 2 * time.Millisecond
+	// fillTimeout limits the dial that fills the backlog of a listener that is being blocked.
 	fillTimeout = time.Second
 )
 
-// longAgo is a deadline that makes Accept return at once.
+// longAgo is a deadline in the past, which makes Accept return immediately.
 var longAgo = time.Unix(1, 0)
 
-// Listener takes connections from one party for another.
+// Listener accepts connections from one party, far, to another, near.
 //
-// To take none as a network does that is cut, without refusing them, it fills the kernel's backlog: the kernel then drops
-// every further SYN.
+// A cut network neither establishes nor refuses connections. To emulate that, a blocked listener fills the kernel's
+// backlog with a connection of its own: the kernel then drops every further SYN.
 type Listener struct {
 	network *Network
 	near    scenario.Party
@@ -35,22 +35,22 @@
 	tcp     *net.TCPListener
 
 	mu         sync.Mutex
-	full       bool          // its owner takes no more
-	blocked    bool          // it takes none
-	opened     chan struct{} // closed while it is not blocked
+	full       bool          // set by SetFull
+	blocked    bool          // no connection is established
+	unblocked  chan struct{} // closed while the listener is not blocked
 	filler     net.Conn      // fills the backlog; nil: it is not filled
-	fillerAddr string        // of the last filler, which Accept must not return
+	fillerAddr string        // local address of the last filler, which Accept must not return
 	closed     bool
 }
 
-// Listen takes connections that far opens to near at an address of near's for far alone.
+// Listen listens at an address of near's that only far connects to.
 func (n *Network) Listen(near, far scenario.Party, address string) (*Listener, error) {
 	tcp, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("an emulated address is not free: %w", err)
+		return nil, fmt.Errorf("listen for connections to an emulated address: %w", err)
 	}
-	l := &Listener{network: n, near: near, far: far, tcp: tcp.(*net.TCPListener), opened: make(chan struct{})}
-	close(l.opened)
+	l := &Listener{network: n, near: near, far: far, tcp: tcp.(*net.TCPListener), unblocked: make(chan struct{})}
+	close(l.unblocked)
 	n.mu.Lock()
 	n.listeners[l] = struct{}{}
 	n.mu.Unlock()
@@ -58,26 +58,26 @@
 	return l, nil
 }
 
-// Accept returns the next connection.
+// Accept returns the next connection. While the listener is blocked it waits.
 func (l *Listener) Accept() (*Conn, error) {
 	for {
 		l.mu.Lock()
-		opened := l.opened
+		unblocked := l.unblocked
 		closed := l.closed
-		filler := l.fillerAddr
+		fillerAddr := l.fillerAddr
 		l.mu.Unlock()
 		if closed {
 			return nil, net.ErrClosed
 		}
-		<-opened
+		<-unblocked
 		c, err := l.tcp.AcceptTCP()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			continue // blocked meanwhile
+			continue // the listener was blocked meanwhile
 		}
 		if err != nil {
 			return nil, err
 		}
-		if c.RemoteAddr().String() == filler {
+		if c.RemoteAddr().String() == fillerAddr {
 			c.Close()
 			continue
 		}
@@ -85,8 +85,8 @@
 	}
 }
 
-// ResetPending resets the connections that the kernel took before the listener was blocked and that nobody has accepted:
-// a machine that comes back knows nothing of them. It does nothing on a listener that is not blocked.
+// ResetPending resets the connections that the kernel established before the listener was blocked and that have not been
+// accepted: a machine that has restarted does not know them. It does nothing on a listener that is not blocked.
 func (l *Listener) ResetPending() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,18 +94,18 @@
 		return
 	}
 	for {
-		l.tcp.SetDeadline(time.Now().Add(pendingWait))
+		l.tcp.SetDeadline(time.Now().Add(pendingTimeout))
 		c, err := l.tcp.AcceptTCP()
 		if err != nil {
 			l.tcp.SetDeadline(longAgo)
 			return
 		}
-		_ = c.SetLinger(0) // an error means that it is closed already
+		_ = c.SetLinger(0) // an error means that the socket is closed already
 		c.Close()
 	}
 }
 
-// SetFull makes connections not come up because near takes no more, or come up again.
+// SetFull sets whether near has reached its limit of connections. While it has, the listener is blocked.
 func (l *Listener) SetFull(full bool) {
 	l.mu.Lock()
 	l.full = full
@@ -113,7 +113,7 @@
 	l.update()
 }
 
-// update blocks or opens the listener, as the link and its owner have it now.
+// update blocks the listener while its link is cut or near is at its limit of connections, and unblocks it otherwise.
 func (l *Listener) update() {
 	l.network.mu.Lock()
 	cut := l.network.isCut(l.near, l.far)
@@ -126,15 +126,15 @@
 	case block:
 		l.block()
 	default:
-		l.open()
+		l.unblock()
 	}
 }
 
-// block takes no more connections. l.mu is held.
+// block stops the kernel from establishing connections. l.mu must be held.
 func (l *Listener) block() {
 	l.blocked = true
-	l.opened = make(chan struct{})
-	l.tcp.SetDeadline(longAgo) // who is in Accept is to wait for opened instead
+	l.unblocked = make(chan struct{})
+	l.tcp.SetDeadline(longAgo) // makes a running Accept wait for unblocked instead
 	l.setBacklog(0)
 	if c, err := net.DialTimeout("tcp", l.tcp.Addr().String(), fillTimeout); err == nil {
 		l.filler = c
@@ -142,13 +142,13 @@
 	}
 }
 
-// open takes connections again. l.mu is held.
-func (l *Listener) open() {
+// unblock accepts connections again. l.mu must be held.
+func (l *Listener) unblock() {
 	l.blocked = false
 	l.closeFiller()
 	l.setBacklog(backlog)
 	l.tcp.SetDeadline(time.Time{})
-	close(l.opened)
+	close(l.unblocked)
 }
 
 func (l *Listener) closeFiller() {
@@ -158,17 +158,17 @@
 	}
 }
 
-// setBacklog sets how many connections the kernel keeps for Accept; 0: one.
+// setBacklog sets the kernel's limit of connections that wait for Accept. With 0 it still keeps one.
 func (l *Listener) setBacklog(n int) {
 	raw, err := l.tcp.SyscallConn()
 	if err != nil {
-		return // it is closed
+		return // the listener is closed
 	}
 	// An error means that the listener was closed meanwhile.
 	_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) })
 }
 
-// Close ends the listener: new connections are refused.
+// Close closes the listener. New connections are refused.
 func (l *Listener) Close() error {
 	l.network.mu.Lock()
 	delete(l.network.listeners, l)
@@ -177,7 +177,7 @@
 	defer l.mu.Unlock()
 	l.closed = true
 	if l.blocked {
-		close(l.opened)
+		close(l.unblocked)
 		l.blocked = false
 	}
 	l.closeFiller()
--- a/internal/lab/link/network.go
+++ b/internal/lab/link/network.go
@@ -1,6 +1,7 @@
-// Package link carries the connections of an emulated network. Bytes on a connection take as long as the link between its
-// two parties takes at that moment. While the link is cut, the connection is silent without being reset, and new
-// connections are not established. Buffers and order are the kernel's own. This package only delays the bytes.
+// Package link emulates a network on top of TCP connections over loopback. Bytes on a connection are delayed by the link
+// between its two parties as its condition is at that moment. While the link is cut, established connections carry no data
+// but are not reset, and new connections are not established. Buffering and ordering are the kernel's: this package only
+// delays the bytes.
 package link
 
 import (
@@ -13,21 +14,21 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// lossStream sets the network's random draws apart from other uses of the day's seed.
+// lossStream separates the random stream of packet losses from other uses of the scenario's seed.
 const lossStream = 0x6c696e6b
 
-// Network is the network of one day.
+// Network is the emulated network of one run.
 type Network struct {
 	mu        sync.Mutex
 	paths     *scenario.Paths
 	rng       *rand.Rand
-	vanished  map[scenario.Party]bool // machines
-	changed   chan struct{}           // closed at the next change
+	vanished  map[scenario.Party]bool // machines that are off the network
+	changed   chan struct{}           // closed and replaced when a link's condition changes
 	conns     map[*Conn]struct{}
 	listeners map[*Listener]struct{}
 }
 
-// New returns a network whose links are as paths has them.
+// New returns a network with the links of paths. seed determines its packet losses.
 func New(paths *scenario.Paths, seed uint64) *Network {
 	return &Network{
 		paths:     paths,
@@ -39,25 +40,25 @@
 	}
 }
 
-// Apply begins or ends fault i of the day. A fault that resets connections does so when it begins.
+// Apply begins or ends fault i of the scenario. A fault that resets connections does so when it begins.
 func (n *Network) Apply(i int, transition scenario.Transition) {
 	n.mu.Lock()
 	n.paths.Apply(i, transition)
-	var hit []*Conn
+	var affected []*Conn
 	if transition == scenario.Begin && n.paths.ResetsConns(i) {
-		hit = n.connsWhere(func(c *Conn) bool { return n.paths.Hits(i, c.near, c.far) || n.paths.Hits(i, c.far, c.near) })
+		affected = n.connsWhere(func(c *Conn) bool { return n.paths.Hits(i, c.near, c.far) || n.paths.Hits(i, c.far, c.near) })
 	}
 	n.notifyChange()
 	n.mu.Unlock()
-	resetConns(hit)
+	resetConns(affected)
 	n.updateListeners()
 }
 
-// Disconnect takes a machine off the network. No byte reaches it or leaves it.
+// Disconnect takes a machine off the network: no byte reaches or leaves it, and its connections are not reset.
 func (n *Network) Disconnect(p scenario.Party) { n.setVanished(p, true) }
 
-// Reconnect brings a machine back that Disconnect has taken off. Connections that others still have open to it are reset
-// before any delayed data could arrive.
+// Reconnect puts a machine back on the network after Disconnect. It first resets the connections that the other parties
+// still have open, so that no delayed data arrives on them.
 func (n *Network) Reconnect(p scenario.Party) {
 	n.ResetAll(p)
 	n.setVanished(p, false)
@@ -74,16 +75,16 @@
 // ResetAll resets every connection of a party, as when its process dies.
 func (n *Network) ResetAll(p scenario.Party) {
 	n.mu.Lock()
-	hit := n.connsWhere(func(c *Conn) bool { return c.near == p || c.far == p })
+	conns := n.connsWhere(func(c *Conn) bool { return c.near == p || c.far == p })
 	n.mu.Unlock()
-	resetConns(hit)
+	resetConns(conns)
 }
 
-// connsWhere is the open connections that a function selects. n.mu is held.
-func (n *Network) connsWhere(selected func(*Conn) bool) []*Conn {
+// connsWhere returns the open connections that match a predicate. n.mu must be held.
+func (n *Network) connsWhere(matches func(*Conn) bool) []*Conn {
 	var conns []*Conn
 	for c := range n.conns {
-		if selected(c) {
+		if matches(c) {
 			conns = append(conns, c)
 		}
 	}
@@ -96,13 +97,13 @@
 	}
 }
 
-// notifyChange wakes those who wait for a change. n.mu is held.
+// notifyChange wakes the goroutines that wait for a link's condition to change. n.mu must be held.
 func (n *Network) notifyChange() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// updateListeners makes listeners take connections or not, as the links are now.
+// updateListeners blocks or unblocks each listener by the condition of its link.
 func (n *Network) updateListeners() {
 	n.mu.Lock()
 	all := make([]*Listener, 0, len(n.listeners))
@@ -115,30 +116,31 @@
 	}
 }
 
-// isCut reports whether a connection between two parties can't be established. n.mu is held.
+// isCut reports whether a connection between two parties can't be established. n.mu must be held.
 func (n *Network) isCut(a, b scenario.Party) bool {
 	return n.vanished[a] || n.vanished[b] || n.paths.Condition(a, b).Cut || n.paths.Condition(b, a).Cut
 }
 
-// transit is what the network does to a message that is sent now.
+// transit is how a link treats a message that is sent now.
 type transit struct {
 	delay   time.Duration
-	cut     bool            // it does not pass before a change
-	changed <-chan struct{} // closed at the next change
+	cut     bool            // the message is held back
+	changed <-chan struct{} // closed when a link's condition changes
 }
 
-// transit is how a message of size bytes passes one way.
+// transit returns how the link from one party to another treats a message of size bytes. It draws whether the message is
+// lost and retransmitted.
 func (n *Network) transit(from, to scenario.Party, size int) transit {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	c := n.paths.Condition(from, to)
-	if c.Cut || n.vanished[from] || n.vanished[to] {
+	condition := n.paths.Condition(from, to)
+	if condition.Cut || n.vanished[from] || n.vanished[to] {
 		return transit{cut: true, changed: n.changed}
 	}
-	return transit{delay: c.Lag(float64(size), n.rng.Float64), changed: n.changed}
+	return transit{delay: condition.Lag(float64(size), n.rng.Float64), changed: n.changed}
 }
 
-// Dial opens a connection from near to far at an address. It waits while the link is cut, until ctx ends.
+// Dial opens a connection from near to an address of far's. While the link is cut it waits, until ctx is done.
 func (n *Network) Dial(ctx context.Context, near, far scenario.Party, address string) (*Conn, error) {
 	for {
 		n.mu.Lock()
@@ -154,8 +156,8 @@
 			return nil, ctx.Err()
 		}
 	}
-	var d net.Dialer
-	c, err := d.DialContext(ctx, "tcp", address)
+	var dialer net.Dialer
+	c, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
