--- a/internal/lab/server/jobs.go
+++ b/internal/lab/server/jobs.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// JobID identifies a request at the server. The owner chooses it; it must not be in use.
+// JobID identifies a request at the server. The owner chooses it. No two requests that have not ended may share one.
 type JobID uint64
 
 // job is a request that the server has accepted.
 type job struct {
 	id        JobID
-	work      float64 // seconds of a core of speed 1
-	wait      time.Duration
+	work      float64       // core-seconds at speed 1
+	wait      time.Duration // on other services
 	failed    bool          // it ends with an error
-	readyAt   time.Duration // its wait is over
-	finish    float64       // attained service at which it ends
+	readyAt   time.Duration // when its wait is over
+	finish    float64       // attained service of the server at which it ends
 	serial    uint64        // breaks ties
-	heap      *jobHeap      // that it is in; nil: it is queued
-	heapIndex int           // in that; -1: it is queued
+	heap      *jobHeap      // the heap that holds it; nil: it has no slot
+	heapIndex int           // index in heap; -1: it has no slot
 }
 
-// jobHeap is jobs by a key, the lowest first.
+// jobHeap is a min-heap of jobs by a key.
 type jobHeap struct {
 	jobs []*job
 	key  func(*job) float64
@@ -41,7 +41,7 @@
 	h.jobs[j].heapIndex = j
 }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (h *jobHeap) Push(x any) {
 	j := x.(*job)
 	j.heapIndex = len(h.jobs)
@@ -49,7 +49,7 @@
 	h.jobs = append(h.jobs, j)
 }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (h *jobHeap) Pop() any {
 	last := len(h.jobs) - 1
 	j := h.jobs[last]
@@ -60,12 +60,12 @@
 	return j
 }
 
-// jobTable is the requests that a server has accepted and not ended.
+// jobTable holds the requests that a server has accepted and that have not ended.
 type jobTable struct {
 	byID       map[JobID]*job
-	waiting    jobHeap // with a slot; they wait on other services
-	working    jobHeap // with a slot; they run
-	queue      []*job
+	waiting    jobHeap // with a slot, waiting on other services
+	running    jobHeap // with a slot, using the cores
+	queue      []*job  // without a slot, in order of arrival
 	nextSerial uint64
 }
 
@@ -73,12 +73,12 @@
 	return jobTable{
 		byID:    map[JobID]*job{},
 		waiting: jobHeap{key: func(j *job) float64 { return float64(j.readyAt) }},
-		working: jobHeap{key: func(j *job) float64 { return j.finish }},
+		running: jobHeap{key: func(j *job) float64 { return j.finish }},
 	}
 }
 
-// slotsUsed is how many requests have a slot.
-func (t *jobTable) slotsUsed() int { return len(t.waiting.jobs) + len(t.working.jobs) }
+// slotsUsed is the number of requests that occupy a slot.
+func (t *jobTable) slotsUsed() int { return len(t.waiting.jobs) + len(t.running.jobs) }
 
 // startJob gives a request a slot.
 func (s *Server) startJob(j *job) {
@@ -86,7 +86,7 @@
 	heap.Push(&s.jobs.waiting, j)
 }
 
-// startQueued gives free slots to the queue.
+// startQueued gives free slots to queued requests, in order of arrival.
 func (s *Server) startQueued() {
 	for len(s.jobs.queue) > 0 && s.jobs.slotsUsed() < s.model.Slots {
 		j := s.jobs.queue[0]
@@ -96,7 +96,7 @@
 	}
 }
 
-// finishJob ends a request that has run, and gives its slot to the queue.
+// finishJob ends a request and gives its slot, if it had one, to the head of the queue.
 func (s *Server) finishJob(j *job) {
 	delete(s.jobs.byID, j.id)
 	if j.failed {
@@ -106,7 +106,7 @@
 	s.startQueued()
 }
 
-// Cancel drops a request that its balancer has given up, whether it works, waits or is queued.
+// Cancel drops a request that its balancer has abandoned, whether it is running, waiting or queued.
 func (s *Server) Cancel(id JobID) {
 	j := s.jobs.byID[id]
 	if j == nil {
@@ -123,5 +123,5 @@
 	}
 }
 
-// JobCount is how many requests it has.
+// JobCount is the number of requests that the server has accepted and that have not ended.
 func (s *Server) JobCount() int { return len(s.jobs.byID) }
--- a/internal/lab/server/server.go
+++ b/internal/lab/server/server.go
@@ -1,11 +1,12 @@
-// Package server is an emulated upstream. It has cores, slots and a queue, a warm-up after a start, pauses, errors and late
-// load reports. A server that gets too much work while it warms up collapses.
+// Package server simulates an upstream: its cores, slots and queue, its warm-up after a start, its pauses and errors, and
+// the delay of its load reports. A server that receives too much work while it warms up collapses.
 //
 // A Server has no clock of its own. Its owner calls it with the time and with each arrival, and Next returns when it has to
-// be called again. Both engines use it, so that a day means the same in each. It is not safe for concurrent use.
+// be called again. Both engines use it, so that a scenario means the same in each. It is not safe for concurrent use.
 //
-// An accepted request occupies a slot. It first waits on other services, which uses no core. Then it runs. Running requests
-// share the cores evenly, and none runs faster than on one core. When it ends, its slot goes to the head of the queue.
+// An accepted request occupies a slot, or is queued until one is free. In its slot it first waits on other services, which
+// uses no core, and then runs. Running requests share the cores evenly, and none runs faster than on one core. When a
+// request ends, its slot goes to the head of the queue.
 package server
 
 import (
@@ -18,14 +19,14 @@
 )
 
 const (
-	// warmupStep is how often the capacity of a server that warms up is updated.
+	// warmupStep is how often the capacity of a server that warms up is recomputed.
 	warmupStep = 50 * time.Millisecond
-	// warmupSlackSeconds is work, in seconds of a core of speed 1, that a server bears beyond its budget while it warms up.
-	// One request more or less is chance.
-	warmupSlackSeconds = 0.3
-	// connWork is what a new connection or a health check costs, in seconds of a core of speed 1.
+	// warmupSlack is the work, in core-seconds at speed 1, that a server tolerates beyond its warm-up budget, since random
+	// arrivals exceed the budget by a request or so.
+	warmupSlack = 0.3
+	// connWork is the work of a new connection or a health check, in core-seconds at speed 1.
 	connWork = 0.0003
-	// finishTolerance is for rounding in attained service, in seconds of a core of speed 1.
+	// finishTolerance covers rounding errors of attained service, in core-seconds at speed 1.
 	finishTolerance = 1e-9
 )
 
@@ -38,47 +39,47 @@
 // warmupArrival is work that reached a server while it warmed up.
 type warmupArrival struct {
 	at   time.Duration
-	work float64 // seconds of a core of speed 1
+	work float64 // core-seconds at speed 1
 }
 
-// Server is one upstream while its process runs.
+// Server is the state of an upstream while its process runs.
 type Server struct {
 	model     scenario.Model
-	balancers scenario.Balancers // has the budget of a server that warms up
+	balancers scenario.Balancers // TipMultiple and TipAfter set the warm-up budget
 	rng       *rand.Rand
 	now       time.Duration
-	attained  float64 // service of each running request so far, seconds of a core of speed 1
+	attained  float64 // service that a request running since the start has received, core-seconds at speed 1
 	jobs      jobTable
 	pause     pauseTimes
 	warmup    warmup
-	collapsed bool // it got too much while it warmed up, and does nothing more
+	collapsed bool // it received too much work while it warmed up, and ends no request any more
 	faults    faultEffects
 	reports   reporter
-	finished  []Done // since the last Advance
-	returned  []Done // by the last Advance; its memory is used again
+	finished  []Done // ended and not yet returned by Advance
+	returned  []Done // returned by the last Advance; its memory is reused
 }
 
-// pauseTimes is when a server pauses.
+// pauseTimes holds when a server pauses, that is, makes no progress on any request.
 type pauseTimes struct {
 	nextAt time.Duration // math.MaxInt64: never
-	endAt  time.Duration // of the latest pause
+	endAt  time.Duration // of the last pause
 }
 
-// warmup is the state of a server that may warm up.
+// warmup is the state of a server's warm-up.
 type warmup struct {
 	startedAt time.Duration
-	done      bool            // it started long before the day
+	done      bool            // the server is warm: its process started long before the run
 	arrivals  []warmupArrival // within the last TipAfter
 }
 
-// faultEffects is what faults do to a server.
+// faultEffects is the combined effect of the active faults on a server.
 type faultEffects struct {
-	errorShare       float64       // of requests that fail at once
-	foreignLoadShare float64       // of the machine that other programs use
-	reportDelay      time.Duration // of load reports, on top of the model's
+	errorRatio       float64       // of requests that fail immediately
+	foreignLoadRatio float64       // of the machine's capacity that other programs use
+	reportDelay      time.Duration // of load reports, in addition to the model's
 }
 
-// New returns a server that starts at now. It warms up, or is warm from the start.
+// New returns a server that starts at now. If warmsUp is false, it has its full capacity from the start.
 func New(m scenario.Model, balancers scenario.Balancers, seed uint64, now time.Duration, warmsUp bool) *Server {
 	s := &Server{
 		model:     m,
@@ -93,22 +94,22 @@
 	if m.PauseEvery > 0 {
 		s.pause.nextAt = now + s.drawPauseGap()
 	}
-	// The load reports of several servers must not coincide.
+	// A random phase, so that the load reports of several servers do not coincide.
 	s.reports.nextAt = now + time.Duration(s.rng.Float64()*float64(m.ReportEvery))
 	return s
 }
 
-// drawPauseGap draws the time until another pause.
+// drawPauseGap draws the time until the next pause, exponentially distributed.
 func (s *Server) drawPauseGap() time.Duration {
 	return time.Duration(s.rng.ExpFloat64() * float64(s.model.PauseEvery))
 }
 
-// Warmth is the share of its capacity that a server of the model has at some time after its start, from 0 to 1.
+// Warmth is the fraction of its full capacity that a server of a model has at a time since its start.
 func Warmth(m scenario.Model, since time.Duration) float64 {
 	return min(1, m.ColdFrom+(1-m.ColdFrom)*max(0, float64(since)/float64(m.Warm)))
 }
 
-// warmth is the share of its capacity that the server has now, from 0 to 1.
+// warmth is the fraction of its full capacity that the server has now.
 func (s *Server) warmth() float64 {
 	if s.warmup.done {
 		return 1
@@ -116,24 +117,24 @@
 	return Warmth(s.model, s.now-s.warmup.startedAt)
 }
 
-// fullCapacity is that of a warm server that has its machine to itself, in cores of speed 1.
+// fullCapacity is the capacity of a warm server without load of other programs, in cores of speed 1.
 func (s *Server) fullCapacity() float64 { return float64(s.model.Cores) * s.model.Speed }
 
-// capacity is that of now, in cores of speed 1.
+// capacity is the current capacity, in cores of speed 1.
 func (s *Server) capacity() float64 {
-	return s.fullCapacity() * s.warmth() * (1 - s.faults.foreignLoadShare)
+	return s.fullCapacity() * s.warmth() * (1 - s.faults.foreignLoadRatio)
 }
 
-// rate is how fast each request in work gets service, in cores of speed 1.
+// rate is the service that each running request receives per second, in cores of speed 1.
 func (s *Server) rate() float64 {
-	n := float64(len(s.jobs.working.jobs))
-	if n == 0 || s.collapsed || s.now < s.pause.endAt {
+	running := float64(len(s.jobs.running.jobs))
+	if running == 0 || s.collapsed || s.now < s.pause.endAt {
 		return 0
 	}
-	return min(s.model.Speed*s.warmth()*(1-s.faults.foreignLoadShare), s.capacity()/n)
+	return min(s.model.Speed*s.warmth()*(1-s.faults.foreignLoadRatio), s.capacity()/running)
 }
 
-// Next is when the owner has to call Advance, if nothing arrives before.
+// Next is the time at which the owner has to call Advance unless a request arrives earlier.
 func (s *Server) Next() time.Duration {
 	if len(s.finished) > 0 {
 		return s.now
@@ -146,8 +147,8 @@
 		next = min(next, s.jobs.waiting.jobs[0].readyAt)
 	}
 	if rate := s.rate(); rate > 0 {
-		left := (s.jobs.working.jobs[0].finish - s.attained) / rate
-		next = min(next, s.now+max(1, time.Duration(math.Ceil(left*float64(time.Second)))))
+		secondsLeft := (s.jobs.running.jobs[0].finish - s.attained) / rate
+		next = min(next, s.now+max(1, time.Duration(math.Ceil(secondsLeft*float64(time.Second)))))
 		if s.warmth() < 1 {
 			next = min(next, s.now+warmupStep)
 		}
@@ -155,12 +156,12 @@
 	return max(next, s.now)
 }
 
-// Advance brings the server to now and returns the requests that have ended since, in order. The slice holds until the
-// next call.
+// Advance simulates the server up to now and returns the requests that have ended since the last call, in order. The slice
+// is valid until the next call.
 func (s *Server) Advance(now time.Duration) []Done {
-	ended := s.finished // as they arrived
+	ended := s.finished // failed on arrival
 	s.finished = s.returned[:0]
-	if s.Next() <= s.now { // due since something arrived at this very moment
+	if s.Next() <= s.now { // a request arrived at this very time
 		s.handleDue()
 		ended = append(ended, s.finished...)
 		s.finished = s.finished[:0]
@@ -176,20 +177,20 @@
 	return ended
 }
 
-// advanceTo lets time pass in which the rate does not change.
+// advanceTo advances the time by an interval in which the rate is constant.
 func (s *Server) advanceTo(to time.Duration) {
 	rate := s.rate()
 	seconds := (to - s.now).Seconds()
 	s.attained += rate * seconds
-	if full := s.fullCapacity(); s.now < s.pause.endAt && len(s.jobs.working.jobs) > 0 {
-		s.reports.busySeconds += full * seconds // from outside, cores look busy in a pause
+	if full := s.fullCapacity(); s.now < s.pause.endAt && len(s.jobs.running.jobs) > 0 {
+		s.reports.busySeconds += full * seconds // seen from outside, the cores are busy during a pause
 	} else {
-		s.reports.busySeconds += (rate*float64(len(s.jobs.working.jobs)) + s.faults.foreignLoadShare*full) * seconds
+		s.reports.busySeconds += (rate*float64(len(s.jobs.running.jobs)) + s.faults.foreignLoadRatio*full) * seconds
 	}
 	s.now = to
 }
 
-// handleDue does what is due now.
+// handleDue handles what is due now: a pause, a load report, and requests that start to run or end.
 func (s *Server) handleDue() {
 	if s.now >= s.pause.nextAt {
 		s.pause.endAt = s.now + s.model.Pause.D()
@@ -204,24 +205,24 @@
 	for len(s.jobs.waiting.jobs) > 0 && s.jobs.waiting.jobs[0].readyAt <= s.now {
 		j := heap.Pop(&s.jobs.waiting).(*job)
 		j.finish = s.attained + j.work
-		heap.Push(&s.jobs.working, j)
+		heap.Push(&s.jobs.running, j)
 	}
-	for len(s.jobs.working.jobs) > 0 && s.jobs.working.jobs[0].finish <= s.attained+finishTolerance {
-		s.finishJob(heap.Pop(&s.jobs.working).(*job))
+	for len(s.jobs.running.jobs) > 0 && s.jobs.running.jobs[0].finish <= s.attained+finishTolerance {
+		s.finishJob(heap.Pop(&s.jobs.running).(*job))
 	}
 }
 
-// Arrive accepts or rejects a request that has arrived in full. The owner has to call Advance for this moment before.
-// collapsed reports that the request overloaded a server that warms up, which does nothing more from then on.
+// Arrive accepts or rejects a request that has been received in full. The owner has to call Advance with the current time
+// before. collapsed reports that the request overloaded a server that warms up: from then on the server ends no request.
 func (s *Server) Arrive(id JobID, work, wait time.Duration) (accepted, collapsed bool) {
 	if s.collapsed {
-		return true, false // it hangs
+		return true, false // the request hangs
 	}
 	if s.exceedsWarmupBudget(work.Seconds()) {
 		s.collapsed = true
 		return true, true
 	}
-	if s.rng.Float64() < s.faults.errorShare { // an error at once costs next to nothing
+	if s.rng.Float64() < s.faults.errorRatio { // the work of an immediate error is negligible
 		j := &job{id: id, failed: true, heapIndex: -1}
 		s.jobs.byID[id] = j
 		s.finishJob(j)
@@ -242,39 +243,39 @@
 	return true, false
 }
 
-// exceedsWarmupBudget counts work that reaches the server while it warms up, also of rejected requests. It reports
-// whether the work within TipAfter is more than the server bears.
+// exceedsWarmupBudget records work that reaches the server while it warms up, including that of requests which will be
+// rejected. It reports whether the work within the last TipAfter exceeds TipMultiple times the current capacity.
 func (s *Server) exceedsWarmupBudget(work float64) bool {
 	if s.warmup.done || s.now-s.warmup.startedAt >= s.model.Warm.D() {
 		s.warmup.arrivals = nil
 		return false
 	}
-	span := s.balancers.TipAfter.D()
+	window := s.balancers.TipAfter.D()
 	s.warmup.arrivals = append(s.warmup.arrivals, warmupArrival{s.now, work})
-	for len(s.warmup.arrivals) > 0 && s.warmup.arrivals[0].at <= s.now-span {
+	for len(s.warmup.arrivals) > 0 && s.warmup.arrivals[0].at <= s.now-window {
 		s.warmup.arrivals = s.warmup.arrivals[1:]
 	}
-	var sum float64
+	var received float64
 	for _, arrival := range s.warmup.arrivals {
-		sum += arrival.work
+		received += arrival.work
 	}
-	budget := s.balancers.TipMultiple * s.capacity() * span.Seconds()
-	return sum > budget+warmupSlackSeconds
+	budget := s.balancers.TipMultiple * s.capacity() * window.Seconds()
+	return received > budget+warmupSlack
 }
 
-// AcceptConn counts the work of a new connection or a health check.
+// AcceptConn adds the work of a new connection or a health check to the load.
 func (s *Server) AcceptConn() { s.reports.busySeconds += connWork }
 
-// SetFaults sets which faults act. Of several error shares the largest counts. Each program that takes a share of the
-// machine takes it from what the others leave. Delays of load reports add up.
+// SetFaults replaces the active faults. Of several error ratios the largest applies. Each noisy neighbour takes its share
+// of the capacity that the others leave. Delays of load reports add up.
 func (s *Server) SetFaults(faults []scenario.Fault) {
 	s.faults = faultEffects{}
 	for _, f := range faults {
 		switch f.Kind {
 		case scenario.UpstreamErrors:
-			s.faults.errorShare = max(s.faults.errorShare, f.Size)
+			s.faults.errorRatio = max(s.faults.errorRatio, f.Size)
 		case scenario.NoisyNeighbour:
-			s.faults.foreignLoadShare = 1 - (1-s.faults.foreignLoadShare)*(1-f.Size)
+			s.faults.foreignLoadRatio = 1 - (1-s.faults.foreignLoadRatio)*(1-f.Size)
 		case scenario.LateReports:
 			s.faults.reportDelay += f.Delay.D()
 		}
