--- a/internal/lab/model/actions_test.go
+++ b/internal/lab/model/actions_test.go
@@ -29,19 +29,19 @@
 var renewActions = flag.Bool("renew-actions", false, "write testdata/actions.txt anew, for a change that means to decide otherwise")
 
 const (
-	recordedActions = "testdata/actions.txt"
-	examples        = "../../../examples"
-	recordedSeeds   = 3
+	recordedActionsFile = "testdata/actions.txt"
+	examplesDir         = "../../../examples"
+	seedsPerExample     = 3
 )
 
 // The kinds of recorded actions. Their numbers are part of the recorded hashes.
 const (
 	recordSend byte = iota + 1
-	recordRefuse
+	recordReject
 	recordFail
 	recordCancel
-	recordProbe
-	recordDisconnect
+	recordHealthCheck
+	recordCloseIdle
 	recordWatch
 	recordFetch
 	recordTimer
@@ -71,7 +71,7 @@
 }
 
 func (r *actionRecorder) Reject(id balancer.RequestID, retryAfter time.Duration) {
-	r.record(recordRefuse, uint64(id), uint64(retryAfter))
+	r.record(recordReject, uint64(id), uint64(retryAfter))
 	r.Effects.Reject(id, retryAfter)
 }
 
@@ -86,12 +86,12 @@
 }
 
 func (r *actionRecorder) HealthCheck(up balancer.EndpointID) {
-	r.record(recordProbe, uint64(up))
+	r.record(recordHealthCheck, uint64(up))
 	r.Effects.HealthCheck(up)
 }
 
 func (r *actionRecorder) CloseIdle(up balancer.EndpointID) {
-	r.record(recordDisconnect, uint64(up))
+	r.record(recordCloseIdle, uint64(up))
 	r.Effects.CloseIdle(up)
 }
 
@@ -150,9 +150,9 @@
 	return k
 }
 
-// playRecorded plays a day and returns how many actions its modules asked for, and their hash. Modules are taken in the
+// runRecorded plays a day and returns how many actions its modules asked for, and their hash. Modules are taken in the
 // order of their seeds, whatever order the workers start them in.
-func playRecorded(ctx context.Context, d *scenario.Scenario) (actions int, sum uint64, err error) {
+func runRecorded(ctx context.Context, d *scenario.Scenario) (actions int, sum uint64, err error) {
 	var mu sync.Mutex
 	recorders := map[uint64]*actionRecorder{}
 	policy := func(s balancer.Settings, seed uint64, now time.Duration, host balancer.Effects) (balancer.Events, error) {
@@ -169,7 +169,7 @@
 		recorders[seed] = r
 		return recordedModule{b, r}, nil
 	}
-	if _, err := playWith(ctx, d, Options{Workers: runtime.GOMAXPROCS(0)}, policy); err != nil {
+	if _, err := runWithPolicy(ctx, d, Options{Workers: runtime.GOMAXPROCS(0)}, policy); err != nil {
 		return 0, 0, err
 	}
 	seeds := make([]uint64, 0, len(recorders))
@@ -186,11 +186,11 @@
 	return actions, all.Sum64(), nil
 }
 
-// exampleDays is every day file under examples/, in order.
-func exampleDays(t *testing.T) []string {
+// exampleFiles is every day file under examples/, in order.
+func exampleFiles(t *testing.T) []string {
 	t.Helper()
 	var files []string
-	err := filepath.WalkDir(examples, func(path string, e fs.DirEntry, err error) error {
+	err := filepath.WalkDir(examplesDir, func(path string, e fs.DirEntry, err error) error {
 		if err == nil && !e.IsDir() && strings.HasSuffix(path, ".toml") {
 			files = append(files, path)
 		}
@@ -207,31 +207,31 @@
 // (go test ./internal/lab/model -run TestActionsAreAsRecorded -renew-actions) and says so in its commit.
 func TestActionsAreAsRecorded(t *testing.T) {
 	var lines []string
-	for _, file := range exampleDays(t) {
-		for seed := uint64(1); seed <= recordedSeeds; seed++ {
+	for _, file := range exampleFiles(t) {
+		for seed := uint64(1); seed <= seedsPerExample; seed++ {
 			d, err := scenario.LoadFile(file)
 			if err != nil {
 				t.Fatal(err)
 			}
 			d.Seed = seed
 			begun := time.Now()
-			actions, sum, err := playRecorded(t.Context(), d)
+			actions, sum, err := runRecorded(t.Context(), d)
 			if err != nil {
 				t.Fatalf("%s, seed %d: %v", file, seed, err)
 			}
-			name := strings.TrimPrefix(filepath.ToSlash(file), examples+"/")
+			name := strings.TrimPrefix(filepath.ToSlash(file), examplesDir+"/")
 			lines = append(lines, fmt.Sprintf("%s seed=%d actions=%d hash=%016x", name, seed, actions, sum))
 			t.Logf("%s: %v", lines[len(lines)-1], time.Since(begun).Round(time.Millisecond))
 		}
 	}
 	got := strings.Join(lines, "\n") + "\n"
 	if *renewActions {
-		if err := os.WriteFile(recordedActions, []byte(got), 0o644); err != nil {
+		if err := os.WriteFile(recordedActionsFile, []byte(got), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		return
 	}
-	want, err := os.ReadFile(recordedActions)
+	want, err := os.ReadFile(recordedActionsFile)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -28,8 +28,8 @@
 // fetchEndpoints calls the agent for the list of now, until it answers.
 func (n *node) fetchEndpoints() {
 	switch {
-	case n.agent.silences > 0:
-		n.agent.fetchWaits = true
+	case n.agent.activeSilences > 0:
+		n.agent.fetchPending = true
 	case n.agentCallFails():
 		n.after(fetchRetryDelay, message{kind: msgEndpointUpdate, incarnation: n.incarnation})
 	default:
@@ -52,8 +52,8 @@
 
 // onAgentUpdate takes an update at the agent, which passes it on at once to a process that runs.
 func (n *node) onAgentUpdate(update *endpointUpdate) {
-	if n.agent.silences > 0 {
-		n.agent.missedUpdates = append(n.agent.missedUpdates, update)
+	if n.agent.activeSilences > 0 {
+		n.agent.deferredUpdates = append(n.agent.deferredUpdates, update)
 		return
 	}
 	if n.agentCallFails() {
@@ -96,7 +96,7 @@
 	for _, id := range slices.Sorted(maps.Keys(n.requests)) {
 		for _, a := range n.requests[id].attempts {
 			if a.upstream == upstream && !a.connected && !a.ended {
-				n.pending = append(n.pending, pendingOutcome{a, balancer.NotSent})
+				n.pendingOutcomes = append(n.pendingOutcomes, pendingOutcome{a, balancer.NotSent})
 			}
 		}
 	}
--- a/internal/lab/model/effects.go
+++ b/internal/lab/model/effects.go
@@ -24,11 +24,11 @@
 	}
 	switch {
 	case r.closed || untilDeadline <= 0 || n.endpoints[endpoint].state != balancer.Active:
-		n.pending = append(n.pending, pendingOutcome{a, balancer.NotSent})
+		n.pendingOutcomes = append(n.pendingOutcomes, pendingOutcome{a, balancer.NotSent})
 	case n.takeIdle(a.upstream):
 		n.write(a)
 	case !n.reserveConn():
-		n.pending = append(n.pending, pendingOutcome{a, balancer.NotSent})
+		n.pendingOutcomes = append(n.pendingOutcomes, pendingOutcome{a, balancer.NotSent})
 	default:
 		n.conns++
 		n.send(n.sim.servers[endpoint], message{kind: msgConnect, id: r.client.id, number: a.number})
@@ -53,7 +53,7 @@
 // Cancel gives up an attempt. Its outcome is delivered after the module's call.
 func (n *node) Cancel(id balancer.RequestID, attempt int) {
 	if r := n.requests[id]; r != nil && attempt >= 0 && attempt < len(r.attempts) {
-		n.pending = append(n.pending, pendingOutcome{r.attempts[attempt], balancer.Cancelled})
+		n.pendingOutcomes = append(n.pendingOutcomes, pendingOutcome{r.attempts[attempt], balancer.Cancelled})
 	}
 }
 
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -11,7 +11,7 @@
 
 // beginFault begins a fault that hits this node.
 func (n *node) beginFault(i int) {
-	fault := n.sim.day.Faults[i]
+	fault := n.sim.scenario.Faults[i]
 	switch fault.Kind {
 	case scenario.BalancerKill:
 		if n.module != nil {
@@ -27,7 +27,7 @@
 	case scenario.ClockOffset:
 		n.agent.clockOffset = fault.Delay.D()
 	case scenario.DiscoverySilent:
-		n.agent.silences++
+		n.agent.activeSilences++
 	case scenario.DiscoveryOverloaded:
 		n.agent.errorRate = fault.Size
 	case scenario.LinkReset:
@@ -37,23 +37,23 @@
 
 // endFault ends a fault that hits this node.
 func (n *node) endFault(i int) {
-	fault := n.sim.day.Faults[i]
+	fault := n.sim.scenario.Faults[i]
 	switch fault.Kind {
 	case scenario.BalancerKill:
 		if fault.State == "lose" {
-			n.loseDisk()
+			n.eraseDisk()
 		}
-		n.after(startupTime, message{kind: msgBoot})
+		n.after(startupTime, message{kind: msgStart})
 	case scenario.BalancerTerminate:
-		n.after(startupTime, message{kind: msgBoot})
+		n.after(startupTime, message{kind: msgStart})
 	case scenario.BalancerFreeze:
 		n.resume()
 	case scenario.ClockOffset:
 		n.agent.clockOffset = 0
 	case scenario.DiscoverySilent:
-		n.agent.silences--
-		if n.agent.silences == 0 {
-			n.agentAnswersAgain()
+		n.agent.activeSilences--
+		if n.agent.activeSilences == 0 {
+			n.resumeAgent()
 		}
 	case scenario.DiscoveryOverloaded:
 		n.agent.errorRate = 0
@@ -62,14 +62,14 @@
 	}
 }
 
-// agentAnswersAgain handles what the agent could not answer while it was silent.
-func (n *node) agentAnswersAgain() {
-	for _, update := range n.agent.missedUpdates {
+// resumeAgent handles what the agent could not answer while it was silent.
+func (n *node) resumeAgent() {
+	for _, update := range n.agent.deferredUpdates {
 		n.onAgentUpdate(update)
 	}
-	n.agent.missedUpdates = nil
-	if n.agent.fetchWaits {
-		n.agent.fetchWaits = false
+	n.agent.deferredUpdates = nil
+	if n.agent.fetchPending {
+		n.agent.fetchPending = false
 		n.fetchEndpoints()
 	}
 }
@@ -89,7 +89,7 @@
 			n.CloseIdle(balancer.EndpointID(upstream))
 		}
 	}
-	if front := n.zoneFront(); n.onLinkFault(i, front.party) {
+	if front := n.zoneIngress(); n.onLinkFault(i, front.party) {
 		n.send(front, message{kind: msgIdleClosed})
 	}
 	n.deliverOutcomes()
@@ -97,7 +97,7 @@
 
 // resetRequest breaks the connections of a request that a fault on links hits.
 func (n *node) resetRequest(i int, r *openRequest) {
-	front := n.sim.actors[r.front]
+	front := n.sim.actors[r.ingress]
 	if !r.closed && n.onLinkFault(i, front.party) {
 		n.send(front, message{kind: msgReset, id: r.client.id, requestRead: true})
 		n.disconnectClient(r)
--- a/internal/lab/model/ingress.go
+++ b/internal/lab/model/ingress.go
@@ -9,117 +9,120 @@
 	"sprucehill/internal/lab/history"
 )
 
-// healthCheckInterval is how often a front checks a balancer's health, as live fronts do.
+// healthCheckInterval is how often an ingress checks a balancer's health. The live engine uses the same interval.
 const healthCheckInterval = 100 * time.Millisecond
 
-// ingress is the clients of a zone with the ingress that spreads them over the zone's balancers.
+// ingress is the actor of a zone's clients and of the ingress that spreads their requests over the zone's balancers. The
+// slices by balancer are indexed like nodes.
 type ingress struct {
 	*actor
 	zone         int
 	clients      *client.Zone
-	next         int           // round-robin position
-	nodes        []int         // the zone's balancers; their places here index the slices below
-	placeOfNode  map[int32]int // by actor
-	idle         []int         // idle connections
-	lastHealthAt []time.Duration
-	healthy      []bool
-	pending      map[uint64]*ingressRequest
+	next         int                        // round-robin position
+	nodes        []int                      // the zone's balancers, by their indices in the fleet
+	indexOfNode  map[int32]int              // index in nodes, by the balancer's actor
+	idle         []int                      // number of idle connections, by balancer
+	lastHealthAt []time.Duration            // when the last health check was answered, by balancer
+	healthy      []bool                     // by balancer
+	pending      map[uint64]*ingressRequest // by request id
 }
 
 // ingressRequest is a client's request that has not ended yet.
 type ingressRequest struct {
 	*clientRequest
-	place        int  // of its balancer
+	nodeIndex    int  // of its balancer, in ingress.nodes
 	sent         bool // written on a connection
-	reused       bool // its connection has served before
-	retriedOnNew bool // it met a connection that had just been closed, and was sent again on a new one
+	reused       bool // its connection has carried a request before
+	retriedOnNew bool // a reused connection had just been closed, and the request was sent again
 }
 
 func newIngress(a *actor, zone int) *ingress {
 	nodes := a.sim.fleet.Zones[zone].Balancers
-	f := &ingress{
+	in := &ingress{
 		actor:        a,
 		zone:         zone,
-		clients:      client.NewZone(a.sim.day),
+		clients:      client.NewZone(a.sim.scenario),
 		nodes:        nodes,
-		placeOfNode:  map[int32]int{},
+		indexOfNode:  map[int32]int{},
 		idle:         make([]int, len(nodes)),
 		lastHealthAt: make([]time.Duration, len(nodes)),
 		healthy:      make([]bool, len(nodes)),
 		pending:      map[uint64]*ingressRequest{},
 	}
 	for i, b := range nodes {
-		f.placeOfNode[a.sim.nodes[b].id] = i
-		f.healthy[i] = true // a day begins once all balancers are ready
+		in.indexOfNode[a.sim.nodes[b].id] = i
+		in.healthy[i] = true // a run begins once all balancers are ready
 		phase := time.Duration(a.rng.Float64() * float64(healthCheckInterval))
 		a.after(phase, message{kind: msgHealthCheckDue, index: int32(i)})
 	}
-	return f
+	return in
 }
 
-func (f *ingress) node(place int) *actor { return f.sim.nodes[f.nodes[place]] }
+// node is the actor of a balancer, by its index in nodes.
+func (in *ingress) node(index int) *actor { return in.sim.nodes[in.nodes[index]] }
 
-func (f *ingress) handle(m message) {
+func (in *ingress) handle(m message) {
 	switch m.kind {
 	case msgArrival:
-		f.clients.AddRequest()
-		f.startRequest(m.index, 0)
+		in.clients.AddRequest()
+		in.startRequest(m.index, 0)
 	case msgRetry:
-		f.startRequest(m.index, m.number)
+		in.startRequest(m.index, m.number)
 	case msgHealthCheckDue:
-		f.checkHealth(m.index)
-	case msgHealth:
-		f.onHealth(f.placeOfNode[m.from], m)
+		in.checkHealth(m.index)
+	case msgHealthResult:
+		in.onHealth(in.indexOfNode[m.from], m)
 	case msgIdleClosed:
-		f.idle[f.placeOfNode[m.from]] = 0
+		in.idle[in.indexOfNode[m.from]] = 0
 	default:
-		if r := f.pending[m.id]; r != nil {
-			f.handleRequest(r, m)
+		if r := in.pending[m.id]; r != nil {
+			in.handleRequest(r, m)
 		}
 	}
 }
 
 // handleRequest handles a message about a request that has not ended.
-func (f *ingress) handleRequest(r *ingressRequest, m message) {
+func (in *ingress) handleRequest(r *ingressRequest, m message) {
 	switch m.kind {
 	case msgConnected:
 		if !r.sent {
-			f.write(r)
+			in.write(r)
 		}
 	case msgReset:
-		f.onReset(r, m.requestRead)
+		in.onReset(r, m.requestRead)
 	case msgResponse:
-		f.onResponse(r, m)
+		in.onResponse(r, m)
 	case msgClientTimeout:
-		f.onClientTimeout(r)
+		in.onClientTimeout(r)
 	}
 }
 
-// checkHealth checks a balancer's health. One that has not answered for the notice time gets no more requests.
-func (f *ingress) checkHealth(index int32) {
+// checkHealth starts a health check of a balancer. One that has not answered any for the scenario's front_notice gets no
+// more requests.
+func (in *ingress) checkHealth(index int32) {
 	i := int(index)
-	if f.now-f.lastHealthAt[i] >= f.sim.day.Balancer.Notice.D() {
-		f.healthy[i] = false
+	if in.now-in.lastHealthAt[i] >= in.sim.scenario.Balancer.Notice.D() {
+		in.healthy[i] = false
 	}
-	f.send(f.node(i), message{kind: msgHealthCheck})
-	f.after(healthCheckInterval, message{kind: msgHealthCheckDue, index: index})
+	in.send(in.node(i), message{kind: msgHealthCheck})
+	in.after(healthCheckInterval, message{kind: msgHealthCheckDue, index: index})
 }
 
-// onHealth notes the answer to a health check, and records a balancer that has become ready.
-func (f *ingress) onHealth(place int, answer message) {
-	f.lastHealthAt[place] = f.now
-	if answer.healthy && !f.healthy[place] {
-		f.record(history.Event{Kind: history.Ready, Balancer: int32(f.nodes[place]), Upstream: history.None, Arrival: history.None})
+// onHealth handles the response to a health check and records a balancer that has become ready.
+func (in *ingress) onHealth(index int, response message) {
+	in.lastHealthAt[index] = in.now
+	if response.healthy && !in.healthy[index] {
+		in.record(history.Event{Kind: history.Ready, Balancer: int32(in.nodes[index]), Upstream: history.None, Arrival: history.None})
 	}
-	f.healthy[place] = answer.healthy
+	in.healthy[index] = response.healthy
 }
 
-// startRequest begins a client's request for an arrival. number counts its retries, from 0.
-func (f *ingress) startRequest(arrival, number int32) {
-	a := f.sim.arrivals[arrival]
-	class := f.sim.day.Classes[a.Class]
+// startRequest starts a client's request for an arrival. number is 0 for the first request and counts the retries.
+func (in *ingress) startRequest(arrival, number int32) {
+	a := in.sim.arrivals[arrival]
+	class := in.sim.scenario.Classes[a.Class]
 	r := &ingressRequest{clientRequest: &clientRequest{
-		id:       f.sim.day.RequestID(int(arrival), int(number)),
+		id:       in.sim.scenario.RequestID(int(arrival), int(number)),
 		arrival:  arrival,
 		number:   number,
 		deadline: a.At + class.Deadline.D(),
@@ -127,81 +130,83 @@
 	if a.Leaves > 0 && number == 0 {
 		r.leavesAt = a.At + a.Leaves
 	}
-	f.pending[r.id] = r
-	f.assign(r)
+	in.pending[r.id] = r
+	in.assign(r)
 	if r.leavesAt > 0 {
-		f.after(r.leavesAt-f.now, message{kind: msgClientTimeout, id: r.id})
+		in.after(r.leavesAt-in.now, message{kind: msgClientTimeout, id: r.id})
 		return
 	}
-	// The first timer ends the wait for a connection, the second the wait for a response.
-	f.after(r.deadline-f.now, message{kind: msgClientTimeout, id: r.id})
-	f.after(r.deadline+check.Grace-f.now, message{kind: msgClientTimeout, id: r.id})
+	// The first timer ends the wait for a connection, the second one the wait for a response.
+	in.after(r.deadline-in.now, message{kind: msgClientTimeout, id: r.id})
+	in.after(r.deadline+check.Grace-in.now, message{kind: msgClientTimeout, id: r.id})
 }
 
-// assign sends a request to the next healthy balancer, round robin.
-func (f *ingress) assign(r *ingressRequest) {
-	for range f.nodes {
-		f.next++
-		place := f.next % len(f.nodes)
-		if !f.healthy[place] {
+// assign sends a request to the next healthy balancer in round-robin order, on an idle connection if there is one.
+func (in *ingress) assign(r *ingressRequest) {
+	for range in.nodes {
+		in.next++
+		index := in.next % len(in.nodes)
+		if !in.healthy[index] {
 			continue
 		}
-		r.place = place
+		r.nodeIndex = index
 		r.sent = false
-		r.reused = f.idle[place] > 0 && !r.retriedOnNew
+		r.reused = in.idle[index] > 0 && !r.retriedOnNew
 		if r.reused {
-			f.idle[place]--
-			f.write(r)
+			in.idle[index]--
+			in.write(r)
 		} else {
-			f.send(f.node(place), message{kind: msgConnect, id: r.id})
+			in.send(in.node(index), message{kind: msgConnect, id: r.id})
 		}
 		return
 	}
-	f.finish(r, client.NotConnected, 0)
+	in.finish(r, client.NotConnected, 0)
 }
 
-// write sends the request on its connection.
-func (f *ingress) write(r *ingressRequest) {
+// write writes the request on its connection.
+func (in *ingress) write(r *ingressRequest) {
 	r.sent = true
-	event := f.event(r, history.Sent)
+	event := in.event(r, history.Sent)
 	event.Deadline = r.deadline
-	f.record(event)
-	f.send(f.node(r.place), message{kind: msgRequest, id: r.id, request: r.clientRequest, duration: r.deadline - f.now})
+	in.record(event)
+	in.send(in.node(r.nodeIndex), message{kind: msgRequest, id: r.id, request: r.clientRequest, duration: r.deadline - in.now})
 }
 
-// event is an event of a request.
-func (f *ingress) event(r *ingressRequest, kind history.Kind) history.Event {
+// event returns an event about a request.
+func (in *ingress) event(r *ingressRequest, kind history.Kind) history.Event {
 	return history.Event{
 		Kind:      kind,
 		RequestID: r.id,
 		Arrival:   r.arrival,
 		Retry:     int8(r.number),
-		Class:     int16(f.sim.arrivals[r.arrival].Class),
-		Balancer:  int32(f.nodes[r.place]),
+		Class:     int16(in.sim.arrivals[r.arrival].Class),
+		Balancer:  int32(in.nodes[r.nodeIndex]),
 		Upstream:  history.None,
 	}
 }
 
-// onReset ends a request whose connection broke. requestRead says whether its balancer had read it.
-func (f *ingress) onReset(r *ingressRequest, requestRead bool) {
+// onReset handles a connection that was refused or reset, which ends its request. Only a request on a reused connection is
+// sent again, once, unless the balancer had read it.
+func (in *ingress) onReset(r *ingressRequest, requestRead bool) {
 	switch {
 	case !r.sent:
-		f.record(f.event(r, history.NotConnected))
-		f.finish(r, client.NotConnected, 0)
-	case r.reused && !requestRead && !r.retriedOnNew: // the balancer closed it between requests
+		in.record(in.event(r, history.NotConnected))
+		in.finish(r, client.NotConnected, 0)
+	case r.reused && !requestRead && !r.retriedOnNew: // the balancer closed the idle connection
 		r.retriedOnNew = true
-		f.assign(r)
+		in.assign(r)
 	default:
-		f.record(f.event(r, history.Broken))
-		f.finish(r, client.Failed, 0)
+		in.record(in.event(r, history.Broken))
+		in.finish(r, client.Failed, 0)
 	}
 }
 
-func (f *ingress) onResponse(r *ingressRequest, m message) {
+// onResponse handles the balancer's response, which ends its request.
+func (in *ingress) onResponse(r *ingressRequest, m message) {
 	if m.keepAlive {
-		f.idle[r.place]++
+		in.idle[r.nodeIndex]++
 	}
-	event := f.event(r, history.Answered)
+	event := in.event(r, history.Answered)
 	event.Status = m.status
 	switch m.status {
 	case statusOK:
@@ -213,40 +218,40 @@
 	default:
 		event.Result = client.Failed
 	}
-	f.record(event)
-	f.finish(r, event.Result, m.duration)
+	in.record(event)
+	in.finish(r, event.Result, m.duration)
 }
 
-// onClientTimeout ends a request whose client waits no longer.
-func (f *ingress) onClientTimeout(r *ingressRequest) {
+// onClientTimeout ends a request if its client no longer waits.
+func (in *ingress) onClientTimeout(r *ingressRequest) {
 	switch {
-	case r.leavesAt > 0 && f.now >= r.leavesAt:
+	case r.leavesAt > 0 && in.now >= r.leavesAt:
 		if r.sent {
-			f.disconnect(r, history.ClientLeft)
+			in.disconnect(r, history.ClientLeft)
 		}
-		f.finish(r, client.Disconnected, 0)
-	case !r.sent && f.now >= r.deadline:
-		f.record(f.event(r, history.NotConnected))
-		f.finish(r, client.NotConnected, 0)
-	case r.sent && f.now >= r.deadline+check.Grace:
-		f.disconnect(r, history.TimedOut)
-		f.finish(r, client.Failed, 0)
+		in.finish(r, client.Disconnected, 0)
+	case !r.sent && in.now >= r.deadline:
+		in.record(in.event(r, history.NotConnected))
+		in.finish(r, client.NotConnected, 0)
+	case r.sent && in.now >= r.deadline+check.Grace:
+		in.disconnect(r, history.TimedOut)
+		in.finish(r, client.Failed, 0)
 	}
 }
 
 // disconnect closes the connection of a request that has been sent.
-func (f *ingress) disconnect(r *ingressRequest, why history.Kind) {
-	f.record(f.event(r, why))
-	f.send(f.node(r.place), message{kind: msgClientGone, id: r.id})
+func (in *ingress) disconnect(r *ingressRequest, reason history.Kind) {
+	in.record(in.event(r, reason))
+	in.send(in.node(r.nodeIndex), message{kind: msgClientDisconnected, id: r.id})
 }
 
-// finish ends a request. Its client may retry.
-func (f *ingress) finish(r *ingressRequest, result client.Result, retryAfter time.Duration) {
-	delete(f.pending, r.id)
-	a := f.sim.arrivals[r.arrival]
-	draw := rand.New(rand.NewPCG(f.sim.day.Seed, uint64(r.arrival)<<8|uint64(r.number))).Float64()
-	wait, retries := f.clients.Retry(a.Class, result, int(r.number)+1, r.deadline-f.now, retryAfter, draw)
+// finish ends a request, and schedules a retry if its client makes one.
+func (in *ingress) finish(r *ingressRequest, result client.Result, retryAfter time.Duration) {
+	delete(in.pending, r.id)
+	a := in.sim.arrivals[r.arrival]
+	draw := rand.New(rand.NewPCG(in.sim.scenario.Seed, uint64(r.arrival)<<8|uint64(r.number))).Float64()
+	wait, retries := in.clients.Retry(a.Class, result, int(r.number)+1, r.deadline-in.now, retryAfter, draw)
 	if retries {
-		f.after(wait, message{kind: msgRetry, index: r.arrival, number: r.number + 1})
+		in.after(wait, message{kind: msgRetry, index: r.arrival, number: r.number + 1})
 	}
 }
--- a/internal/lab/model/message.go
+++ b/internal/lab/model/message.go
@@ -20,12 +20,12 @@
 
 	// Between fronts and balancers.
 	msgHealthCheck
-	msgHealth // healthy
+	msgHealthResult // healthy
 	msgConnect
 	msgConnected
 	msgReset // the connection was refused or broke; requestRead
 	msgRequest
-	msgClientGone
+	msgClientDisconnected
 	msgResponse   // keepAlive
 	msgIdleClosed // the sender has closed all its idle connections; from an upstream, index: which
 
@@ -35,7 +35,7 @@
 	msgRequestTimeout
 	msgConnectTimeout
 	msgDrained // a process that shuts down may end once no request is open
-	msgBoot
+	msgStart
 	msgEndpointUpdate // with an update: a change of the endpoint list; without: fetch the list again
 
 	// Between balancers and upstreams. Connection messages of fronts are used here too.
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -15,8 +15,8 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// everyFaultDay is a day for every kind of fault, some of them over each other.
-const everyFaultDay = `
+// faultTestScenario is a day for every kind of fault, some of them over each other.
+const faultTestScenario = `
 seed = 3
 length = "14s"
 [[region]]
@@ -77,10 +77,10 @@
 swing = 0.3
 `
 
-// dayWithEveryFault adds one fault of each kind to everyFaultDay.
-func dayWithEveryFault(t *testing.T) *scenario.Scenario {
+// scenarioWithEveryFault adds one fault of each kind to everyFaultDay.
+func scenarioWithEveryFault(t *testing.T) *scenario.Scenario {
 	t.Helper()
-	text := everyFaultDay
+	text := faultTestScenario
 	for i, f := range []string{
 		`kind = "cut"` + "\n" + `from = ["zone:a"]` + "\n" + `to = ["zone:b"]`,
 		`kind = "cut"` + "\n" + `from = ["balancer:a-b1"]` + "\n" + `to = ["all"]` + "\n" + `one_way = true`,
@@ -107,7 +107,7 @@
 	return labtest.Day(t, text)
 }
 
-func play(t *testing.T, d *scenario.Scenario, o Options) []history.Event {
+func runScenario(t *testing.T, d *scenario.Scenario, o Options) []history.Event {
 	t.Helper()
 	events, err := Play(context.Background(), d, o)
 	if err != nil {
@@ -118,25 +118,25 @@
 
 // One day gives one history, to the byte, whatever the number of workers and however often it is played.
 func TestDeterministicOnAnyWorkers(t *testing.T) {
-	d := dayWithEveryFault(t)
-	one := play(t, d, Options{Workers: 1})
+	d := scenarioWithEveryFault(t)
+	one := runScenario(t, d, Options{Workers: 1})
 	if len(one) < 5000 {
 		t.Fatalf("only %d events", len(one))
 	}
 	for _, workers := range []int{1, 3, 8} {
-		if other := play(t, d, Options{Workers: workers}); !reflect.DeepEqual(one, other) {
+		if other := runScenario(t, d, Options{Workers: workers}); !reflect.DeepEqual(one, other) {
 			t.Errorf("%d workers gave another history", workers)
 		}
 	}
 	d.Seed++
-	if reflect.DeepEqual(one, play(t, d, Options{Workers: 1})) {
+	if reflect.DeepEqual(one, runScenario(t, d, Options{Workers: 1})) {
 		t.Error("another seed gave the same history")
 	}
 }
 
 // Every attempt that an upstream took ends, and every request that was sent ends.
 func TestEveryRequestAndAttemptEnds(t *testing.T) {
-	d := dayWithEveryFault(t)
+	d := scenarioWithEveryFault(t)
 	type key struct {
 		req      uint64
 		upstream int32
@@ -144,7 +144,7 @@
 	}
 	open, asked := map[key]history.Event{}, map[uint64]history.Event{}
 	toppled := map[int32]bool{}
-	for _, e := range play(t, d, Options{Workers: 4}) {
+	for _, e := range runScenario(t, d, Options{Workers: 4}) {
 		switch e.Kind {
 		case history.Arrived:
 			open[key{e.RequestID, e.Upstream, e.Serial}] = e
@@ -186,7 +186,7 @@
 				seeds = 1
 			}
 			for d.Seed = 1; d.Seed <= seeds; d.Seed++ {
-				for _, v := range check.Judge(d, d.Fleet(), play(t, d, Options{Workers: 1})) {
+				for _, v := range check.Judge(d, d.Fleet(), runScenario(t, d, Options{Workers: 1})) {
 					t.Errorf("seed %d: %s at %v: %s", d.Seed, v.Rule, v.At, v.What)
 				}
 			}
@@ -199,7 +199,7 @@
 	d := labtest.Example(t, "zones/two.toml")
 	served := func(policy string) float64 {
 		good, asked := 0, 0
-		for _, e := range play(t, d, Options{Workers: 2, Policy: policy}) {
+		for _, e := range runScenario(t, d, Options{Workers: 2, Policy: policy}) {
 			if e.Kind == history.Answered && e.Result == client.Served {
 				good++
 			} else if e.Kind == history.Sent && e.Retry == 0 {
@@ -216,7 +216,7 @@
 // A baseline without slow start overloads an upstream that warms up, and the checker finds it in virtual time too. The module does
 // not push one over.
 func TestRoundRobinOverloadsColdUpstream(t *testing.T) {
-	text := everyFaultDay + `
+	text := faultTestScenario + `
 [[fault]]
 at = "3s"
 for = "1s"
@@ -228,7 +228,7 @@
 	d.Load.Rate *= 3
 	broken := func(policy string) int {
 		n := 0
-		for _, v := range check.Judge(d, d.Fleet(), play(t, d, Options{Policy: policy})) {
+		for _, v := range check.Judge(d, d.Fleet(), runScenario(t, d, Options{Policy: policy})) {
 			if v.Rule == check.ColdStart {
 				n++
 			}
@@ -245,10 +245,10 @@
 
 // A zone that is cut off gets no messages until the cut ends: those in transit come then.
 func TestCutLinkHoldsMessages(t *testing.T) {
-	d := dayWithEveryFault(t)
+	d := scenarioWithEveryFault(t)
 	d.Faults = d.Faults[:1]
 	during := 0
-	for _, e := range play(t, d, Options{}) {
+	for _, e := range runScenario(t, d, Options{}) {
 		from, to := d.Faults[0].At.D()+50*time.Millisecond, (d.Faults[0].At + d.Faults[0].For).D()
 		if e.Kind == history.Arrived && e.At > from && e.At < to {
 			if f := d.Fleet(); f.Balancers[e.Balancer].Zone+f.Upstreams[e.Upstream].Zone == 1 { // zones 0 and 1
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -13,8 +13,8 @@
 const (
 	// clockOrigin is the decision module's time at the begin of the day, so that a time of 0 is long past.
 	clockOrigin = time.Hour
-	// idleMargin is how long before its upstream a balancer closes an idle connection.
-	idleMargin = 5 * time.Second
+	// idleCloseMargin is how long before its upstream a balancer closes an idle connection.
+	idleCloseMargin = 5 * time.Second
 	// cellsPerZone numbers the cells of all zones apart, as the live engine's registry does.
 	cellsPerZone = 1000
 )
@@ -24,17 +24,17 @@
 type node struct {
 	*actor
 	index     int // of the balancer in the fleet
-	newModule newPolicy
+	newModule policyFactory
 	settings  balancer.Settings
 
 	// The process.
-	module       balancer.Events // nil: no process runs
-	incarnation  int32           // counts starts of the process
-	draining     bool            // graceful shutdown has begun
-	restarts     bool            // it starts again once it has shut down
-	stopped      bool            // by SIGSTOP
-	whileStopped []message       // handled when it continues
-	zoneStates   []balancer.ZoneState
+	module           balancer.Events // nil: no process runs
+	incarnation      int32           // counts starts of the process
+	draining         bool            // graceful shutdown has begun
+	restartAfterExit bool            // it starts again once it has shut down
+	stopped          bool            // by SIGSTOP
+	deferredMessages []message       // handled when it continues
+	zoneStates       []balancer.ZoneState
 
 	requestTable
 	upstreamConns
@@ -51,17 +51,17 @@
 
 // agent is a node's discovery agent. It runs whether the process does or not.
 type agent struct {
-	endpoints     []balancer.Endpoint
-	initial       []balancer.Endpoint // the list at the begin of the day, where the configuration has it
-	silences      int                 // active faults that silence the agent
-	errorRate     float64             // ratio of calls to the agent that fail
-	missedUpdates []*endpointUpdate   // arrived during a silence
-	fetchWaits    bool                // the process called for the list during a silence
-	clockOffset   time.Duration       // of this machine's clock against discovery's
+	endpoints        []balancer.Endpoint
+	initialEndpoints []balancer.Endpoint // the list at the begin of the day, where the configuration has it
+	activeSilences   int                 // active faults that silence the agent
+	errorRate        float64             // ratio of calls to the agent that fail
+	deferredUpdates  []*endpointUpdate   // arrived during a silence
+	fetchPending     bool                // the process called for the list during a silence
+	clockOffset      time.Duration       // of this machine's clock against discovery's
 }
 
-func newNode(a *actor, index int, policy newPolicy) (*node, error) {
-	d := a.sim.day
+func newNode(a *actor, index int, policy policyFactory) (*node, error) {
+	d := a.sim.scenario
 	settings, links, err := wire.DecodeSettings(d.Settings(a.sim.fleet, index))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", scenario.ErrInput, err)
@@ -73,7 +73,7 @@
 		settings:  settings,
 		upstreamConns: upstreamConns{
 			maxConns:    d.Balancer.Sockets * 3 / 8,
-			idleTimeout: max(links.KeepAlive-idleMargin, links.KeepAlive/2),
+			idleTimeout: max(links.KeepAlive-idleCloseMargin, links.KeepAlive/2),
 			dialTimeout: links.ConnectTimeout,
 		},
 	}
@@ -91,8 +91,8 @@
 // clock is the decision module's time.
 func (n *node) clock() time.Duration { return clockOrigin + n.now }
 
-// zoneFront is the front of the node's zone.
-func (n *node) zoneFront() *actor { return n.sim.fronts[n.sim.fleet.Balancers[n.index].Zone] }
+// zoneIngress is the front of the node's zone.
+func (n *node) zoneIngress() *actor { return n.sim.ingresses[n.sim.fleet.Balancers[n.index].Zone] }
 
 func (n *node) handle(m message) {
 	switch {
@@ -107,7 +107,7 @@
 			n.fetchEndpoints()
 		}
 	case n.stopped:
-		n.whileStopped = append(n.whileStopped, m)
+		n.deferredMessages = append(n.deferredMessages, m)
 	case n.module == nil:
 		n.handleWithoutProcess(m)
 	default:
@@ -119,12 +119,12 @@
 func (n *node) handleInProcess(m message) {
 	switch m.kind {
 	case msgHealthCheck:
-		n.send(n.sim.actors[m.from], message{kind: msgHealth, healthy: !n.draining})
+		n.send(n.sim.actors[m.from], message{kind: msgHealthResult, healthy: !n.draining})
 	case msgConnect:
 		n.send(n.sim.actors[m.from], message{kind: msgConnected, id: m.id})
 	case msgRequest:
 		n.onRequest(m)
-	case msgClientGone:
+	case msgClientDisconnected:
 		if r := n.byClientID[m.id]; r != nil && !r.closed {
 			n.disconnectClient(r)
 		}
@@ -157,7 +157,7 @@
 		n.send(n.sim.actors[m.from], message{kind: msgReset, id: m.id})
 	case msgConnected:
 		n.send(n.sim.actors[m.from], message{kind: msgConnClosed})
-	case msgBoot:
+	case msgStart:
 		if err := n.start(); err != nil {
 			panic(err) // the same settings were valid at the first start
 		}
--- a/internal/lab/model/policy.go
+++ b/internal/lab/model/policy.go
@@ -12,15 +12,15 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// newPolicy makes what decides for a balancer: the program's decision module, or a baseline with the same interface.
-type newPolicy func(s balancer.Settings, seed uint64, now time.Duration, effects balancer.Effects) (balancer.Events, error)
+// policyFactory makes what decides for a balancer: the program's decision module, or a baseline with the same interface.
+type policyFactory func(s balancer.Settings, seed uint64, now time.Duration, effects balancer.Effects) (balancer.Events, error)
 
 // Policies names what a day can be modelled with: the program's own module, and baselines to compare it with.
 var Policies = []string{ownPolicy, "round-robin", "least-loaded", "random-of-two", "true-state"}
 
 const ownPolicy = "sprucehill"
 
-func policyNamed(name string) (newPolicy, error) {
+func policyByName(name string) (policyFactory, error) {
 	switch name {
 	case "", ownPolicy:
 		return func(s balancer.Settings, seed uint64, now time.Duration, effects balancer.Effects) (balancer.Events, error) {
@@ -63,7 +63,7 @@
 }
 
 // newBaseline returns a policy with a rule.
-func newBaseline(choose func(*baseline, []balancer.Endpoint) balancer.EndpointID) newPolicy {
+func newBaseline(choose func(*baseline, []balancer.Endpoint) balancer.EndpointID) policyFactory {
 	return func(s balancer.Settings, seed uint64, _ time.Duration, effects balancer.Effects) (balancer.Events, error) {
 		b := &baseline{
 			settings: s,
@@ -87,14 +87,16 @@
 	return active[b.next%len(active)].ID
 }
 
-// load is an endpoint's requests in flight by its weight.
-func (b *baseline) load(e balancer.Endpoint) float64 { return float64(b.inFlight[e.ID]) / e.Weight }
+// weightedLoad is an endpoint's requests in flight by its weight.
+func (b *baseline) weightedLoad(e balancer.Endpoint) float64 {
+	return float64(b.inFlight[e.ID]) / e.Weight
+}
 
 func (b *baseline) leastLoaded(active []balancer.Endpoint) balancer.EndpointID {
 	first := b.rng.IntN(len(active)) // of equals, any
 	best := active[first]
 	for i := range active {
-		if e := active[(first+i)%len(active)]; b.load(e) < b.load(best) {
+		if e := active[(first+i)%len(active)]; b.weightedLoad(e) < b.weightedLoad(best) {
 			best = e
 		}
 	}
@@ -104,7 +106,7 @@
 func (b *baseline) randomOfTwo(active []balancer.Endpoint) balancer.EndpointID {
 	one := active[b.rng.IntN(len(active))]
 	other := active[b.rng.IntN(len(active))]
-	if b.load(other) < b.load(one) {
+	if b.weightedLoad(other) < b.weightedLoad(one) {
 		return other.ID
 	}
 	return one.ID
@@ -133,11 +135,11 @@
 func (b *baseline) OnRequest(now time.Duration, request balancer.Request) {
 	r := &baselineRequest{class: b.classes[request.Class], deadline: now + request.Timeout}
 	b.requests[request.ID] = r
-	b.tryNext(now, request.ID, r)
+	b.attemptOrRespond(now, request.ID, r)
 }
 
-// tryNext makes another attempt of a request, or responds where none is allowed.
-func (b *baseline) tryNext(now time.Duration, id balancer.RequestID, r *baselineRequest) {
+// attemptOrRespond makes another attempt of a request, or responds where none is allowed.
+func (b *baseline) attemptOrRespond(now time.Duration, id balancer.RequestID, r *baselineRequest) {
 	repeatable := !r.mayHaveRun || r.class.Idempotency == balancer.Idempotent
 	switch {
 	case len(b.active) > 0 && now < r.deadline && r.attempts < b.settings.Limits.MaxAttempts && repeatable:
@@ -177,7 +179,7 @@
 	default:
 		notRun := result.Status == balancer.Rejected || result.Status == balancer.ConnectFailed || result.Status == balancer.NotSent
 		r.mayHaveRun = r.mayHaveRun || !notRun
-		b.tryNext(now, result.ID, r)
+		b.attemptOrRespond(now, result.ID, r)
 	}
 }
 
--- a/internal/lab/model/pool.go
+++ b/internal/lab/model/pool.go
@@ -5,17 +5,18 @@
 	"sync/atomic"
 )
 
-// parallelThreshold is how many actors must have something to do before other workers are woken.
+// parallelThreshold is the number of actors in a batch per additional worker that is woken. For fewer, waking one does not
+// pay.
 const parallelThreshold = 8
 
-// pool is a number of workers that share the actors of a step.
+// pool is a fixed number of workers that share the actors of a step.
 type pool struct {
-	size    int
+	size    int // with the goroutine that calls forEach
 	jobs    chan func()
 	workers sync.WaitGroup
 }
 
-// newPool starts a pool of size workers. The goroutine that calls each is one of them.
+// newPool starts a pool of size workers. The goroutine that calls forEach is one of them.
 func newPool(size int) *pool {
 	p := &pool{size: size, jobs: make(chan func())}
 	for range size - 1 {
@@ -28,13 +29,15 @@
 	return p
 }
 
+// close ends the workers. No call of forEach may be running.
 func (p *pool) close() {
 	close(p.jobs)
 	p.workers.Wait()
 }
 
-// each calls work for every actor and returns when all calls have. A small batch is done by the caller alone.
-func (p *pool) each(batch []*actor, work func(*actor)) {
+// forEach calls work for every actor of a batch and returns when all calls have returned. A batch below parallelThreshold
+// is handled by the calling goroutine alone.
+func (p *pool) forEach(batch []*actor, work func(*actor)) {
 	if p.size == 1 || len(batch) < parallelThreshold {
 		for _, a := range batch {
 			work(a)
@@ -42,7 +45,7 @@
 		return
 	}
 	var next atomic.Int64
-	share := func() {
+	workOnBatch := func() {
 		for i := next.Add(1) - 1; int(i) < len(batch); i = next.Add(1) - 1 {
 			work(batch[i])
 		}
@@ -52,9 +55,9 @@
 		helpers.Add(1)
 		p.jobs <- func() {
 			defer helpers.Done()
-			share()
+			workOnBatch()
 		}
 	}
-	share()
+	workOnBatch()
 	helpers.Wait()
 }
--- a/internal/lab/model/process.go
+++ b/internal/lab/model/process.go
@@ -31,12 +31,12 @@
 	n.incarnation++
 	n.requests = map[balancer.RequestID]*openRequest{}
 	n.byClientID = map[uint64]*openRequest{}
-	n.pending = nil
+	n.pendingOutcomes = nil
 	n.conns = 0
 	n.endpoints = make([]endpointConns, len(n.agent.endpoints))
 	n.zoneStates = make([]balancer.ZoneState, len(n.sim.fleet.Zones))
 	n.draining = false
-	seed := n.sim.day.Seed<<24 + uint64(n.incarnation)<<12 + uint64(n.index)
+	seed := n.sim.scenario.Seed<<24 + uint64(n.incarnation)<<12 + uint64(n.index)
 	module, err := n.newModule(n.settings, seed, n.clock(), n)
 	if err != nil {
 		return fmt.Errorf("%w: %s: %w", scenario.ErrInput, n.sim.fleet.Balancers[n.index].Name, err)
@@ -55,25 +55,25 @@
 		s.Restore(n.clock(), n.disk.snapshot)
 	}
 	n.deliverOutcomes()
-	if n.disk.endpoints != nil || n.configuredAtBegin() {
+	if n.disk.endpoints != nil || n.configuredWithInitialList() {
 		n.fetchEndpoints()
 	}
 	return nil
 }
 
-// configuredAtBegin reports whether the configuration has the endpoint list of the day's begin rather than of now.
-func (n *node) configuredAtBegin() bool { return n.sim.day.Balancer.Known == "begin" }
+// configuredWithInitialList reports whether the configuration has the endpoint list of the day's begin rather than of now.
+func (n *node) configuredWithInitialList() bool { return n.sim.scenario.Balancer.Known == "begin" }
 
 // startEndpoints is the list that a process starts with: the saved one, or the one in its configuration.
 func (n *node) startEndpoints() []balancer.Endpoint {
 	switch {
 	case n.disk.endpoints != nil:
 		return n.disk.endpoints
-	case n.configuredAtBegin():
-		if n.agent.initial == nil {
-			n.agent.initial = slices.Clone(n.agent.endpoints)
+	case n.configuredWithInitialList():
+		if n.agent.initialEndpoints == nil {
+			n.agent.initialEndpoints = slices.Clone(n.agent.endpoints)
 		}
-		return n.agent.initial
+		return n.agent.initialEndpoints
 	}
 	return n.agent.endpoints
 }
@@ -81,7 +81,7 @@
 // saveSnapshot saves the module's state from time to time, where the day has balancers do so.
 func (n *node) saveSnapshot() {
 	s, ok := n.module.(snapshotter)
-	if !ok || !n.sim.day.Balancer.State || n.now-n.disk.savedAt < snapshotInterval {
+	if !ok || !n.sim.scenario.Balancer.State || n.now-n.disk.savedAt < snapshotInterval {
 		return
 	}
 	n.disk.snapshot = s.TakeSnapshot(n.clock())
@@ -89,8 +89,8 @@
 	n.disk.endpoints = slices.Clone(n.agent.endpoints)
 }
 
-// loseDisk drops what was saved.
-func (n *node) loseDisk() {
+// eraseDisk drops what was saved.
+func (n *node) eraseDisk() {
 	n.disk.savedAt = 0
 	n.disk.endpoints = nil
 }
@@ -104,7 +104,7 @@
 func (n *node) drain(restarts bool) {
 	n.recordProcess(history.Signalled)
 	n.draining = true
-	n.restarts = restarts
+	n.restartAfterExit = restarts
 	n.after(drainNotice, message{kind: msgDrained, incarnation: n.incarnation})
 }
 
@@ -114,8 +114,8 @@
 		return
 	}
 	n.exit()
-	if n.restarts {
-		n.after(startupTime, message{kind: msgBoot})
+	if n.restartAfterExit {
+		n.after(startupTime, message{kind: msgStart})
 	}
 }
 
@@ -125,7 +125,7 @@
 	for _, id := range slices.Sorted(maps.Keys(n.requests)) {
 		r := n.requests[id]
 		if !r.closed {
-			n.send(n.sim.actors[r.front], message{kind: msgReset, id: r.client.id, requestRead: true})
+			n.send(n.sim.actors[r.ingress], message{kind: msgReset, id: r.client.id, requestRead: true})
 		}
 		for _, a := range r.attempts {
 			if a.connected && !a.ended {
@@ -138,11 +138,11 @@
 			n.send(n.sim.servers[upstream], message{kind: msgConnClosed})
 		}
 	}
-	n.send(n.zoneFront(), message{kind: msgIdleClosed})
+	n.send(n.zoneIngress(), message{kind: msgIdleClosed})
 	n.recordProcess(history.Exited)
 	n.requests = map[balancer.RequestID]*openRequest{}
 	n.byClientID = map[uint64]*openRequest{}
-	n.pending = nil
+	n.pendingOutcomes = nil
 }
 
 // stop stops the process, as SIGSTOP does.
@@ -155,8 +155,8 @@
 func (n *node) resume() {
 	n.stopped = false
 	n.recordProcess(history.Resumed)
-	missed := n.whileStopped
-	n.whileStopped = nil
+	missed := n.deferredMessages
+	n.deferredMessages = nil
 	for _, m := range missed {
 		if n.module == nil {
 			n.handleWithoutProcess(m)
--- a/internal/lab/model/requests.go
+++ b/internal/lab/model/requests.go
@@ -13,7 +13,7 @@
 type openRequest struct {
 	id       balancer.RequestID
 	client   *clientRequest
-	front    int32 // the actor that sent it
+	ingress  int32 // the actor that sent it
 	class    int
 	deadline time.Duration
 	attempts []*upstreamAttempt
@@ -33,10 +33,10 @@
 
 // requestTable is a node's requests that have not ended.
 type requestTable struct {
-	requests    map[balancer.RequestID]*openRequest
-	byClientID  map[uint64]*openRequest
-	lastRequest balancer.RequestID
-	pending     []pendingOutcome // in the order in which they are delivered
+	requests        map[balancer.RequestID]*openRequest
+	byClientID      map[uint64]*openRequest
+	lastRequest     balancer.RequestID
+	pendingOutcomes []pendingOutcome // in the order in which they are delivered
 }
 
 // pendingOutcome is an outcome that is known but not yet delivered, because it arose inside a call of the module.
@@ -53,7 +53,7 @@
 	r := &openRequest{
 		id:       n.lastRequest,
 		client:   m.request,
-		front:    m.from,
+		ingress:  m.from,
 		class:    arrival.Class,
 		deadline: n.now + timeout,
 	}
@@ -63,12 +63,12 @@
 	request := balancer.Request{
 		ID:      r.id,
 		Timeout: timeout,
-		Class:   n.sim.day.Classes[arrival.Class].Name,
+		Class:   n.sim.scenario.Classes[arrival.Class].Name,
 		Key:     arrival.Key,
 		HasKey:  arrival.HasKey,
 	}
 	if arrival.Tenant >= 0 {
-		request.Tenant = n.sim.day.Tenants[arrival.Tenant].Name
+		request.Tenant = n.sim.scenario.Tenants[arrival.Tenant].Name
 	}
 	n.module.OnRequest(n.clock(), request)
 }
@@ -211,15 +211,15 @@
 			Queue:       reply.load.Queue,
 		}
 	}
-	n.forgetIfDone(r)
+	n.removeIfDone(r)
 	n.module.OnAttemptResult(n.clock(), result)
 }
 
 // deliverOutcomes delivers the outcomes that arose inside calls of the module.
 func (n *node) deliverOutcomes() {
-	for len(n.pending) > 0 {
-		next := n.pending[0]
-		n.pending = n.pending[1:]
+	for len(n.pendingOutcomes) > 0 {
+		next := n.pendingOutcomes[0]
+		n.pendingOutcomes = n.pendingOutcomes[1:]
 		n.endAttempt(next.attempt, next.status)
 	}
 }
@@ -232,7 +232,7 @@
 	m.kind = msgResponse
 	m.id = r.client.id
 	m.keepAlive = !n.draining
-	n.send(n.sim.actors[r.front], m)
+	n.send(n.sim.actors[r.ingress], m)
 	n.closeRequest(r)
 }
 
@@ -244,14 +244,14 @@
 
 func (n *node) closeRequest(r *openRequest) {
 	r.closed = true
-	n.forgetIfDone(r)
+	n.removeIfDone(r)
 	if n.draining {
 		n.exitIfDrained()
 	}
 }
 
-// forgetIfDone forgets a request that is closed and has no attempt in flight.
-func (n *node) forgetIfDone(r *openRequest) {
+// removeIfDone forgets a request that is closed and has no attempt in flight.
+func (n *node) removeIfDone(r *openRequest) {
 	if !r.closed || r.inFlight > 0 {
 		return
 	}
--- a/internal/lab/model/sim.go
+++ b/internal/lab/model/sim.go
@@ -1,8 +1,9 @@
-// Package model plays a day in virtual time. Each balancer is the decision module itself. Upstreams and clients are those of
-// the live engine. There are no sockets, so that a fleet may be larger than any machine could run.
+// Package model runs a scenario as a discrete-event simulation in virtual time. Each balancer is the real decision module.
+// Upstreams and clients are those of the live engine. There are no sockets, so that a fleet may be larger than any machine
+// could run.
 //
 // Each party is an actor with its own queue. Actors share no state and only send messages to each other. No message takes
-// less than the shortest delay of the day's network. Therefore messages that are due within that delay from now can't
+// less than the shortest delay of the scenario's network. Therefore messages that are due within that delay from now can't
 // affect each other across actors, and workers handle them in parallel. Each actor handles its messages in order of time,
 // then of sender, then of sending. So the history is the same, byte for byte, with any number of workers. Between such
 // steps, a single goroutine applies the timetable of faults.
@@ -21,50 +22,50 @@
 )
 
 const (
-	// dayTail is how long after the last deadline the day still runs, for late answers and retries.
-	dayTail = 2 * time.Second
-	// actorStream sets the actors' random streams apart from other uses of the day's seed.
+	// tailDuration is how long the run continues after the last deadline, for late responses and retries.
+	tailDuration = 2 * time.Second
+	// actorStream separates the actors' random streams from other uses of the scenario's seed.
 	actorStream = 0x6d6f64656c
 )
 
-// Options is how a day is modelled.
+// Options configures a run of the model engine.
 type Options struct {
-	Workers int    // at most this many at once; 0: one
-	Policy  string // a name of Policies; empty: the program's own
-	// Progress is called for each second of the day that has passed. It may be nil.
+	Workers int    // goroutines that handle actors in parallel; 0: one
+	Policy  string // a name of Policies; empty: the program's decision module
+	// Progress, if set, is called whenever another second of virtual time has passed.
 	Progress func(at time.Duration)
 }
 
-// sim is a day being modelled.
+// sim is the state of a run.
 type sim struct {
-	day         *scenario.Scenario
+	scenario    *scenario.Scenario
 	fleet       *scenario.Fleet
 	paths       *scenario.Paths
 	arrivals    []scenario.Arrival
 	hits        []scenario.Hit
-	minDelay    time.Duration // no message is faster
-	fronts      []*actor      // by zone
+	minDelay    time.Duration // between any two parties
+	ingresses   []*actor      // by zone
 	nodes       []*actor      // by balancer
 	servers     []*actor      // by upstream
-	actors      []*actor      // all of them, by id
+	actors      []*actor      // all actors, by id
 	queue       actorQueue
 	faultEvents []history.Event
 }
 
-// Play models a day and returns its history.
-func Play(ctx context.Context, d *scenario.Scenario, o Options) ([]history.Event, error) {
-	policy, err := policyNamed(o.Policy)
+// Play runs a scenario in virtual time and returns its history.
+func Play(ctx context.Context, sc *scenario.Scenario, o Options) ([]history.Event, error) {
+	policy, err := policyByName(o.Policy)
 	if err != nil {
 		return nil, err
 	}
-	return playWith(ctx, d, o, policy)
+	return runWithPolicy(ctx, sc, o, policy)
 }
 
-// playWith is Play with the given policy in every balancer.
-func playWith(ctx context.Context, d *scenario.Scenario, o Options, policy newPolicy) ([]history.Event, error) {
-	s := &sim{day: d, fleet: d.Fleet(), arrivals: d.Arrivals()}
-	s.paths = d.NewPaths(s.fleet)
-	_, s.hits = d.Timetable()
+// runWithPolicy runs a scenario with the modules of a factory, whatever the options name.
+func runWithPolicy(ctx context.Context, sc *scenario.Scenario, o Options, policy policyFactory) ([]history.Event, error) {
+	s := &sim{scenario: sc, fleet: sc.Fleet(), arrivals: sc.Arrivals()}
+	s.paths = sc.NewPaths(s.fleet)
+	_, s.hits = sc.Timetable()
 	s.minDelay = s.paths.MinDelay()
 	if err := s.populate(policy); err != nil {
 		return nil, err
@@ -80,10 +81,10 @@
 	return events, nil
 }
 
-// populate makes the actors in a fixed order and gives each its first messages.
-func (s *sim) populate(policy newPolicy) error {
+// populate creates the actors, in a fixed order, with their first messages.
+func (s *sim) populate(policy policyFactory) error {
 	for z := range s.fleet.Zones {
-		s.fronts = append(s.fronts, s.addActor(scenario.ClientsParty, z))
+		s.ingresses = append(s.ingresses, s.addActor(scenario.ClientsParty, z))
 	}
 	for b := range s.fleet.Balancers {
 		s.nodes = append(s.nodes, s.addActor(scenario.BalancerParty, b))
@@ -91,7 +92,7 @@
 	for u := range s.fleet.Upstreams {
 		s.servers = append(s.servers, s.addActor(scenario.UpstreamParty, u))
 	}
-	for z, a := range s.fronts {
+	for z, a := range s.ingresses {
 		a.handler = newIngress(a, z)
 	}
 	for u, a := range s.servers {
@@ -105,8 +106,8 @@
 		a.handler = n
 	}
 	for i, arrival := range s.arrivals {
-		f := s.fronts[arrival.Zone]
-		f.queue = append(f.queue, message{at: arrival.At, from: f.id, to: f.id, seq: f.nextSeq(), kind: msgArrival, index: int32(i)})
+		in := s.ingresses[arrival.Zone]
+		in.queue = append(in.queue, message{at: arrival.At, from: in.id, to: in.id, seq: in.nextSeq(), kind: msgArrival, index: int32(i)})
 	}
 	for _, a := range s.actors {
 		s.deliver(a)
@@ -120,25 +121,25 @@
 	return nil
 }
 
-// addActor adds an actor for a party, with random draws of its own.
+// addActor adds an actor for a party, with a random stream of its own.
 func (s *sim) addActor(kind scenario.PartyKind, index int) *actor {
 	id := len(s.actors)
 	a := &actor{
 		sim:       s,
 		id:        int32(id),
 		party:     scenario.Party{Kind: kind, Index: index},
-		rng:       rand.New(rand.NewPCG(s.day.Seed, uint64(id)<<32|actorStream)),
+		rng:       rand.New(rand.NewPCG(s.scenario.Seed, uint64(id)<<32|actorStream)),
 		heapIndex: -1,
 	}
 	s.actors = append(s.actors, a)
 	return a
 }
 
-// run plays the day, a step at a time.
+// run processes messages and faults in steps of at most minDelay, until the end of the run.
 func (s *sim) run(ctx context.Context, o Options) error {
-	changes, _ := s.day.Timetable()
-	end := s.day.Length.D() + s.day.MaxDeadline() + dayTail
-	progress := progressReporter{report: o.Progress, length: s.day.Length.D()}
+	changes, _ := s.scenario.Timetable()
+	end := s.scenario.Length.D() + s.scenario.MaxDeadline() + tailDuration
+	progress := progressReporter{report: o.Progress, length: s.scenario.Length.D()}
 	workers := newPool(max(1, o.Workers))
 	defer workers.close()
 	var batch []*actor
@@ -169,9 +170,9 @@
 	return nil
 }
 
-// step has the actors of a batch handle what is due before a time, and then delivers what they sent.
+// step has the actors of a batch handle their messages that are due before a time, and then delivers what they sent.
 func (s *sim) step(workers *pool, batch []*actor, until time.Duration) {
-	workers.each(batch, func(a *actor) { a.handleUntil(until) })
+	workers.forEach(batch, func(a *actor) { a.handleUntil(until) })
 	for _, a := range batch {
 		s.deliver(a)
 	}
@@ -180,11 +181,11 @@
 	}
 }
 
-// progressReporter calls Options.Progress once for each second of the day that has passed.
+// progressReporter calls Options.Progress whenever another second of virtual time has passed.
 type progressReporter struct {
 	report   func(at time.Duration) // may be nil
-	length   time.Duration          // of the day
-	reported time.Duration          // whole seconds
+	length   time.Duration          // of the scenario
+	reported time.Duration          // in whole seconds
 }
 
 func (p *progressReporter) advanceTo(at time.Duration) {
@@ -196,7 +197,7 @@
 	p.report(min(second, p.length))
 }
 
-// takeDue takes off the queue the actors that have a message due before a time, and appends them to batch.
+// takeDue removes from the queue the actors that have a message due before a time, and appends them to batch.
 func (s *sim) takeDue(batch []*actor, until time.Duration) []*actor {
 	for len(s.queue) > 0 && s.queue[0].queue[0].at < until {
 		batch = append(batch, heap.Pop(&s.queue).(*actor))
@@ -204,7 +205,7 @@
 	return batch
 }
 
-// deliver puts what an actor has sent into its receivers' queues.
+// deliver moves the messages that an actor has sent into the queues of their receivers.
 func (s *sim) deliver(a *actor) {
 	for _, m := range a.outbox {
 		to := s.actors[m.to]
@@ -216,7 +217,7 @@
 	a.outbox = a.outbox[:0]
 }
 
-// schedule puts an actor at its place in the queue.
+// schedule inserts an actor into the queue of actors, or moves it to its new position.
 func (s *sim) schedule(a *actor) {
 	switch {
 	case len(a.queue) == 0:
@@ -227,9 +228,9 @@
 	}
 }
 
-// applyChange carries out a row of the timetable.
+// applyChange applies the begin or the end of a fault.
 func (s *sim) applyChange(c scenario.Change) {
-	fault := s.day.Faults[c.Fault]
+	fault := s.scenario.Faults[c.Fault]
 	hit := s.hits[c.Fault]
 	event := history.Event{At: c.At, Kind: history.FaultEnded, Fault: int32(c.Fault), Arrival: history.None, Balancer: history.None, Upstream: history.None}
 	m := message{at: c.At, kind: msgFaultEnds, index: int32(c.Fault)}
@@ -247,10 +248,10 @@
 		}
 		s.releaseBlocked(c.At)
 	case scenario.OnUpstreams:
-		targets = pickActors(s.servers, hit.Targets)
+		targets = selectActors(s.servers, hit.Targets)
 		s.announceUpdate(c, fault, hit)
 	case scenario.OnBalancers, scenario.OnDiscovery:
-		targets = pickActors(s.nodes, hit.Targets)
+		targets = selectActors(s.nodes, hit.Targets)
 	}
 	for _, a := range targets {
 		m.from = a.id
@@ -261,17 +262,19 @@
 	}
 }
 
-func pickActors(of []*actor, indices []int) []*actor {
-	picked := make([]*actor, 0, len(indices))
+// selectActors returns the actors at the given indices.
+func selectActors(actors []*actor, indices []int) []*actor {
+	selected := make([]*actor, 0, len(indices))
 	for _, i := range indices {
-		picked = append(picked, of[i])
+		selected = append(selected, actors[i])
 	}
-	return picked
+	return selected
 }
 
-// announceUpdate sends every balancer's agent the effect of a fault on the endpoint list, when discovery notices it.
+// announceUpdate sends every discovery agent the change of the endpoint list that a fault causes, after the delay with
+// which discovery notices it.
 func (s *sim) announceUpdate(c scenario.Change, fault scenario.Fault, hit scenario.Hit) {
-	phase, delay, warmsUp := s.day.EndpointPhase(fault, c.Transition)
+	phase, delay, warmsUp := s.scenario.EndpointPhase(fault, c.Transition)
 	if phase == "" {
 		return
 	}
@@ -286,7 +289,7 @@
 	}
 }
 
-// releaseBlocked sends the messages that waited for links which are up again.
+// releaseBlocked sends again all messages that waited for a cut link. Those whose link is still cut wait on.
 func (s *sim) releaseBlocked(now time.Duration) {
 	for _, a := range s.actors {
 		blocked := a.blocked
--- a/internal/lab/model/truth.go
+++ b/internal/lab/model/truth.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// stuckCheckInterval is how often the policy looks for attempts whose reply can't come.
+	// stuckCheckInterval is how often the policy looks for attempts to upstreams that can't reply.
 	stuckCheckInterval = 20 * time.Millisecond
-	// remoteZonePenalty is how much more loaded an upstream of another zone counts, so that of equals a local one is chosen.
+	// remoteZonePenalty multiplies the load of upstreams in other zones, so that a local one wins among equally loaded ones.
 	remoteZonePenalty = 1.1
 )
 
-// trueStatePolicy is what no balancer can be: it knows from the timetable which upstreams serve and what each of them
-// can do now, at every moment and without delay. The others are compared with it.
+// trueStatePolicy is an oracle, a reference for the other policies that no real balancer can reach. From the timetable of
+// faults it knows, at every moment and without delay, which upstreams serve and the capacity of each.
 type trueStatePolicy struct {
 	*baseline
 	node *node
 }
 
-// newTrueState is a newPolicy. Its effects are a node.
+// newTrueState is the policyFactory of trueStatePolicy. The effects have to be a *node.
 func newTrueState(s balancer.Settings, seed uint64, now time.Duration, effects balancer.Effects) (balancer.Events, error) {
 	p := &trueStatePolicy{node: effects.(*node)}
 	newModule := newBaseline(func(_ *baseline, active []balancer.Endpoint) balancer.EndpointID { return p.chooseEndpoint(active) })
@@ -37,7 +37,7 @@
 	return p, nil
 }
 
-// chooseEndpoint takes the endpoint with the least in flight for what it can do now.
+// chooseEndpoint returns the endpoint with the fewest requests in flight from this balancer per capacity.
 func (p *trueStatePolicy) chooseEndpoint(active []balancer.Endpoint) balancer.EndpointID {
 	fleet := p.node.sim.fleet
 	localZone := fleet.Balancers[p.node.index].Zone
@@ -45,11 +45,11 @@
 	leastLoad := -1.0
 	for _, i := range p.rng.Perm(len(active)) {
 		id := active[i].ID
-		power := p.power(int(id))
-		if power == 0 {
+		capacity := p.capacity(int(id))
+		if capacity == 0 {
 			continue
 		}
-		load := float64(p.inFlight[id]+1) / power
+		load := float64(p.inFlight[id]+1) / capacity
 		if fleet.Upstreams[id].Zone != localZone {
 			load *= remoteZonePenalty
 		}
@@ -61,31 +61,31 @@
 	return best
 }
 
-// power is the capacity of an upstream for this balancer now, in cores of speed 1. It is 0 if no answer would arrive.
-func (p *trueStatePolicy) power(u int) float64 {
-	power := p.node.sim.fleet.Upstreams[u].Size
-	for i := range p.node.sim.day.Faults {
-		power *= p.faultFactor(i, u)
+// capacity is what an upstream can serve for this balancer now, in cores of speed 1. It is 0 if no reply would arrive.
+func (p *trueStatePolicy) capacity(u int) float64 {
+	capacity := p.node.sim.fleet.Upstreams[u].Size
+	for i := range p.node.sim.scenario.Faults {
+		capacity *= p.capacityFactor(i, u)
 	}
-	return power
+	return capacity
 }
 
-// faultFactor is the part of an upstream's power that a fault leaves for this balancer now.
-func (p *trueStatePolicy) faultFactor(i, u int) float64 {
+// capacityFactor is the fraction of an upstream's capacity that a fault leaves for this balancer now.
+func (p *trueStatePolicy) capacityFactor(faultIndex, u int) float64 {
 	s := p.node.sim
 	now := p.node.now
-	fault := s.day.Faults[i]
+	fault := s.scenario.Faults[faultIndex]
 	end := fault.At.D() + fault.For.D()
 	if fault.For == 0 {
-		end = s.day.Length.D()
+		end = s.scenario.Length.D()
 	}
 	active := now >= fault.At.D() && now < end
-	hit := s.hits[i]
+	hit := s.hits[faultIndex]
 	switch {
 	case now < fault.At.D():
 		return 1
 	case hit.Scope == scenario.OnLinks && active && fault.Kind == scenario.LinkCut:
-		if p.node.onLinkFault(i, scenario.Party{Kind: scenario.UpstreamParty, Index: u}) {
+		if p.node.onLinkFault(faultIndex, scenario.Party{Kind: scenario.UpstreamParty, Index: u}) {
 			return 0
 		}
 		return 1
@@ -97,7 +97,7 @@
 		if active {
 			return 0
 		}
-		return server.Warmth(s.day.Models[s.fleet.Upstreams[u].Model], now-end)
+		return server.Warmth(s.scenario.Models[s.fleet.Upstreams[u].Model], now-end)
 	case scenario.UpstreamErrors, scenario.NoisyNeighbour:
 		if active {
 			return 1 - fault.Size
@@ -110,12 +110,12 @@
 	return 1
 }
 
-// OnTimer cancels the attempts whose reply can't come, so that the request is retried as its class permits.
+// OnTimer cancels the attempts of idempotent requests to upstreams that can't reply, so that they are retried.
 func (p *trueStatePolicy) OnTimer(time.Duration, uint64) {
 	p.effects.SetTimer(stuckCheckInterval, 0)
 	for _, id := range slices.Sorted(maps.Keys(p.requests)) {
 		r := p.requests[id]
-		if r.class.Idempotency == balancer.Idempotent && p.power(int(r.lastEndpoint)) == 0 {
+		if r.class.Idempotency == balancer.Idempotent && p.capacity(int(r.lastEndpoint)) == 0 {
 			p.effects.Cancel(id, r.attempts-1)
 		}
 	}
--- a/internal/lab/model/upstream.go
+++ b/internal/lab/model/upstream.go
@@ -11,30 +11,30 @@
 	"sprucehill/internal/lab/server"
 )
 
-// upstream is an emulated upstream's machine: the pure core of its server, and its connections.
+// upstream is the actor of an upstream's machine: the simulated server and its connections.
 type upstream struct {
 	*actor
 	index       int
 	server      *server.Server // nil: no process runs
-	vanished    bool           // the machine answers nothing
+	vanished    bool           // the machine is off the network
 	jobs        map[server.JobID]job
 	byAttempt   map[attemptKey]server.JobID
 	lastJob     server.JobID
 	conns       int
 	connsByNode map[int32]int    // open connections, by the balancer's actor
-	unanswered  []job            // attempts without a server, whose connections are still to be reset
-	wakeAt      time.Duration    // when the next wake-up is due; math.MaxInt64: none is
-	faults      []scenario.Fault // that act now
+	unanswered  []job            // attempts that no process will answer, whose connections are to be reset
+	wakeAt      time.Duration    // when the next msgWake is due; math.MaxInt64: none is scheduled
+	faults      []scenario.Fault // that are active
 }
 
-// attemptKey identifies an attempt.
+// attemptKey identifies an attempt across balancers.
 type attemptKey struct {
-	node   int32 // the balancer's actor
-	id     uint64
-	number int32
+	node   int32  // the balancer's actor
+	id     uint64 // of the client's request
+	number int32  // of the attempt within its request
 }
 
-// job is an attempt at this upstream.
+// job is an attempt that this upstream has received.
 type job struct {
 	attemptKey
 	request *clientRequest
@@ -53,19 +53,20 @@
 	return u
 }
 
+// model is the scenario's model of this upstream.
 func (u *upstream) model() scenario.Model {
-	return u.sim.day.Models[u.sim.fleet.Upstreams[u.index].Model]
+	return u.sim.scenario.Models[u.sim.fleet.Upstreams[u.index].Model]
 }
 
-// start starts the server's process, which warms up or is warm from the start.
+// start starts the server's process. If warmsUp is false, it has its full capacity from the start.
 func (u *upstream) start(warmsUp bool) {
-	seed := u.sim.day.Seed<<16 + uint64(u.index)
-	u.server = server.New(u.model(), u.sim.day.Balancer, seed, u.now, warmsUp)
+	seed := u.sim.scenario.Seed<<16 + uint64(u.index)
+	u.server = server.New(u.model(), u.sim.scenario.Balancer, seed, u.now, warmsUp)
 	u.server.SetFaults(u.faults)
 	u.scheduleWake()
 }
 
-// scheduleWake sees to it that the actor is called when its server next has something to do.
+// scheduleWake sets a timer for the time at which the server next has to be advanced.
 func (u *upstream) scheduleWake() {
 	if u.server == nil {
 		return
@@ -97,9 +98,9 @@
 	case msgConnClosed:
 		u.onConnClosed(m.from)
 	case msgFaultBegins:
-		u.beginFault(u.sim.day.Faults[m.index])
+		u.beginFault(u.sim.scenario.Faults[m.index])
 	case msgFaultEnds:
-		u.endFault(u.sim.day.Faults[m.index])
+		u.endFault(u.sim.scenario.Faults[m.index])
 	}
 	u.scheduleWake()
 }
@@ -111,8 +112,8 @@
 	}
 }
 
-// onConnect accepts a connection. At the model's limit of connections, or on a machine that has vanished, it gets no
-// answer.
+// onConnect accepts a connection. At the model's limit of connections, and on a machine that is off the network, the dial
+// gets no reply.
 func (u *upstream) onConnect(m message) {
 	limit := u.model().Connections
 	switch {
@@ -127,7 +128,7 @@
 	}
 }
 
-// onAttempt takes a request.
+// onAttempt passes a request on to the server, which accepts or rejects it.
 func (u *upstream) onAttempt(j job) {
 	if u.vanished {
 		u.unanswered = append(u.unanswered, j)
@@ -139,9 +140,9 @@
 	}
 	arrival := u.sim.arrivals[j.request.arrival]
 	u.lastJob++
-	taken, toppled := u.server.Arrive(u.lastJob, arrival.Work, arrival.Wait)
+	accepted, collapsed := u.server.Arrive(u.lastJob, arrival.Work, arrival.Wait)
 	kind := history.Rejected
-	if taken {
+	if accepted {
 		kind = history.Arrived
 		u.jobs[u.lastJob] = j
 		u.byAttempt[j.attemptKey] = u.lastJob
@@ -150,15 +151,15 @@
 	event.FirstByteAt = u.now
 	event.Work = float32(arrival.Work.Seconds())
 	u.record(event)
-	if !taken {
+	if !accepted {
 		u.reply(j, statusRefused)
 	}
-	if toppled {
+	if collapsed {
 		u.record(u.processEvent(history.Collapsed))
 	}
 }
 
-// attemptEvent is an event of an attempt.
+// attemptEvent returns an event about an attempt.
 func (u *upstream) attemptEvent(j job, kind history.Kind) history.Event {
 	return history.Event{
 		Kind:      kind,
@@ -172,7 +173,7 @@
 	}
 }
 
-// processEvent is an event of the server's process.
+// processEvent returns an event about the server's process.
 func (u *upstream) processEvent(kind history.Kind) history.Event {
 	return history.Event{Kind: kind, Upstream: int32(u.index), Balancer: history.None, Arrival: history.None}
 }
@@ -201,12 +202,12 @@
 	u.send(u.sim.actors[j.node], m)
 }
 
-// reset breaks the connection of an attempt.
+// reset resets the connection of an attempt.
 func (u *upstream) reset(j job) {
 	u.send(u.sim.actors[j.node], message{kind: msgReset, id: j.id, number: j.number})
 }
 
-// onAbandon drops an attempt that its balancer has given up.
+// onAbandon cancels an attempt that its balancer has abandoned.
 func (u *upstream) onAbandon(key attemptKey) {
 	id, ok := u.byAttempt[key]
 	if !ok {
@@ -227,7 +228,7 @@
 	case scenario.UpstreamDown:
 		u.stopProcess()
 	case scenario.UpstreamVanish:
-		u.stopMachine()
+		u.disconnectMachine()
 	}
 }
 
@@ -240,7 +241,7 @@
 	}
 }
 
-// applyFaults makes the server behave as the faults of now have it.
+// applyFaults passes the active faults on to the server.
 func (u *upstream) applyFaults() {
 	if u.server != nil {
 		u.server.SetFaults(u.faults)
@@ -254,13 +255,13 @@
 	u.resetAll()
 }
 
-// stopMachine takes the machine off the network. Its attempts get no answer.
-func (u *upstream) stopMachine() {
+// disconnectMachine takes the machine off the network. Its attempts get no reply.
+func (u *upstream) disconnectMachine() {
 	u.vanished = true
 	u.abandonJobs()
 }
 
-// abandonJobs ends the server with all that it has in work.
+// abandonJobs discards the server and all attempts that it has accepted.
 func (u *upstream) abandonJobs() {
 	u.server = nil
 	u.wakeAt = math.MaxInt64
@@ -289,7 +290,7 @@
 	u.conns = 0
 }
 
-// restart starts the process again. It warms up.
+// restart starts the process again. It resets what is left of the old process's connections, and warms up.
 func (u *upstream) restart() {
 	u.vanished = false
 	u.resetAll()
