--- a/internal/lab/model/actions_test.go
+++ b/internal/lab/model/actions_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-// The race detector makes these days eight times as slow and tells nothing more of them: .ci/run plays them without it.
+// The race detector slows this test down eightfold and finds nothing more in it: .ci/run runs it without the race detector.
 
 package model
 
@@ -26,7 +26,7 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-var renewActions = flag.Bool("renew-actions", false, "write testdata/actions.txt anew, for a change that means to decide otherwise")
+var renewActions = flag.Bool("renew-actions", false, "rewrite testdata/actions.txt, after an intended change of the decision module's behaviour")
 
 const (
 	recordedActionsFile = "testdata/actions.txt"
@@ -34,7 +34,7 @@
 	seedsPerExample     = 3
 )
 
-// The kinds of recorded actions. Their numbers are part of the recorded hashes.
+// The kinds of recorded effects. Their values are part of the recorded hashes.
 const (
 	recordSend byte = iota + 1
 	recordReject
@@ -47,27 +47,28 @@
 	recordTimer
 )
 
-// actionRecorder hashes what one balancer's module asks for, with the moment at which it asks, and passes it on. Log lines
-// are not recorded: their words decide nothing.
+// actionRecorder hashes the effects that a balancer's module requests, with the time of each, and passes them on. Log events
+// are not recorded: their texts have no influence on a decision.
 type actionRecorder struct {
 	balancer.Effects
-	now     time.Duration
+	now     time.Duration // of the event that the module handles
 	sum     hash.Hash64
 	actions int
 }
 
+// record adds an effect and its arguments to the hash.
 func (r *actionRecorder) record(kind byte, values ...uint64) {
-	text := binary.LittleEndian.AppendUint64([]byte{kind}, uint64(r.now))
+	encoded := binary.LittleEndian.AppendUint64([]byte{kind}, uint64(r.now))
 	for _, v := range values {
-		text = binary.LittleEndian.AppendUint64(text, v)
+		encoded = binary.LittleEndian.AppendUint64(encoded, v)
 	}
-	r.sum.Write(text)
+	r.sum.Write(encoded)
 	r.actions++
 }
 
-func (r *actionRecorder) Send(id balancer.RequestID, up balancer.EndpointID, timeout time.Duration) {
-	r.record(recordSend, uint64(id), uint64(up), uint64(timeout))
-	r.Effects.Send(id, up, timeout)
+func (r *actionRecorder) Send(id balancer.RequestID, endpoint balancer.EndpointID, timeout time.Duration) {
+	r.record(recordSend, uint64(id), uint64(endpoint), uint64(timeout))
+	r.Effects.Send(id, endpoint, timeout)
 }
 
 func (r *actionRecorder) Reject(id balancer.RequestID, retryAfter time.Duration) {
@@ -85,14 +86,14 @@
 	r.Effects.Cancel(id, attempt)
 }
 
-func (r *actionRecorder) HealthCheck(up balancer.EndpointID) {
-	r.record(recordHealthCheck, uint64(up))
-	r.Effects.HealthCheck(up)
+func (r *actionRecorder) HealthCheck(endpoint balancer.EndpointID) {
+	r.record(recordHealthCheck, uint64(endpoint))
+	r.Effects.HealthCheck(endpoint)
 }
 
-func (r *actionRecorder) CloseIdle(up balancer.EndpointID) {
-	r.record(recordCloseIdle, uint64(up))
-	r.Effects.CloseIdle(up)
+func (r *actionRecorder) CloseIdle(endpoint balancer.EndpointID) {
+	r.record(recordCloseIdle, uint64(endpoint))
+	r.Effects.CloseIdle(endpoint)
 }
 
 func (r *actionRecorder) WatchEndpoints() {
@@ -115,7 +116,7 @@
 	r.Effects.SetTimer(after, token)
 }
 
-// recordedModule tells the recorder the time of each event before the module gets it.
+// recordedModule gives the recorder the time of each event before it passes the event on to the module.
 type recordedModule struct {
 	*balancer.Balancer
 	recorder *actionRecorder
@@ -126,14 +127,14 @@
 	m.Balancer.OnEndpointUpdate(now, mode, list)
 }
 
-func (m recordedModule) OnRequest(now time.Duration, r balancer.Request) {
+func (m recordedModule) OnRequest(now time.Duration, request balancer.Request) {
 	m.recorder.now = now
-	m.Balancer.OnRequest(now, r)
+	m.Balancer.OnRequest(now, request)
 }
 
-func (m recordedModule) OnAttemptResult(now time.Duration, o balancer.AttemptResult) {
+func (m recordedModule) OnAttemptResult(now time.Duration, result balancer.AttemptResult) {
 	m.recorder.now = now
-	m.Balancer.OnAttemptResult(now, o)
+	m.Balancer.OnAttemptResult(now, result)
 }
 
 func (m recordedModule) OnTimer(now time.Duration, token uint64) {
@@ -141,35 +142,35 @@
 	m.Balancer.OnTimer(now, token)
 }
 
-// Snapshot records what the module knows, since a restart decides by it.
+// TakeSnapshot records the snapshot, since a restarted module decides by it.
 func (m recordedModule) TakeSnapshot(now time.Duration) balancer.Snapshot {
-	k := m.Balancer.TakeSnapshot(now)
-	for _, u := range k.Endpoints {
-		m.recorder.record(0, uint64(u.ID), math.Float64bits(u.ShareFactor), math.Float64bits(u.ConcurrencyLimit), math.Float64bits(u.Latency))
+	snapshot := m.Balancer.TakeSnapshot(now)
+	for _, e := range snapshot.Endpoints {
+		m.recorder.record(0, uint64(e.ID), math.Float64bits(e.ShareFactor), math.Float64bits(e.ConcurrencyLimit), math.Float64bits(e.Latency))
 	}
-	return k
+	return snapshot
 }
 
-// runRecorded plays a day and returns how many actions its modules asked for, and their hash. Modules are taken in the
-// order of their seeds, whatever order the workers start them in.
-func runRecorded(ctx context.Context, d *scenario.Scenario) (actions int, sum uint64, err error) {
+// runRecorded runs a scenario and returns the number of effects that its modules requested, and their hash. The hash covers
+// the modules in the order of their seeds, since the workers start them in any order.
+func runRecorded(ctx context.Context, sc *scenario.Scenario) (actions int, sum uint64, err error) {
 	var mu sync.Mutex
 	recorders := map[uint64]*actionRecorder{}
-	policy := func(s balancer.Settings, seed uint64, now time.Duration, host balancer.Effects) (balancer.Events, error) {
-		r := &actionRecorder{Effects: host, now: now, sum: fnv.New64a()}
-		b, err := balancer.New(s, seed, now, r)
+	policy := func(s balancer.Settings, seed uint64, now time.Duration, effects balancer.Effects) (balancer.Events, error) {
+		r := &actionRecorder{Effects: effects, now: now, sum: fnv.New64a()}
+		module, err := balancer.New(s, seed, now, r)
 		if err != nil {
 			return nil, err
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		if recorders[seed] != nil {
-			return nil, fmt.Errorf("two modules have the seed %d", seed)
+			return nil, fmt.Errorf("two modules were started with seed %d", seed)
 		}
 		recorders[seed] = r
-		return recordedModule{b, r}, nil
+		return recordedModule{module, r}, nil
 	}
-	if _, err := runWithPolicy(ctx, d, Options{Workers: runtime.GOMAXPROCS(0)}, policy); err != nil {
+	if _, err := runWithPolicy(ctx, sc, Options{Workers: runtime.GOMAXPROCS(0)}, policy); err != nil {
 		return 0, 0, err
 	}
 	seeds := make([]uint64, 0, len(recorders))
@@ -186,12 +187,12 @@
 	return actions, all.Sum64(), nil
 }
 
-// exampleFiles is every day file under examples/, in order.
+// exampleFiles returns the scenario files under examples/, in order.
 func exampleFiles(t *testing.T) []string {
 	t.Helper()
 	var files []string
-	err := filepath.WalkDir(examplesDir, func(path string, e fs.DirEntry, err error) error {
-		if err == nil && !e.IsDir() && strings.HasSuffix(path, ".toml") {
+	err := filepath.WalkDir(examplesDir, func(path string, entry fs.DirEntry, err error) error {
+		if err == nil && !entry.IsDir() && strings.HasSuffix(path, ".toml") {
 			files = append(files, path)
 		}
 		return err
@@ -202,26 +203,26 @@
 	return files
 }
 
-// The same events give the same actions as when they were recorded: on every example day, on three seeds, each module's
-// actions and their moments hash to what testdata/actions.txt has. A change that means to decide otherwise renews the file
-// (go test ./internal/lab/model -run TestActionsAreAsRecorded -renew-actions) and says so in its commit.
+// Guards against an unintended change of the decision module's behaviour: for every example scenario and three seeds, the
+// modules' effects and their times have to hash to the values in testdata/actions.txt. A commit that intends a change
+// rewrites the file (go test ./internal/lab/model -run TestActionsAreAsRecorded -renew-actions) and says so.
 func TestActionsAreAsRecorded(t *testing.T) {
 	var lines []string
 	for _, file := range exampleFiles(t) {
 		for seed := uint64(1); seed <= seedsPerExample; seed++ {
-			d, err := scenario.LoadFile(file)
+			sc, err := scenario.LoadFile(file)
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.Seed = seed
-			begun := time.Now()
-			actions, sum, err := runRecorded(t.Context(), d)
+			sc.Seed = seed
+			started := time.Now()
+			actions, sum, err := runRecorded(t.Context(), sc)
 			if err != nil {
 				t.Fatalf("%s, seed %d: %v", file, seed, err)
 			}
 			name := strings.TrimPrefix(filepath.ToSlash(file), examplesDir+"/")
 			lines = append(lines, fmt.Sprintf("%s seed=%d actions=%d hash=%016x", name, seed, actions, sum))
-			t.Logf("%s: %v", lines[len(lines)-1], time.Since(begun).Round(time.Millisecond))
+			t.Logf("%s: %v", lines[len(lines)-1], time.Since(started).Round(time.Millisecond))
 		}
 	}
 	got := strings.Join(lines, "\n") + "\n"
@@ -237,11 +238,11 @@
 	}
 	recorded := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
 	if len(recorded) != len(lines) {
-		t.Fatalf("%d days recorded, %d played", len(recorded), len(lines))
+		t.Fatalf("%s has %d runs, want %d", recordedActionsFile, len(recorded), len(lines))
 	}
 	for i := range lines {
 		if lines[i] != recorded[i] {
-			t.Errorf("the module decides otherwise than when it was recorded:\n got %s\nwant %s", lines[i], recorded[i])
+			t.Errorf("the decision module behaves differently from %s:\n got %s\nwant %s", recordedActionsFile, lines[i], recorded[i])
 		}
 	}
 }
--- a/internal/lab/model/actor.go
+++ b/internal/lab/model/actor.go
@@ -10,13 +10,13 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// messageSize is the bytes of a message with its head, on links that have a rate.
+// messageSize is the size of every message in bytes, with its headers. It matters on links with a limited rate.
 const messageSize = 400
 
-// handler is what an actor does with its messages.
+// handler handles the messages of an actor.
 type handler interface{ handle(m message) }
 
-// actor is one party with its queue. Only the worker that handles it touches it.
+// actor is a party with its message queue. During a step, only the worker that handles the actor accesses it.
 type actor struct {
 	sim       *sim
 	id        int32 // index in sim.actors
@@ -26,18 +26,19 @@
 	now       time.Duration
 	queue     messageQueue
 	seq       uint64
-	outbox    []message        // sent in this step
-	blocked   []blockedMessage // sent over a link that is cut
+	outbox    []message        // sent to other actors in this step
+	blocked   []blockedMessage // sent while their link was cut
 	events    []history.Event
-	heapIndex int // in the queue of actors; -1: not in it
+	heapIndex int // in sim.queue; -1: not in it
 }
 
-// blockedMessage is a message that waits until its link is up again.
+// blockedMessage is a message that waits until its link is no longer cut.
 type blockedMessage struct {
-	to *actor
-	m  message
+	to      *actor
+	message message
 }
 
+// nextSeq returns the number of the next message that the actor sends.
 func (a *actor) nextSeq() uint64 {
 	a.seq++
 	return a.seq
@@ -52,7 +53,7 @@
 	}
 }
 
-// send sends a message to another actor. Over a link that is cut it waits until the link is up again.
+// send sends a message to another actor. If the link is cut, the message waits until it no longer is.
 func (a *actor) send(to *actor, m message) {
 	conditions := a.sim.paths.Condition(a.party, to.party)
 	if conditions.Cut {
@@ -67,7 +68,7 @@
 	a.outbox = append(a.outbox, m)
 }
 
-// after sends the actor a message to itself. It does not go through the outbox, as it may be due within this step.
+// after schedules a message to the actor itself. It bypasses the outbox, since it may be due within the same step.
 func (a *actor) after(d time.Duration, m message) {
 	m.at = a.now + max(d, 0)
 	m.from = a.id
@@ -76,13 +77,13 @@
 	heap.Push(&a.queue, m)
 }
 
-// record adds an event to the history, with the time of now.
+// record adds an event to the history, with the current time.
 func (a *actor) record(e history.Event) {
 	e.At = a.now
 	a.events = append(a.events, e)
 }
 
-// actorQueue is all actors that have a message, ordered by its time.
+// actorQueue is a priority queue of the actors that have messages, ordered by the time of the earliest message.
 type actorQueue []*actor
 
 func (q actorQueue) Len() int { return len(q) }
@@ -95,14 +96,14 @@
 	q[j].heapIndex = j
 }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (q *actorQueue) Push(x any) {
 	a := x.(*actor)
 	a.heapIndex = len(*q)
 	*q = append(*q, a)
 }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (q *actorQueue) Pop() any {
 	last := len(*q) - 1
 	a := (*q)[last]
--- a/internal/lab/model/connections.go
+++ b/internal/lab/model/connections.go
@@ -7,26 +7,26 @@
 	"sprucehill/balancer"
 )
 
-// idleSweepInterval is how often idle connections are looked at.
+// idleSweepInterval is how often idle connections are checked against the idle timeout.
 const idleSweepInterval = time.Second
 
-// upstreamConns is a node's connections to upstreams.
+// upstreamConns holds a node's connections to upstreams.
 type upstreamConns struct {
 	maxConns      int           // to all upstreams
-	idleTimeout   time.Duration // an idle connection is closed after it
+	idleTimeout   time.Duration // after which an idle connection is closed
 	dialTimeout   time.Duration
 	endpoints     []endpointConns // by upstream
-	conns         int             // open or being opened, to all upstreams
+	conns         int             // open or being established, to all upstreams
 	nextIdleSweep time.Duration
 }
 
-// endpointConns is the state of an upstream at a node, and the idle connections to it.
+// endpointConns is the state of an upstream as a node knows it, and the node's idle connections to it.
 type endpointConns struct {
 	state balancer.EndpointState
-	idle  []time.Duration // since when, the longest first
+	idle  []time.Duration // since when each is idle, the oldest first
 }
 
-// putIdle stores a connection for another attempt. It closes it if the upstream is to get none.
+// putIdle keeps a connection for another attempt, or closes it if the upstream is not to receive any.
 func (n *node) putIdle(upstream int) {
 	e := &n.endpoints[upstream]
 	if n.draining || e.state != balancer.Active {
@@ -36,7 +36,7 @@
 	e.idle = append(e.idle, n.now)
 }
 
-// takeIdle takes the connection that has idled the shortest.
+// takeIdle takes the most recently used idle connection. It reports whether there was one.
 func (n *node) takeIdle(upstream int) bool {
 	e := &n.endpoints[upstream]
 	last := len(e.idle) - 1
@@ -53,29 +53,30 @@
 	n.send(n.sim.servers[upstream], message{kind: msgConnClosed})
 }
 
-// reserveConn reports whether another connection may be opened. At the limit it closes the one that has idled longest.
+// reserveConn reports whether another connection may be opened. At the limit it closes the connection that has been idle
+// the longest, if there is one.
 func (n *node) reserveConn() bool {
 	if n.conns < n.maxConns {
 		return true
 	}
-	longest := -1
-	since := time.Duration(math.MaxInt64)
+	oldest := -1 // upstream of the oldest idle connection
+	oldestSince := time.Duration(math.MaxInt64)
 	for upstream := range n.endpoints {
 		idle := n.endpoints[upstream].idle
-		if len(idle) > 0 && idle[0] < since {
-			longest = upstream
-			since = idle[0]
+		if len(idle) > 0 && idle[0] < oldestSince {
+			oldest = upstream
+			oldestSince = idle[0]
 		}
 	}
-	if longest < 0 {
+	if oldest < 0 {
 		return false
 	}
-	n.endpoints[longest].idle = n.endpoints[longest].idle[1:]
-	n.closeConn(longest)
+	n.endpoints[oldest].idle = n.endpoints[oldest].idle[1:]
+	n.closeConn(oldest)
 	return true
 }
 
-// sweepIdle closes connections that have idled for longer than the idle timeout.
+// sweepIdle closes the connections that have been idle for the idle timeout.
 func (n *node) sweepIdle() {
 	if n.now < n.nextIdleSweep {
 		return
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -9,23 +9,24 @@
 	"sprucehill/internal/lab/history"
 )
 
-// fetchRetryDelay is when a balancer retries a call to discovery that has failed, in the model.
+// fetchRetryDelay is how long after a failed call to discovery a balancer retries it in the model engine.
 const fetchRetryDelay = 500 * time.Millisecond
 
-// endpointUpdate is a change of discovery's list.
+// endpointUpdate is a change of discovery's endpoint list.
 type endpointUpdate struct {
-	upstreams []int
+	upstreams []int         // indices
 	phase     string        // a key of endpointStates
-	startedAt time.Duration // of the upstreams' processes, in the day's time; 0: long past
+	startedAt time.Duration // when the upstreams' processes started, in virtual time; 0: long before the run
 }
 
-// endpointStates are discovery's phases.
+// endpointStates are the module's states by discovery's phases.
 var endpointStates = map[string]balancer.EndpointState{"up": balancer.Active, "draining": balancer.Draining, "removed": balancer.Removed}
 
-// phaseNames are discovery's phases by the module's states.
+// phaseNames are the names of discovery's phases by the module's states.
 var phaseNames = [...]string{balancer.Active: "up", balancer.Draining: "draining", balancer.Removed: "removed"}
 
-// fetchEndpoints calls the agent for the list of now, until it answers.
+// fetchEndpoints fetches the current list from the agent. A failed call is retried, and a silent agent replies once it is
+// no longer silent.
 func (n *node) fetchEndpoints() {
 	switch {
 	case n.agent.activeSilences > 0:
@@ -37,12 +38,12 @@
 	}
 }
 
-// agentCallFails draws whether a call to the agent fails.
+// agentCallFails determines at random whether a call to the agent fails.
 func (n *node) agentCallFails() bool {
 	return n.agent.errorRate > 0 && n.rng.Float64() < n.agent.errorRate
 }
 
-// endpointByClock is an endpoint as this machine's clock has it.
+// endpointByClock converts an endpoint's start time to this machine's clock.
 func (n *node) endpointByClock(e balancer.Endpoint) balancer.Endpoint {
 	if e.StartedAt > 0 {
 		e.StartedAt -= n.agent.clockOffset
@@ -50,7 +51,7 @@
 	return e
 }
 
-// onAgentUpdate takes an update at the agent, which passes it on at once to a process that runs.
+// onAgentUpdate applies an update to the agent's list. The agent passes it on immediately to a running process.
 func (n *node) onAgentUpdate(update *endpointUpdate) {
 	if n.agent.activeSilences > 0 {
 		n.agent.deferredUpdates = append(n.agent.deferredUpdates, update)
@@ -75,8 +76,8 @@
 	n.onEndpointUpdate(update, changed)
 }
 
-// onEndpointUpdate passes an update on to the module. Upstreams that are no longer active lose their idle connections
-// and the attempts that still wait for one.
+// onEndpointUpdate passes an update on to the module. For upstreams that are no longer active, it closes the idle
+// connections and ends the attempts that still wait for a connection.
 func (n *node) onEndpointUpdate(update *endpointUpdate, changed []balancer.Endpoint) {
 	for i, upstream := range update.upstreams {
 		n.recordPhase(upstream, update.phase)
@@ -102,7 +103,7 @@
 	}
 }
 
-// applyFullList passes the agent's whole list on to the module.
+// applyFullList passes the agent's complete list on to the module.
 func (n *node) applyFullList() {
 	if n.module == nil {
 		return
@@ -121,7 +122,7 @@
 	n.deliverOutcomes()
 }
 
-// recordPhase records that the process knows an upstream to be in a phase.
+// recordPhase records that the process was notified of an upstream's phase.
 func (n *node) recordPhase(upstream int, phase string) {
 	n.record(history.Event{Kind: history.Notified, Balancer: int32(n.index), Upstream: int32(upstream), Arrival: history.None, Text: phase})
 }
--- a/internal/lab/model/effects.go
+++ b/internal/lab/model/effects.go
@@ -6,10 +6,10 @@
 	"sprucehill/balancer"
 )
 
-// The node is the decision module's balancer.Effects.
+// The node implements the effects of the decision module.
 var _ balancer.Effects = (*node)(nil)
 
-// Send starts an attempt on an idle connection, or opens one.
+// Send starts an attempt, on an idle connection if there is one and otherwise on a new connection.
 func (n *node) Send(id balancer.RequestID, endpoint balancer.EndpointID, timeout time.Duration) {
 	r := n.requests[id]
 	if r == nil || int(endpoint) >= len(n.endpoints) {
@@ -36,21 +36,21 @@
 	}
 }
 
-// Reject responds that the request was not run, so that a retry is harmless.
+// Reject responds that the request was not executed, so that a retry is harmless.
 func (n *node) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	if r := n.requests[id]; r != nil {
-		n.respond(r, message{status: statusRefused, duration: min(retryAfter, n.settings.Limits.MaxRetryAfter)})
+		n.respond(r, message{status: statusRejected, duration: min(retryAfter, n.settings.Limits.MaxRetryAfter)})
 	}
 }
 
-// Fail responds with an error that does not say whether the request was run.
+// Fail responds with an error that leaves open whether the request was executed.
 func (n *node) Fail(id balancer.RequestID) {
 	if r := n.requests[id]; r != nil {
 		n.respond(r, message{status: statusFailed})
 	}
 }
 
-// Cancel gives up an attempt. Its outcome is delivered after the module's call.
+// Cancel abandons an attempt. Its outcome is delivered after the module's call.
 func (n *node) Cancel(id balancer.RequestID, attempt int) {
 	if r := n.requests[id]; r != nil && attempt >= 0 && attempt < len(r.attempts) {
 		n.pendingOutcomes = append(n.pendingOutcomes, pendingOutcome{r.attempts[attempt], balancer.Cancelled})
@@ -62,7 +62,7 @@
 	n.after(after, message{kind: msgTimer, id: token, incarnation: n.incarnation})
 }
 
-// HealthCheck does nothing: load reports come with replies, and days of the model engine allow no health checks.
+// HealthCheck does nothing: load reports come with replies, and scenarios of the model engine permit no health checks.
 func (n *node) HealthCheck(balancer.EndpointID) {}
 
 // CloseIdle closes the idle connections to an upstream.
@@ -73,13 +73,13 @@
 	n.endpoints[endpoint].idle = nil
 }
 
-// WatchEndpoints does nothing: the agent's updates come as soon as it has them.
+// WatchEndpoints does nothing: the agent passes on each update as soon as it has it.
 func (n *node) WatchEndpoints() {}
 
-// UnwatchEndpoints does nothing: the agent sends updates as long as the node runs.
+// UnwatchEndpoints does nothing: the agent passes on updates for the whole run.
 func (n *node) UnwatchEndpoints() {}
 
-// FetchEndpoints does nothing: the process fetches the list when it starts and when it continues.
+// FetchEndpoints does nothing: the process fetches the list when it starts and when it is resumed.
 func (n *node) FetchEndpoints() {}
 
 // Log drops the module's log events.
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -9,9 +9,9 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// beginFault begins a fault that hits this node.
-func (n *node) beginFault(i int) {
-	fault := n.sim.scenario.Faults[i]
+// beginFault applies the begin of a fault that affects this node.
+func (n *node) beginFault(faultIndex int) {
+	fault := n.sim.scenario.Faults[faultIndex]
 	switch fault.Kind {
 	case scenario.BalancerKill:
 		if n.module != nil {
@@ -31,13 +31,13 @@
 	case scenario.DiscoveryOverloaded:
 		n.agent.errorRate = fault.Size
 	case scenario.LinkReset:
-		n.resetConns(i)
+		n.resetConns(faultIndex)
 	}
 }
 
-// endFault ends a fault that hits this node.
-func (n *node) endFault(i int) {
-	fault := n.sim.scenario.Faults[i]
+// endFault applies the end of a fault that affects this node.
+func (n *node) endFault(faultIndex int) {
+	fault := n.sim.scenario.Faults[faultIndex]
 	switch fault.Kind {
 	case scenario.BalancerKill:
 		if fault.State == "lose" {
@@ -58,11 +58,11 @@
 	case scenario.DiscoveryOverloaded:
 		n.agent.errorRate = 0
 	case scenario.LinkReset:
-		n.resetConns(i)
+		n.resetConns(faultIndex)
 	}
 }
 
-// resumeAgent handles what the agent could not answer while it was silent.
+// resumeAgent handles the updates and the fetch that came while the agent was silent.
 func (n *node) resumeAgent() {
 	for _, update := range n.agent.deferredUpdates {
 		n.onAgentUpdate(update)
@@ -74,43 +74,43 @@
 	}
 }
 
-// resetConns breaks the connections that a fault on links hits.
-func (n *node) resetConns(i int) {
+// resetConns resets the connections on the links that a fault affects.
+func (n *node) resetConns(faultIndex int) {
 	if n.module == nil {
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(n.requests)) {
-		if r := n.requests[id]; r != nil { // what comes before may have ended it
-			n.resetRequest(i, r)
+		if r := n.requests[id]; r != nil { // resetting an earlier request may have ended it
+			n.resetRequest(faultIndex, r)
 		}
 	}
 	for upstream := range n.endpoints {
-		if n.onLinkFault(i, n.sim.servers[upstream].party) {
+		if n.onLinkFault(faultIndex, n.sim.servers[upstream].party) {
 			n.CloseIdle(balancer.EndpointID(upstream))
 		}
 	}
-	if front := n.zoneIngress(); n.onLinkFault(i, front.party) {
-		n.send(front, message{kind: msgIdleClosed})
+	if in := n.zoneIngress(); n.onLinkFault(faultIndex, in.party) {
+		n.send(in, message{kind: msgIdleClosed})
 	}
 	n.deliverOutcomes()
 }
 
-// resetRequest breaks the connections of a request that a fault on links hits.
-func (n *node) resetRequest(i int, r *openRequest) {
-	front := n.sim.actors[r.ingress]
-	if !r.closed && n.onLinkFault(i, front.party) {
-		n.send(front, message{kind: msgReset, id: r.client.id, requestRead: true})
+// resetRequest resets the connections of a request on the links that a fault affects.
+func (n *node) resetRequest(faultIndex int, r *openRequest) {
+	in := n.sim.actors[r.ingress]
+	if !r.closed && n.onLinkFault(faultIndex, in.party) {
+		n.send(in, message{kind: msgReset, id: r.client.id, requestRead: true})
 		n.disconnectClient(r)
 	}
 	for _, a := range r.attempts {
-		if a.connected && !a.ended && n.onLinkFault(i, n.sim.servers[a.upstream].party) {
+		if a.connected && !a.ended && n.onLinkFault(faultIndex, n.sim.servers[a.upstream].party) {
 			n.abandon(a)
 			n.deliverOutcome(a, balancer.Reset, message{})
 		}
 	}
 }
 
-// onLinkFault reports whether a fault on links hits one between this node and another party.
-func (n *node) onLinkFault(i int, p scenario.Party) bool {
-	return n.sim.paths.Hits(i, n.party, p) || n.sim.paths.Hits(i, p, n.party)
+// onLinkFault reports whether a fault on links affects the one between this node and another party, in either direction.
+func (n *node) onLinkFault(faultIndex int, p scenario.Party) bool {
+	return n.sim.paths.Hits(faultIndex, n.party, p) || n.sim.paths.Hits(faultIndex, p, n.party)
 }
--- a/internal/lab/model/ingress.go
+++ b/internal/lab/model/ingress.go
@@ -213,7 +213,7 @@
 		event.Result = client.Served
 		event.Upstream = m.index
 		event.Serial = m.number
-	case statusRefused:
+	case statusRejected:
 		event.Result = client.Rejected
 	default:
 		event.Result = client.Failed
--- a/internal/lab/model/message.go
+++ b/internal/lab/model/message.go
@@ -8,89 +8,89 @@
 	"sprucehill/internal/lab/server"
 )
 
-// messageKind is what a message says.
+// messageKind is the kind of a message.
 type messageKind uint8
 
 const (
-	// A front's own timers.
-	msgArrival        messageKind = iota // a client's request is due; index: the arrival
-	msgRetry                             // a client retries; index: the arrival, number: of the retry
-	msgClientTimeout                     // a client may stop waiting
-	msgHealthCheckDue                    // index: the balancer's place in the front's list
+	// Timers of an ingress.
+	msgArrival        messageKind = iota // a client sends its first request; index: the arrival
+	msgRetry                             // a client sends a retry; index: the arrival, number: of the retry
+	msgClientTimeout                     // a client may stop waiting; id: of the request
+	msgHealthCheckDue                    // index: of the balancer in ingress.nodes
 
-	// Between fronts and balancers.
+	// Between ingresses and balancers.
 	msgHealthCheck
-	msgHealthResult // healthy
+	msgHealthResult // the response to a health check; healthy
 	msgConnect
 	msgConnected
-	msgReset // the connection was refused or broke; requestRead
+	msgReset // the connection was refused or reset; requestRead
 	msgRequest
 	msgClientDisconnected
-	msgResponse   // keepAlive
-	msgIdleClosed // the sender has closed all its idle connections; from an upstream, index: which
+	msgResponse   // status, keepAlive; duration: Retry-After
+	msgIdleClosed // the sender has closed all idle connections to the receiver; from an upstream, index: the upstream
 
-	// A balancer's own timers.
-	msgTimer // of the decision module; id: its token
+	// Timers of a balancer.
+	msgTimer // of the decision module; id: the timer's token
 	msgAttemptTimeout
 	msgRequestTimeout
 	msgConnectTimeout
-	msgDrained // a process that shuts down may end once no request is open
-	msgStart
-	msgEndpointUpdate // with an update: a change of the endpoint list; without: fetch the list again
+	msgDrained        // the drain notice has passed: the process exits once no request is open
+	msgStart          // start the process
+	msgEndpointUpdate // with update: a change of the endpoint list reaches the agent; without: the list is to be fetched again
 
-	// Between balancers and upstreams. Connection messages of fronts are used here too.
+	// Between balancers and upstreams, in addition to msgConnect, msgConnected, msgReset and msgIdleClosed.
 	msgAttempt
-	msgAbandon    // the balancer has given up an attempt and closed its connection
+	msgAbandon    // the balancer has abandoned an attempt and closed its connection
 	msgConnClosed // the balancer has closed an idle connection
 	msgReply
 
-	// An upstream's own timer.
+	// Timer of an upstream.
 	msgWake
 
-	// From the timetable; index: the fault.
+	// From the timetable of faults; index: the fault.
 	msgFaultBegins
 	msgFaultEnds
 )
 
 // Status codes on messages and in the history.
 const (
-	statusOK      int16 = http.StatusOK
-	statusError   int16 = http.StatusInternalServerError
-	statusFailed  int16 = http.StatusBadGateway
-	statusRefused int16 = http.StatusServiceUnavailable
+	statusOK       int16 = http.StatusOK
+	statusError    int16 = http.StatusInternalServerError
+	statusFailed   int16 = http.StatusBadGateway
+	statusRejected int16 = http.StatusServiceUnavailable
 )
 
-// message is one event for an actor. Which fields mean something depends on its kind.
+// message is an event for an actor. The kind determines which fields are set.
 type message struct {
 	at          time.Duration
-	seq         uint64 // the sender's count of messages: breaks ties
-	from, to    int32  // actors
+	seq         uint64 // number of the message at its sender; breaks ties
+	from, to    int32  // ids of actors
 	kind        messageKind
 	healthy     bool
-	requestRead bool // the connection broke after the balancer had read the request
-	keepAlive   bool // the connection takes further requests
-	hasLoad     bool
+	requestRead bool // the connection was reset after the balancer had read the request
+	keepAlive   bool // the connection stays open for further requests
+	hasLoad     bool // load is set
 	status      int16
 	index       int32 // of an arrival, a balancer, an upstream or a fault
 	number      int32 // of an attempt within its request, or of a client's retry
 	incarnation int32 // of the process that set a timer
 	id          uint64
 	request     *clientRequest
-	duration    time.Duration // Retry-After, or what is left of the deadline
+	duration    time.Duration // of a response: Retry-After; of a request: the time until its deadline
 	load        server.Report
 	update      *endpointUpdate
 }
 
-// clientRequest is a request as a client sends it. A retry by the client is another one.
+// clientRequest is a request as a client sends it. A retry by the client is a request of its own.
 type clientRequest struct {
 	id       uint64
 	arrival  int32
-	number   int32 // of the retry; 0: the first
+	number   int32 // of the retry; 0: the first request
 	deadline time.Duration
-	leavesAt time.Duration // when the client disconnects; 0: it stays
+	leavesAt time.Duration // when the client disconnects; 0: it does not
 }
 
-// messageQueue is an actor's messages, ordered by time, then sender, then the order in which they were sent.
+// messageQueue is a priority queue of an actor's messages, ordered by time, then sender, then order of sending.
 type messageQueue []message
 
 func (q messageQueue) Len() int      { return len(q) }
@@ -99,10 +99,10 @@
 	return cmp.Or(cmp.Compare(q[i].at, q[j].at), cmp.Compare(q[i].from, q[j].from), cmp.Compare(q[i].seq, q[j].seq)) < 0
 }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (q *messageQueue) Push(x any) { *q = append(*q, x.(message)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (q *messageQueue) Pop() any {
 	last := len(*q) - 1
 	m := (*q)[last]
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -15,7 +15,7 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// faultTestScenario is a day for every kind of fault, some of them over each other.
+// faultTestScenario is a scenario without faults, for tests that add some.
 const faultTestScenario = `
 seed = 3
 length = "14s"
@@ -77,7 +77,7 @@
 swing = 0.3
 `
 
-// scenarioWithEveryFault adds one fault of each kind to everyFaultDay.
+// scenarioWithEveryFault adds faults of every kind to faultTestScenario. Some of them overlap.
 func scenarioWithEveryFault(t *testing.T) *scenario.Scenario {
 	t.Helper()
 	text := faultTestScenario
@@ -107,114 +107,116 @@
 	return labtest.Day(t, text)
 }
 
-func runScenario(t *testing.T, d *scenario.Scenario, o Options) []history.Event {
+func runScenario(t *testing.T, sc *scenario.Scenario, o Options) []history.Event {
 	t.Helper()
-	events, err := Play(context.Background(), d, o)
+	events, err := Play(context.Background(), sc, o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return events
 }
 
-// One day gives one history, to the byte, whatever the number of workers and however often it is played.
+// A scenario and a seed determine the history, whatever the number of workers and however often it is run.
 func TestDeterministicOnAnyWorkers(t *testing.T) {
-	d := scenarioWithEveryFault(t)
-	one := runScenario(t, d, Options{Workers: 1})
-	if len(one) < 5000 {
-		t.Fatalf("only %d events", len(one))
+	sc := scenarioWithEveryFault(t)
+	first := runScenario(t, sc, Options{Workers: 1})
+	if len(first) < 5000 {
+		t.Fatalf("got %d events, want at least 5000", len(first))
 	}
 	for _, workers := range []int{1, 3, 8} {
-		if other := runScenario(t, d, Options{Workers: workers}); !reflect.DeepEqual(one, other) {
-			t.Errorf("%d workers gave another history", workers)
+		if other := runScenario(t, sc, Options{Workers: workers}); !reflect.DeepEqual(first, other) {
+			t.Errorf("with %d workers, the history differs from the first run with one", workers)
 		}
 	}
-	d.Seed++
-	if reflect.DeepEqual(one, runScenario(t, d, Options{Workers: 1})) {
-		t.Error("another seed gave the same history")
+	sc.Seed++
+	if reflect.DeepEqual(first, runScenario(t, sc, Options{Workers: 1})) {
+		t.Error("a different seed gave the same history")
 	}
 }
 
-// Every attempt that an upstream took ends, and every request that was sent ends.
+// Every attempt that an upstream accepted ends, unless the upstream collapsed, and every request that was sent ends.
 func TestEveryRequestAndAttemptEnds(t *testing.T) {
-	d := scenarioWithEveryFault(t)
+	sc := scenarioWithEveryFault(t)
 	type key struct {
-		req      uint64
+		request  uint64
 		upstream int32
-		serial   int32
+		attempt  int32
 	}
-	open, asked := map[key]history.Event{}, map[uint64]history.Event{}
-	toppled := map[int32]bool{}
-	for _, e := range runScenario(t, d, Options{Workers: 4}) {
+	openAttempts, openRequests := map[key]history.Event{}, map[uint64]history.Event{}
+	collapsed := map[int32]bool{}
+	for _, e := range runScenario(t, sc, Options{Workers: 4}) {
 		switch e.Kind {
 		case history.Arrived:
-			open[key{e.RequestID, e.Upstream, e.Serial}] = e
+			openAttempts[key{e.RequestID, e.Upstream, e.Serial}] = e
 		case history.Replied, history.Abandoned:
-			delete(open, key{e.RequestID, e.Upstream, e.Serial})
+			delete(openAttempts, key{e.RequestID, e.Upstream, e.Serial})
 		case history.Sent:
-			asked[e.RequestID] = e
+			openRequests[e.RequestID] = e
 		case history.Answered, history.Broken, history.TimedOut, history.ClientLeft:
-			delete(asked, e.RequestID)
+			delete(openRequests, e.RequestID)
 		case history.Collapsed:
-			toppled[e.Upstream] = true
+			collapsed[e.Upstream] = true
 		}
 	}
-	for _, e := range open {
-		if !toppled[e.Upstream] {
-			t.Errorf("never ended: %s", e.Describe(d, d.Fleet()))
+	for _, e := range openAttempts {
+		if !collapsed[e.Upstream] {
+			t.Errorf("attempt never ended: %s", e.Describe(sc, sc.Fleet()))
 		}
 	}
-	for _, e := range asked {
-		t.Errorf("never answered: %s", e.Describe(d, d.Fleet()))
+	for _, e := range openRequests {
+		t.Errorf("request never ended: %s", e.Describe(sc, sc.Fleet()))
 	}
 }
 
-// The module breaks no rule on any example, whichever of three seeds draws it.
+// The decision module violates no rule of the checker on any example: three seeds for those in examples itself, one for
+// those in subdirectories.
 func TestExamplesKeepTheRules(t *testing.T) {
 	names := labtest.Examples(t)
 	if len(names) < 20 {
-		t.Fatalf("%d examples", len(names))
+		t.Fatalf("found %d examples, want at least 20", len(names))
 	}
 	for _, name := range names {
-		d := labtest.Example(t, name)
-		if len(d.Fleet().Balancers) > 50 { // its own time is measured in docs/lab.md
+		sc := labtest.Example(t, name)
+		if len(sc.Fleet().Balancers) > 50 { // docs/lab.md has the run time of such a fleet
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			seeds := uint64(3)
-			if strings.Contains(name, "/") { // in a folder of its own
+			if strings.Contains(name, "/") { // in a subdirectory of examples
 				seeds = 1
 			}
-			for d.Seed = 1; d.Seed <= seeds; d.Seed++ {
-				for _, v := range check.Judge(d, d.Fleet(), runScenario(t, d, Options{Workers: 1})) {
-					t.Errorf("seed %d: %s at %v: %s", d.Seed, v.Rule, v.At, v.What)
+			for sc.Seed = 1; sc.Seed <= seeds; sc.Seed++ {
+				for _, v := range check.Judge(sc, sc.Fleet(), runScenario(t, sc, Options{Workers: 1})) {
+					t.Errorf("seed %d: %s at %v: %s", sc.Seed, v.Rule, v.At, v.What)
 				}
 			}
 		})
 	}
 }
 
-// The policy that sees the true state serves more than the module on a day whose fault no balancer can see at once.
+// The true-state policy serves at least as large a fraction as the decision module, in a scenario whose fault no balancer
+// can detect immediately.
 func TestTrueStateServesMost(t *testing.T) {
-	d := labtest.Example(t, "zones/two.toml")
-	served := func(policy string) float64 {
-		good, asked := 0, 0
-		for _, e := range runScenario(t, d, Options{Workers: 2, Policy: policy}) {
+	sc := labtest.Example(t, "zones/two.toml")
+	servedFraction := func(policy string) float64 {
+		served, sent := 0, 0
+		for _, e := range runScenario(t, sc, Options{Workers: 2, Policy: policy}) {
 			if e.Kind == history.Answered && e.Result == client.Served {
-				good++
+				served++
 			} else if e.Kind == history.Sent && e.Retry == 0 {
-				asked++
+				sent++
 			}
 		}
-		return float64(good) / float64(asked)
+		return float64(served) / float64(sent)
 	}
-	if best, own := served("true-state"), served(""); best < own || best < 0.99 {
-		t.Errorf("the true state serves %.4f, the module %.4f", best, own)
+	if best, own := servedFraction("true-state"), servedFraction(""); best < own || best < 0.99 {
+		t.Errorf("true-state serves %.4f, want at least 0.99 and the decision module's %.4f", best, own)
 	}
 }
 
-// A baseline without slow start overloads an upstream that warms up, and the checker finds it in virtual time too. The module does
-// not push one over.
+// A baseline without slow start overloads upstreams that warm up, and the checker reports it for runs of the model engine.
+// The decision module overloads none.
 func TestRoundRobinOverloadsColdUpstream(t *testing.T) {
 	text := faultTestScenario + `
 [[fault]]
@@ -224,39 +226,40 @@
 target = ["upstream:*"]
 part = 0.8
 `
-	d := labtest.Day(t, text)
-	d.Load.Rate *= 3
-	broken := func(policy string) int {
+	sc := labtest.Day(t, text)
+	sc.Load.Rate *= 3
+	coldStartViolations := func(policy string) int {
 		n := 0
-		for _, v := range check.Judge(d, d.Fleet(), runScenario(t, d, Options{Policy: policy})) {
+		for _, v := range check.Judge(sc, sc.Fleet(), runScenario(t, sc, Options{Policy: policy})) {
 			if v.Rule == check.ColdStart {
 				n++
 			}
 		}
 		return n
 	}
-	if broken("round-robin") == 0 {
-		t.Error("round robin pushed nobody over")
+	if coldStartViolations("round-robin") == 0 {
+		t.Error("round-robin: no cold-start violation, want at least one")
 	}
-	if n := broken("sprucehill"); n > 0 {
-		t.Errorf("the module pushed %d over", n)
+	if n := coldStartViolations("sprucehill"); n > 0 {
+		t.Errorf("decision module: %d cold-start violations, want 0", n)
 	}
 }
 
-// A zone that is cut off gets no messages until the cut ends: those in transit come then.
+// While the link between two zones is cut, no request crosses it.
 func TestCutLinkHoldsMessages(t *testing.T) {
-	d := scenarioWithEveryFault(t)
-	d.Faults = d.Faults[:1]
-	during := 0
-	for _, e := range runScenario(t, d, Options{}) {
-		from, to := d.Faults[0].At.D()+50*time.Millisecond, (d.Faults[0].At + d.Faults[0].For).D()
+	sc := scenarioWithEveryFault(t)
+	sc.Faults = sc.Faults[:1]
+	arrivedDuringCut := 0
+	for _, e := range runScenario(t, sc, Options{}) {
+		// The 50 ms leave out requests that were in transit when the cut began.
+		from, to := sc.Faults[0].At.D()+50*time.Millisecond, (sc.Faults[0].At + sc.Faults[0].For).D()
 		if e.Kind == history.Arrived && e.At > from && e.At < to {
-			if f := d.Fleet(); f.Balancers[e.Balancer].Zone+f.Upstreams[e.Upstream].Zone == 1 { // zones 0 and 1
-				during++
+			if f := sc.Fleet(); f.Balancers[e.Balancer].Zone+f.Upstreams[e.Upstream].Zone == 1 { // zones 0 and 1
+				arrivedDuringCut++
 			}
 		}
 	}
-	if during > 0 {
-		t.Errorf("%d requests came over a cut", during)
+	if arrivedDuringCut > 0 {
+		t.Errorf("%d requests arrived over a cut link, want 0", arrivedDuringCut)
 	}
 }
--- a/internal/lab/model/node.go
+++ b/internal/lab/model/node.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	// clockOrigin is the decision module's time at the begin of the day, so that a time of 0 is long past.
+	// clockOrigin is the decision module's time at the start of the run. It is far from 0, so that a time of 0 is long past.
 	clockOrigin = time.Hour
-	// idleCloseMargin is how long before its upstream a balancer closes an idle connection.
+	// idleCloseMargin is how much earlier than its upstream a balancer closes an idle connection.
 	idleCloseMargin = 5 * time.Second
-	// cellsPerZone numbers the cells of all zones apart, as the live engine's registry does.
+	// cellsPerZone keeps the numbers of cells unique across zones. The live engine's registry uses the same numbers.
 	cellsPerZone = 1000
 )
 
-// node is a balancer's machine: its process with the decision module, its discovery agent and its disk. It does what
-// internal/proxy does, without sockets.
+// node is the actor of a balancer's machine: the process with the decision module, the discovery agent and the disk. It
+// stands in for internal/proxy, without sockets.
 type node struct {
 	*actor
-	index     int // of the balancer in the fleet
-	newModule policyFactory
+	index     int           // of the balancer in the fleet
+	newModule policyFactory // makes the module of each process
 	settings  balancer.Settings
 
 	// The process.
-	module           balancer.Events // nil: no process runs
-	incarnation      int32           // counts starts of the process
-	draining         bool            // graceful shutdown has begun
-	restartAfterExit bool            // it starts again once it has shut down
-	stopped          bool            // by SIGSTOP
-	deferredMessages []message       // handled when it continues
-	zoneStates       []balancer.ZoneState
+	module           balancer.Events      // nil: no process is running
+	incarnation      int32                // number of starts of the process
+	draining         bool                 // graceful shutdown has begun
+	restartAfterExit bool                 // the process is started again after its graceful shutdown
+	stopped          bool                 // by SIGSTOP; SIGCONT resumes it
+	deferredMessages []message            // received while stopped, handled after SIGCONT
+	zoneStates       []balancer.ZoneState // last recorded, by zone
 
 	requestTable
 	upstreamConns
@@ -42,29 +42,29 @@
 	agent agent
 }
 
-// disk is what a node keeps while no process runs.
+// disk is the state that a node keeps while no process is running.
 type disk struct {
 	snapshot  balancer.Snapshot
-	savedAt   time.Duration       // of the snapshot; 0: there is none
+	savedAt   time.Duration       // when snapshot was saved; 0: there is none
 	endpoints []balancer.Endpoint // the last known endpoint list; nil: there is none
 }
 
-// agent is a node's discovery agent. It runs whether the process does or not.
+// agent is a node's discovery agent. It runs independently of the process.
 type agent struct {
 	endpoints        []balancer.Endpoint
-	initialEndpoints []balancer.Endpoint // the list at the begin of the day, where the configuration has it
-	activeSilences   int                 // active faults that silence the agent
-	errorRate        float64             // ratio of calls to the agent that fail
-	deferredUpdates  []*endpointUpdate   // arrived during a silence
-	fetchPending     bool                // the process called for the list during a silence
-	clockOffset      time.Duration       // of this machine's clock against discovery's
+	initialEndpoints []balancer.Endpoint // the list at the start of the run, if the configuration has that one
+	activeSilences   int                 // number of active faults that silence the agent
+	errorRate        float64             // fraction of calls to the agent that fail
+	deferredUpdates  []*endpointUpdate   // received while the agent was silent
+	fetchPending     bool                // the process fetched the list while the agent was silent
+	clockOffset      time.Duration       // of this machine's clock relative to discovery's
 }
 
 func newNode(a *actor, index int, policy policyFactory) (*node, error) {
-	d := a.sim.scenario
-	settings, links, err := wire.DecodeSettings(d.Settings(a.sim.fleet, index))
+	sc := a.sim.scenario
+	settings, links, err := wire.DecodeSettings(sc.Settings(a.sim.fleet, index))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", scenario.ErrInput, err)
+		return nil, fmt.Errorf("%w: settings of %s: %w", scenario.ErrInput, a.sim.fleet.Balancers[index].Name, err)
 	}
 	n := &node{
 		actor:     a,
@@ -72,7 +72,7 @@
 		newModule: policy,
 		settings:  settings,
 		upstreamConns: upstreamConns{
-			maxConns:    d.Balancer.Sockets * 3 / 8,
+			maxConns:    sc.Balancer.Sockets * 3 / 8, // the limit of internal/proxy
 			idleTimeout: max(links.KeepAlive-idleCloseMargin, links.KeepAlive/2),
 			dialTimeout: links.ConnectTimeout,
 		},
@@ -88,10 +88,10 @@
 	return n, n.start()
 }
 
-// clock is the decision module's time.
+// clock is the current time of the decision module.
 func (n *node) clock() time.Duration { return clockOrigin + n.now }
 
-// zoneIngress is the front of the node's zone.
+// zoneIngress is the ingress of the node's zone.
 func (n *node) zoneIngress() *actor { return n.sim.ingresses[n.sim.fleet.Balancers[n.index].Zone] }
 
 func (n *node) handle(m message) {
@@ -115,7 +115,7 @@
 	}
 }
 
-// handleInProcess is what a running process does with a message.
+// handleInProcess handles a message as a running process does.
 func (n *node) handleInProcess(m message) {
 	switch m.kind {
 	case msgHealthCheck:
@@ -150,7 +150,7 @@
 	n.deliverOutcomes()
 }
 
-// handleWithoutProcess is what the kernel of a machine does on which no process runs.
+// handleWithoutProcess handles a message as the kernel of a machine without a running process does.
 func (n *node) handleWithoutProcess(m message) {
 	switch m.kind {
 	case msgConnect, msgRequest:
@@ -159,12 +159,12 @@
 		n.send(n.sim.actors[m.from], message{kind: msgConnClosed})
 	case msgStart:
 		if err := n.start(); err != nil {
-			panic(err) // the same settings were valid at the first start
+			panic(err) // the settings were valid at the first start
 		}
 	}
 }
 
-// onTimer passes a timer on to the decision module, and does what the process does besides from time to time.
+// onTimer passes a timer on to the decision module, and runs the periodic tasks of the process.
 func (n *node) onTimer(token uint64) {
 	n.module.OnTimer(n.clock(), token)
 	n.sweepIdle()
@@ -172,12 +172,12 @@
 	n.saveSnapshot()
 }
 
-// zoneReporter is a module that judges the health of zones. The baselines do not.
+// zoneReporter is a module that assesses the health of zones. The baselines do not implement it.
 type zoneReporter interface {
 	ZoneStatuses(now time.Duration) []balancer.ZoneStatus
 }
 
-// recordZoneStates records which zones have changed in the module's judgement.
+// recordZoneStates records the zones whose state according to the module has changed.
 func (n *node) recordZoneStates() {
 	module, ok := n.module.(zoneReporter)
 	if !ok {
--- a/internal/lab/model/policy.go
+++ b/internal/lab/model/policy.go
@@ -12,14 +12,18 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// policyFactory makes what decides for a balancer: the program's decision module, or a baseline with the same interface.
+// policyFactory makes the module that decides for a balancer: the program's decision module, or a baseline with the same
+// interface.
 type policyFactory func(s balancer.Settings, seed uint64, now time.Duration, effects balancer.Effects) (balancer.Events, error)
 
-// Policies names what a day can be modelled with: the program's own module, and baselines to compare it with.
+// Policies are the names of the policies that the model engine can run: the program's decision module, and baselines to
+// compare it with.
 var Policies = []string{ownPolicy, "round-robin", "least-loaded", "random-of-two", "true-state"}
 
+// ownPolicy is the name of the program's decision module.
 const ownPolicy = "sprucehill"
 
+// policyByName returns the factory of a policy. The empty name is ownPolicy.
 func policyByName(name string) (policyFactory, error) {
 	switch name {
 	case "", ownPolicy:
@@ -38,8 +42,9 @@
 	return nil, fmt.Errorf("%w: policy %q is not one of %s", scenario.ErrInput, name, strings.Join(Policies, ", "))
 }
 
-// baseline chooses by one plain rule among the active endpoints. It retries only what is idempotent or was not run, on
-// another endpoint where there is one, and has no slow start, no load reports and no outlier detection.
+// baseline is a module that chooses among the active endpoints by a single rule. It retries only requests that are
+// idempotent or have not been executed, on another endpoint if there is one. It has no slow start, ignores load reports and
+// detects no outliers.
 type baseline struct {
 	settings  balancer.Settings
 	effects   balancer.Effects
@@ -59,10 +64,10 @@
 	deadline     time.Duration
 	attempts     int
 	lastEndpoint balancer.EndpointID
-	mayHaveRun   bool // an attempt of it may have run
+	mayHaveRun   bool // an upstream may have executed an attempt
 }
 
-// newBaseline returns a policy with a rule.
+// newBaseline returns the factory of baselines that choose by a rule.
 func newBaseline(choose func(*baseline, []balancer.Endpoint) balancer.EndpointID) policyFactory {
 	return func(s balancer.Settings, seed uint64, _ time.Duration, effects balancer.Effects) (balancer.Events, error) {
 		b := &baseline{
@@ -77,23 +82,25 @@
 		for _, c := range s.Classes {
 			b.classes[c.Name] = c
 		}
-		b.next = b.rng.IntN(math.MaxInt32) // so that not all balancers begin with the same endpoint
+		b.next = b.rng.IntN(math.MaxInt32) // so that the balancers do not all start with the same endpoint
 		return b, nil
 	}
 }
 
+// roundRobin chooses the endpoints in turn.
 func (b *baseline) roundRobin(active []balancer.Endpoint) balancer.EndpointID {
 	b.next++
 	return active[b.next%len(active)].ID
 }
 
-// weightedLoad is an endpoint's requests in flight by its weight.
+// weightedLoad is the number of requests in flight to an endpoint from this balancer, divided by its weight.
 func (b *baseline) weightedLoad(e balancer.Endpoint) float64 {
 	return float64(b.inFlight[e.ID]) / e.Weight
 }
 
+// leastLoaded chooses the endpoint with the lowest weighted load.
 func (b *baseline) leastLoaded(active []balancer.Endpoint) balancer.EndpointID {
-	first := b.rng.IntN(len(active)) // of equals, any
+	first := b.rng.IntN(len(active)) // a random one of equally loaded endpoints wins
 	best := active[first]
 	for i := range active {
 		if e := active[(first+i)%len(active)]; b.weightedLoad(e) < b.weightedLoad(best) {
@@ -103,6 +110,7 @@
 	return best.ID
 }
 
+// randomOfTwo chooses the less loaded of two random endpoints (power of two choices).
 func (b *baseline) randomOfTwo(active []balancer.Endpoint) balancer.EndpointID {
 	one := active[b.rng.IntN(len(active))]
 	other := active[b.rng.IntN(len(active))]
@@ -112,7 +120,7 @@
 	return one.ID
 }
 
-// OnEndpointUpdate takes discovery's list.
+// OnEndpointUpdate applies an update of the endpoint list.
 func (b *baseline) OnEndpointUpdate(_ time.Duration, mode balancer.UpdateMode, list []balancer.Endpoint) {
 	if mode == balancer.UpdateFailed {
 		return
@@ -131,14 +139,14 @@
 	b.active = slices.DeleteFunc(slices.Clone(b.endpoints), func(e balancer.Endpoint) bool { return e.State != balancer.Active })
 }
 
-// OnRequest takes a client's request.
+// OnRequest starts the first attempt of a client's request.
 func (b *baseline) OnRequest(now time.Duration, request balancer.Request) {
 	r := &baselineRequest{class: b.classes[request.Class], deadline: now + request.Timeout}
 	b.requests[request.ID] = r
 	b.attemptOrRespond(now, request.ID, r)
 }
 
-// attemptOrRespond makes another attempt of a request, or responds where none is allowed.
+// attemptOrRespond starts another attempt of a request, or responds if no further attempt is permitted.
 func (b *baseline) attemptOrRespond(now time.Duration, id balancer.RequestID, r *baselineRequest) {
 	repeatable := !r.mayHaveRun || r.class.Idempotency == balancer.Idempotent
 	switch {
@@ -156,7 +164,7 @@
 	}
 }
 
-// candidates is the active endpoints without the one of the last attempt, if there are others.
+// candidates returns the active endpoints without that of the last attempt, unless it is the only one.
 func (b *baseline) candidates(r *baselineRequest) []balancer.Endpoint {
 	if r.attempts == 0 {
 		return b.active
@@ -168,7 +176,7 @@
 	return others
 }
 
-// OnAttemptResult takes the outcome of an attempt.
+// OnAttemptResult handles the outcome of an attempt.
 func (b *baseline) OnAttemptResult(now time.Duration, result balancer.AttemptResult) {
 	b.inFlight[result.Endpoint]--
 	r := b.requests[result.ID]
@@ -183,7 +191,7 @@
 	}
 }
 
-// OnClientDisconnected drops a request whose client has gone.
+// OnClientDisconnected drops a request whose client has disconnected.
 func (b *baseline) OnClientDisconnected(_ time.Duration, id balancer.RequestID) {
 	delete(b.requests, id)
 }
--- a/internal/lab/model/pool.go
+++ b/internal/lab/model/pool.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 )
 
-// parallelThreshold is the number of actors in a batch per additional worker that is woken. For fewer, waking one does not
-// pay.
+// parallelThreshold is the number of actors in a batch per additional worker that is woken. The calling goroutine handles
+// a smaller batch alone.
 const parallelThreshold = 8
 
 // pool is a fixed number of workers that share the actors of a step.
--- a/internal/lab/model/process.go
+++ b/internal/lab/model/process.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// startupTime is how long a process takes from its start until it answers.
+	// startupTime is how long a process takes from its start until it serves.
 	startupTime = 50 * time.Millisecond
-	// drainNotice is how long a process still takes requests after SIGTERM.
+	// drainNotice is how long a process still accepts requests after SIGTERM, while its health checks already fail.
 	drainNotice = 500 * time.Millisecond
-	// snapshotInterval is how often a balancer that saves its state does so, in the model.
+	// snapshotInterval is how often a balancer that saves its state does so in the model engine.
 	snapshotInterval = 2 * time.Second
 )
 
-// snapshotter is a module that can be started with another's state. The baselines cannot.
+// snapshotter is a module whose state can be saved and restored. The baselines do not implement it.
 type snapshotter interface {
 	TakeSnapshot(now time.Duration) balancer.Snapshot
 	Restore(now time.Duration, snapshot balancer.Snapshot)
 }
 
-// start starts the process with what its machine holds.
+// start starts the process from the machine's disk, discovery agent and configuration.
 func (n *node) start() error {
 	n.incarnation++
 	n.requests = map[balancer.RequestID]*openRequest{}
@@ -39,7 +39,7 @@
 	seed := n.sim.scenario.Seed<<24 + uint64(n.incarnation)<<12 + uint64(n.index)
 	module, err := n.newModule(n.settings, seed, n.clock(), n)
 	if err != nil {
-		return fmt.Errorf("%w: %s: %w", scenario.ErrInput, n.sim.fleet.Balancers[n.index].Name, err)
+		return fmt.Errorf("%w: start %s: %w", scenario.ErrInput, n.sim.fleet.Balancers[n.index].Name, err)
 	}
 	n.module = module
 	n.recordProcess(history.Started)
@@ -61,10 +61,11 @@
 	return nil
 }
 
-// configuredWithInitialList reports whether the configuration has the endpoint list of the day's begin rather than of now.
+// configuredWithInitialList reports whether the configuration has the endpoint list of the start of the run, rather than
+// the current one.
 func (n *node) configuredWithInitialList() bool { return n.sim.scenario.Balancer.Known == "begin" }
 
-// startEndpoints is the list that a process starts with: the saved one, or the one in its configuration.
+// startEndpoints is the endpoint list that a process starts with: the saved one, or else that of its configuration.
 func (n *node) startEndpoints() []balancer.Endpoint {
 	switch {
 	case n.disk.endpoints != nil:
@@ -78,7 +79,7 @@
 	return n.agent.endpoints
 }
 
-// saveSnapshot saves the module's state from time to time, where the day has balancers do so.
+// saveSnapshot saves the module's state if the scenario has balancers do so and snapshotInterval has passed.
 func (n *node) saveSnapshot() {
 	s, ok := n.module.(snapshotter)
 	if !ok || !n.sim.scenario.Balancer.State || n.now-n.disk.savedAt < snapshotInterval {
@@ -89,26 +90,26 @@
 	n.disk.endpoints = slices.Clone(n.agent.endpoints)
 }
 
-// eraseDisk drops what was saved.
+// eraseDisk deletes the saved state.
 func (n *node) eraseDisk() {
 	n.disk.savedAt = 0
 	n.disk.endpoints = nil
 }
 
-// recordProcess records an event of the process.
+// recordProcess records an event about the process.
 func (n *node) recordProcess(kind history.Kind) {
 	n.record(history.Event{Kind: kind, Balancer: int32(n.index), Upstream: history.None, Arrival: history.None})
 }
 
-// drain begins a graceful shutdown.
-func (n *node) drain(restarts bool) {
+// drain begins a graceful shutdown. If restart is set, the process is started again afterwards.
+func (n *node) drain(restart bool) {
 	n.recordProcess(history.Signalled)
 	n.draining = true
-	n.restartAfterExit = restarts
+	n.restartAfterExit = restart
 	n.after(drainNotice, message{kind: msgDrained, incarnation: n.incarnation})
 }
 
-// exitIfDrained ends a process that shuts down, once no request is open.
+// exitIfDrained ends a process that is shutting down, if no request is open.
 func (n *node) exitIfDrained() {
 	if !n.draining || len(n.requests) > 0 || n.module == nil {
 		return
@@ -119,7 +120,7 @@
 	}
 }
 
-// exit ends the process, and all its connections with it.
+// exit ends the process, which resets all its connections.
 func (n *node) exit() {
 	n.module = nil
 	for _, id := range slices.Sorted(maps.Keys(n.requests)) {
@@ -145,19 +146,19 @@
 	n.pendingOutcomes = nil
 }
 
-// stop stops the process, as SIGSTOP does.
+// stop suspends the process, as SIGSTOP does.
 func (n *node) stop() {
 	n.stopped = true
 	n.recordProcess(history.Paused)
 }
 
-// resume continues a stopped process, which handles the messages that arrived meanwhile.
+// resume continues a stopped process, which first handles the messages that arrived meanwhile.
 func (n *node) resume() {
 	n.stopped = false
 	n.recordProcess(history.Resumed)
-	missed := n.deferredMessages
+	deferred := n.deferredMessages
 	n.deferredMessages = nil
-	for _, m := range missed {
+	for _, m := range deferred {
 		if n.module == nil {
 			n.handleWithoutProcess(m)
 		} else {
--- a/internal/lab/model/requests.go
+++ b/internal/lab/model/requests.go
@@ -6,46 +6,47 @@
 	"sprucehill/balancer"
 )
 
-// answerMargin is what a balancer takes off a client's deadline, as the real one does.
+// answerMargin is subtracted from a client's deadline, as the real balancer does.
 const answerMargin = 4 * time.Millisecond
 
-// openRequest is a client's request at a node, until it is answered and all its attempts have ended.
+// openRequest is a client's request at a node, until it is closed and all its attempts have ended.
 type openRequest struct {
 	id       balancer.RequestID
 	client   *clientRequest
-	ingress  int32 // the actor that sent it
+	ingress  int32 // the ingress's actor, which sent it
 	class    int
 	deadline time.Duration
 	attempts []*upstreamAttempt
 	inFlight int  // attempts that have not ended
-	closed   bool // it was answered, or its client has gone
+	closed   bool // the response was sent, or the client has disconnected
 }
 
 // upstreamAttempt is one attempt of a request.
 type upstreamAttempt struct {
 	request   *openRequest
-	number    int32
-	upstream  int
+	number    int32 // within the request
+	upstream  int   // index
 	sentAt    time.Duration
-	connected bool // its connection is open and it is written, or its connection has failed
-	ended     bool // the module has its outcome
+	connected bool // its connection was established and it was written, or its connection failed
+	ended     bool // its outcome was delivered to the module
 }
 
-// requestTable is a node's requests that have not ended.
+// requestTable holds a node's open requests.
 type requestTable struct {
 	requests        map[balancer.RequestID]*openRequest
-	byClientID      map[uint64]*openRequest
+	byClientID      map[uint64]*openRequest // by the id that the client gave
 	lastRequest     balancer.RequestID
-	pendingOutcomes []pendingOutcome // in the order in which they are delivered
+	pendingOutcomes []pendingOutcome // in order of delivery
 }
 
-// pendingOutcome is an outcome that is known but not yet delivered, because it arose inside a call of the module.
+// pendingOutcome is the outcome of an attempt that ended during a call of the module. It is delivered after that call
+// and not from within it.
 type pendingOutcome struct {
 	attempt *upstreamAttempt
 	status  balancer.Status
 }
 
-// onRequest takes a client's request.
+// onRequest passes a client's request on to the module.
 func (n *node) onRequest(m message) {
 	arrival := n.sim.arrivals[m.request.arrival]
 	timeout := max(0, m.duration.Truncate(time.Millisecond)-answerMargin)
@@ -73,19 +74,19 @@
 	n.module.OnRequest(n.clock(), request)
 }
 
-// onRequestTimeout ends the attempts of a request whose deadline has come.
+// onRequestTimeout ends the attempts of a request at its deadline.
 func (n *node) onRequestTimeout(r *openRequest) {
 	for _, a := range r.attempts {
 		n.endAttempt(a, balancer.Timeout)
 	}
 }
 
-// onAttemptMessage handles what happens to an attempt or its connection.
+// onAttemptMessage handles an event of an attempt or of its connection.
 func (n *node) onAttemptMessage(m message) {
 	r := n.byClientID[m.id]
 	stale := m.kind == msgConnectTimeout && m.incarnation != n.incarnation
 	if r == nil || int(m.number) >= len(r.attempts) || stale {
-		if m.kind == msgConnected { // its request has ended: the connection serves another
+		if m.kind == msgConnected { // the request has ended: keep the connection for another one
 			n.putIdle(n.sim.actors[m.from].party.Index)
 		}
 		return
@@ -105,6 +106,7 @@
 	}
 }
 
+// onConnected handles an established connection, on which its attempt is written.
 func (n *node) onConnected(a *upstreamAttempt) {
 	if a.connected {
 		return
@@ -117,6 +119,7 @@
 	n.write(a)
 }
 
+// onConnReset handles a connection that was refused or reset.
 func (n *node) onConnReset(a *upstreamAttempt) {
 	if a.ended && a.connected {
 		return
@@ -130,6 +133,7 @@
 	n.deliverOutcome(a, status, message{})
 }
 
+// onConnectTimeout gives up a connection that was not established in time.
 func (n *node) onConnectTimeout(a *upstreamAttempt) {
 	if a.connected {
 		return
@@ -139,33 +143,34 @@
 	n.deliverOutcome(a, balancer.ConnectFailed, message{})
 }
 
+// onReply handles an upstream's reply to an attempt.
 func (n *node) onReply(a *upstreamAttempt, m message) {
-	if a.ended { // given up: its connection is closed
+	if a.ended { // the attempt was abandoned and its connection closed
 		return
 	}
 	n.putIdle(a.upstream)
 	n.deliverOutcome(a, attemptStatus(m.status), m)
 }
 
-// attemptStatus is the outcome of an attempt by its reply's status code.
+// attemptStatus converts the status code of a reply to the outcome of its attempt.
 func attemptStatus(status int16) balancer.Status {
 	switch status {
 	case statusError:
 		return balancer.Error
-	case statusRefused:
+	case statusRejected:
 		return balancer.Rejected
 	}
 	return balancer.OK
 }
 
-// write sends an attempt on its connection.
+// write writes an attempt on its connection.
 func (n *node) write(a *upstreamAttempt) {
 	a.connected = true
 	n.send(n.sim.servers[a.upstream], message{kind: msgAttempt, id: a.request.client.id, number: a.number, request: a.request.client})
 }
 
-// endAttempt ends an attempt without a reply. If it was written, its connection is closed. Otherwise its status is NotSent
-// in place of the given one.
+// endAttempt ends an attempt without a reply. If it was written, its connection is closed. If it was not, its outcome is
+// NotSent instead of the given status.
 func (n *node) endAttempt(a *upstreamAttempt, status balancer.Status) {
 	if a.ended {
 		return
@@ -178,13 +183,14 @@
 	n.deliverOutcome(a, status, message{})
 }
 
-// abandon closes the connection of an attempt.
+// abandon closes the connection of an attempt that was written.
 func (n *node) abandon(a *upstreamAttempt) {
 	n.conns--
 	n.send(n.sim.servers[a.upstream], message{kind: msgAbandon, id: a.request.client.id, number: a.number})
 }
 
-// deliverOutcome gives the module the one outcome of an attempt, and the client the response if there is one.
+// deliverOutcome delivers the outcome of an attempt to the module, at most once. After a success it first sends the response
+// to the client.
 func (n *node) deliverOutcome(a *upstreamAttempt, status balancer.Status, reply message) {
 	if a.ended {
 		return
@@ -215,7 +221,7 @@
 	n.module.OnAttemptResult(n.clock(), result)
 }
 
-// deliverOutcomes delivers the outcomes that arose inside calls of the module.
+// deliverOutcomes delivers the outcomes that arose during calls of the module, including those that arise meanwhile.
 func (n *node) deliverOutcomes() {
 	for len(n.pendingOutcomes) > 0 {
 		next := n.pendingOutcomes[0]
@@ -224,7 +230,7 @@
 	}
 }
 
-// respond sends the client its one response.
+// respond sends the response to the client, unless the request is closed.
 func (n *node) respond(r *openRequest, m message) {
 	if r.closed {
 		return
@@ -236,12 +242,13 @@
 	n.closeRequest(r)
 }
 
-// disconnectClient closes a request whose client has gone.
+// disconnectClient closes a request whose client has disconnected.
 func (n *node) disconnectClient(r *openRequest) {
 	n.closeRequest(r)
 	n.module.OnClientDisconnected(n.clock(), r.id)
 }
 
+// closeRequest marks a request as closed: no response can be sent any more.
 func (n *node) closeRequest(r *openRequest) {
 	r.closed = true
 	n.removeIfDone(r)
@@ -250,7 +257,7 @@
 	}
 }
 
-// removeIfDone forgets a request that is closed and has no attempt in flight.
+// removeIfDone removes a request that is closed and has no attempt in flight.
 func (n *node) removeIfDone(r *openRequest) {
 	if !r.closed || r.inFlight > 0 {
 		return
--- a/internal/lab/model/sim.go
+++ b/internal/lab/model/sim.go
@@ -42,12 +42,12 @@
 	fleet       *scenario.Fleet
 	paths       *scenario.Paths
 	arrivals    []scenario.Arrival
-	hits        []scenario.Hit
-	minDelay    time.Duration // between any two parties
-	ingresses   []*actor      // by zone
-	nodes       []*actor      // by balancer
-	servers     []*actor      // by upstream
-	actors      []*actor      // all actors, by id
+	faultHits   []scenario.Hit // by fault
+	minDelay    time.Duration  // between any two parties
+	ingresses   []*actor       // by zone
+	nodes       []*actor       // by balancer
+	servers     []*actor       // by upstream
+	actors      []*actor       // all actors, by id
 	queue       actorQueue
 	faultEvents []history.Event
 }
@@ -65,7 +65,7 @@
 func runWithPolicy(ctx context.Context, sc *scenario.Scenario, o Options, policy policyFactory) ([]history.Event, error) {
 	s := &sim{scenario: sc, fleet: sc.Fleet(), arrivals: sc.Arrivals()}
 	s.paths = sc.NewPaths(s.fleet)
-	_, s.hits = sc.Timetable()
+	_, s.faultHits = sc.Timetable()
 	s.minDelay = s.paths.MinDelay()
 	if err := s.populate(policy); err != nil {
 		return nil, err
@@ -231,7 +231,7 @@
 // applyChange applies the begin or the end of a fault.
 func (s *sim) applyChange(c scenario.Change) {
 	fault := s.scenario.Faults[c.Fault]
-	hit := s.hits[c.Fault]
+	hit := s.faultHits[c.Fault]
 	event := history.Event{At: c.At, Kind: history.FaultEnded, Fault: int32(c.Fault), Arrival: history.None, Balancer: history.None, Upstream: history.None}
 	m := message{at: c.At, kind: msgFaultEnds, index: int32(c.Fault)}
 	if c.Transition == scenario.Begin {
@@ -299,7 +299,7 @@
 		}
 		a.now = max(a.now, now)
 		for _, b := range blocked {
-			a.send(b.to, b.m)
+			a.send(b.to, b.message)
 		}
 		s.deliver(a)
 	}
--- a/internal/lab/model/truth.go
+++ b/internal/lab/model/truth.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// stuckCheckInterval is how often the policy looks for attempts to upstreams that can't reply.
-	stuckCheckInterval = 20 * time.Millisecond
+	// unreachableCheckInterval is how often the policy looks for attempts to upstreams that can't reply.
+	unreachableCheckInterval = 20 * time.Millisecond
 	// remoteZonePenalty multiplies the load of upstreams in other zones, so that a local one wins among equally loaded ones.
 	remoteZonePenalty = 1.1
 )
@@ -33,7 +33,7 @@
 		return nil, err
 	}
 	p.baseline = module.(*baseline)
-	effects.SetTimer(stuckCheckInterval, 0)
+	effects.SetTimer(unreachableCheckInterval, 0)
 	return p, nil
 }
 
@@ -80,7 +80,7 @@
 		end = s.scenario.Length.D()
 	}
 	active := now >= fault.At.D() && now < end
-	hit := s.hits[faultIndex]
+	hit := s.faultHits[faultIndex]
 	switch {
 	case now < fault.At.D():
 		return 1
@@ -112,7 +112,7 @@
 
 // OnTimer cancels the attempts of idempotent requests to upstreams that can't reply, so that they are retried.
 func (p *trueStatePolicy) OnTimer(time.Duration, uint64) {
-	p.effects.SetTimer(stuckCheckInterval, 0)
+	p.effects.SetTimer(unreachableCheckInterval, 0)
 	for _, id := range slices.Sorted(maps.Keys(p.requests)) {
 		r := p.requests[id]
 		if r.class.Idempotency == balancer.Idempotent && p.capacity(int(r.lastEndpoint)) == 0 {
--- a/internal/lab/model/upstream.go
+++ b/internal/lab/model/upstream.go
@@ -14,17 +14,17 @@
 // upstream is the actor of an upstream's machine: the simulated server and its connections.
 type upstream struct {
 	*actor
-	index       int
-	server      *server.Server // nil: no process runs
-	vanished    bool           // the machine is off the network
-	jobs        map[server.JobID]job
-	byAttempt   map[attemptKey]server.JobID
-	lastJob     server.JobID
-	conns       int
-	connsByNode map[int32]int    // open connections, by the balancer's actor
-	unanswered  []job            // attempts that no process will answer, whose connections are to be reset
-	wakeAt      time.Duration    // when the next msgWake is due; math.MaxInt64: none is scheduled
-	faults      []scenario.Fault // that are active
+	index            int
+	server           *server.Server // nil: no process runs
+	vanished         bool           // the machine is off the network
+	jobs             map[server.JobID]job
+	byAttempt        map[attemptKey]server.JobID
+	lastJob          server.JobID
+	conns            int
+	connsByNode      map[int32]int    // open connections, by the balancer's actor
+	orphanedAttempts []job            // attempts that no process will answer, whose connections are to be reset
+	wakeAt           time.Duration    // when the next msgWake is due; math.MaxInt64: none is scheduled
+	faults           []scenario.Fault // that are active
 }
 
 // attemptKey identifies an attempt across balancers.
@@ -131,7 +131,7 @@
 // onAttempt passes a request on to the server, which accepts or rejects it.
 func (u *upstream) onAttempt(j job) {
 	if u.vanished {
-		u.unanswered = append(u.unanswered, j)
+		u.orphanedAttempts = append(u.orphanedAttempts, j)
 		return
 	}
 	if u.server == nil {
@@ -152,7 +152,7 @@
 	event.Work = float32(arrival.Work.Seconds())
 	u.record(event)
 	if !accepted {
-		u.reply(j, statusRefused)
+		u.reply(j, statusRejected)
 	}
 	if collapsed {
 		u.record(u.processEvent(history.Collapsed))
@@ -269,7 +269,7 @@
 	for _, id := range slices.Sorted(maps.Keys(u.jobs)) {
 		j := u.jobs[id]
 		u.record(u.attemptEvent(j, history.Abandoned))
-		u.unanswered = append(u.unanswered, j)
+		u.orphanedAttempts = append(u.orphanedAttempts, j)
 	}
 	clear(u.jobs)
 	clear(u.byAttempt)
@@ -277,7 +277,7 @@
 
 // resetAll resets every connection.
 func (u *upstream) resetAll() {
-	for _, j := range u.unanswered {
+	for _, j := range u.orphanedAttempts {
 		u.reset(j)
 	}
 	for _, node := range slices.Sorted(maps.Keys(u.connsByNode)) {
@@ -286,7 +286,7 @@
 		}
 	}
 	clear(u.connsByNode)
-	u.unanswered = nil
+	u.orphanedAttempts = nil
 	u.conns = 0
 }
 
