--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -9,7 +9,7 @@
 	"sprucehill/internal/lab/labtest"
 )
 
-const checkDay = `
+const testScenario = `
 length = "10s"
 [[region]]
 name = "r"
@@ -85,72 +85,72 @@
 	return t.add(at, history.Notified, func(e *history.Event) { e.Upstream, e.Text = 0, phase })
 }
 
-// Each history breaks the rule beside it, or none.
+// Each history violates exactly the rule given with it, or none.
 func TestRules(t *testing.T) {
-	d := labtest.Day(t, checkDay)
-	onB2 := func(t trace) trace {
+	sc := labtest.Day(t, testScenario)
+	onSecondBalancer := func(t trace) trace {
 		for i := range t {
 			t[i].Balancer = 1
 		}
 		return t
 	}
 	for _, c := range []struct {
-		name string
-		rule Rule
-		tale trace
+		name   string
+		rule   Rule
+		events trace
 	}{
 		{"served", "", trace{}.sent(buy).attempt(1*ms, history.Arrived, buy, 0, 1).attempt(9*ms, history.Replied, buy, 0, 1).answered(10*ms, buy, client.Served)},
 		{"never answered", OneAnswer, trace{}.sent(read).process(2600*ms, history.TimedOut)},
-		{"answered too late", OneAnswer, trace{}.sent(read).answered(2600*ms, read, client.Failed)},
-		{"answered late, within the grace", "", trace{}.sent(read).answered(2400*ms, read, client.Failed)},
-		{"closed on", OneAnswer, trace{}.sent(read).process(300*ms, history.Broken)},
-		{"killed under it", "", trace{}.sent(read).process(200*ms, history.Killed).process(201*ms, history.Exited).process(201*ms, history.Broken)},
-		{"ended by SIGTERM under it", OneAnswer, trace{}.sent(read).process(200*ms, history.Signalled).process(201*ms, history.Exited).process(201*ms, history.Broken)},
-		{"frozen over its time", "", trace{}.sent(read).process(200*ms, history.Paused).process(2600*ms, history.TimedOut)},
-		{"cut off", "", onB2(trace{{At: 5 * time.Second, Kind: history.FaultBegan}}.add(5200*ms, history.Sent, func(e *history.Event) { e.Deadline = 7 * time.Second }).process(7600*ms, history.TimedOut))},
-		{"another one is cut off", OneAnswer, trace{{At: 5 * time.Second, Kind: history.FaultBegan}}.add(5200*ms, history.Sent, func(e *history.Event) { e.Deadline = 7 * time.Second }).process(7600*ms, history.TimedOut)},
-		{"an unsafe one repeated", OneEffect, trace{}.sent(buy).attempt(1*ms, history.Arrived, buy, 0, 1).attempt(5*ms, history.Abandoned, buy, 0, 1).attempt(900*ms, history.Arrived, buy, 1, 2).attempt(901*ms, history.Replied, buy, 1, 2)},
-		{"an unsafe one sent on after it was turned away", "", trace{}.sent(buy).attempt(1*ms, history.Rejected, buy, 0, 1).attempt(5*ms, history.Arrived, buy, 1, 2)},
-		{"an unsafe one refused though it may have run", OneEffect, trace{}.sent(buy).attempt(1*ms, history.Arrived, buy, 0, 1).attempt(5*ms, history.Abandoned, buy, 0, 1).answered(10*ms, buy, client.Rejected)},
-		{"a keyed one in its zone", "", trace{}.sent(topup).attempt(1*ms, history.Arrived, topup, 0, 1).attempt(5*ms, history.Abandoned, topup, 0, 1).attempt(6*ms, history.Arrived, topup, 1, 2)},
-		{"a keyed one in another zone", OneEffect, trace{}.sent(topup).attempt(1*ms, history.Arrived, topup, 0, 1).attempt(5*ms, history.Abandoned, topup, 0, 1).attempt(6*ms, history.Arrived, topup, 2, 2)},
-		{"a keyed one forgotten", OneEffect, trace{}.sent(topup).attempt(1*ms, history.Arrived, topup, 0, 1).attempt(5*ms, history.Abandoned, topup, 0, 1).attempt(1200*ms, history.Arrived, topup, 1, 2)},
-		{"two out at once", OneEffect, trace{}.sent(read).attempt(1*ms, history.Arrived, read, 0, 1).attempt(200*ms, history.Arrived, read, 1, 2).attempt(400*ms, history.Replied, read, 0, 1)},
-		{"one out after the other", "", trace{}.sent(read).attempt(1*ms, history.Arrived, read, 0, 1).attempt(200*ms, history.Arrived, read, 1, 2).attempt(210*ms, history.Abandoned, read, 0, 1).attempt(220*ms, history.Replied, read, 1, 2)},
-		{"six attempts", OneEffect, trace{}.sent(read).attempt(1*ms, history.Rejected, read, 0, 1).attempt(2*ms, history.Rejected, read, 1, 2).attempt(3*ms, history.Rejected, read, 0, 3).attempt(4*ms, history.Rejected, read, 1, 4).attempt(5*ms, history.Rejected, read, 0, 5).attempt(6*ms, history.Rejected, read, 1, 6)},
-		{"sent after a drain", Drained, trace{}.notified(0, "draining").attempt(600*ms, history.Rejected, read, 0, 1)},
-		{"sent soon after a drain", "", trace{}.notified(0, "draining").attempt(500*ms, history.Rejected, read, 0, 1)},
-		{"sent after a drain has ended", "", trace{}.notified(0, "draining").notified(300*ms, "up").attempt(900*ms, history.Rejected, read, 0, 1)},
-		{"sent by one that has begun anew and was not told", "", trace{}.notified(0, "draining").process(100*ms, history.Signalled).process(100*ms, history.Exited).attempt(900*ms, history.Rejected, read, 0, 1)},
-		{"ended untold", NoCrash, trace{}.process(0, history.Started).process(500*ms, history.Exited)},
-		{"over a limit", Limits, trace{}.add(0, history.OverLimit, func(e *history.Event) { e.Text = "memory" })},
+		{"answered after the grace", OneAnswer, trace{}.sent(read).answered(2600*ms, read, client.Failed)},
+		{"answered after the deadline, within the grace", "", trace{}.sent(read).answered(2400*ms, read, client.Failed)},
+		{"connection closed without a response", OneAnswer, trace{}.sent(read).process(300*ms, history.Broken)},
+		{"balancer killed meanwhile", "", trace{}.sent(read).process(200*ms, history.Killed).process(201*ms, history.Exited).process(201*ms, history.Broken)},
+		{"balancer stopped with SIGTERM meanwhile", OneAnswer, trace{}.sent(read).process(200*ms, history.Signalled).process(201*ms, history.Exited).process(201*ms, history.Broken)},
+		{"balancer paused past the deadline", "", trace{}.sent(read).process(200*ms, history.Paused).process(2600*ms, history.TimedOut)},
+		{"link cut", "", onSecondBalancer(trace{{At: 5 * time.Second, Kind: history.FaultBegan}}.add(5200*ms, history.Sent, func(e *history.Event) { e.Deadline = 7 * time.Second }).process(7600*ms, history.TimedOut))},
+		{"link of another balancer cut", OneAnswer, trace{{At: 5 * time.Second, Kind: history.FaultBegan}}.add(5200*ms, history.Sent, func(e *history.Event) { e.Deadline = 7 * time.Second }).process(7600*ms, history.TimedOut)},
+		{"unsafe request retried", OneEffect, trace{}.sent(buy).attempt(1*ms, history.Arrived, buy, 0, 1).attempt(5*ms, history.Abandoned, buy, 0, 1).attempt(900*ms, history.Arrived, buy, 1, 2).attempt(901*ms, history.Replied, buy, 1, 2)},
+		{"unsafe request retried after a rejection", "", trace{}.sent(buy).attempt(1*ms, history.Rejected, buy, 0, 1).attempt(5*ms, history.Arrived, buy, 1, 2)},
+		{"unsafe request rejected although it may have run", OneEffect, trace{}.sent(buy).attempt(1*ms, history.Arrived, buy, 0, 1).attempt(5*ms, history.Abandoned, buy, 0, 1).answered(10*ms, buy, client.Rejected)},
+		{"keyed request retried in its zone", "", trace{}.sent(topup).attempt(1*ms, history.Arrived, topup, 0, 1).attempt(5*ms, history.Abandoned, topup, 0, 1).attempt(6*ms, history.Arrived, topup, 1, 2)},
+		{"keyed request retried in another zone", OneEffect, trace{}.sent(topup).attempt(1*ms, history.Arrived, topup, 0, 1).attempt(5*ms, history.Abandoned, topup, 0, 1).attempt(6*ms, history.Arrived, topup, 2, 2)},
+		{"keyed request retried after its idempotency window", OneEffect, trace{}.sent(topup).attempt(1*ms, history.Arrived, topup, 0, 1).attempt(5*ms, history.Abandoned, topup, 0, 1).attempt(1200*ms, history.Arrived, topup, 1, 2)},
+		{"two attempts in flight at once", OneEffect, trace{}.sent(read).attempt(1*ms, history.Arrived, read, 0, 1).attempt(200*ms, history.Arrived, read, 1, 2).attempt(400*ms, history.Replied, read, 0, 1)},
+		{"second attempt after the first was abandoned", "", trace{}.sent(read).attempt(1*ms, history.Arrived, read, 0, 1).attempt(200*ms, history.Arrived, read, 1, 2).attempt(210*ms, history.Abandoned, read, 0, 1).attempt(220*ms, history.Replied, read, 1, 2)},
+		{"more attempts than allowed", OneEffect, trace{}.sent(read).attempt(1*ms, history.Rejected, read, 0, 1).attempt(2*ms, history.Rejected, read, 1, 2).attempt(3*ms, history.Rejected, read, 0, 3).attempt(4*ms, history.Rejected, read, 1, 4).attempt(5*ms, history.Rejected, read, 0, 5).attempt(6*ms, history.Rejected, read, 1, 6)},
+		{"sent to a draining upstream", Drained, trace{}.notified(0, "draining").attempt(600*ms, history.Rejected, read, 0, 1)},
+		{"sent to a draining upstream within the drain grace", "", trace{}.notified(0, "draining").attempt(500*ms, history.Rejected, read, 0, 1)},
+		{"sent after the drain ended", "", trace{}.notified(0, "draining").notified(300*ms, "up").attempt(900*ms, history.Rejected, read, 0, 1)},
+		{"sent by a restarted balancer without a notification", "", trace{}.notified(0, "draining").process(100*ms, history.Signalled).process(100*ms, history.Exited).attempt(900*ms, history.Rejected, read, 0, 1)},
+		{"exited without a signal", NoCrash, trace{}.process(0, history.Started).process(500*ms, history.Exited)},
+		{"memory over its limit", Limits, trace{}.add(0, history.OverLimit, func(e *history.Event) { e.Text = "memory" })},
 	} {
-		got := Judge(d, d.Fleet(), c.tale)
+		got := Judge(sc, sc.Fleet(), c.events)
 		switch {
 		case c.rule == "" && len(got) > 0:
 			t.Errorf("%s: %s: %s", c.name, got[0].Rule, got[0].What)
 		case c.rule != "" && (len(got) != 1 || got[0].Rule != c.rule):
-			t.Errorf("%s: %v, want one breach of %s", c.name, got, c.rule)
+			t.Errorf("%s: %v, want one violation of %s", c.name, got, c.rule)
 		}
 	}
 }
 
-// Overloading an upstream that warms up is a violation only of balancers that were notified of its start.
+// Overloading a warming-up upstream is a violation only if the balancer had been notified of its start.
 func TestColdStartNeedsKnowledge(t *testing.T) {
-	d := labtest.Day(t, checkDay)
-	for _, knew := range []bool{true, false} {
-		h := trace{}.add(0, history.UpstreamStarted, func(e *history.Event) { e.Upstream = 0 })
-		if knew {
-			h = h.notified(100*ms, "up")
+	d := labtest.Day(t, testScenario)
+	for _, notified := range []bool{true, false} {
+		events := trace{}.add(0, history.UpstreamStarted, func(e *history.Event) { e.Upstream = 0 })
+		if notified {
+			events = events.notified(100*ms, "up")
 		}
 		for i := range int32(20) {
-			h = h.add(time.Duration(200+i)*ms, history.Arrived, func(e *history.Event) {
+			events = events.add(time.Duration(200+i)*ms, history.Arrived, func(e *history.Event) {
 				e.RequestID, e.Upstream, e.Serial, e.Work, e.Class = uint64(i), 0, i, 1, read
 			})
 		}
-		h = h.add(300*ms, history.Collapsed, func(e *history.Event) { e.Upstream = 0 })
-		if got := Judge(d, d.Fleet(), h); (len(got) == 1 && got[0].Rule == ColdStart) != knew {
-			t.Errorf("its balancer knew: %v; got %v", knew, got)
+		events = events.add(300*ms, history.Collapsed, func(e *history.Event) { e.Upstream = 0 })
+		if got := Judge(d, d.Fleet(), events); (len(got) == 1 && got[0].Rule == ColdStart) != notified {
+			t.Errorf("balancer notified: %t: got %v", notified, got)
 		}
 	}
 }
--- a/internal/lab/check/effects.go
+++ b/internal/lab/check/effects.go
@@ -8,7 +8,7 @@
 	"sprucehill/internal/lab/history"
 )
 
-// checkEffects checks OneEffect of one request.
+// checkEffects checks OneEffect for one request.
 func (c *checker) checkEffects(trace []history.Event) {
 	ends := map[int32]time.Duration{} // of attempts, by serial
 	for _, e := range trace {
@@ -16,18 +16,18 @@
 			ends[e.Serial] = e.At
 		}
 	}
-	var earlier []history.Event // attempts that an upstream took
+	var earlier []history.Event // attempts that an upstream accepted
 	attempts := 0
 	for _, e := range trace {
 		switch {
 		case e.Kind == history.Answered:
 			if e.Result == client.Rejected && len(earlier) > 0 && !c.retryIsHarmless(e) {
-				c.add(OneEffect, e.At, "its client was told that a retry is harmless, but it may have run", trace)
+				c.add(OneEffect, e.At, "rejected as safe to retry although it may have run", trace)
 			}
 		case isArrival(e):
 			attempts++
-			if attempts > c.day.Balancer.MaxAttempts {
-				c.add(OneEffect, e.At, fmt.Sprintf("%d attempts; %d are allowed", attempts, c.day.Balancer.MaxAttempts), trace)
+			if attempts > c.scenario.Balancer.MaxAttempts {
+				c.add(OneEffect, e.At, fmt.Sprintf("%d attempts, at most %d are allowed", attempts, c.scenario.Balancer.MaxAttempts), trace)
 			}
 			if problem := c.retryProblem(earlier, e, ends); problem != "" {
 				c.add(OneEffect, e.At, problem, trace)
@@ -39,44 +39,46 @@
 	}
 }
 
-// retryIsHarmless reports whether a client may retry a request that may have run, because every upstream recognizes it.
+// retryIsHarmless reports whether a client may retry a request that may have run: its class is idempotent, or every upstream
+// knows its idempotency key.
 func (c *checker) retryIsHarmless(e history.Event) bool {
 	class := c.class(e)
 	return class.Repeat != "unsafe" && (class.Repeat != "keyed" || class.Group == "all")
 }
 
-// retryProblem is why an attempt must not follow earlier ones that may have run. It is empty if it may.
+// retryProblem describes why an attempt must not follow earlier ones that may have run, or returns "" if it may. ends holds
+// the ends of attempts by serial.
 func (c *checker) retryProblem(earlier []history.Event, e history.Event, ends map[int32]time.Duration) string {
 	class := c.class(e)
 	to := c.fleet.Upstreams[e.Upstream]
-	for _, before := range earlier {
-		from := c.fleet.Upstreams[before.Upstream]
+	for _, previous := range earlier {
+		from := c.fleet.Upstreams[previous.Upstream]
 		switch {
 		case class.Repeat == "unsafe":
-			return "sent again though it may have run, and must never run twice"
+			return "retried although it may have run and is not idempotent"
 		case class.Repeat == "keyed" && class.Group == "zone" && to.Zone != from.Zone:
-			return "sent again to another zone, which does not know its key"
+			return "retried in another zone, which does not know its idempotency key"
 		case class.Repeat == "keyed" && class.Group == "cell" && (to.Zone != from.Zone || to.Cell != from.Cell):
-			return "sent again to another cell, which does not know its key"
-		case class.Repeat == "keyed" && e.At-before.At > class.Memory.D()+tolerance:
-			return "sent again after its key was forgotten"
-		case !c.day.Balancer.SecondCopies && c.inFlightUntil(before, ends) > e.At+tolerance+c.maxDelay(before):
-			return "two attempts are out at once"
+			return "retried in another cell, which does not know its idempotency key"
+		case class.Repeat == "keyed" && e.At-previous.At > class.Memory.D()+tolerance:
+			return "retried after its idempotency window"
+		case !c.scenario.Balancer.SecondCopies && c.inFlightUntil(previous, ends) > e.At+tolerance+c.maxDelay(previous):
+			return "two attempts in flight at once, but hedged requests are off"
 		}
 	}
 	return ""
 }
 
-// inFlightUntil is when an attempt ended at its upstream. An attempt that did not end was in flight until the upstream
-// stopped or collapsed, or until the end of the day.
+// inFlightUntil returns when an attempt ended at its upstream. An attempt without an end was in flight until the upstream
+// stopped or collapsed, or until the end of the run.
 func (c *checker) inFlightUntil(attempt history.Event, ends map[int32]time.Duration) time.Duration {
 	if at, ok := ends[attempt.Serial]; ok {
 		return at
 	}
-	for _, e := range c.upstreams[attempt.Upstream] {
+	for _, e := range c.upstreamEvents[attempt.Upstream] {
 		if e.At >= attempt.At && (e.Kind == history.UpstreamStopped || e.Kind == history.Collapsed) {
 			return e.At
 		}
 	}
-	return c.day.Length.D() + Grace
+	return c.scenario.Length.D() + Grace
 }
--- a/internal/lab/check/fleet.go
+++ b/internal/lab/check/fleet.go
@@ -9,24 +9,24 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// checkDraining checks Drained of the attempts of one request.
+// checkDraining checks Drained for the attempts of one request.
 func (c *checker) checkDraining(trace []history.Event) {
 	for _, e := range trace {
 		if !isArrival(e) {
 			continue
 		}
 		since, draining := c.drainingSince(e)
-		limit := since + c.day.Balancer.DrainGrace.D() + tolerance + c.maxDelay(e)
+		limit := since + c.scenario.Balancer.DrainGrace.D() + tolerance + c.maxDelay(e)
 		if draining && e.FirstByteAt > limit {
-			c.add(Drained, e.At, fmt.Sprintf("sent %v after its balancer was told", e.FirstByteAt-since), trace)
+			c.add(Drained, e.At, fmt.Sprintf("sent %v after its balancer was notified that the upstream is draining or removed", e.FirstByteAt-since), trace)
 		}
 	}
 }
 
-// drainingSince is since when the process that made an attempt knew that its upstream drains or is removed.
+// drainingSince returns when the process that made an attempt was notified that its upstream is draining or removed.
 func (c *checker) drainingSince(attempt history.Event) (since time.Duration, draining bool) {
-	started := c.processStart(attempt) // a process that has started again knows only what it was notified of since
-	for _, phase := range c.phases[endpointView{attempt.Balancer, attempt.Upstream}] {
+	started := c.processStart(attempt) // a restarted process knows only the notifications since its start
+	for _, phase := range c.notifications[endpointView{attempt.Balancer, attempt.Upstream}] {
 		if phase.At > attempt.FirstByteAt {
 			break
 		}
@@ -42,11 +42,11 @@
 	return since, draining
 }
 
-// processStart is when the process that made an attempt took over: the end of the process before it. It is 0 if there was
-// none.
+// processStart returns the start of the process that made an attempt: the exit of the process before it, or 0 if it is the
+// first.
 func (c *checker) processStart(attempt history.Event) time.Duration {
 	var start time.Duration
-	for _, e := range c.processes[attempt.Balancer] {
+	for _, e := range c.processEvents[attempt.Balancer] {
 		if e.Kind == history.Exited && e.At <= attempt.At {
 			start = e.At
 		}
@@ -54,12 +54,12 @@
 	return start
 }
 
-// maxDelay is the longest that an attempt may have been in transit.
+// maxDelay returns the longest time that an attempt may have been in transit.
 func (c *checker) maxDelay(attempt history.Event) time.Duration {
 	b := scenario.Party{Kind: scenario.BalancerParty, Index: int(attempt.Balancer)}
 	u := scenario.Party{Kind: scenario.UpstreamParty, Index: int(attempt.Upstream)}
 	d := c.paths.Condition(b, u).Delay
-	for i, fault := range c.day.Faults {
+	for i, fault := range c.scenario.Faults {
 		if fault.At.D() > attempt.At || !c.paths.OnLinks(i) || !c.paths.Hits(i, b, u) {
 			continue
 		}
@@ -67,13 +67,13 @@
 		case scenario.LinkDelay:
 			d += fault.Delay.D()
 		case scenario.LinkCut, scenario.LinkSlow, scenario.LinkLossy: // bytes written before may arrive once the fault has ended
-			d += max(fault.For.D(), c.day.Length.D()-fault.At.D())
+			d += max(fault.For.D(), c.scenario.Length.D()-fault.At.D())
 		}
 	}
 	return d
 }
 
-// checkColdStarts checks ColdStart of what happened to one upstream.
+// checkColdStarts checks ColdStart for the events of one upstream.
 func (c *checker) checkColdStarts(trace []history.Event) {
 	var started *history.Event
 	for i, e := range trace {
@@ -87,11 +87,11 @@
 }
 
 // checkCollapse checks the work that reached an upstream before it collapsed. The last event of the trace is the collapse.
-// started is the upstream's start, or nil if that was before the day.
+// started is the upstream's start, or nil if that was before the run.
 func (c *checker) checkCollapse(trace []history.Event, started *history.Event) {
 	last := len(trace) - 1
 	collapse := trace[last]
-	span := c.day.Balancer.TipAfter.D()
+	span := c.scenario.Balancer.TipAfter.D()
 	from := last
 	for from > 0 && trace[from-1].At > collapse.At-span {
 		from--
@@ -109,7 +109,7 @@
 	if work == 0 || fromInformed < informedShare*work {
 		return
 	}
-	c.add(ColdStart, collapse.At, fmt.Sprintf("%s was pushed over while cold by %.2f s of work within %v, %.0f%% of it from balancers that knew",
+	c.add(ColdStart, collapse.At, fmt.Sprintf("%s collapsed while warming up after %.2f s of work within %v, %.0f%% of it from balancers notified of its start",
 		c.fleet.Upstreams[collapse.Upstream].Name, work, span, 100*fromInformed/work), trace[from:])
 }
 
@@ -118,14 +118,14 @@
 	if started == nil {
 		return false
 	}
-	return slices.ContainsFunc(c.phases[endpointView{attempt.Balancer, attempt.Upstream}], func(phase history.Event) bool {
+	return slices.ContainsFunc(c.notifications[endpointView{attempt.Balancer, attempt.Upstream}], func(phase history.Event) bool {
 		return phase.At >= started.At && phase.At <= attempt.At && phase.Text == "up"
 	})
 }
 
-// checkProcess checks Limits, NoCrash and NoLeftover of one balancer's processes.
+// checkProcess checks Limits, NoCrash and NoLeftover for one balancer's processes.
 func (c *checker) checkProcess(trace []history.Event) {
-	reported := map[string]bool{} // limits
+	reported := map[string]bool{} // limits already reported
 	exitExpected := false
 	for _, e := range trace {
 		name := c.fleet.Balancers[e.Balancer].Name
@@ -136,7 +136,7 @@
 			exitExpected = true
 		case history.Exited:
 			if !exitExpected || e.Text != "" {
-				c.add(NoCrash, e.At, fmt.Sprintf("%s ended with code %d %s", name, e.Status, e.Text), trace)
+				c.add(NoCrash, e.At, fmt.Sprintf("%s exited unexpectedly with code %d %s", name, e.Status, e.Text), trace)
 			}
 		case history.OverLimit:
 			if !reported[e.Text] {
@@ -144,7 +144,7 @@
 			}
 			reported[e.Text] = true
 		case history.Orphan:
-			c.add(NoLeftover, e.At, name+" is still there: "+e.Text, []history.Event{e})
+			c.add(NoLeftover, e.At, name+" left a process running after the run: "+e.Text, []history.Event{e})
 		}
 	}
 }
