--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -1,10 +1,9 @@
-// Package compare plays the same days and seeds on two sides in alternation, and reports which differences are beyond
-// noise.
+// Package compare runs scenarios with the same seeds on two sides alternately, and reports which differences are
+// statistically significant.
 //
-// Each play gives one pair of figures, so that the effect of a seed on both sides cancels. A difference is beyond noise if
-// Student's confidence interval of the mean of the pairs' differences does not contain zero. The confidence level is for
-// all measures together (Bonferroni correction). With ten measures, each alone has one chance in 200 of being called
-// different by accident.
+// The values are paired by seed, so that the effect of a seed on both sides cancels. A difference is significant, or beyond
+// noise, if Student's confidence interval of the mean paired difference does not contain zero. The error rate is that of
+// all measures together (Bonferroni correction): with ten measures, each has a chance of 1 in 200 of a false positive.
 package compare
 
 import (
@@ -18,16 +17,16 @@
 	"sprucehill/internal/lab/measure"
 )
 
-// familyError is the chance that any measure at all is called different though none is.
+// familyError is the family-wise error rate: the chance of at least one false positive if the sides do not differ.
 const familyError = 0.05
 
-// Side plays a day, drawn by a seed.
+// Side is one of the two variants that are compared. Play runs its scenario with a seed.
 type Side interface {
 	Name() string
 	Play(ctx context.Context, seed uint64) (*measure.Summary, error)
 }
 
-// Measure is one figure of a day.
+// Measure is a figure of a run by which sides are compared.
 type Measure struct {
 	Name         string
 	Unit         string
@@ -35,7 +34,7 @@
 	MoreIsBetter bool
 }
 
-// Measures is what sides are compared by.
+// Measures lists all measures, in the order of reports.
 var Measures = []Measure{
 	{"score", "", func(s *measure.Summary) float64 { return s.Score }, true},
 	{"worth served", "", func(s *measure.Summary) float64 { return s.Main.ServedRatio }, true},
@@ -47,7 +46,7 @@
 	{"p99", "ms", func(s *measure.Summary) float64 { return s.Main.Latency.P99 }, false},
 	{"attempts a request", "", func(s *measure.Summary) float64 { return s.AttemptsPerRequest }, false},
 	{"cross-zone share", "", func(s *measure.Summary) float64 { return s.CrossZoneRatio }, false},
-	{"recovery", "s", recovery, false},
+	{"recovery", "s", totalRecoverySeconds, false},
 	{"10 s from a fault", "", func(s *measure.Summary) float64 {
 		return worstOf(s, func(r measure.Recovery) float64 { return r.ServedRatioFirst10s })
 	}, true},
@@ -62,7 +61,7 @@
 	{"rules broken", "", rulesBroken, false},
 }
 
-// fullestZone is the highest utilization of a zone over the fleet's. It is 0 if it is not known.
+// fullestZone returns the highest utilization of a zone over that of the fleet, or 0 if it is unknown.
 func fullestZone(s *measure.Summary) float64 {
 	if s.Zones == nil {
 		return 0
@@ -70,7 +69,7 @@
 	return s.Zones.PeakUtilizationRatio
 }
 
-// zoneSwing is how far a zone's share of the attempts moves. It is 0 if it is not known.
+// zoneSwing returns how much a zone's share of the attempts varies, or 0 if it is unknown.
 func zoneSwing(s *measure.Summary) float64 {
 	if s.Zones == nil {
 		return 0
@@ -78,7 +77,7 @@
 	return s.Zones.AttemptShareSwing
 }
 
-// rulesBroken is how many violations there were.
+// rulesBroken returns the number of violations of all rules.
 func rulesBroken(s *measure.Summary) float64 {
 	violations := 0
 	for _, n := range s.Broken {
@@ -87,18 +86,18 @@
 	return float64(violations)
 }
 
-// worstOf is the lowest value of a ratio over all faults. It is 1 if there are none.
-func worstOf(s *measure.Summary, of func(measure.Recovery) float64) float64 {
+// worstOf returns the lowest value of a ratio over all faults, or 1 if there are none.
+func worstOf(s *measure.Summary, ratio func(measure.Recovery) float64) float64 {
 	worst := 1.0
 	for _, r := range s.Recoveries {
-		worst = min(worst, of(r))
+		worst = min(worst, ratio(r))
 	}
 	return worst
 }
 
-// recovery is the sum of the recovery times of all faults that end, in seconds. A fault without recovery counts the rest
+// totalRecoverySeconds is the sum of the totalRecoverySeconds times of all faults that end, in seconds. A fault without totalRecoverySeconds counts the rest
 // of the day.
-func recovery(s *measure.Summary) float64 {
+func totalRecoverySeconds(s *measure.Summary) float64 {
 	var sum float64
 	for _, r := range s.Recoveries {
 		switch {
@@ -111,22 +110,22 @@
 	return sum
 }
 
-// Row is one measure on both sides. Ratios are of side B to side A.
+// Row is one measure on both sides. Ratios are of B to A.
 type Row struct {
 	Measure          string
 	Unit             string
 	MeanA            float64 `json:"A"`
 	MeanB            float64 `json:"B"`
-	RatioOfMeans     float64 `json:"Ratio"` // 0: MeanA is 0
-	LowestRatio      float64 `json:"Low"`   // of one play
-	HighestRatio     float64 `json:"High"`  // of one play
-	MeanDiff         float64 `json:"Diff"`  // of B less A
-	DiffHalfInterval float64 `json:"Half"`  // half of the confidence interval of MeanDiff
+	RatioOfMeans     float64 `json:"Ratio"` // 0 if MeanA is 0
+	LowestRatio      float64 `json:"Low"`   // of a pair of runs
+	HighestRatio     float64 `json:"High"`  // of a pair of runs
+	MeanDiff         float64 `json:"Diff"`  // mean of B minus A
+	DiffHalfInterval float64 `json:"Half"`  // half the width of the confidence interval of MeanDiff
 	IsBeyondNoise    bool    `json:"Beyond"`
 	IsBetter         bool    `json:"Better"` // IsBeyondNoise, and B is the better side
 }
 
-// Result is the comparison of two sides.
+// Result is the comparison of two sides over pairs of runs.
 type Result struct {
 	A, B  string
 	Plays int
@@ -134,7 +133,7 @@
 	Rows  []Row
 }
 
-// Same reports whether no measure differs beyond noise.
+// Same reports whether no measure differs significantly.
 func (r *Result) Same() bool {
 	for _, row := range r.Rows {
 		if row.IsBeyondNoise {
@@ -144,8 +143,9 @@
 	return true
 }
 
-// Run plays both sides in alternation. Which side goes first changes with every play. progress is called after each play.
-// Run returns an error if a play fails or is void.
+// Run runs each side plays times, alternately, with seeds counted up from seed. The side that goes first changes with every
+// pair, so that drift of the machine affects both alike. progress is called after each run. Run returns an error if a run
+// fails or is void.
 func Run(ctx context.Context, a, b Side, seed uint64, plays int, progress func(play int, side string, s *measure.Summary)) (*Result, error) {
 	r := &Result{A: a.Name(), B: b.Name(), Plays: plays}
 	sides := [2]Side{a, b}
@@ -154,17 +154,17 @@
 		playSeed := seed + uint64(play)
 		r.Seeds = append(r.Seeds, playSeed)
 		for turn := range sides {
-			which := (play + turn) % len(sides)
-			side := sides[which]
+			sideIndex := (play + turn) % len(sides)
+			side := sides[sideIndex]
 			summary, err := side.Play(ctx, playSeed)
 			if err != nil {
-				return nil, fmt.Errorf("%s, seed %d: %w", side.Name(), playSeed, err)
+				return nil, fmt.Errorf("running side %s with seed %d: %w", side.Name(), playSeed, err)
 			}
 			progress(play, side.Name(), summary)
 			if summary.Lab != nil && summary.Lab.VoidReason != "" {
-				return nil, fmt.Errorf("%s, seed %d: void: %s", side.Name(), playSeed, summary.Lab.VoidReason)
+				return nil, fmt.Errorf("running side %s with seed %d: run is void: %s", side.Name(), playSeed, summary.Lab.VoidReason)
 			}
-			summaries[which] = append(summaries[which], summary)
+			summaries[sideIndex] = append(summaries[sideIndex], summary)
 		}
 	}
 	for _, m := range Measures {
@@ -173,7 +173,7 @@
 	return r, nil
 }
 
-// compareMeasure compares one measure of the plays of both sides.
+// compareMeasure compares one measure over the runs of both sides, which are paired by index.
 func compareMeasure(m Measure, as, bs []*measure.Summary) Row {
 	row := Row{Measure: m.Name, Unit: m.Unit, LowestRatio: math.Inf(1), HighestRatio: math.Inf(-1)}
 	var a, b, diffs []float64
@@ -193,19 +193,19 @@
 	if row.MeanA != 0 {
 		row.RatioOfMeans = row.MeanB / row.MeanA
 	}
-	if math.IsInf(row.LowestRatio, 1) { // A had 0 in every play
+	if math.IsInf(row.LowestRatio, 1) { // A was 0 in every run
 		row.LowestRatio = 0
 		row.HighestRatio = 0
 	}
-	row.MeanDiff, row.DiffHalfInterval = interval(diffs, familyError/float64(len(Measures)))
+	row.MeanDiff, row.DiffHalfInterval = confidenceInterval(diffs, familyError/float64(len(Measures)))
 	row.IsBeyondNoise = math.Abs(row.MeanDiff) > row.DiffHalfInterval
 	row.IsBetter = row.IsBeyondNoise && (row.MeanDiff > 0) == m.MoreIsBetter
 	return row
 }
 
-// interval is the mean of some figures and half of Student's confidence interval about it. The interval does not contain the
+// confidenceInterval is the mean of some figures and half of Student's confidence confidenceInterval about it. The confidenceInterval does not contain the
 // true mean with a probability of alpha. It is infinite for one figure.
-func interval(xs []float64, alpha float64) (mean, half float64) {
+func confidenceInterval(xs []float64, alpha float64) (mean, half float64) {
 	if len(xs) < 2 {
 		return stat.Mean(xs, nil), math.Inf(1)
 	}
--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -1,8 +1,8 @@
-// Package explore is a model checker: it searches exhaustively, breadth first, all states that a small model can reach
-// within a number of steps, and checks an invariant in each. It finds a shortest path to a violation.
+// Package explore is an explicit-state model checker. It visits, breadth first, all states that a small model can reach
+// within a number of steps, checks an invariant in each, and returns a shortest path to a violation.
 //
-// It promises nothing about states beyond the number of steps or the limit on states. A search owns all its state and
-// starts no goroutine.
+// States beyond the limits on steps and on states are not checked. A search starts no goroutine and shares no state with
+// other searches.
 package explore
 
 import (
@@ -11,17 +11,17 @@
 	"slices"
 )
 
-// Transition leads from one state to the next.
+// Transition is a step from one state to the next.
 type Transition[S comparable] struct {
-	Label string // what happens, for the trace
+	Label string // describes the step in a trace
 	To    S
 }
 
-// Model is the system under test. States that are equal must have the same future.
+// Model is the system under test. Equal states must have the same transitions.
 type Model[S comparable] interface {
 	// Initial returns the state that the search starts from.
 	Initial() S
-	// Transitions lists all that may happen in a state.
+	// Transitions lists all steps that are possible in a state.
 	Transitions(s S) []Transition[S]
 	// Check returns an error if a state violates the invariant.
 	Check(s S) error
@@ -30,10 +30,10 @@
 // Result is the result of a search. The JSON keys are those of balancerctl lab explore --json.
 type Result struct {
 	States    int      // number of distinct states found
-	Depth     int      // all states within so many steps were checked
-	Complete  bool     // the search ended at its depth or found all reachable states, rather than at the limit on states
-	Violation error    `json:"-"` // nil: none found
-	Trace     []string // labels of a shortest path to the violation
+	Depth     int      // all states within this many steps were checked
+	Complete  bool     // the search reached its depth or all reachable states, and did not stop at Limits.States
+	Violation error    `json:"-"` // nil if none was found
+	Trace     []string // labels on a shortest path to the violation
 }
 
 func (r Result) String() string {
@@ -50,8 +50,9 @@
 	States int // distinct states, at least 1
 }
 
-// Search checks all states within the limits until one violates the invariant. Of the states already expanded it keeps only
-// a hash of 64 bits: the chance that two different ones are taken for one is about Limits.States^2 / 2^65.
+// Search checks all states within the limits until one violates the invariant. Of states already
+// expanded it keeps only a 64-bit hash: the chance that two different states collide, so that one is not checked, is about
+// Limits.States^2 / 2^65.
 func Search[S comparable](model Model[S], limits Limits) Result {
 	s := &search[S]{model: model, limits: limits, seed: maphash.MakeSeed(), seen: map[uint64]bool{}}
 	initial := model.Initial()
@@ -64,7 +65,7 @@
 		if end != nil {
 			return *end
 		}
-		if len(next) == 0 { // all reachable states are known
+		if len(next) == 0 { // all reachable states were checked
 			return s.result(depth, true)
 		}
 		frontier = next
@@ -72,22 +73,22 @@
 	return s.result(limits.Depth, true)
 }
 
-// initialParent stands for the parent of the initial state.
+// initialParent is the parent index of the initial state, which has no parent.
 const initialParent = -1
 
-// origin is how a state was reached first.
+// origin is the step by which a state was first reached.
 type origin struct {
 	parent int32 // index into search.origins
 	label  string
 }
 
-// foundState is a state of the search's frontier.
+// foundState is a state on the search's frontier.
 type foundState[S comparable] struct {
 	state S
 	index int32 // into search.origins
 }
 
-// search is the state of a search.
+// search is a search in progress.
 type search[S comparable] struct {
 	model   Model[S]
 	limits  Limits
@@ -96,15 +97,15 @@
 	origins []origin        // of all states found
 }
 
-// add records a state found for the first time.
+// add records a new state.
 func (s *search[S]) add(state S, parent int32, label string) foundState[S] {
 	s.seen[maphash.Comparable(s.seed, state)] = true
 	s.origins = append(s.origins, origin{parent: parent, label: label})
 	return foundState[S]{state: state, index: int32(len(s.origins) - 1)}
 }
 
-// expand finds and checks all new states one step beyond the frontier, which is depth steps away from the initial state. A
-// result that is not nil ends the search.
+// expand finds and checks all new states one step beyond the frontier, which is depth steps from the initial state. If end
+// is not nil, the search ends with that result.
 func (s *search[S]) expand(frontier []foundState[S], depth int) (next []foundState[S], end *Result) {
 	for _, from := range frontier {
 		for _, transition := range s.model.Transitions(from.state) {
@@ -132,7 +133,7 @@
 	return Result{States: len(s.origins), Depth: depth, Complete: complete}
 }
 
-// trace lists the labels on the path from the initial state to one found.
+// trace returns the labels on the path from the initial state to the state at index.
 func (s *search[S]) trace(index int32) []string {
 	var labels []string
 	for ; s.origins[index].parent != initialParent; index = s.origins[index].parent {
--- a/internal/lab/gossip/network.go
+++ b/internal/lab/gossip/network.go
@@ -1,9 +1,9 @@
-// Package gossip emulates the network between members of a fleet in memory: packets and streams, with partitions, loss,
-// jitter, duplication and replay. Under testing/synctest its time is virtual, so that large fleets of the real protocol run
-// in little time; nothing in it depends on that.
+// Package gossip emulates in memory the network between members of a fleet: packets and streams, with partitions, loss,
+// jitter, duplication and replay. It works in real time and under testing/synctest, where virtual time lets large fleets of
+// the real protocol run quickly.
 //
-// Network owns all state and is safe for concurrent use. Packet faults are drawn from a seeded generator, but the order in
-// which goroutines send is not controlled, so runs are not reproducible bit by bit.
+// Network owns all state and is safe for concurrent use. Packet faults come from a seeded generator, but the order in which
+// goroutines send is not controlled, so runs are not exactly reproducible.
 package gossip
 
 import (
@@ -17,22 +17,22 @@
 )
 
 const (
-	// inboxSize bounds the packets and the streams that wait for one member. Packets beyond it are dropped and connections
-	// refused, as by a kernel.
+	// inboxSize bounds the packets, and the streams, that are queued for one member. Further packets are dropped and further
+	// connections refused, as a kernel does.
 	inboxSize = 512
-	// port is the port of all members; they differ by IP address.
+	// port is the same for all members; they differ by IP address.
 	port = 7946
 )
 
-// Fault is what happens to packets on the link from one member to another. The zero value is a link without faults.
+// Fault is the condition of the link from one member to another. The zero value is a link without faults.
 type Fault struct {
 	Cut           bool          // no packet and no stream gets through
 	LossRate      float64       // fraction of packets lost, 0 to 1
-	MaxJitter     time.Duration // each packet is delayed by up to this in addition, so that packets overtake each other
+	MaxJitter     time.Duration // upper bound of a random extra delay per packet, which reorders packets
 	DuplicateRate float64       // fraction of packets delivered twice, 0 to 1
 }
 
-// Traffic is what a member has sent in packets.
+// Traffic counts the packets that a member has sent.
 type Traffic struct {
 	Packets int
 	Bytes   int
@@ -43,7 +43,7 @@
 
 func (l link) reversed() link { return link{from: l.to, to: l.from} }
 
-// PacketRecorder receives the packets that reach a member. It must not call the network.
+// PacketRecorder is called with each packet that reaches a member, while the network is locked. It must not call the network.
 type PacketRecorder func(packet []byte, from string)
 
 // Network connects all members.
@@ -56,11 +56,11 @@
 	faults    map[link]Fault
 	frozen    map[string]bool
 	sent      map[string]Traffic
-	streams   map[net.Conn]link // open streams, by the caller's end
+	streams   map[net.Conn]link // open streams, by the dialer's end
 	recorders map[string]PacketRecorder
 }
 
-// New returns a network whose packets take delay one way.
+// New returns a network on which a packet takes delay one way. seed is that of the random packet faults.
 func New(seed uint64, delay time.Duration) *Network {
 	return &Network{
 		delay:     delay,
@@ -74,10 +74,10 @@
 	}
 }
 
-// Address returns the address, as host:port, of member i.
+// Address returns the address of member i as host:port.
 func Address(i int) string { return fmt.Sprintf("10.0.%d.%d:%d", i/250, i%250+1, port) }
 
-// SetFault sets the fault of the link from one address to another. A cut closes the open streams between them.
+// SetFault replaces the fault of the link from one address to another. A cut also closes all streams between the two.
 func (n *Network) SetFault(from, to string, f Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -94,28 +94,28 @@
 	}
 }
 
-// Kill takes a member off the network without notice.
+// Kill removes a member from the network without notice to the others.
 func (n *Network) Kill(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.members, address)
 }
 
-// Freeze drops what a member sends and what is sent to it, as if its process were stopped.
+// Freeze drops all that a member sends and all that is sent to it, as if its process had been stopped with SIGSTOP.
 func (n *Network) Freeze(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.frozen[address] = true
 }
 
-// Unfreeze ends the effect of Freeze.
+// Unfreeze undoes Freeze.
 func (n *Network) Unfreeze(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.frozen, address)
 }
 
-// RecordPackets passes each packet that reaches a member from now on to a function as well.
+// RecordPackets also passes to recorder each packet that reaches a member from now on.
 func (n *Network) RecordPackets(address string, recorder PacketRecorder) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -129,7 +129,7 @@
 	return n.sent[address]
 }
 
-// Inject delivers a packet to a member at once, as if from had sent it.
+// Inject delivers a packet to a member at once, with from as its sender.
 func (n *Network) Inject(packet []byte, from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -138,7 +138,7 @@
 	}
 }
 
-// Join returns a new transport of the member at an address, in place of the one that had it before.
+// Join returns a new transport for the member at an address. It replaces any earlier transport at that address.
 func (n *Network) Join(address string) *Transport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -152,19 +152,19 @@
 	return t
 }
 
-// deliverLater delivers a packet after the delay of its link.
-func (n *Network) deliverLater(packet []byte, on link, delay time.Duration) {
+// deliverLater delivers a packet after a delay, unless the receiver is gone or frozen by then.
+func (n *Network) deliverLater(packet []byte, path link, delay time.Duration) {
 	time.AfterFunc(delay, func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		receiver := n.members[on.to]
-		if receiver != nil && !n.frozen[on.to] {
-			receiver.receive(packet, on.from)
+		receiver := n.members[path.to]
+		if receiver != nil && !n.frozen[path.to] {
+			receiver.receive(packet, path.from)
 		}
 	})
 }
 
-// randomDelay draws a packet's delay on a link with a fault. n.mu is held.
+// randomDelay draws the delay of a packet on a link with a fault. The caller holds n.mu.
 func (n *Network) randomDelay(f Fault) time.Duration {
 	if f.MaxJitter <= 0 {
 		return n.delay
--- a/internal/lab/gossip/transport.go
+++ b/internal/lab/gossip/transport.go
@@ -9,7 +9,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Transport is one member's access to the network.
+// Transport connects one member to the network.
 type Transport struct {
 	network *Network
 	address string
@@ -19,7 +19,7 @@
 
 var _ memberlist.Transport = (*Transport)(nil)
 
-// FinalAdvertiseAddr returns this member's address, whatever is asked for.
+// FinalAdvertiseAddr returns this member's address. It ignores the configured one.
 func (t *Transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	address, err := net.ResolveUDPAddr("udp", t.address)
 	if err != nil {
@@ -28,12 +28,12 @@
 	return address.IP.To4(), address.Port, nil
 }
 
-// isOffline reports whether the member was killed, replaced or frozen. The network's lock is held.
+// isOffline reports whether the member was killed, replaced or frozen. The caller holds the network's lock.
 func (t *Transport) isOffline() bool {
 	return t.network.members[t.address] != t || t.network.frozen[t.address]
 }
 
-// WriteTo sends a packet. As with UDP, a lost packet is no error.
+// WriteTo sends a packet. As with UDP, a lost packet is not an error.
 func (t *Transport) WriteTo(packet []byte, to string) (time.Time, error) {
 	n := t.network
 	n.mu.Lock()
@@ -44,8 +44,8 @@
 	}
 	sent := n.sent[t.address]
 	n.sent[t.address] = Traffic{Packets: sent.Packets + 1, Bytes: sent.Bytes + len(packet)}
-	on := link{from: t.address, to: to}
-	fault := n.faults[on]
+	path := link{from: t.address, to: to}
+	fault := n.faults[path]
 	if fault.Cut || n.rng.Float64() < fault.LossRate {
 		return now, nil
 	}
@@ -55,12 +55,12 @@
 	}
 	packet = slices.Clone(packet)
 	for range copies {
-		n.deliverLater(packet, on, n.randomDelay(fault))
+		n.deliverLater(packet, path, n.randomDelay(fault))
 	}
 	return now, nil
 }
 
-// receive puts a packet into the inbox or drops it if that is full. The network's lock is held.
+// receive queues a packet for the member, or drops it if the queue is full. The caller holds the network's lock.
 func (t *Transport) receive(packet []byte, from string) {
 	sender, err := net.ResolveUDPAddr("udp", from)
 	if err != nil {
@@ -78,7 +78,7 @@
 // PacketCh returns the channel on which packets arrive.
 func (t *Transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// DialTimeout opens a stream to a member. Streams are neither lossy nor delayed; a cut closes them.
+// DialTimeout opens a stream to a member. Streams have no loss and no delay; a cut closes them.
 func (t *Transport) DialTimeout(to string, timeout time.Duration) (net.Conn, error) {
 	n := t.network
 	n.mu.Lock()
@@ -86,37 +86,37 @@
 	receiver := n.members[to]
 	switch {
 	case t.isOffline():
-		return nil, fmt.Errorf("%s is off the network", t.address)
+		return nil, fmt.Errorf("dialing %s: %s is off the network", to, t.address)
 	case t.isUnreachable(to):
 		n.mu.Unlock()
 		time.Sleep(timeout)
 		n.mu.Lock()
-		return nil, fmt.Errorf("no connection from %s to %s within %v", t.address, to, timeout)
+		return nil, fmt.Errorf("dialing %s from %s: no connection within %v", to, t.address, timeout)
 	case receiver == nil:
-		return nil, fmt.Errorf("no member at %s", to)
+		return nil, fmt.Errorf("dialing %s from %s: no member at that address", to, t.address)
 	}
-	callerEnd, receiverEnd := net.Pipe()
+	dialerEnd, receiverEnd := net.Pipe()
 	select {
 	case receiver.streams <- receiverEnd:
 	default:
-		callerEnd.Close()
-		return nil, fmt.Errorf("%s accepts no more connections", to)
+		dialerEnd.Close()
+		return nil, fmt.Errorf("dialing %s from %s: %d connections are already waiting to be accepted", to, t.address, inboxSize)
 	}
-	n.streams[callerEnd] = link{from: t.address, to: to}
-	return &stream{Conn: callerEnd, network: n}, nil
+	n.streams[dialerEnd] = link{from: t.address, to: to}
+	return &stream{Conn: dialerEnd, network: n}, nil
 }
 
-// isUnreachable reports whether nothing answers at an address. The network's lock is held.
+// isUnreachable reports whether a dial of an address gets no reply. The caller holds the network's lock.
 func (t *Transport) isUnreachable(to string) bool {
 	n := t.network
-	on := link{from: t.address, to: to}
-	return n.faults[on].Cut || n.faults[on.reversed()].Cut || n.frozen[to]
+	path := link{from: t.address, to: to}
+	return n.faults[path].Cut || n.faults[path.reversed()].Cut || n.frozen[to]
 }
 
 // StreamCh returns the channel on which streams arrive.
 func (t *Transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// Shutdown takes the member off the network.
+// Shutdown removes the member from the network, unless another transport has replaced it.
 func (t *Transport) Shutdown() error {
 	n := t.network
 	n.mu.Lock()
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// stream is the caller's end of a stream.
+// stream is the dialer's end of a stream.
 type stream struct {
 	net.Conn
 	network *Network
--- a/internal/lab/leases/leases.go
+++ b/internal/lab/leases/leases.go
@@ -1,5 +1,5 @@
-// Package leases models roles that at most one member may hold: the real voters and candidates of internal/membership, with
-// all faults that may happen between them, for internal/lab/explore to search.
+// Package leases models the lease on a role that at most one member may hold. It runs the voters and candidates of
+// internal/membership under lost, delayed and duplicated messages, restarts and clock skew, for internal/lab/explore to check.
 //
 // A Model is immutable, and a World is a value: nothing is shared between states.
 package leases
@@ -15,46 +15,45 @@
 const (
 	// MaxVoters bounds the voters of a model.
 	MaxVoters = 5
-	// maxTerm bounds the terms that candidates request, which keeps the number of states finite.
+	// maxTerm is the highest term that candidates request. It keeps the number of states finite.
 	maxTerm = 3
-	// tickDuration is how far real time advances in one step.
+	// tickDuration is how much real time one step takes.
 	tickDuration = membership.LeaseDuration / 2
-	// overlongHold is for how long a holder with Mutations.OverlongHold overstays.
+	// overlongHold is how long a holder with Mutations.OverlongHold keeps the role after its lease has expired.
 	overlongHold = membership.LeaseDuration * 7 / 10
 )
 
-// Mutations break rules of the protocol on purpose, to show that the search finds it.
+// Mutations are deliberate protocol bugs that show whether the search finds violations.
 type Mutations struct {
-	SkipRestartWait bool // a restarted voter does not wait for a lease's duration
-	OverlongHold    bool // a holder holds the role for longer than voters are bound
-	RegrantTerm     bool // a voter grants the same term to another candidate
+	SkipRestartWait bool // a restarted voter grants at once instead of waiting for LeaseDuration
+	OverlongHold    bool // a holder keeps the role longer than its voters' grants last
+	RegrantTerm     bool // a voter grants a term again to another candidate
 }
 
-// World is a state of the model: all voters, which may be candidates too, with their clocks and the messages in transit.
+// World is a state of the model: the voters, some of which are candidates too, their clocks, and the messages in transit.
 type World struct {
 	clocks      [MaxVoters]time.Duration
 	voters      [MaxVoters]membership.Voter
 	candidates  [MaxVoters]membership.Candidate
 	inTransit   [maxInTransit]message
-	incarnation [MaxVoters]uint8 // of the process; a restart raises it
+	incarnation [MaxVoters]uint8 // of the voter's process; a restart raises it
 	restarts    int8
 	fence       uint64 // highest term of any holder so far
-	fenceHolder string // its holder, as a process
-	termReused  bool   // another process got the role in a term not above fence
+	fenceHolder string // process that held fence
+	termReused  bool   // another process became holder in a term not above fence
 }
 
-// Model is a model of a fleet of voters. In each step of time its clocks advance at rates that differ as far as the
-// protocol allows.
+// Model describes a fleet of voters. Their clocks run at rates that differ by as much as the protocol allows.
 type Model struct {
 	Voters      int  // 1 to MaxVoters
-	Candidates  int  // the first so many voters want the role
-	MaxRestarts int8 // of voters, in all
+	Candidates  int  // how many voters request the role, from the first on
+	MaxRestarts int8 // total over all voters
 	Mutations
 }
 
 var _ explore.Model[World] = Model{}
 
-// Initial returns a fleet that has just been started.
+// Initial returns the state in which every member has just started and no voter has granted a lease.
 func (m Model) Initial() World {
 	var w World
 	for i := range m.Voters {
@@ -64,20 +63,20 @@
 	return w
 }
 
-// clockAdvance is how far the clock of a member advances in a tick. The fastest runs a tenth faster than the slowest.
+// clockAdvance returns how far the clock of member i advances in a tick. The fastest runs a tenth faster than the slowest.
 func clockAdvance(i int) time.Duration {
 	const slowest = tickDuration * 20 / 21
 	const fastest = slowest * 11 / 10
 	return []time.Duration{slowest, fastest, tickDuration}[i%3]
 }
 
-// memberName is the name of voter i in traces.
+// memberName returns the name of voter i in traces.
 func memberName(i int) string { return string(rune('a' + i)) }
 
-// processName is the name of a process of voter i, unique among its restarts.
+// processName returns the name of a process of voter i, unique across its restarts.
 func processName(i int, incarnation uint8) string { return fmt.Sprint(memberName(i), "/", incarnation) }
 
-// holds reports whether member i takes itself for the holder.
+// holds reports whether member i considers itself the holder.
 func (m Model) holds(w *World, i int) bool {
 	now := w.clocks[i]
 	if m.OverlongHold {
@@ -86,7 +85,7 @@
 	return w.candidates[i].Holds(now)
 }
 
-// respond lets a voter decide on a request and returns its response.
+// respond applies a lease request to its voter and returns the response.
 func (m Model) respond(w *World, request message) message {
 	voter := &w.voters[request.to]
 	if m.RegrantTerm && request.term == voter.Term {
@@ -106,7 +105,8 @@
 	}
 }
 
-// handleResponse lets a candidate count a response, and checks the term if that makes it the holder.
+// handleResponse applies a response to its candidate. If that makes the candidate the holder, it records the term, and sets
+// termReused if the term did not rise.
 func (m Model) handleResponse(w *World, response message) {
 	i := int(response.to)
 	process := processName(i, response.incarnation)
@@ -130,7 +130,7 @@
 	w.fenceHolder = process
 }
 
-// Transitions lists what may happen in a state: time passes, a candidate starts a round, a message arrives, or a voter
+// Transitions lists the possible next states: time passes, a candidate starts a round, a message arrives, or a voter
 // restarts.
 func (m Model) Transitions(w World) []explore.Transition[World] {
 	var transitions []explore.Transition[World]
@@ -143,7 +143,7 @@
 	add("time", m.advanceClocks)
 	for i := range m.Candidates {
 		if w.candidates[i].Term() < maxTerm {
-			add(memberName(i)+" asks", func(next *World) { m.startRound(next, i) })
+			add(memberName(i)+" starts a round", func(next *World) { m.startRound(next, i) })
 		}
 	}
 	for _, msg := range w.inTransit {
@@ -154,7 +154,7 @@
 	}
 	if w.restarts < m.MaxRestarts {
 		for i := range m.Voters {
-			add(memberName(i)+" starts again", func(next *World) { m.restart(next, i) })
+			add(memberName(i)+" restarts", func(next *World) { m.restart(next, i) })
 		}
 	}
 	return transitions
@@ -166,7 +166,7 @@
 	}
 }
 
-// startRound lets a candidate send its requests. The one to itself arrives at once.
+// startRound sends a candidate's requests to all voters. The one to itself is answered at once.
 func (m Model) startRound(w *World, i int) {
 	request := w.candidates[i].StartRound(w.clocks[i])
 	for voter := range m.Voters {
@@ -179,7 +179,7 @@
 	}
 }
 
-// deliver lets a message arrive. It stays in transit, since it may arrive again.
+// deliver delivers a message. It stays in transit, since it may be delivered again.
 func (m Model) deliver(w *World, msg message) {
 	if msg.isResponse {
 		m.handleResponse(w, msg)
@@ -188,7 +188,7 @@
 	}
 }
 
-// restart replaces the process of a voter, which keeps only its persisted grant.
+// restart replaces the process of a voter. Only the persisted grant survives.
 func (m Model) restart(w *World, i int) {
 	w.restarts++
 	w.incarnation[i]++
@@ -201,7 +201,7 @@
 	}
 }
 
-// Check returns an error if more than one member holds the role, or a term did not rise from holder to holder.
+// Check returns an error if more than one member holds the role, or if terms did not rise from holder to holder.
 func (m Model) Check(w World) error {
 	holders := 0
 	for i := range m.Voters {
@@ -211,9 +211,9 @@
 	}
 	switch {
 	case holders > 1:
-		return fmt.Errorf("%d hold the role", holders)
+		return fmt.Errorf("%d members hold the role, want at most 1", holders)
 	case w.termReused:
-		return fmt.Errorf("a term is held that is not higher than %d", w.fence)
+		return fmt.Errorf("%s holds the role in term %d, which is not higher than the previous holder's", w.fenceHolder, w.fence)
 	}
 	return nil
 }
--- a/internal/lab/leases/leases_test.go
+++ b/internal/lab/leases/leases_test.go
@@ -9,7 +9,7 @@
 	"sprucehill/internal/lab/explore"
 )
 
-// mutants are models that break one rule of the protocol each.
+// mutants are models with one protocol bug each.
 var mutants = []struct {
 	name  string
 	model Model
@@ -19,8 +19,8 @@
 	{"regrant term", Model{Voters: 3, Candidates: 2, MaxRestarts: 1, Mutations: Mutations{RegrantTerm: true}}},
 }
 
-// Whatever messages are lost, delayed or duplicated, voters restarted and clocks skewed within the bound: at most one
-// member holds the role, and terms rise from holder to holder.
+// With any messages lost, delayed or duplicated, voters restarted, and clocks skewed within the bound, at most one member
+// holds the role and terms rise from holder to holder.
 func TestAtMostOneHolder(t *testing.T) {
 	for _, voters := range []int{3, 5} {
 		result := explore.Search(Model{Voters: voters, Candidates: 2, MaxRestarts: 1}, explore.Limits{Depth: 11, States: 60_000})
@@ -31,20 +31,20 @@
 	}
 }
 
-// The search finds each broken rule.
+// Guards against a search or an invariant that misses violations: each protocol bug must be found.
 func TestSearchFindsMutants(t *testing.T) {
 	for _, mutant := range mutants {
 		t.Run(mutant.name, func(t *testing.T) {
 			result := explore.Search(mutant.model, explore.Limits{Depth: 14, States: 3_000_000})
 			t.Log(result)
 			if result.Violation == nil {
-				t.Errorf("not found: %v", result)
+				t.Errorf("violation not found: %v", result)
 			}
 		})
 	}
 }
 
-// The same claim holds on long random walks.
+// Checks the same invariant on random walks longer than the search reaches.
 func TestAtMostOneHolderOnRandomWalks(t *testing.T) {
 	model := Model{Voters: 5, Candidates: 5, MaxRestarts: 3}
 	rapid.Check(t, func(t *rapid.T) {
@@ -59,7 +59,7 @@
 	})
 }
 
-// Random walks find each broken rule too.
+// Random walks find each protocol bug too.
 func TestRandomWalksFindMutants(t *testing.T) {
 	const maxWalks = 100_000
 	for _, mutant := range mutants {
@@ -67,11 +67,11 @@
 			rng := rand.New(rand.NewPCG(5, 0))
 			for walk := range maxWalks {
 				if violatesOnWalk(mutant.model, rng) {
-					t.Logf("found by walk %d", walk+1)
+					t.Logf("violation found on walk %d", walk+1)
 					return
 				}
 			}
-			t.Fatalf("not found in %d walks", maxWalks)
+			t.Fatalf("violation not found in %d walks", maxWalks)
 		})
 	}
 }
--- a/internal/lab/leases/message.go
+++ b/internal/lab/leases/message.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// maxInTransit bounds the messages that may still arrive. Those sent beyond it are lost, which may happen to any.
+// maxInTransit bounds the messages in transit. Further messages are lost, as any message may be.
 const maxInTransit = 8
 
-// message is a candidate's request or a voter's response to it. The zero value stands for none.
+// message is a candidate's request or a voter's response to it. The zero value is an unused slot.
 type message struct {
 	isResponse  bool
-	from        int8 // voter by index
+	from        int8 // index of the sending voter
 	to          int8
 	term        uint64
 	incarnation uint8 // of the candidate's process
@@ -20,7 +20,7 @@
 	highestTerm uint64 // in a response
 }
 
-// send puts a message in transit. From then on it may arrive at any time, any number of times, or never.
+// send puts a message in transit. It may be delivered at any later time, any number of times, or never.
 func (w *World) send(msg message) {
 	if slices.Contains(w.inTransit[:], msg) {
 		return
@@ -30,12 +30,12 @@
 	}
 }
 
-// sortMessages puts the messages in a canonical order, so that equivalent worlds are equal.
+// sortMessages puts the messages into a canonical order, so that equivalent states compare equal.
 func (w *World) sortMessages() { slices.SortFunc(w.inTransit[:], compareMessages) }
 
 func compareMessages(x, y message) int {
 	return cmp.Or(
-		cmp.Compare(y.round, x.round), // latest round first, free places last
+		cmp.Compare(y.round, x.round), // latest round first, unused slots last
 		cmp.Compare(x.from, y.from),
 		cmp.Compare(x.to, y.to),
 		cmp.Compare(x.incarnation, y.incarnation),
