--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -137,7 +137,7 @@
 
 // Overloading a warming-up upstream is a violation only if the balancer had been notified of its start.
 func TestColdStartNeedsKnowledge(t *testing.T) {
-	d := labtest.Day(t, testScenario)
+	sc := labtest.Day(t, testScenario)
 	for _, notified := range []bool{true, false} {
 		events := trace{}.add(0, history.UpstreamStarted, func(e *history.Event) { e.Upstream = 0 })
 		if notified {
@@ -149,7 +149,7 @@
 			})
 		}
 		events = events.add(300*ms, history.Collapsed, func(e *history.Event) { e.Upstream = 0 })
-		if got := Judge(d, d.Fleet(), events); (len(got) == 1 && got[0].Rule == ColdStart) != notified {
+		if got := Judge(sc, sc.Fleet(), events); (len(got) == 1 && got[0].Rule == ColdStart) != notified {
 			t.Errorf("balancer notified: %t: got %v", notified, got)
 		}
 	}
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -95,8 +95,8 @@
 	return worst
 }
 
-// totalRecoverySeconds is the sum of the totalRecoverySeconds times of all faults that end, in seconds. A fault without totalRecoverySeconds counts the rest
-// of the day.
+// totalRecoverySeconds returns the sum of the recovery times from all faults that end. Without a recovery, the time from the
+// fault's end to the end of the run counts.
 func totalRecoverySeconds(s *measure.Summary) float64 {
 	var sum float64
 	for _, r := range s.Recoveries {
@@ -144,7 +144,7 @@
 }
 
 // Run runs each side plays times, alternately, with seeds counted up from seed. The side that goes first changes with every
-// pair, so that drift of the machine affects both alike. progress is called after each run. Run returns an error if a run
+// pair. progress is called after each run. Run returns an error if a run
 // fails or is void.
 func Run(ctx context.Context, a, b Side, seed uint64, plays int, progress func(play int, side string, s *measure.Summary)) (*Result, error) {
 	r := &Result{A: a.Name(), B: b.Name(), Plays: plays}
@@ -203,8 +203,8 @@
 	return row
 }
 
-// confidenceInterval is the mean of some figures and half of Student's confidence confidenceInterval about it. The confidenceInterval does not contain the
-// true mean with a probability of alpha. It is infinite for one figure.
+// confidenceInterval returns the mean of a sample and half the width of Student's confidence interval around it, which
+// misses the true mean with probability alpha. half is infinite for a sample of one.
 func confidenceInterval(xs []float64, alpha float64) (mean, half float64) {
 	if len(xs) < 2 {
 		return stat.Mean(xs, nil), math.Inf(1)
--- a/internal/lab/measure/histogram.go
+++ b/internal/lab/measure/histogram.go
@@ -13,7 +13,7 @@
 	histogramDigits = 3
 )
 
-// Latency is a distribution, in milliseconds.
+// Latency summarizes a distribution of durations, in milliseconds.
 type Latency struct {
 	P50, P90, P99, P999, Max float64
 	Count                    int64
@@ -26,12 +26,12 @@
 	return &histogram{hdrhistogram.New(1, maxRecorded.Microseconds(), histogramDigits)}
 }
 
-// record counts a duration. One over maxRecorded is left out.
+// record counts a duration. Durations over maxRecorded are not counted.
 func (h *histogram) record(d time.Duration) {
-	_ = h.counts.RecordValue(d.Microseconds()) // its only error is a value over the highest
+	_ = h.counts.RecordValue(d.Microseconds()) // fails only for a value over maxRecorded
 }
 
-// percentile returns the duration below which p percent of those recorded lie, in milliseconds.
+// percentile returns the pth percentile of the recorded durations, in milliseconds.
 func (h *histogram) percentile(p float64) float64 {
 	return milliseconds(h.counts.ValueAtPercentile(p))
 }
--- a/internal/lab/measure/recovery.go
+++ b/internal/lab/measure/recovery.go
@@ -8,50 +8,50 @@
 )
 
 const (
-	// recoveredMarginRatio is how far below the level before a fault a window may be to count as recovered, as a part of
-	// that level.
+	// recoveredMarginRatio is how far below the level before the fault a recovered window may be, as a fraction of that level.
 	recoveredMarginRatio = 0.05
-	// levelWindows is how many windows before a fault make the level. The last one before it is left out: requests that
-	// arrived in it were still in flight when the fault began.
+	// levelWindows is how many windows before a fault its level is computed from. The last window before the fault is left
+	// out, because requests that arrived in it were still in flight when the fault began.
 	levelWindows = 5
-	// afterEndSeconds is the length of the stretch after a fault's end that ServedRatioNext5s covers.
-	afterEndSeconds = 5
-	// dipWindows is how many windows make a second dip. A single one may be chance.
+	// afterFaultSeconds is the time after a fault's end that ServedRatioNext5s covers.
+	afterFaultSeconds = 5
+	// dipWindows is the length of a second dip in windows. A single bad window may be chance.
 	dipWindows = 3
 )
 
-// Recovery is how service fell and recovered around one fault. Ratios are of served weight, as in Part.ServedRatio.
+// Recovery is how service degraded and recovered around one fault. Ratios are of served weight, as in Part.ServedRatio.
 type Recovery struct {
 	Fault        string
 	StartSeconds float64 `json:"At"`
-	EndSeconds   float64 `json:"End"` // -1: the fault never ended
+	EndSeconds   float64 `json:"End"` // -1 if the fault never ended
 	// ServedRatioBefore is the level before the fault.
 	ServedRatioBefore float64 `json:"Before"`
-	// LowestServedRatio is that of the worst window from the fault's start to the recovery.
+	// LowestServedRatio is the ratio of the worst window from the fault's start to the recovery.
 	LowestServedRatio float64 `json:"Least"`
-	// RecoverySeconds is the time from the fault's end to the first window within 5% of ServedRatioBefore; nil: there was none.
+	// RecoverySeconds is the time from the fault's end to the first window within 5% of ServedRatioBefore, or nil if service
+	// did not recover.
 	RecoverySeconds *float64 `json:"Back"`
-	// ServedRatioFirst10s is that of the requests which arrived in the 10 s after the fault's start.
+	// ServedRatioFirst10s is the ratio of the requests that arrived in the 10 s after the fault's start.
 	ServedRatioFirst10s float64 `json:"Ten"`
-	// ServedRatioNext5s is that of the requests which arrived in the 5 s after the fault's end; 1: there were none.
+	// ServedRatioNext5s is the ratio of the requests that arrived in the 5 s after the fault's end, or 1 without requests.
 	ServedRatioNext5s float64 `json:"Five"`
-	// SecondDipRatio is the level of the worst 3 windows between the recovery and the next fault, over ServedRatioBefore; 1: there
-	// were none.
+	// SecondDipRatio is the level of the worst 3 successive windows between the recovery and the next fault, over
+	// ServedRatioBefore, or 1 if there are not so many windows.
 	SecondDipRatio float64 `json:"Again"`
 }
 
 // recoveries computes the recovery from each fault.
-func recoveries(d *scenario.Scenario, windows []Window) []Recovery {
+func recoveries(sc *scenario.Scenario, windows []Window) []Recovery {
 	var all []Recovery
-	for _, fault := range d.Faults {
-		all = append(all, recoveryOf(d, fault, windows))
+	for _, fault := range sc.Faults {
+		all = append(all, newRecovery(sc, fault, windows))
 	}
 	return all
 }
 
-// recoveryOf computes the recovery from one fault of the day.
-func recoveryOf(d *scenario.Scenario, fault scenario.Fault, windows []Window) Recovery {
-	width := d.Window.D().Seconds()
+// newRecovery computes the recovery from one fault.
+func newRecovery(sc *scenario.Scenario, fault scenario.Fault, windows []Window) Recovery {
+	width := sc.Window.D().Seconds()
 	end := faultEnd(fault)
 	r := Recovery{
 		Fault:             string(fault.Kind),
@@ -67,7 +67,7 @@
 	if !math.IsInf(end, 1) {
 		r.EndSeconds = end
 		if from := int(math.Ceil(end / width)); from < len(windows) {
-			r.ServedRatioNext5s = servedRatioOf(windows[from:min(len(windows), from+int(afterEndSeconds/width))])
+			r.ServedRatioNext5s = servedRatioOf(windows[from:min(len(windows), from+int(afterFaultSeconds/width))])
 		}
 	}
 	for i, w := range windows[first:] {
@@ -77,7 +77,7 @@
 		if w.StartSeconds >= end && w.ServedRatio >= r.ServedRatioBefore*(1-recoveredMarginRatio) {
 			seconds := w.StartSeconds - end
 			r.RecoverySeconds = &seconds
-			r.SecondDipRatio = secondDip(d, windows[first+i:], r.ServedRatioBefore)
+			r.SecondDipRatio = secondDip(sc, windows[first+i:], r.ServedRatioBefore)
 			break
 		}
 		r.LowestServedRatio = min(r.LowestServedRatio, w.ServedRatio)
@@ -85,8 +85,8 @@
 	return r
 }
 
-// faultEnd is when a fault ends, in seconds. It is positive infinity if the fault lasts. A reset or a restart ends at
-// once.
+// faultEnd returns when a fault ends, in seconds, or positive infinity if it lasts until the end of the run. A reset or a
+// restart ends at once.
 func faultEnd(fault scenario.Fault) float64 {
 	at := fault.At.D().Seconds()
 	switch {
@@ -98,12 +98,12 @@
 	return math.Inf(1)
 }
 
-// secondDip is the level of the worst dipWindows up to the next fault, over the level before.
-func secondDip(d *scenario.Scenario, windows []Window, before float64) float64 {
+// secondDip returns the level of the worst dipWindows successive windows up to the next fault, over the level before.
+func secondDip(sc *scenario.Scenario, windows []Window, before float64) float64 {
 	lowest := 1.0
 	for i := 0; i+dipWindows <= len(windows); i++ {
 		last := windows[i+dipWindows-1]
-		if faultBetween(d, windows[0].StartSeconds, last.StartSeconds+d.Window.D().Seconds()) {
+		if faultBetween(sc, windows[0].StartSeconds, last.StartSeconds+sc.Window.D().Seconds()) {
 			break
 		}
 		if before > 0 {
@@ -114,8 +114,8 @@
 }
 
 // faultBetween reports whether a fault begins between two times, in seconds, both included.
-func faultBetween(d *scenario.Scenario, from, to float64) bool {
-	return slices.ContainsFunc(d.Faults, func(f scenario.Fault) bool {
+func faultBetween(sc *scenario.Scenario, from, to float64) bool {
+	return slices.ContainsFunc(sc.Faults, func(f scenario.Fault) bool {
 		at := f.At.D().Seconds()
 		return at >= from && at <= to
 	})
--- a/internal/lab/measure/requests.go
+++ b/internal/lab/measure/requests.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// overQuotaWeightRatio is the priority weight of a request over its tenant's quota, as a part of its class's.
+	// overQuotaWeightRatio is the priority weight of a request over its tenant's quota, as a fraction of its class's.
 	overQuotaWeightRatio = 0.05
-	// maxWorstRequests is how many of the slowest and failed requests the report has.
+	// maxWorstRequests bounds the slowest and failed requests that the report shows.
 	maxWorstRequests = 20
 )
 
-// Outcome is how a client's request ended, over all its tries. A better one is lower.
+// Outcome is how a client's request ended, over all its tries. Lower is better.
 type Outcome uint8
 
 // The outcomes. In time is within the latency objective of the request's class.
@@ -33,27 +33,27 @@
 
 var outcomeNames = [outcomeCount]string{"served in time", "served late", "refused", "failed", "not connected", "left early"}
 
-func (e Outcome) String() string { return outcomeNames[e] }
+func (o Outcome) String() string { return outcomeNames[o] }
 
-// Request is a client's request with its outcome.
+// Request is a client's request, its retries included, with its outcome.
 type Request struct {
 	Arrival     int
 	Outcome     Outcome
-	Latency     time.Duration // to its last answer; 0: none
+	Latency     time.Duration // to the response that set Outcome; 0 without a response
 	Tries       int           // by the client
-	Attempts    int           // that came to upstreams
+	Attempts    int           // attempts that reached upstreams
 	weight      float64
 	withinQuota bool
 }
 
-// Requests follows each arrival through the history.
-func Requests(d *scenario.Scenario, arrivals []scenario.Arrival, events []history.Event) []Request {
+// Requests returns the request of each arrival with its outcome in the history.
+func Requests(sc *scenario.Scenario, arrivals []scenario.Arrival, events []history.Event) []Request {
 	requests := make([]Request, len(arrivals))
-	quotas := make([]quotaBucket, len(d.Tenants))
+	quotas := make([]quotaBucket, len(sc.Tenants))
 	for i, a := range arrivals {
-		r := Request{Arrival: i, Outcome: NotConnected, weight: d.Classes[a.Class].Worth, withinQuota: true}
-		if a.Tenant >= 0 && d.Tenants[a.Tenant].Quota > 0 {
-			r.withinQuota = quotas[a.Tenant].take(d.Tenants[a.Tenant].Quota, a.At)
+		r := Request{Arrival: i, Outcome: NotConnected, weight: sc.Classes[a.Class].Worth, withinQuota: true}
+		if a.Tenant >= 0 && sc.Tenants[a.Tenant].Quota > 0 {
+			r.withinQuota = quotas[a.Tenant].take(sc.Tenants[a.Tenant].Quota, a.At)
 			if !r.withinQuota {
 				r.weight *= overQuotaWeightRatio
 			}
@@ -65,12 +65,12 @@
 			continue
 		}
 		a := arrivals[e.Arrival]
-		requests[e.Arrival].apply(e, a.At, d.Classes[a.Class].Aim.D())
+		requests[e.Arrival].apply(e, a.At, sc.Classes[a.Class].Aim.D())
 	}
 	return requests
 }
 
-// apply takes an event of the request, which arrived at arrivedAt and has a latency objective.
+// apply updates the request by an event. arrivedAt is the time of its arrival, objective its latency objective.
 func (r *Request) apply(e history.Event, arrivedAt, objective time.Duration) {
 	switch e.Kind {
 	case history.Sent:
@@ -88,7 +88,7 @@
 	case history.ClientLeft:
 		r.Outcome = ClientLeft
 	case history.Answered:
-		if r.served() { // the first good answer counts
+		if r.served() { // the first successful response counts
 			return
 		}
 		r.Latency = e.At - arrivedAt
@@ -96,10 +96,10 @@
 	}
 }
 
-// served reports whether the request has had a good answer.
+// served reports whether the request has had a successful response.
 func (r *Request) served() bool { return r.Outcome <= ServedLate }
 
-// outcomeOf is how an answered request ended.
+// outcomeOf returns the outcome of a request that got a response.
 func outcomeOf(result client.Result, latency, objective time.Duration) Outcome {
 	switch {
 	case result == client.Rejected:
@@ -113,13 +113,13 @@
 }
 
 // quotaBucket is a leaky bucket of a tenant's requests: its level rises with each request and falls at the rate of the
-// quota. It takes the quota of one second at once.
+// quota. It admits a burst of one second's quota.
 type quotaBucket struct {
 	level float64
 	at    time.Duration
 }
 
-// take reports whether a request is within a quota in requests a second, and counts it if it is.
+// take reports whether a request is within a quota, given in requests per second, and counts it if so.
 func (b *quotaBucket) take(quota float64, now time.Duration) bool {
 	b.level = max(0, b.level-quota*(now-b.at).Seconds())
 	b.at = now
@@ -130,7 +130,8 @@
 	return true
 }
 
-// worstRequests returns the requests that ended worst: the highest priority weight first, then the slowest.
+// worstRequests returns the worst of the requests that were not served in time: the highest priority weight first, then the
+// slowest.
 func worstRequests(requests []Request) []Request {
 	worst := slices.DeleteFunc(slices.Clone(requests), func(r Request) bool { return r.Outcome == ServedInTime || r.Outcome == ClientLeft })
 	slices.SortStableFunc(worst, func(a, b Request) int {
--- a/internal/lab/measure/score.go
+++ b/internal/lab/measure/score.go
@@ -6,7 +6,7 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// The shares of the score's parts. Their sum is 1.
+// Weights of the terms of the score. Their sum is 1.
 const (
 	scoreShareOverall      = 0.35
 	scoreShareWorstStretch = 0.45
@@ -14,13 +14,13 @@
 	scoreShareWorstTenant  = 0.10
 )
 
-// worstStretchLength is the length of the stretches of which the worst counts.
+// worstStretchLength is the length of the stretches of which the worst enters the score.
 const worstStretchLength = 10 * time.Second
 
-// weightTally sums up the priority weight of requests, and of those of them that were served in time.
+// weightTally sums the priority weights of all requests and of those served in time.
 type weightTally struct{ offered, served float64 }
 
-// add counts a request. One whose client left early is left out: no balancer could have served it.
+// add counts a request, unless its client left early: no balancer could have served it.
 func (t *weightTally) add(r Request) {
 	if r.Outcome == ClientLeft {
 		return
@@ -37,14 +37,14 @@
 	t.served += other.served
 }
 
-// servedRatio is the served weight over the offered one. It is 1 if none was offered.
+// servedRatio returns the served weight over the offered weight, or 1 if none was offered.
 func (t *weightTally) servedRatio() float64 { return ratio(t.served, t.offered) }
 
 // setScore computes the score from all requests and from the stretch, class and tenant that were served worst.
-func (s *Summary) setScore(d *scenario.Scenario, arrivals []scenario.Arrival, requests []Request) {
+func (s *Summary) setScore(sc *scenario.Scenario, arrivals []scenario.Arrival, requests []Request) {
 	var overall weightTally
-	classes := make([]weightTally, len(d.Classes))
-	tenants := make([]weightTally, len(d.Tenants))
+	classes := make([]weightTally, len(sc.Classes))
+	tenants := make([]weightTally, len(sc.Tenants))
 	for i, r := range requests {
 		overall.add(r)
 		classes[arrivals[i].Class].add(r)
@@ -55,13 +55,13 @@
 	s.ServedRatioByClass = map[string]float64{}
 	worstClass := 1.0
 	for i, t := range classes {
-		s.ServedRatioByClass[d.Classes[i].Name] = t.servedRatio()
+		s.ServedRatioByClass[sc.Classes[i].Name] = t.servedRatio()
 		worstClass = min(worstClass, t.servedRatio())
 	}
 	s.ServedRatioByTenant = map[string]float64{}
 	worstTenant := 1.0
 	for i, t := range tenants {
-		s.ServedRatioByTenant[d.Tenants[i].Name] = t.servedRatio()
+		s.ServedRatioByTenant[sc.Tenants[i].Name] = t.servedRatio()
 		worstTenant = min(worstTenant, t.servedRatio())
 	}
 	s.WorstStretchRatio = worstStretch(arrivals, requests)
@@ -71,8 +71,8 @@
 		scoreShareWorstTenant*worstTenant
 }
 
-// worstStretch is the lowest served ratio of all stretches that begin a whole number of seconds after the first arrival. A
-// shorter day is one stretch.
+// worstStretch returns the lowest served ratio of all stretches that begin a whole number of seconds after the first
+// arrival. A run shorter than worstStretchLength is one stretch.
 func worstStretch(arrivals []scenario.Arrival, requests []Request) float64 {
 	if len(arrivals) == 0 {
 		return 1
--- a/internal/lab/measure/series.go
+++ b/internal/lab/measure/series.go
@@ -7,13 +7,13 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// Window is the figures of a short stretch of the day. A request counts in the window in which it arrived, an attempt in
-// that in which it reached an upstream.
+// Window is the metrics of a short, fixed interval of the run. A request counts in the window in which it arrived, an attempt
+// in the one in which it reached an upstream.
 type Window struct {
 	StartSeconds       float64           `json:"At"`
 	Requests           int               `json:"Asked"`
 	Outcomes           [outcomeCount]int `json:"Ends"`  // requests by Outcome
-	ServedRatio        float64           `json:"Share"` // as Part.ServedRatio; -1: there were none
+	ServedRatio        float64           `json:"Share"` // as Part.ServedRatio; -1 without requests
 	Attempts           int
 	CrossZone          int     // attempts to another zone
 	CrossRegion        int     // attempts to another region
@@ -38,10 +38,10 @@
 	return w
 }
 
-// newSeries computes the windows of a day.
-func newSeries(d *scenario.Scenario, f *scenario.Fleet, arrivals []scenario.Arrival, requests []Request, events []history.Event) []Window {
-	width := d.Window.D()
-	windows := make([]Window, int((d.Length.D()+width-1)/width))
+// newSeries computes the windows of a run.
+func newSeries(sc *scenario.Scenario, f *scenario.Fleet, arrivals []scenario.Arrival, requests []Request, events []history.Event) []Window {
+	width := sc.Window.D()
+	windows := make([]Window, int((sc.Length.D()+width-1)/width))
 	for i := range windows {
 		windows[i] = newWindow(time.Duration(i)*width, f)
 	}
@@ -83,7 +83,7 @@
 	}
 }
 
-// finish computes what needs all requests of the window.
+// finish computes the metrics that need all requests of the window.
 func (w *Window) finish() {
 	w.ServedRatio = -1
 	if w.weight.offered > 0 {
@@ -94,7 +94,7 @@
 	w.latency = nil
 }
 
-// servedRatioOf is the served ratio of the requests of some windows.
+// servedRatioOf returns the served ratio over all requests of some windows.
 func servedRatioOf(windows []Window) float64 {
 	var sum weightTally
 	for _, w := range windows {
--- a/internal/lab/measure/starts.go
+++ b/internal/lab/measure/starts.go
@@ -7,53 +7,53 @@
 	"sprucehill/internal/lab/history"
 )
 
-// Starts is how soon balancers that were started within the day became ready and served, from the start of the process.
+// Starts is how long balancers started during the run took from the start of the process to become ready and to serve.
 type Starts struct {
 	Count            int
-	ReadyP50Seconds  float64 `json:"ReadyP50"` // until the front sent clients to it
+	ReadyP50Seconds  float64 `json:"ReadyP50"` // until the ingress sent clients to it
 	ReadyP99Seconds  float64 `json:"ReadyP99"`
-	ServedP50Seconds float64 `json:"ServedP50"` // until its first answer that served a client
+	ServedP50Seconds float64 `json:"ServedP50"` // until it first served a request
 	ServedP99Seconds float64 `json:"ServedP99"`
-	NeverServed      int     `json:"Never"` // starts that served no client before the process or the day ended
+	NeverServed      int     `json:"Never"` // starts that served no request before the process or the run ended
 }
 
-// openStart is a start whose process has not served anybody yet.
-type openStart struct {
+// pendingStart is the start of a process that has not served a request yet.
+type pendingStart struct {
 	at    time.Duration
 	ready bool
 }
 
-// startsOf finds the starts after the day's begin. It is nil if there were none.
-func startsOf(events []history.Event) *Starts {
+// newStarts computes the figures of the starts after the beginning of the run. It returns nil if there were none.
+func newStarts(events []history.Event) *Starts {
 	ready := newHistogram()
 	served := newHistogram()
-	open := map[int32]*openStart{} // by balancer
+	pending := map[int32]*pendingStart{} // by balancer
 	s := &Starts{}
 	for _, e := range events {
-		start := open[e.Balancer]
+		start := pending[e.Balancer]
 		switch {
 		case e.Kind == history.Started:
-			delete(open, e.Balancer)
+			delete(pending, e.Balancer)
 			if start != nil {
 				s.NeverServed++
 			}
 			if e.At > 0 {
 				s.Count++
-				open[e.Balancer] = &openStart{at: e.At}
+				pending[e.Balancer] = &pendingStart{at: e.At}
 			}
 		case start == nil:
 		case e.Kind == history.Exited:
-			delete(open, e.Balancer)
+			delete(pending, e.Balancer)
 			s.NeverServed++
 		case e.Kind == history.Ready && !start.ready:
 			start.ready = true
 			ready.record(max(e.At-start.at, time.Microsecond))
 		case e.Kind == history.Answered && e.Result == client.Served:
-			delete(open, e.Balancer)
+			delete(pending, e.Balancer)
 			served.record(max(e.At-start.at, time.Microsecond))
 		}
 	}
-	s.NeverServed += len(open)
+	s.NeverServed += len(pending)
 	if s.Count == 0 {
 		return nil
 	}
--- a/internal/lab/measure/zones.go
+++ b/internal/lab/measure/zones.go
@@ -10,42 +10,43 @@
 )
 
 const (
-	// zoneLostRatio is the share of a zone's upstreams that a fault has to hit for a balancer to be right to leave the zone.
+	// zoneLostRatio is the share of a zone's upstreams that a fault must make unreachable for a balancer to be expected to leave
+	// the zone.
 	zoneLostRatio = 0.75
-	// zoneDoubtfulRatio is the share of a zone's upstreams that a fault has to hit for a balancer to be right to doubt it.
+	// zoneDoubtfulRatio is the share of a zone's upstreams that a fault must make unreachable to justify a balancer's doubt of
+	// the zone.
 	zoneDoubtfulRatio = 0.5
-	// evidenceLag is how long after a fault's end a balancer may still leave a zone for it. Load reports and answers arrive
-	// late.
+	// evidenceLag is how long after a fault's end it still justifies doubt, because load reports and responses arrive late.
 	evidenceLag = 5 * time.Second
-	// swingWidth is the length of the stretches of which zoneSwing compares a zone's share of the attempts. In shorter ones
-	// it varies by chance.
+	// swingWidth is the length of the stretches over which attemptShareSwing compares a zone's share of the attempts. In
+	// shorter ones the share varies by chance.
 	swingWidth = 5 * time.Second
 )
 
-// Zone is the traffic of a zone after the first stretch.
+// Zone is the traffic of a zone after the settling period.
 type Zone struct {
 	Name         string
-	Utilization  float64 `json:"Use"`  // arrived work over what all the zone's cores can do
+	Utilization  float64 `json:"Use"`  // accepted work over the capacity of the zone's cores
 	AttemptShare float64 `json:"Part"` // of all attempts
 }
 
-// Zones is how the balancers spread traffic over zones.
+// Zones is how the balancers distributed traffic over zones.
 type Zones struct {
 	All                  []Zone
 	PeakUtilizationRatio float64 `json:"Fullest"` // highest utilization of a zone over the fleet's
-	// AttemptShareSwing is the greatest difference between the highest and the lowest share of all attempts that a zone had
+	// AttemptShareSwing is the largest difference between the highest and the lowest share of all attempts that one zone had
 	// in stretches of 5 s.
 	AttemptShareSwing float64 `json:"Swing"`
 	SameZoneRatio     float64 `json:"Same"` // of attempts whose balancer is in the upstream's zone
-	// LeaveTimes is nil if no fault hit most of a zone, or if the history has no zone states.
+	// LeaveTimes is nil if no fault made most of a zone unreachable, or if the history has no zone states.
 	LeaveTimes *LeaveTimes `json:"Leave,omitempty"`
-	// WronglyDoubtedRatio is the share of pairs of a balancer and an upstream where the balancer doubted the upstream's zone
-	// although no fault had hit it. It is 0 if the history has no zone states.
+	// WronglyDoubtedRatio is the share of pairs of a balancer and an upstream in which the balancer doubted the upstream's
+	// zone although no fault justified it. It is 0 if the history has no zone states.
 	WronglyDoubtedRatio float64 `json:"Wrongly"`
 }
 
-// LeaveTimes is how long balancers took to leave zones that faults had hit. Each pair of a balancer and such a fault
-// counts.
+// LeaveTimes is how long balancers took to leave zones that faults had made unreachable. Each pair of a balancer and such a
+// fault counts once per zone.
 type LeaveTimes struct {
 	P50Seconds float64 `json:"P50"`
 	P99Seconds float64 `json:"P99"`
@@ -54,33 +55,33 @@
 	NeverLeft  int     `json:"Never"` // balancers that did not
 }
 
-// zoneLoad is the traffic of a zone, or of all zones, after the first stretch. Work is in seconds of a core of speed 1.
+// zoneLoad is the traffic of a zone, or of all zones, after the settling period. Work is in seconds of a core of speed 1.
 type zoneLoad struct {
-	capacity float64 // work that all its cores can do
-	work     float64 // work that arrived and was accepted
+	capacity float64 // work that all cores can do
+	work     float64 // accepted work
 	attempts float64
 }
 
-// trafficLoads is the load of each zone and of the fleet.
+// trafficLoads is the traffic of each zone and of the fleet.
 type trafficLoads struct {
 	zones            []zoneLoad
 	total            zoneLoad
 	sameZoneAttempts float64
 }
 
-// zonesOf computes the figures of zones.
-func zonesOf(d *scenario.Scenario, f *scenario.Fleet, events []history.Event, series []Window) *Zones {
-	loads := newTrafficLoads(d, f)
+// newZones computes the metrics of zones.
+func newZones(sc *scenario.Scenario, f *scenario.Fleet, events []history.Event, series []Window) *Zones {
+	loads := newTrafficLoads(sc, f)
 	for _, e := range events {
 		isAttempt := e.Kind == history.Arrived || e.Kind == history.Rejected
-		if isAttempt && e.At >= d.Settle.D() {
+		if isAttempt && e.At >= sc.Settle.D() {
 			loads.addAttempt(f, e)
 		}
 	}
 	z := &Zones{
 		All:               make([]Zone, len(f.Zones)),
 		SameZoneRatio:     ratio(loads.sameZoneAttempts, loads.total.attempts),
-		AttemptShareSwing: zoneSwing(d, f, series),
+		AttemptShareSwing: attemptShareSwing(sc, f, series),
 	}
 	total := loads.total
 	for i, load := range loads.zones {
@@ -94,20 +95,20 @@
 		}
 	}
 	if slices.ContainsFunc(events, func(e history.Event) bool { return e.Kind == history.ZoneState }) {
-		_, hits := d.Timetable()
-		t := faultTruth{d, f, d.NewPaths(f), hits}
+		_, hits := sc.Timetable()
+		t := faultOracle{sc, f, sc.NewPaths(f), hits}
 		z.LeaveTimes = t.leaveTimes(events)
-		z.WronglyDoubtedRatio = t.wronglyDoubted(events)
+		z.WronglyDoubtedRatio = t.wronglyDoubtedRatio(events)
 	}
 	return z
 }
 
-// newTrafficLoads returns the capacities of a fleet, without traffic.
-func newTrafficLoads(d *scenario.Scenario, f *scenario.Fleet) *trafficLoads {
+// newTrafficLoads returns the loads of a fleet with its capacities and no traffic.
+func newTrafficLoads(sc *scenario.Scenario, f *scenario.Fleet) *trafficLoads {
 	l := &trafficLoads{zones: make([]zoneLoad, len(f.Zones))}
-	seconds := (d.Length - d.Settle).D().Seconds()
+	seconds := (sc.Length - sc.Settle).D().Seconds()
 	for _, u := range f.Upstreams {
-		m := d.Models[u.Model]
+		m := sc.Models[u.Model]
 		capacity := float64(m.Cores) * m.Speed * seconds
 		l.zones[u.Zone].capacity += capacity
 		l.total.capacity += capacity
@@ -115,7 +116,7 @@
 	return l
 }
 
-// addAttempt counts an attempt that arrived at an upstream.
+// addAttempt counts an attempt that reached an upstream.
 func (l *trafficLoads) addAttempt(f *scenario.Fleet, e history.Event) {
 	to := f.Upstreams[e.Upstream].Zone
 	l.total.attempts++
@@ -129,28 +130,28 @@
 	}
 }
 
-// zoneSwing is the greatest difference between the highest and the lowest share of all attempts that one zone had after
-// the first stretch.
-func zoneSwing(d *scenario.Scenario, f *scenario.Fleet, series []Window) float64 {
+// attemptShareSwing returns the largest difference between the highest and the lowest share of all attempts that one zone had
+// after the settling period.
+func attemptShareSwing(sc *scenario.Scenario, f *scenario.Fleet, series []Window) float64 {
 	lowest := make([]float64, len(f.Zones))
 	highest := make([]float64, len(f.Zones))
 	for i := range lowest {
 		lowest[i] = math.Inf(1)
 	}
-	width := max(1, int(swingWidth/d.Window.D()))
-	first := int((d.Settle + d.Window - 1) / d.Window)
-	most := 0.0
+	width := max(1, int(swingWidth/sc.Window.D()))
+	first := int((sc.Settle + sc.Window - 1) / sc.Window)
+	swing := 0.0
 	for at := first; at+width <= len(series); at += width {
 		for i, share := range zoneShares(series[at:at+width], len(f.Zones)) {
 			lowest[i] = min(lowest[i], share)
 			highest[i] = max(highest[i], share)
-			most = max(most, highest[i]-lowest[i])
+			swing = max(swing, highest[i]-lowest[i])
 		}
 	}
-	return most
+	return swing
 }
 
-// zoneShares is each zone's share of the attempts in some windows.
+// zoneShares returns each zone's share of the attempts in some windows.
 func zoneShares(windows []Window, zones int) []float64 {
 	shares := make([]float64, zones)
 	all := 0.0
@@ -168,16 +169,17 @@
 	return shares
 }
 
-// faultTruth is what the timetable does to zones, as a balancer at its place could know it at best.
-type faultTruth struct {
-	day   *scenario.Scenario
-	fleet *scenario.Fleet
-	paths *scenario.Paths
-	hits  []scenario.Hit
+// faultOracle derives from the scenario's faults what each balancer should conclude about each zone, as the reference for
+// its zone states.
+type faultOracle struct {
+	scenario *scenario.Scenario
+	fleet    *scenario.Fleet
+	paths    *scenario.Paths
+	hits     []scenario.Hit
 }
 
-// hitShare is the share of a zone's upstreams that fault i takes away from a balancer.
-func (t faultTruth) hitShare(i, balancer, zone int) float64 {
+// hitShare returns the share of a zone's upstreams that fault i makes unreachable for a balancer.
+func (t faultOracle) hitShare(i, balancer, zone int) float64 {
 	upstreams := 0.0
 	lost := 0.0
 	for u, up := range t.fleet.Upstreams {
@@ -185,17 +187,17 @@
 			continue
 		}
 		upstreams++
-		if t.takesAway(i, balancer, u) {
+		if t.makesUnreachable(i, balancer, u) {
 			lost++
 		}
 	}
 	return ratio(lost, upstreams)
 }
 
-// takesAway reports whether fault i takes an upstream away from a balancer.
-func (t faultTruth) takesAway(i, balancer, upstream int) bool {
+// makesUnreachable reports whether a balancer can't get successful responses from an upstream because of fault i.
+func (t faultOracle) makesUnreachable(i, balancer, upstream int) bool {
 	hit := t.hits[i]
-	kind := t.day.Faults[i].Kind
+	kind := t.scenario.Faults[i].Kind
 	switch {
 	case hit.Scope == scenario.OnUpstreams && (kind == scenario.UpstreamDown || kind == scenario.UpstreamVanish || kind == scenario.UpstreamErrors):
 		return slices.Contains(hit.Targets, upstream)
@@ -207,18 +209,18 @@
 	return false
 }
 
-// faultEnd is when fault i ends.
-func (t faultTruth) faultEnd(i int) time.Duration {
-	f := t.day.Faults[i]
+// faultEnd returns when fault i ends: the end of the run if it has no duration.
+func (t faultOracle) faultEnd(i int) time.Duration {
+	f := t.scenario.Faults[i]
 	if f.For == 0 {
-		return t.day.Length.D()
+		return t.scenario.Length.D()
 	}
 	return (f.At + f.For).D()
 }
 
-// leaveTimes takes, for each fault and each balancer from which it takes most of a zone, the time until that balancer has
-// left the zone, or was notified by discovery that all of it is gone. nil: there were none.
-func (t faultTruth) leaveTimes(events []history.Event) *LeaveTimes {
+// leaveTimes measures, for each fault that makes most of a zone unreachable for a balancer, the time until the balancer left
+// the zone or was notified by discovery that all its upstreams are removed. It returns nil if there are no such faults.
+func (t faultOracle) leaveTimes(events []history.Event) *LeaveTimes {
 	byBalancer := make([][]history.Event, len(t.fleet.Balancers))
 	for _, e := range events {
 		if e.Kind == history.ZoneState || e.Kind == history.Notified {
@@ -227,13 +229,13 @@
 	}
 	times := newHistogram()
 	leave := &LeaveTimes{}
-	for i, fault := range t.day.Faults {
+	for i, fault := range t.scenario.Faults {
 		for b := range t.fleet.Balancers {
 			for z := range t.fleet.Zones {
 				if t.hitShare(i, b, z) < zoneLostRatio {
 					continue
 				}
-				at, left := t.leftAt(byBalancer[b], z, fault.At.D(), t.faultEnd(i))
+				at, left := t.leaveTime(byBalancer[b], z, fault.At.D(), t.faultEnd(i))
 				if !left {
 					leave.NeverLeft++
 					continue
@@ -253,8 +255,8 @@
 	return leave
 }
 
-// leftAt finds among the events of one balancer when it had left a zone.
-func (t faultTruth) leftAt(events []history.Event, zone int, from, to time.Duration) (at time.Duration, left bool) {
+// leaveTime returns when a balancer left a zone, if it did so between from and to. events are those of the balancer.
+func (t faultOracle) leaveTime(events []history.Event, zone int, from, to time.Duration) (at time.Duration, left bool) {
 	size := 0
 	for _, u := range t.fleet.Upstreams {
 		if u.Zone == zone {
@@ -286,16 +288,16 @@
 // zoneView is one balancer's view of one zone.
 type zoneView struct{ balancer, zone int }
 
-// wronglyDoubted is the share of pairs of a balancer and an upstream in whose zone the balancer lost confidence without a
-// reason.
-func (t faultTruth) wronglyDoubted(events []history.Event) float64 {
+// wronglyDoubtedRatio returns the share of pairs of a balancer and an upstream in which the balancer doubted the upstream's
+// zone without justification.
+func (t faultOracle) wronglyDoubtedRatio(events []history.Event) float64 {
 	wrong := map[zoneView]bool{}
 	for _, e := range events {
 		if e.Kind != history.ZoneState || (e.Text != "failed" && e.Text != "doubtful") {
 			continue
 		}
 		view := zoneView{int(e.Balancer), int(e.Zone)}
-		if !t.hasReason(view, e.At) {
+		if !t.isDoubtJustified(view, e.At) {
 			wrong[view] = true
 		}
 	}
@@ -310,9 +312,9 @@
 	return ratio(float64(pairs), float64(len(t.fleet.Balancers)*len(t.fleet.Upstreams)))
 }
 
-// hasReason reports whether a fault gives a balancer reason to doubt a zone at a moment.
-func (t faultTruth) hasReason(view zoneView, at time.Duration) bool {
-	for i, fault := range t.day.Faults {
+// isDoubtJustified reports whether some fault justifies a balancer's doubt of a zone at a time.
+func (t faultOracle) isDoubtJustified(view zoneView, at time.Duration) bool {
+	for i, fault := range t.scenario.Faults {
 		within := at >= fault.At.D() && at < t.faultEnd(i)+evidenceLag
 		if within && t.hitShare(i, view.balancer, view.zone) >= zoneDoubtfulRatio {
 			return true
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -85,8 +85,8 @@
 }
 
 // faultSpan is when a fault is active within the day, in seconds.
-func faultSpan(d *scenario.Scenario, f scenario.Fault) (from, to float64) {
-	from, to = f.At.D().Seconds(), d.Length.D().Seconds()
+func faultSpan(sc *scenario.Scenario, f scenario.Fault) (from, to float64) {
+	from, to = f.At.D().Seconds(), sc.Length.D().Seconds()
 	if f.For > 0 {
 		to = min(to, (f.At + f.For).D().Seconds())
 	}
@@ -138,10 +138,10 @@
 }
 
 // shadeFaults marks when faults are active in a plot whose y axis ends at top.
-func shadeFaults(p *plot.Plot, d *scenario.Scenario, top float64) error {
+func shadeFaults(p *plot.Plot, sc *scenario.Scenario, top float64) error {
 	p.Y.Min, p.Y.Max = 0, top
-	for _, f := range d.Faults {
-		from, to := faultSpan(d, f)
+	for _, f := range sc.Faults {
+		from, to := faultSpan(sc, f)
 		if err := addBox(p, from, to, 0, top, shade); err != nil {
 			return err
 		}
