--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -17,41 +17,41 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// The look of all plots: dark lines that differ in dashes too, for black-and-white print.
+// Style of all plots: dark lines that also differ in their dashes, for black-and-white print.
 var (
 	lineColors = []color.RGBA{{0x1b, 0x6c, 0xa8, 255}, {0xc0, 0x39, 0x2b, 255}, {0x1e, 0x84, 0x49, 255}, {0x7d, 0x3c, 0x98, 255},
 		{0xb9, 0x77, 0x0e, 255}, {0x34, 0x49, 0x5e, 255}, {0x11, 0x7a, 0x65, 255}, {0x6e, 0x2c, 0x00, 255}}
-	dashes = [][]vg.Length{nil, {vg.Points(6), vg.Points(3)}, {vg.Points(2), vg.Points(2)}, {vg.Points(8), vg.Points(3), vg.Points(2), vg.Points(3)}}
-	shade  = color.NRGBA{0xd3, 0x54, 0x00, 0x1c}
+	dashes     = [][]vg.Length{nil, {vg.Points(6), vg.Points(3)}, {vg.Points(2), vg.Points(2)}, {vg.Points(8), vg.Points(3), vg.Points(2), vg.Points(3)}}
+	faultShade = color.NRGBA{0xd3, 0x54, 0x00, 0x1c}
 )
 
 const (
 	plotWidth  = 10 * vg.Inch
 	plotHeight = 3.1 * vg.Inch
-	// stripRow is the height of a fault's bar above the series, in parts of the axis.
-	stripRow = 0.09
-	// mostUpstreams is how many upstreams get a row each. More are combined by zone.
-	mostUpstreams = 60
-	// mostPairs is how many pairs of zones get a line of their own.
-	mostPairs = 9
+	// faultBarHeight is the height that a fault's bar takes above the series, in units of the y axis.
+	faultBarHeight = 0.09
+	// maxUpstreamRows is the most upstreams that get a row each. A larger fleet has a row per zone.
+	maxUpstreamRows = 60
+	// maxZonePairs is the most pairs of zones that get a line.
+	maxZonePairs = 9
 )
 
-// legendSpace is how far the axis of time goes on beyond the day, so that the legend stands beside the lines.
-const legendSpace = 1.2
+// timeAxisScale is the length of the time axis over that of the run. It leaves room for the legend beside the lines.
+const timeAxisScale = 1.2
 
-// dayTicks has ticks for the day's time only.
-type dayTicks struct{ seconds float64 }
+// runTicks places ticks within the run only, not below the legend.
+type runTicks struct{ seconds float64 }
 
-func (w dayTicks) Ticks(lo, _ float64) []plot.Tick { return plot.DefaultTicks{}.Ticks(lo, w.seconds) }
+func (w runTicks) Ticks(lo, _ float64) []plot.Tick { return plot.DefaultTicks{}.Ticks(lo, w.seconds) }
 
-// newPlot is a plot over the day's time with its axes.
+// newPlot returns an empty plot over the time of the run.
 func newPlot(title, y string, seconds float64) *plot.Plot {
 	p := plot.New()
 	p.Title.Text = title
-	p.X.Label.Text = "time of the day, s"
+	p.X.Label.Text = "time in the run, s"
 	p.Y.Label.Text = y
-	p.X.Min, p.X.Max = 0, seconds*legendSpace
-	p.X.Tick.Marker = dayTicks{seconds}
+	p.X.Min, p.X.Max = 0, seconds*timeAxisScale
+	p.X.Tick.Marker = runTicks{seconds}
 	p.Title.Padding = vg.Points(6)
 	p.Legend.Top, p.Legend.XOffs = true, -vg.Points(6)
 	p.Legend.Padding = vg.Points(2)
@@ -59,7 +59,7 @@
 	return p
 }
 
-// addLine adds a line with the look of its index.
+// addLine adds a line in the style of its index.
 func addLine(p *plot.Plot, name string, index int, points plotter.XYs) error {
 	l, err := plotter.NewLine(points)
 	if err != nil {
@@ -73,25 +73,25 @@
 	return nil
 }
 
-// points takes a figure of each window. The function reports false for a window without one.
-func points(series []measure.Window, of func(measure.Window) (float64, bool)) plotter.XYs {
+// windowPoints returns the value of each window over time. value reports false for a window without one.
+func windowPoints(series []measure.Window, value func(measure.Window) (float64, bool)) plotter.XYs {
 	var points plotter.XYs
 	for _, w := range series {
-		if y, ok := of(w); ok {
+		if y, ok := value(w); ok {
 			points = append(points, plotter.XY{X: w.StartSeconds, Y: y})
 		}
 	}
 	return points
 }
 
-// faultSpan is when a fault is active within the day, in seconds.
+// faultSpan returns when a fault is active within the run, in seconds.
 func faultSpan(sc *scenario.Scenario, f scenario.Fault) (from, to float64) {
 	from, to = f.At.D().Seconds(), sc.Length.D().Seconds()
 	if f.For > 0 {
 		to = min(to, (f.At + f.For).D().Seconds())
 	}
 	if f.Kind == scenario.LinkReset || f.Kind == scenario.BalancerRestart {
-		to = min(to, from+0.2) // a moment, wide enough to be seen
+		to = min(to, from+0.2) // instantaneous, but drawn wide enough to be seen
 	}
 	return from, to
 }
@@ -108,71 +108,71 @@
 	return nil
 }
 
-// servedPlot has the served ratio over time, with the timetable of faults above it.
+// servedPlot plots the served ratio over time, with a bar for each fault above it.
 func servedPlot(r *lab.Result) (*plot.Plot, error) {
 	s := r.Summary
-	p := newPlot(fmt.Sprintf("%s, %s engine: worth served in time", s.Day, s.Engine), "share of the worth that came", s.LengthSeconds)
+	p := newPlot(fmt.Sprintf("%s, %s engine: worth served in time", s.Day, s.Engine), "share of the offered worth", s.LengthSeconds)
 	top := 1.02
 	for i, f := range r.Day.Faults {
 		from, to := faultSpan(r.Day, f)
-		y := 1.04 + float64(i)*stripRow
+		y := 1.04 + float64(i)*faultBarHeight
 		ink := lineColors[(i+1)%len(lineColors)]
-		if err := addBox(p, from, to, y, y+stripRow*0.7, color.NRGBA{ink.R, ink.G, ink.B, 0x99}); err != nil {
+		if err := addBox(p, from, to, y, y+faultBarHeight*0.7, color.NRGBA{ink.R, ink.G, ink.B, 0x99}); err != nil {
 			return nil, err
 		}
-		if err := addBox(p, from, to, 0, 1, shade); err != nil {
+		if err := addBox(p, from, to, 0, 1, faultShade); err != nil {
 			return nil, err
 		}
-		labels, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: to + s.LengthSeconds*0.005, Y: y + stripRow*0.1}}, Labels: []string{string(f.Kind)}})
+		labels, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: to + s.LengthSeconds*0.005, Y: y + faultBarHeight*0.1}}, Labels: []string{string(f.Kind)}})
 		if err != nil {
 			return nil, err
 		}
 		p.Add(labels)
-		top = y + stripRow
+		top = y + faultBarHeight
 	}
 	p.Y.Min, p.Y.Max = 0, top
 	p.Y.Tick.Marker = plot.ConstantTicks([]plot.Tick{{Value: 0, Label: "0%"}, {Value: 0.25, Label: "25%"}, {Value: 0.5, Label: "50%"},
 		{Value: 0.75, Label: "75%"}, {Value: 1, Label: "100%"}})
 	p.Legend.Top, p.Legend.YOffs = false, vg.Points(12)
-	return p, addLine(p, "served in time", 0, points(s.Series, func(w measure.Window) (float64, bool) { return w.ServedRatio, w.ServedRatio >= 0 }))
+	return p, addLine(p, "served in time", 0, windowPoints(s.Series, func(w measure.Window) (float64, bool) { return w.ServedRatio, w.ServedRatio >= 0 }))
 }
 
-// shadeFaults marks when faults are active in a plot whose y axis ends at top.
+// shadeFaults shades the times at which faults are active, and sets the y axis to end at top.
 func shadeFaults(p *plot.Plot, sc *scenario.Scenario, top float64) error {
 	p.Y.Min, p.Y.Max = 0, top
 	for _, f := range sc.Faults {
 		from, to := faultSpan(sc, f)
-		if err := addBox(p, from, to, 0, top, shade); err != nil {
+		if err := addBox(p, from, to, 0, top, faultShade); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// linesPlot has some figures of each window as lines.
-func linesPlot(r *lab.Result, title, y string, names []string, of func(w measure.Window, i int) float64) (*plot.Plot, error) {
+// linesPlot plots a line per name over the windows. value returns the value of line i in a window.
+func linesPlot(r *lab.Result, title, y string, names []string, value func(w measure.Window, i int) float64) (*plot.Plot, error) {
 	p := newPlot(title, y, r.Summary.LengthSeconds)
 	top := 0.0
 	for i := range names {
 		for _, w := range r.Summary.Series {
-			top = max(top, of(w, i))
+			top = max(top, value(w, i))
 		}
 	}
 	if err := shadeFaults(p, r.Day, max(top*1.25, 1e-6)); err != nil {
 		return nil, err
 	}
 	for i, name := range names {
-		if err := addLine(p, name, i, points(r.Summary.Series, func(w measure.Window) (float64, bool) { return of(w, i), true })); err != nil {
+		if err := addLine(p, name, i, windowPoints(r.Summary.Series, func(w measure.Window) (float64, bool) { return value(w, i), true })); err != nil {
 			return nil, err
 		}
 	}
 	return p, nil
 }
 
-// perSecond is a count of a window as a rate.
+// perSecond converts a window's count to a rate.
 func perSecond(r *lab.Result, n int) float64 { return float64(n) / r.Day.Window.D().Seconds() }
 
-// zonesPlot has the traffic between zones, the busiest pairs as lines of their own.
+// zonesPlot plots the traffic between zones, a line for each of the busiest pairs.
 func zonesPlot(r *lab.Result) (*plot.Plot, error) {
 	type pair struct{ from, to, n int }
 	var pairs []pair
@@ -186,24 +186,24 @@
 		}
 	}
 	slices.SortStableFunc(pairs, func(a, b pair) int { return cmp.Compare(b.n, a.n) })
-	pairs = pairs[:min(len(pairs), mostPairs)]
+	pairs = pairs[:min(len(pairs), maxZonePairs)]
 	names := make([]string, len(pairs))
 	for i, p := range pairs {
 		names[i] = r.Fleet.Zones[p.from].Name + " to " + r.Fleet.Zones[p.to].Name
 	}
-	return linesPlot(r, "Traffic from zone to zone", "attempts a second", names, func(w measure.Window, i int) float64 {
+	return linesPlot(r, "Traffic between zones", "attempts per second", names, func(w measure.Window, i int) float64 {
 		return perSecond(r, w.AttemptsByZone[pairs[i].from][pairs[i].to])
 	})
 }
 
-// shares is a grid of each upstream's part of a window's attempts.
-type shares struct {
+// attemptShareGrid is the heat map data of each upstream's share of the attempts in each window.
+type attemptShareGrid struct {
 	series []measure.Window
-	rows   [][]int // indices of upstreams
+	rows   [][]int // indices of the upstreams of each row
 }
 
-func (g shares) Dims() (int, int) { return len(g.series), len(g.rows) }
-func (g shares) Z(c, r int) float64 {
+func (g attemptShareGrid) Dims() (int, int) { return len(g.series), len(g.rows) }
+func (g attemptShareGrid) Z(c, r int) float64 {
 	w := g.series[c]
 	n := 0
 	for _, u := range g.rows[r] {
@@ -212,22 +212,22 @@
 	if w.Attempts == 0 {
 		return 0
 	}
-	return 100 * float64(n) / float64(w.Attempts) / float64(len(g.rows[r])) // percent, for one upstream
+	return 100 * float64(n) / float64(w.Attempts) / float64(len(g.rows[r])) // percent, mean of the row's upstreams
 }
-func (g shares) X(c int) float64 {
+func (g attemptShareGrid) X(c int) float64 {
 	if len(g.series) > 1 {
 		return g.series[c].StartSeconds + (g.series[1].StartSeconds-g.series[0].StartSeconds)/2
 	}
 	return g.series[c].StartSeconds
 }
-func (g shares) Y(r int) float64 { return float64(r) }
+func (g attemptShareGrid) Y(r int) float64 { return float64(r) }
 
-// sharesPlot shows how attempts are shared among upstreams over time.
-func sharesPlot(r *lab.Result) (*plot.Plot, error) {
-	g := shares{series: r.Summary.Series}
+// attemptSharesPlot plots each upstream's share of the attempts over time as a heat map.
+func attemptSharesPlot(r *lab.Result) (*plot.Plot, error) {
+	g := attemptShareGrid{series: r.Summary.Series}
 	title := "Share of attempts by upstream"
 	var names []string
-	if len(r.Fleet.Upstreams) <= mostUpstreams {
+	if len(r.Fleet.Upstreams) <= maxUpstreamRows {
 		names = g.addUpstreams(r.Fleet)
 	} else {
 		title += ", mean of each zone"
@@ -242,7 +242,7 @@
 	}
 	p := newPlot(fmt.Sprintf("%s: dark none, bright %.2f%%", title, h.Max), "upstream", r.Summary.LengthSeconds)
 	p.Add(h)
-	p.X.Max = r.Summary.LengthSeconds // it has no legend
+	p.X.Max = r.Summary.LengthSeconds // a heat map has no legend
 	p.Y.Tick.Marker = rowTicks(names)
 	p.Y.Tick.Label.Font.Size = vg.Points(max(4, min(8, 200/float64(len(g.rows)))))
 	p.Y.Min, p.Y.Max = -0.5, float64(len(g.rows))-0.5
@@ -250,7 +250,7 @@
 }
 
 // addUpstreams adds a row for each upstream and returns the names of the rows.
-func (g *shares) addUpstreams(f *scenario.Fleet) []string {
+func (g *attemptShareGrid) addUpstreams(f *scenario.Fleet) []string {
 	var names []string
 	for i, u := range f.Upstreams {
 		names = append(names, u.Name+" "+u.Model)
@@ -260,7 +260,7 @@
 }
 
 // addZones adds a row for each zone that has upstreams and returns the names of the rows.
-func (g *shares) addZones(f *scenario.Fleet) []string {
+func (g *attemptShareGrid) addZones(f *scenario.Fleet) []string {
 	var names []string
 	for z, zone := range f.Zones {
 		var upstreams []int
@@ -286,23 +286,23 @@
 	return ticks
 }
 
-// figure is a plot with its size.
+// figure is a plot with its file name and height.
 type figure struct {
 	name   string
 	plot   *plot.Plot
 	height vg.Length
 }
 
-// rowInches is the height that a fault or an upstream takes in a plot.
+// rowInches is the height of a row for a fault or an upstream.
 const rowInches = 0.12
 
-// rowsHeight is the height of some faults or upstreams.
+// rowsHeight returns the height of some rows.
 func rowsHeight(rows int) vg.Length { return vg.Length(rows) * rowInches * vg.Inch }
 
-// figures makes all plots of a day.
+// figures returns all plots of a run.
 func figures(r *lab.Result) ([]figure, error) {
 	servedHeight := plotHeight + rowsHeight(len(r.Day.Faults))
-	upstreams := min(len(r.Fleet.Upstreams), mostUpstreams)
+	upstreams := min(len(r.Fleet.Upstreams), maxUpstreamRows)
 	upstreamsHeight := max(plotHeight, rowsHeight(upstreams))
 	var all []figure
 	for _, f := range []struct {
@@ -312,10 +312,10 @@
 	}{
 		{"served", servedHeight, servedPlot},
 		{"latency", plotHeight, latencyPlot},
-		{"ends", plotHeight, endsPlot},
-		{"cross", plotHeight, crossPlot},
+		{"ends", plotHeight, outcomesPlot},
+		{"cross", plotHeight, crossingPlot},
 		{"zones", plotHeight, zonesPlot},
-		{"upstreams", upstreamsHeight, sharesPlot},
+		{"upstreams", upstreamsHeight, attemptSharesPlot},
 	} {
 		p, err := f.plot(r)
 		if err != nil {
@@ -327,21 +327,21 @@
 }
 
 func latencyPlot(r *lab.Result) (*plot.Plot, error) {
-	return linesPlot(r, "Latency of what was served, from when it was to be sent", "milliseconds", []string{"p99", "p50"},
+	return linesPlot(r, "Latency of served requests, from their scheduled time", "milliseconds", []string{"p99", "p50"},
 		func(w measure.Window, i int) float64 { return []float64{w.P99Milliseconds, w.P50Milliseconds}[i] })
 }
 
-func endsPlot(r *lab.Result) (*plot.Plot, error) {
-	ends := []measure.Outcome{measure.ServedInTime, measure.ServedLate, measure.Rejected, measure.Failed, measure.NotConnected}
-	names := make([]string, len(ends))
-	for i, e := range ends {
+func outcomesPlot(r *lab.Result) (*plot.Plot, error) {
+	outcomes := []measure.Outcome{measure.ServedInTime, measure.ServedLate, measure.Rejected, measure.Failed, measure.NotConnected}
+	names := make([]string, len(outcomes))
+	for i, e := range outcomes {
 		names[i] = e.String()
 	}
-	return linesPlot(r, "How requests ended", "requests a second", names,
-		func(w measure.Window, i int) float64 { return perSecond(r, w.Outcomes[ends[i]]) })
+	return linesPlot(r, "Outcomes of requests", "requests per second", names,
+		func(w measure.Window, i int) float64 { return perSecond(r, w.Outcomes[outcomes[i]]) })
 }
 
-func crossPlot(r *lab.Result) (*plot.Plot, error) {
+func crossingPlot(r *lab.Result) (*plot.Plot, error) {
 	return linesPlot(r, "Attempts that leave their zone, and their region", "percent of attempts", []string{"another zone", "another region"},
 		func(w measure.Window, i int) float64 {
 			if w.Attempts == 0 {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,4 @@
-// Package report writes the result of a day as one HTML file with no outside parts, and its plots as PNG files for
-// letters and print.
+// Package report writes the result of a run as one self-contained HTML file, and its plots as PNG files for mail and print.
 package report
 
 import (
@@ -24,14 +23,14 @@
 )
 
 const (
-	// shownViolations and shownEvents bound what a report has of violations: history.txt has all of it.
+	// shownViolations and shownEvents bound the violations, and the events of each, in a report; history.txt has all events.
 	shownViolations = 50
 	shownEvents     = 60
-	// dots is the resolution of PNG files, for an inch.
-	dots = 110
+	// pngDPI is the resolution of PNG files in dots per inch.
+	pngDPI = 110
 )
 
-// Write writes report.html and the plots into a folder, and returns the file's path.
+// Write writes report.html and the plots into a folder, and returns the path of report.html.
 func Write(dir string, r *lab.Result) (string, error) {
 	all, err := figures(r)
 	if err != nil {
@@ -43,25 +42,25 @@
 		drawFigure(f, svg)
 		var text bytes.Buffer
 		if _, err := svg.WriteTo(&text); err != nil {
-			return "", fmt.Errorf("drawing %s: %w", f.name, err)
+			return "", fmt.Errorf("drawing plot %s as SVG: %w", f.name, err)
 		}
-		// The prologue of a file is not for the inside of a page.
+		// Drop the XML prolog, which must not stand inside an HTML page.
 		page.Plots = append(page.Plots, template.HTML(text.String()[max(0, strings.Index(text.String(), "<svg")):]))
 		if err := writePNG(filepath.Join(dir, f.name+".png"), f); err != nil {
 			return "", err
 		}
 	}
-	page.fill()
+	page.fillTables()
 	var out bytes.Buffer
 	if err := layout.Execute(&out, page); err != nil {
-		return "", fmt.Errorf("writing the report: %w", err)
+		return "", fmt.Errorf("rendering the HTML report: %w", err)
 	}
 	path := filepath.Join(dir, "report.html")
 	return path, os.WriteFile(path, out.Bytes(), 0o644)
 }
 
 func writePNG(path string, f figure) error {
-	c := vgimg.NewWith(vgimg.UseWH(plotWidth, f.height), vgimg.UseDPI(dots))
+	c := vgimg.NewWith(vgimg.UseWH(plotWidth, f.height), vgimg.UseDPI(pngDPI))
 	drawFigure(f, c)
 	file, err := os.Create(path)
 	if err != nil {
@@ -69,29 +68,29 @@
 	}
 	defer file.Close()
 	if _, err := (vgimg.PngCanvas{Canvas: c}).WriteTo(file); err != nil {
-		return fmt.Errorf("drawing %s: %w", f.name, err)
+		return fmt.Errorf("drawing plot %s into %s: %w", f.name, path, err)
 	}
 	return file.Close()
 }
 
-// page is what the layout shows. The layout names its fields.
+// page is the data of the layout, which refers to its fields by name.
 type page struct {
 	*lab.Result
-	Plots      []template.HTML
-	Parts      []partRow
-	Classes    []shareRow
-	Tenants    []shareRow
-	Rules      []ruleRow
-	Breaches   []eventLog
-	Worst      []eventLog
-	Timetable  []faultRow
-	Recoveries []recoveryRow
+	Plots         []template.HTML
+	Parts         []partRow
+	Classes       []shareRow
+	Tenants       []shareRow
+	Rules         []ruleRow
+	ViolationLogs []eventLog
+	Worst         []eventLog
+	Timetable     []faultRow
+	Recoveries    []recoveryRow
 }
 
 type partRow struct {
 	Name string
 	measure.Part
-	Ends []string
+	Outcomes []string
 }
 
 type shareRow struct {
@@ -104,18 +103,18 @@
 	Broken int
 }
 
-// eventLog is a history under a title.
+// eventLog is a titled list of events.
 type eventLog struct {
 	Title string
 	Lines []string
 }
 
-type faultRow struct{ At, To, Kind, Whom, About string }
+type faultRow struct{ At, To, Kind, Targets, About string }
 
-type recoveryRow struct{ Fault, At, End, Before, Least, Back string }
+type recoveryRow struct{ Fault, At, End, Before, Lowest, Recovery string }
 
-// endsShown is how requests end, in the order of the tables.
-var endsShown = []measure.Outcome{measure.ServedInTime, measure.ServedLate, measure.Rejected, measure.Failed, measure.NotConnected, measure.ClientLeft}
+// shownOutcomes are the outcomes of requests in the order of the table columns.
+var shownOutcomes = []measure.Outcome{measure.ServedInTime, measure.ServedLate, measure.Rejected, measure.Failed, measure.NotConnected, measure.ClientLeft}
 
 func shareRows(m map[string]float64) []shareRow {
 	var rows []shareRow
@@ -125,15 +124,15 @@
 	return rows
 }
 
-// fill makes the tables.
-func (p *page) fill() {
+// fillTables fills in the tables of the page.
+func (p *page) fillTables() {
 	p.fillParts()
 	for _, rule := range check.Rules {
 		p.Rules = append(p.Rules, ruleRow{rule, p.Summary.Broken[rule]})
 	}
 	for _, v := range p.Violations[:min(len(p.Violations), shownViolations)] {
 		title := fmt.Sprintf("%s at %v: %s", v.Rule, v.At.Round(time.Millisecond), v.What)
-		p.Breaches = append(p.Breaches, p.eventLog(title, v.Trace))
+		p.ViolationLogs = append(p.ViolationLogs, p.eventLog(title, v.Trace))
 	}
 	p.fillWorst()
 	p.fillTimetable()
@@ -145,14 +144,14 @@
 func (p *page) fillParts() {
 	s := p.Summary
 	for _, part := range []partRow{{Name: fmt.Sprintf("first %.0f s", s.SettleSeconds), Part: s.Settling}, {Name: "after that", Part: s.Main}} {
-		for _, e := range endsShown {
-			part.Ends = append(part.Ends, percent(part.ShareByOutcome[e.String()]))
+		for _, e := range shownOutcomes {
+			part.Outcomes = append(part.Outcomes, percent(part.ShareByOutcome[e.String()]))
 		}
 		p.Parts = append(p.Parts, part)
 	}
 }
 
-// fillWorst has the histories of the worst requests.
+// fillWorst fills in the events of the worst requests.
 func (p *page) fillWorst() {
 	byArrival := map[int32][]history.Event{}
 	for _, r := range p.Summary.WorstRequests {
@@ -182,34 +181,34 @@
 			to = (f.At + f.For).D().String()
 		}
 		p.Timetable = append(p.Timetable, faultRow{
-			At:    f.At.D().String(),
-			To:    to,
-			Kind:  string(f.Kind),
-			Whom:  p.Day.TargetNames(p.Fleet, i, hits[i]),
-			About: scenario.DescribeFault(f.Kind),
+			At:      f.At.D().String(),
+			To:      to,
+			Kind:    string(f.Kind),
+			Targets: p.Day.TargetNames(p.Fleet, i, hits[i]),
+			About:   scenario.DescribeFault(f.Kind),
 		})
 	}
 }
 
 func newRecoveryRow(r measure.Recovery) recoveryRow {
 	row := recoveryRow{
-		Fault:  r.Fault,
-		At:     fmt.Sprintf("%.1f s", r.StartSeconds),
-		End:    "the end",
-		Before: percent(r.ServedRatioBefore),
-		Least:  percent(r.LowestServedRatio),
-		Back:   "not within the day",
+		Fault:    r.Fault,
+		At:       fmt.Sprintf("%.1f s", r.StartSeconds),
+		End:      "the end",
+		Before:   percent(r.ServedRatioBefore),
+		Lowest:   percent(r.LowestServedRatio),
+		Recovery: "not within the run",
 	}
 	if r.EndSeconds >= 0 {
 		row.End = fmt.Sprintf("%.1f s", r.EndSeconds)
 	}
 	if r.RecoverySeconds != nil {
-		row.Back = fmt.Sprintf("%.1f s", *r.RecoverySeconds)
+		row.Recovery = fmt.Sprintf("%.1f s", *r.RecoverySeconds)
 	}
 	return row
 }
 
-// eventLog is the end of a history as lines.
+// eventLog returns the last shownEvents events of a trace as lines.
 func (p *page) eventLog(title string, trace []history.Event) eventLog {
 	s := eventLog{Title: title}
 	for _, e := range trace[max(0, len(trace)-shownEvents):] {
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -14,8 +14,8 @@
 	"sprucehill/internal/lab/model"
 )
 
-// A report is one file without external resources; it has every plot with its axes named, the timetable, and the histories of
-// the worst requests. The plots stand beside it as pictures that can be read.
+// The report is one HTML file without external resources. It has every plot with labelled axes, the timetable, and the events
+// of the worst requests. The plots are also written as PNG files that decode.
 func TestReportIsComplete(t *testing.T) {
 	r, err := lab.Model(context.Background(), labtest.Example(t, "zone-fire.toml"), model.Options{})
 	if err != nil {
@@ -31,21 +31,21 @@
 		t.Fatal(err)
 	}
 	page := string(text)
-	for _, outside := range regexp.MustCompile(`(src|href)="[^"#]*"|url\([^)]*\)|@import`).FindAllString(page, -1) {
-		t.Errorf("an outside part: %s", outside)
+	for _, reference := range regexp.MustCompile(`(src|href)="[^"#]*"|url\([^)]*\)|@import`).FindAllString(page, -1) {
+		t.Errorf("reference to an external resource: %s", reference)
 	}
-	for _, part := range []string{"time of the day, s", "milliseconds", "attempts a second", "percent of attempts", "share of the worth",
-		"dc-b-u1 dc-b-u2 dc-b-u3 and 3 more", "buy-ticket from dc-b", "SIGKILL; started again", "kept"} {
+	for _, part := range []string{"time in the run, s", "milliseconds", "attempts per second", "percent of attempts", "share of the offered worth",
+		"dc-b-u1 dc-b-u2 dc-b-u3 and 3 more", "buy-ticket from dc-b", "SIGKILL; started again", "no violations"} {
 		if !strings.Contains(page, part) {
 			t.Errorf("the report lacks %q", part)
 		}
 	}
 	if n := strings.Count(page, "<svg"); n != 6 {
-		t.Errorf("%d plots in the page", n)
+		t.Errorf("report has %d plots, want 6", n)
 	}
 	pictures, _ := filepath.Glob(filepath.Join(dir, "*.png"))
 	if len(pictures) != 6 {
-		t.Errorf("%d pictures", len(pictures))
+		t.Errorf("found %d PNG files, want 6", len(pictures))
 	}
 	for _, p := range pictures {
 		f, err := os.Open(p)
