--- a/internal/lab/check/fleet.go
+++ b/internal/lab/check/fleet.go
@@ -26,16 +26,16 @@
 // drainingSince returns when the process that made an attempt was notified that its upstream is draining or removed.
 func (c *checker) drainingSince(attempt history.Event) (since time.Duration, draining bool) {
 	started := c.processStart(attempt) // a restarted process knows only the notifications since its start
-	for _, phase := range c.notifications[endpointView{attempt.Balancer, attempt.Upstream}] {
-		if phase.At > attempt.FirstByteAt {
+	for _, notification := range c.notifications[endpointView{attempt.Balancer, attempt.Upstream}] {
+		if notification.At > attempt.FirstByteAt {
 			break
 		}
-		if phase.At < started {
+		if notification.At < started {
 			continue
 		}
-		active := phase.Text == "up"
+		active := notification.Text == "up"
 		if !active && !draining {
-			since = phase.At
+			since = notification.At
 		}
 		draining = !active
 	}
@@ -118,8 +118,8 @@
 	if started == nil {
 		return false
 	}
-	return slices.ContainsFunc(c.notifications[endpointView{attempt.Balancer, attempt.Upstream}], func(phase history.Event) bool {
-		return phase.At >= started.At && phase.At <= attempt.At && phase.Text == "up"
+	return slices.ContainsFunc(c.notifications[endpointView{attempt.Balancer, attempt.Upstream}], func(notification history.Event) bool {
+		return notification.At >= started.At && notification.At <= attempt.At && notification.Text == "up"
 	})
 }
 
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -143,26 +143,25 @@
 	return true
 }
 
-// Run runs each side plays times, alternately, with seeds counted up from seed. The side that goes first changes with every
-// pair. progress is called after each run. Run returns an error if a run
-// fails or is void.
-func Run(ctx context.Context, a, b Side, seed uint64, plays int, progress func(play int, side string, s *measure.Summary)) (*Result, error) {
-	r := &Result{A: a.Name(), B: b.Name(), Plays: plays}
+// Run runs each side once per pair, alternately, with seeds counted up from seed. The side that goes first changes with every
+// pair. progress is called after each run. Run returns an error if a run fails or is void.
+func Run(ctx context.Context, a, b Side, seed uint64, pairs int, progress func(pair int, side string, s *measure.Summary)) (*Result, error) {
+	r := &Result{A: a.Name(), B: b.Name(), Plays: pairs}
 	sides := [2]Side{a, b}
 	var summaries [2][]*measure.Summary // by side
-	for play := range plays {
-		playSeed := seed + uint64(play)
-		r.Seeds = append(r.Seeds, playSeed)
+	for pair := range pairs {
+		pairSeed := seed + uint64(pair)
+		r.Seeds = append(r.Seeds, pairSeed)
 		for turn := range sides {
-			sideIndex := (play + turn) % len(sides)
+			sideIndex := (pair + turn) % len(sides)
 			side := sides[sideIndex]
-			summary, err := side.Play(ctx, playSeed)
+			summary, err := side.Play(ctx, pairSeed)
 			if err != nil {
-				return nil, fmt.Errorf("running side %s with seed %d: %w", side.Name(), playSeed, err)
+				return nil, fmt.Errorf("running side %s with seed %d: %w", side.Name(), pairSeed, err)
 			}
-			progress(play, side.Name(), summary)
+			progress(pair, side.Name(), summary)
 			if summary.Lab != nil && summary.Lab.VoidReason != "" {
-				return nil, fmt.Errorf("running side %s with seed %d: run is void: %s", side.Name(), playSeed, summary.Lab.VoidReason)
+				return nil, fmt.Errorf("running side %s with seed %d: run is void: %s", side.Name(), pairSeed, summary.Lab.VoidReason)
 			}
 			summaries[sideIndex] = append(summaries[sideIndex], summary)
 		}
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -12,32 +12,32 @@
 type noisySide struct {
 	mean, noise float64
 	rng         *rand.Rand
-	played      *[]string
+	runOrder    *[]string
 	name        string
 }
 
 func (n *noisySide) Name() string { return n.name }
 
 func (n *noisySide) Play(_ context.Context, seed uint64) (*measure.Summary, error) {
-	*n.played = append(*n.played, n.name)
+	*n.runOrder = append(*n.runOrder, n.name)
 	shared := rand.New(rand.NewPCG(seed, 1)).Float64()
 	return &measure.Summary{Score: n.mean + shared + n.noise*n.rng.NormFloat64()}, nil
 }
 
 func runComparison(t *testing.T, a, b float64, salt uint64) *Result {
 	t.Helper()
-	var played []string
+	var runOrder []string
 	sides := [2]*noisySide{}
 	for i, mean := range []float64{a, b} {
-		sides[i] = &noisySide{mean, 0.01, rand.New(rand.NewPCG(salt, uint64(i))), &played, string(rune('a' + i))}
+		sides[i] = &noisySide{mean, 0.01, rand.New(rand.NewPCG(salt, uint64(i))), &runOrder, string(rune('a' + i))}
 	}
 	r, err := Run(context.Background(), sides[0], sides[1], 1, 10, func(int, string, *measure.Summary) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := 0; i < len(played); i += 4 {
-		if played[i] != "a" || played[i+1] != "b" || played[i+2] != "b" || played[i+3] != "a" {
-			t.Fatalf("sides do not alternate: %v", played)
+	for i := 0; i < len(runOrder); i += 4 {
+		if runOrder[i] != "a" || runOrder[i+1] != "b" || runOrder[i+2] != "b" || runOrder[i+3] != "a" {
+			t.Fatalf("sides do not alternate: %v", runOrder)
 		}
 	}
 	return r
