--- a/internal/lab/measure/lab.go
+++ b/internal/lab/measure/lab.go
@@ -38,7 +38,7 @@
 	}
 	switch {
 	case latency.P99 > milliseconds(maxLateP99.Microseconds()):
-		figures.VoidReason = "the lab was late: 1% of requests were started more than 20 ms after their time"
+		figures.VoidReason = "the lab was late: at least 1% of requests were started more than 20 ms after their time"
 	case latency.Max > milliseconds(maxLate.Microseconds()):
 		figures.VoidReason = "the lab was late: a request was started more than 500 ms after its time"
 	}
--- a/internal/lab/measure/zones.go
+++ b/internal/lab/measure/zones.go
@@ -96,9 +96,9 @@
 	}
 	if slices.ContainsFunc(events, func(e history.Event) bool { return e.Kind == history.ZoneState }) {
 		_, hits := sc.Timetable()
-		t := faultOracle{sc, f, sc.NewPaths(f), hits}
-		z.LeaveTimes = t.leaveTimes(events)
-		z.WronglyDoubtedRatio = t.wronglyDoubtedRatio(events)
+		oracle := faultOracle{sc, f, sc.NewPaths(f), hits}
+		z.LeaveTimes = oracle.leaveTimes(events)
+		z.WronglyDoubtedRatio = oracle.wronglyDoubtedRatio(events)
 	}
 	return z
 }
@@ -179,15 +179,15 @@
 }
 
 // hitShare returns the share of a zone's upstreams that fault i makes unreachable for a balancer.
-func (t faultOracle) hitShare(i, balancer, zone int) float64 {
+func (o faultOracle) hitShare(i, balancer, zone int) float64 {
 	upstreams := 0.0
 	lost := 0.0
-	for u, up := range t.fleet.Upstreams {
+	for u, up := range o.fleet.Upstreams {
 		if up.Zone != zone {
 			continue
 		}
 		upstreams++
-		if t.makesUnreachable(i, balancer, u) {
+		if o.makesUnreachable(i, balancer, u) {
 			lost++
 		}
 	}
@@ -195,33 +195,33 @@
 }
 
 // makesUnreachable reports whether a balancer can't get successful responses from an upstream because of fault i.
-func (t faultOracle) makesUnreachable(i, balancer, upstream int) bool {
-	hit := t.hits[i]
-	kind := t.scenario.Faults[i].Kind
+func (o faultOracle) makesUnreachable(i, balancer, upstream int) bool {
+	hit := o.hits[i]
+	kind := o.scenario.Faults[i].Kind
 	switch {
 	case hit.Scope == scenario.OnUpstreams && (kind == scenario.UpstreamDown || kind == scenario.UpstreamVanish || kind == scenario.UpstreamErrors):
 		return slices.Contains(hit.Targets, upstream)
 	case hit.Scope == scenario.OnLinks && kind == scenario.LinkCut:
 		b := scenario.Party{Kind: scenario.BalancerParty, Index: balancer}
 		u := scenario.Party{Kind: scenario.UpstreamParty, Index: upstream}
-		return t.paths.Hits(i, b, u) || t.paths.Hits(i, u, b)
+		return o.paths.Hits(i, b, u) || o.paths.Hits(i, u, b)
 	}
 	return false
 }
 
 // faultEnd returns when fault i ends: the end of the run if it has no duration.
-func (t faultOracle) faultEnd(i int) time.Duration {
-	f := t.scenario.Faults[i]
+func (o faultOracle) faultEnd(i int) time.Duration {
+	f := o.scenario.Faults[i]
 	if f.For == 0 {
-		return t.scenario.Length.D()
+		return o.scenario.Length.D()
 	}
 	return (f.At + f.For).D()
 }
 
 // leaveTimes measures, for each fault that makes most of a zone unreachable for a balancer, the time until the balancer left
 // the zone or was notified by discovery that all its upstreams are removed. It returns nil if there are no such faults.
-func (t faultOracle) leaveTimes(events []history.Event) *LeaveTimes {
-	byBalancer := make([][]history.Event, len(t.fleet.Balancers))
+func (o faultOracle) leaveTimes(events []history.Event) *LeaveTimes {
+	byBalancer := make([][]history.Event, len(o.fleet.Balancers))
 	for _, e := range events {
 		if e.Kind == history.ZoneState || e.Kind == history.Notified {
 			byBalancer[e.Balancer] = append(byBalancer[e.Balancer], e)
@@ -229,13 +229,13 @@
 	}
 	times := newHistogram()
 	leave := &LeaveTimes{}
-	for i, fault := range t.scenario.Faults {
-		for b := range t.fleet.Balancers {
-			for z := range t.fleet.Zones {
-				if t.hitShare(i, b, z) < zoneLostRatio {
+	for i, fault := range o.scenario.Faults {
+		for b := range o.fleet.Balancers {
+			for z := range o.fleet.Zones {
+				if o.hitShare(i, b, z) < zoneLostRatio {
 					continue
 				}
-				at, left := t.leaveTime(byBalancer[b], z, fault.At.D(), t.faultEnd(i))
+				at, left := o.leaveTime(byBalancer[b], z, fault.At.D(), o.faultEnd(i))
 				if !left {
 					leave.NeverLeft++
 					continue
@@ -256,9 +256,9 @@
 }
 
 // leaveTime returns when a balancer left a zone, if it did so between from and to. events are those of the balancer.
-func (t faultOracle) leaveTime(events []history.Event, zone int, from, to time.Duration) (at time.Duration, left bool) {
+func (o faultOracle) leaveTime(events []history.Event, zone int, from, to time.Duration) (at time.Duration, left bool) {
 	size := 0
-	for _, u := range t.fleet.Upstreams {
+	for _, u := range o.fleet.Upstreams {
 		if u.Zone == zone {
 			size++
 		}
@@ -271,7 +271,7 @@
 			return 0, false
 		case e.Kind == history.ZoneState && int(e.Zone) == zone && e.Text == "failed":
 			return e.At, true
-		case e.Kind == history.Notified && t.fleet.Upstreams[e.Upstream].Zone == zone:
+		case e.Kind == history.Notified && o.fleet.Upstreams[e.Upstream].Zone == zone:
 			if e.Text == "removed" {
 				removed[e.Upstream] = true
 			} else {
@@ -290,33 +290,33 @@
 
 // wronglyDoubtedRatio returns the share of pairs of a balancer and an upstream in which the balancer doubted the upstream's
 // zone without justification.
-func (t faultOracle) wronglyDoubtedRatio(events []history.Event) float64 {
+func (o faultOracle) wronglyDoubtedRatio(events []history.Event) float64 {
 	wrong := map[zoneView]bool{}
 	for _, e := range events {
 		if e.Kind != history.ZoneState || (e.Text != "failed" && e.Text != "doubtful") {
 			continue
 		}
 		view := zoneView{int(e.Balancer), int(e.Zone)}
-		if !t.isDoubtJustified(view, e.At) {
+		if !o.isDoubtJustified(view, e.At) {
 			wrong[view] = true
 		}
 	}
 	pairs := 0
 	for view := range wrong {
-		for _, u := range t.fleet.Upstreams {
+		for _, u := range o.fleet.Upstreams {
 			if u.Zone == view.zone {
 				pairs++
 			}
 		}
 	}
-	return ratio(float64(pairs), float64(len(t.fleet.Balancers)*len(t.fleet.Upstreams)))
+	return ratio(float64(pairs), float64(len(o.fleet.Balancers)*len(o.fleet.Upstreams)))
 }
 
 // isDoubtJustified reports whether some fault justifies a balancer's doubt of a zone at a time.
-func (t faultOracle) isDoubtJustified(view zoneView, at time.Duration) bool {
-	for i, fault := range t.scenario.Faults {
-		within := at >= fault.At.D() && at < t.faultEnd(i)+evidenceLag
-		if within && t.hitShare(i, view.balancer, view.zone) >= zoneDoubtfulRatio {
+func (o faultOracle) isDoubtJustified(view zoneView, at time.Duration) bool {
+	for i, fault := range o.scenario.Faults {
+		within := at >= fault.At.D() && at < o.faultEnd(i)+evidenceLag
+		if within && o.hitShare(i, view.balancer, view.zone) >= zoneDoubtfulRatio {
 			return true
 		}
 	}
