--- a/internal/lab/faulty/endpoints.go
+++ b/internal/lab/faulty/endpoints.go
@@ -11,7 +11,7 @@
 // discoveryRetryDelay is the wait between a failed call to discovery and the next one.
 const discoveryRetryDelay = 100 * time.Millisecond
 
-// watchEndpoints keeps the list as discovery has it, from a revision on. It does not return.
+// watchEndpoints polls discovery for updates of the endpoint list, starting after the given revision. It never returns.
 func (b *balancer) watchEndpoints(address string, revision uint64) {
 	for {
 		resp, err := http.Get(fmt.Sprintf("http://%s/v1/servers?since=%d&timeout_ms=1000", address, revision))
@@ -30,6 +30,7 @@
 	}
 }
 
+// update applies an answer of discovery: a complete list replaces the known endpoints, a partial one updates them.
 func (b *balancer) update(list listing) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,18 +47,18 @@
 	}
 }
 
-// pick is the address of the next upstream, round robin; skip: of the one so many after it.
+// pick returns the address of the next upstream in round-robin order, skipping the given number of upstreams.
 func (b *balancer) pick(skip int) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.next++
 	var up []member
 	for _, m := range b.members {
-		if m.Phase == "up" || b.mode == modeDrained {
+		if m.Phase == "up" || b.mode == modeIgnoreDraining {
 			up = append(up, m)
 		}
 	}
-	if b.mode == modeFlood {
+	if b.mode == modeNoSlowStart {
 		if i := slices.IndexFunc(up, func(m member) bool { return m.UpSince > 0 }); i >= 0 {
 			return up[i].HostPort
 		}
--- a/internal/lab/faulty/main.go
+++ b/internal/lab/faulty/main.go
@@ -1,5 +1,6 @@
-// Command faulty is a simple balancer that breaks one rule, by the mode in the environment variable BAD. With any other
-// value it breaks none. Tests of the lab's checker use it: each mode has to be caught by its own rule and by no other.
+// Command faulty is a minimal balancer with an intentional defect, selected by the environment variable BAD. Any value
+// that is not a mode gives a correct balancer. Tests of the lab's checker use it: each mode must violate the rule that
+// covers its defect, and no other rule.
 package main
 
 import (
@@ -17,40 +18,40 @@
 	"time"
 )
 
-// The modes, by what each does wrong.
+// The modes and their defects. The values are those of the environment variable BAD.
 const (
-	modeTwice    = "twice"    // writes an answer twice
-	modeHasty    = "hasty"    // exits at SIGTERM with requests in flight
-	modeSilent   = "silent"   // leaves clients without an answer past their deadline
-	modeForger   = "forger"   // answers what no upstream has made
-	modeRepeater = "repeater" // sends a request that is not idempotent twice
-	modeInventor = "inventor" // sends upstreams a request that no client has sent
-	modeCopier   = "copier"   // sends reads to two upstreams at once
-	modeDrained  = "drained"  // sends requests to upstreams that drain
-	modeDeaf     = "deaf"     // never polls discovery
-	modeFlood    = "flood"    // sends everything to an upstream that has just started
-	modeHungry   = "hungry"   // uses more memory than it may
-	modeCrasher  = "crasher"  // exits without a signal
-	modeOrphan   = "orphan"   // leaves a process behind
+	modeDuplicateAnswer    = "twice"    // writes each affected answer twice
+	modeNoGracefulShutdown = "hasty"    // exits at SIGTERM with requests in flight
+	modeLateAnswer         = "silent"   // answers clients only after their deadline
+	modeForgedAnswer       = "forger"   // answers with a body that no upstream has produced
+	modeUnsafeRetry        = "repeater" // sends a non-idempotent request twice
+	modeUnknownRequest     = "inventor" // sends upstreams a request that no client has sent
+	modeConcurrentCopies   = "copier"   // sends a read to two upstreams concurrently
+	modeIgnoreDraining     = "drained"  // sends requests to draining upstreams
+	modeNoDiscovery        = "deaf"     // never polls discovery
+	modeNoSlowStart        = "flood"    // sends all requests to an upstream that is warming up
+	modeMemoryOverLimit    = "hungry"   // exceeds its memory limit
+	modeCrash              = "crasher"  // exits without a signal
+	modeOrphanProcess      = "orphan"   // leaves a child process running after its exit
 )
 
 const (
-	// drainNotice is how long a process still takes requests after SIGTERM.
-	drainNotice = 500 * time.Millisecond
-	// drainPollInterval is how often it looks whether all are answered, and whether a crasher is idle.
+	// drainGrace is how long the process accepts new requests after SIGTERM.
+	drainGrace = 500 * time.Millisecond
+	// drainPollInterval is how often the process checks whether requests are in flight, during a drain and before a crash.
 	drainPollInterval = time.Millisecond
-	// hoardedBytes is how much memory modeHungry allocates.
-	hoardedBytes = 200 << 20
-	// pageSize is the step in which memory is touched, so that it is resident.
+	// excessMemoryBytes is the amount of memory that modeMemoryOverLimit allocates.
+	excessMemoryBytes = 200 << 20
+	// pageSize is the interval at which allocated memory is written, so that every page becomes resident.
 	pageSize = 4096
-	// crashAfter is how many requests modeCrasher takes, and crashIdlePolls for how many polls it must be idle then.
-	crashAfter     = 60
-	crashIdlePolls = 30
-	// crashStatus is its exit status.
+	// modeCrash accepts crashAfterRequests requests, and exits once it has been idle for crashIdlePolls polls.
+	crashAfterRequests = 60
+	crashIdlePolls     = 30
+	// crashStatus is the exit status of modeCrash.
 	crashStatus = 3
 )
 
-// member is an entry of discovery's list.
+// member is an entry of the endpoint list.
 type member struct {
 	ID       string `json:"id"`
 	HostPort string `json:"host_port"`
@@ -58,7 +59,7 @@
 	UpSince  int64  `json:"up_since_ms"`
 }
 
-// listing is discovery's answer.
+// listing is an answer of discovery, and the endpoint list in the configuration.
 type listing struct {
 	Revision uint64   `json:"revision"`
 	Complete bool     `json:"complete"`
@@ -94,13 +95,13 @@
 	b := &balancer{
 		mode:    os.Getenv("BAD"),
 		members: config.Known.Members,
-		// With keep-alive the transport may send a request again by itself.
+		// On a reused connection that was closed, the transport would retry a request on its own.
 		upstream: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
 	}
-	if b.mode != modeDeaf {
+	if b.mode != modeNoDiscovery {
 		go b.watchEndpoints(config.Discovery, config.Known.Revision)
 	}
-	b.breakAtStart()
+	b.startProcessFault()
 	server := &http.Server{Addr: config.Listen, Handler: b}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
@@ -116,45 +117,46 @@
 	}
 }
 
-// breakAtStart does what the modes do wrong that have nothing to do with a request.
-func (b *balancer) breakAtStart() {
+// startProcessFault starts the defects that concern the process and not a single request.
+func (b *balancer) startProcessFault() {
 	switch b.mode {
-	case modeHungry:
-		hoard(hoardedBytes)
-	case modeCrasher:
+	case modeMemoryOverLimit:
+		allocateResident(excessMemoryBytes)
+	case modeCrash:
 		go b.crash()
-	case modeOrphan:
+	case modeOrphanProcess:
 		if err := exec.Command("sleep", "30").Start(); err != nil {
 			log.Fatal(err)
 		}
 	}
 }
 
-// shutDown is what it does at SIGTERM.
+// shutDown handles SIGTERM: it drains and shuts the server down.
 func (b *balancer) shutDown(server *http.Server) {
-	if b.mode == modeHasty {
+	if b.mode == modeNoGracefulShutdown {
 		os.Exit(0)
 	}
 	b.draining.Store(true)
-	time.Sleep(drainNotice)
-	_ = server.Shutdown(context.Background()) // its error is of the context, which never ends
+	time.Sleep(drainGrace)
+	_ = server.Shutdown(context.Background()) // fails only if the context ends, which this one never does
 }
 
-// hoarded is the memory that modeHungry allocates.
-var hoarded []byte
+// excessMemory keeps the allocation of modeMemoryOverLimit reachable.
+var excessMemory []byte
 
-func hoard(n int) {
-	hoarded = make([]byte, n)
+// allocateResident allocates n bytes and makes them resident.
+func allocateResident(n int) {
+	excessMemory = make([]byte, n)
 	for i := 0; i < n; i += pageSize {
-		hoarded[i] = 1
+		excessMemory[i] = 1
 	}
 }
 
-// crash exits without a signal, once enough requests have arrived and all of them are answered.
+// crash exits without a signal once enough requests have arrived and all of them are answered.
 func (b *balancer) crash() {
 	for idle := 0; idle < crashIdlePolls; time.Sleep(drainPollInterval) {
 		idle++
-		if b.received.Load() <= crashAfter || b.inFlight.Load() > 0 {
+		if b.received.Load() <= crashAfterRequests || b.inFlight.Load() > 0 {
 			idle = 0
 		}
 	}
--- a/internal/lab/faulty/serve.go
+++ b/internal/lab/faulty/serve.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// defaultTimeout is for requests that carry no deadline.
+	// defaultTimeout applies to requests without a deadline.
 	defaultTimeout = time.Second
-	// answerMargin is how long before its client's deadline a request is given up.
+	// answerMargin is how long before the client's deadline a request is abandoned.
 	answerMargin = 20 * time.Millisecond
-	// silentFor is how long past the deadline modeSilent keeps a client waiting.
-	silentFor = 2 * time.Second
-	// rarely and often are of how many requests one is treated wrongly.
-	rarely = 20
-	often  = 5
-	// unknownRequest is an id that no client sends.
-	unknownRequest = "00000000000000aa"
+	// lateAnswerDelay is how long after the deadline modeLateAnswer forwards a request.
+	lateAnswerDelay = 2 * time.Second
+	// One in rareFaultPeriod or frequentFaultPeriod requests is handled incorrectly, depending on the mode.
+	rareFaultPeriod     = 20
+	frequentFaultPeriod = 5
+	// unknownRequestID is a request id that no client uses.
+	unknownRequestID = "00000000000000aa"
 	// forgedBody looks like an upstream's answer to another request.
 	forgedBody = "0123456789abcdef 0 0\n"
 )
 
-// ServeHTTP answers health checks and forwards all else.
+// ServeHTTP answers health checks and forwards all other requests.
 func (b *balancer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/healthz" {
 		if b.draining.Load() {
@@ -40,7 +40,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	n := b.received.Add(1)
-	if b.mode == modeCrasher && n > crashAfter { // the rest is rejected, so that its exit loses nothing
+	if b.mode == modeCrash && n > crashAfterRequests { // rejects further requests, so that none is in flight at the exit
 		http.Error(w, "ending", http.StatusServiceUnavailable)
 		return
 	}
@@ -51,7 +51,7 @@
 	b.forward(w, r, body, n)
 }
 
-// timeoutOf is how long a client waits for the answer to its request.
+// timeoutOf returns the time until the client's deadline.
 func timeoutOf(r *http.Request) time.Duration {
 	ms, err := strconv.Atoi(r.Header.Get("X-Deadline-Ms"))
 	if err != nil {
@@ -60,28 +60,28 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// forward forwards the n-th request and answers it, with what its mode does wrong.
+// forward forwards the n-th request and answers it, applying the defect of the mode.
 func (b *balancer) forward(w http.ResponseWriter, r *http.Request, body []byte, n int64) {
 	timeout := timeoutOf(r)
 	ctx, cancel := context.WithTimeout(context.Background(), timeout-answerMargin)
 	defer cancel()
 	id := r.Header.Get("X-Request-Id")
 	switch {
-	case b.mode == modeSilent && n%rarely == 0:
-		time.Sleep(timeout + silentFor)
-	case b.mode == modeForger && n%rarely == 0:
+	case b.mode == modeLateAnswer && n%rareFaultPeriod == 0:
+		time.Sleep(timeout + lateAnswerDelay)
+	case b.mode == modeForgedAnswer && n%rareFaultPeriod == 0:
 		fmt.Fprint(w, forgedBody)
 		return
-	case b.mode == modeInventor && n%rarely == 0:
-		b.attempt(ctx, r, body, unknownRequest, 0)
-	case b.mode == modeCopier && r.Method == http.MethodGet && n%often == 0:
+	case b.mode == modeUnknownRequest && n%rareFaultPeriod == 0:
+		b.attempt(ctx, r, body, unknownRequestID, 0)
+	case b.mode == modeConcurrentCopies && r.Method == http.MethodGet && n%frequentFaultPeriod == 0:
 		go b.attempt(ctx, r, body, id, 1)
 	}
 	status, answer := b.attempt(ctx, r, body, id, 0)
-	if b.mode == modeRepeater && r.Method == http.MethodPost && n%often == 0 {
+	if b.mode == modeUnsafeRetry && r.Method == http.MethodPost && n%frequentFaultPeriod == 0 {
 		b.attempt(ctx, r, body, id, 1)
 	}
-	if b.mode == modeTwice && n%rarely == 0 && status == http.StatusOK {
+	if b.mode == modeDuplicateAnswer && n%rareFaultPeriod == 0 && status == http.StatusOK {
 		answerTwice(w, answer)
 		return
 	}
@@ -89,7 +89,7 @@
 	_, _ = w.Write(answer) // a client that has disconnected gets nothing
 }
 
-// attempt sends a request with an id to an upstream (see pick) and returns its answer.
+// attempt sends a request with the given id to an upstream, which pick selects, and returns the upstream's answer.
 func (b *balancer) attempt(ctx context.Context, r *http.Request, body []byte, id string, skip int) (status int, answer []byte) {
 	request, err := http.NewRequestWithContext(ctx, r.Method, "http://"+b.pick(skip)+r.RequestURI, bytes.NewReader(body))
 	if err != nil {
@@ -111,7 +111,7 @@
 	return resp.StatusCode, answer
 }
 
-// answerTwice writes an answer and, behind it, the same again.
+// answerTwice writes the same answer twice on the client's connection.
 func answerTwice(w http.ResponseWriter, answer []byte) {
 	conn, out, err := w.(http.Hijacker).Hijack()
 	if err != nil {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,5 +1,5 @@
-// Package lab plays a day and returns its result: an engine makes a history, the checker judges it, and its figures are
-// measured.
+// Package lab runs a scenario and returns its result: an engine produces a history of events, the checker looks for
+// violations in it, and its metrics are computed.
 package lab
 
 import (
@@ -13,7 +13,7 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// Result is a day that has been played.
+// Result is the result of a run.
 type Result struct {
 	Day        *scenario.Scenario
 	Fleet      *scenario.Fleet
@@ -23,35 +23,35 @@
 	Summary    *measure.Summary
 }
 
-// Good reports whether no rule was broken and the day counts.
+// Good reports whether the run is valid and has no violations.
 func (r *Result) Good() bool {
 	return len(r.Violations) == 0 && (r.Summary.Lab == nil || r.Summary.Lab.VoidReason == "")
 }
 
-// Live plays a day with real processes.
-func Live(ctx context.Context, d *scenario.Scenario, o live.Options) (*Result, error) {
-	out, err := live.Play(ctx, d, o)
+// Live runs a scenario with real processes of the balancer.
+func Live(ctx context.Context, s *scenario.Scenario, o live.Options) (*Result, error) {
+	out, err := live.Play(ctx, s, o)
 	if err != nil {
 		return nil, err
 	}
-	r := newResult(d, "live", out.Events)
-	r.Summary.Lab = measure.LabOf(out.Lateness, d.Length.D().Seconds(), out.LabCPU, out.BalancerCPU, out.RetriesOnClosed)
+	r := newResult(s, "live", out.Events)
+	r.Summary.Lab = measure.LabOf(out.Lateness, s.Length.D().Seconds(), out.LabCPU, out.BalancerCPU, out.RetriesOnClosed)
 	return r, nil
 }
 
-// Model plays a day in virtual time.
-func Model(ctx context.Context, d *scenario.Scenario, o model.Options) (*Result, error) {
-	events, err := model.Play(ctx, d, o)
+// Model runs a scenario in virtual time.
+func Model(ctx context.Context, s *scenario.Scenario, o model.Options) (*Result, error) {
+	events, err := model.Play(ctx, s, o)
 	if err != nil {
 		return nil, err
 	}
-	return newResult(d, "model", events), nil
+	return newResult(s, "model", events), nil
 }
 
-// newResult makes a result of a history.
-func newResult(d *scenario.Scenario, engine string, events []history.Event) *Result {
-	r := &Result{Day: d, Fleet: d.Fleet(), Arrivals: d.Arrivals(), Events: events}
-	r.Violations = check.Judge(d, r.Fleet, events)
-	r.Summary = measure.Summarize(d, r.Fleet, engine, r.Arrivals, events, r.Violations)
+// newResult checks and measures the history of a run.
+func newResult(s *scenario.Scenario, engine string, events []history.Event) *Result {
+	r := &Result{Day: s, Fleet: s.Fleet(), Arrivals: s.Arrivals(), Events: events}
+	r.Violations = check.Judge(s, r.Fleet, events)
+	r.Summary = measure.Summarize(s, r.Fleet, engine, r.Arrivals, events, r.Violations)
 	return r
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -12,8 +12,9 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// checkerDay has what each rule needs to be broken: an upstream that starts again, one that drains, a restart.
-const checkerDay = `
+// checkerScenario has the events without which some rules can't be violated: an upstream that restarts, one that drains,
+// and a restart of a balancer.
+const checkerScenario = `
 seed = 7
 length = "11s"
 settle = "1s"
@@ -61,23 +62,23 @@
 target = ["balancer:z-b1"]
 `
 
-// play plays a day live with a program. If the test fails it logs the processes' logs.
-func play(t *testing.T, d *scenario.Scenario, command ...string) *Result {
+// runLive runs a scenario with real processes, started by command. If the test fails, it shows the logs of the processes.
+func runLive(t *testing.T, s *scenario.Scenario, command ...string) *Result {
 	t.Helper()
 	work := t.TempDir()
-	t.Cleanup(func() { logProcesses(t, d, work) })
-	r, err := Live(context.Background(), d, live.Options{Command: command, Dir: ".", Work: work})
+	t.Cleanup(func() { logProcesses(t, s, work) })
+	r, err := Live(context.Background(), s, live.Options{Command: command, Dir: ".", Work: work})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(r.Events) == 0 {
-		t.Fatal("nothing happened")
+		t.Fatal("the history of the run has no events")
 	}
 	return r
 }
 
-// logProcesses logs the seed and the ends of the processes' logs of a failed test.
-func logProcesses(t *testing.T, d *scenario.Scenario, work string) {
+// logProcesses logs, if the test has failed, the seed and the last part of each process's log.
+func logProcesses(t *testing.T, s *scenario.Scenario, work string) {
 	t.Helper()
 	if !t.Failed() {
 		return
@@ -85,11 +86,12 @@
 	logs, _ := filepath.Glob(filepath.Join(work, "*", "log"))
 	for _, path := range logs {
 		text, _ := os.ReadFile(path)
-		t.Logf("seed %d, %s:\n%s", d.Seed, path, text[max(0, len(text)-4000):])
+		t.Logf("seed %d, %s:\n%s", s.Seed, path, text[max(0, len(text)-4000):])
 	}
 }
 
-// Each faulty balancer is caught by its own rule and by no other, and the good ones by none.
+// Every defect violates its own rule and no other; a correct balancer violates none. Guards against a checker that misses
+// a violation or reports one that did not happen.
 func TestCheckerCatches(t *testing.T) {
 	faulty := labtest.Build(t, "./faulty")
 	program := labtest.Build(t, "../../cmd/balancer")
@@ -109,10 +111,10 @@
 			if c.mode == "balancer" {
 				command = []string{program}
 			}
-			r := play(t, labtest.Day(t, checkerDay), command...)
-			caught := false
+			r := runLive(t, labtest.Day(t, checkerScenario), command...)
+			detected := false
 			for _, v := range r.Violations {
-				if caught = caught || v.Rule == c.rule; v.Rule == c.rule {
+				if detected = detected || v.Rule == c.rule; v.Rule == c.rule {
 					continue
 				}
 				t.Errorf("%s at %v: %s", v.Rule, v.At, v.What)
@@ -120,11 +122,11 @@
 					t.Log(e.Describe(r.Day, r.Fleet))
 				}
 			}
-			if c.rule != "" && !caught {
-				t.Errorf("not caught: %s", c.rule)
+			if c.rule != "" && !detected {
+				t.Errorf("no violation of the rule %s was reported", c.rule)
 			}
 			if r.Summary.Main.ShareByOutcome["served in time"] < 0.5 && c.mode != "flood" && c.mode != "crasher" {
-				t.Errorf("a day that tells nothing: %v", r.Summary.Main.ShareByOutcome)
+				t.Errorf("too few requests were served in time for a meaningful run: %v", r.Summary.Main.ShareByOutcome)
 			}
 		})
 	}
--- a/internal/lab/labtest/labtest.go
+++ b/internal/lab/labtest/labtest.go
@@ -1,5 +1,5 @@
-// Package labtest is what tests of the lab's packages set up alike: days from a text, the examples, and commands of this
-// module. Nothing but tests imports it.
+// Package labtest has helpers for the tests of the lab's packages: it parses scenarios, finds the examples and builds the
+// commands of this module. Only tests import it.
 package labtest
 
 import (
@@ -14,7 +14,7 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// Day is the day of a text. It fails the test if the text is no day.
+// Day parses a scenario. It fails the test if the text is not a valid scenario.
 func Day(tb testing.TB, text string) *scenario.Scenario {
 	tb.Helper()
 	d, err := scenario.Parse("test.toml", []byte(text))
@@ -24,13 +24,13 @@
 	return d
 }
 
-// ExampleFile is the path of an example, by its name in the folder examples.
+// ExampleFile returns the path of an example, given its path below the folder examples.
 func ExampleFile(tb testing.TB, name string) string {
 	tb.Helper()
 	return filepath.Join(moduleRoot(tb), "examples", filepath.FromSlash(name))
 }
 
-// Example is an example's day, by its name in the folder examples.
+// Example loads an example scenario, given its path below the folder examples.
 func Example(tb testing.TB, name string) *scenario.Scenario {
 	tb.Helper()
 	d, err := scenario.LoadFile(ExampleFile(tb, name))
@@ -40,7 +40,7 @@
 	return d
 }
 
-// Examples is the names of all examples, in order.
+// Examples returns the paths of all examples below the folder examples, in lexical order.
 func Examples(tb testing.TB) []string {
 	tb.Helper()
 	var names []string
@@ -56,7 +56,7 @@
 	return names
 }
 
-// moduleRoot is the folder of go.mod, above the package that is being tested.
+// moduleRoot returns the folder of go.mod, which is a parent of the package under test.
 func moduleRoot(tb testing.TB) string {
 	tb.Helper()
 	dir, err := os.Getwd()
@@ -69,14 +69,14 @@
 			return dir
 		}
 		if dir == filepath.Dir(dir) {
-			tb.Fatalf("no go.mod above the working directory: %v", err)
+			tb.Fatalf("no go.mod in the working directory or a parent of it: %v", err)
 		}
 		dir = filepath.Dir(dir)
 	}
 }
 
-// Build builds a command of this module into a folder of the test's and returns its path. The package is relative to the
-// one that is being tested.
+// Build builds a command of this module into a temporary folder of the test and returns the path of the program. The
+// path of the package is relative to the package under test.
 func Build(tb testing.TB, pkg string) string {
 	tb.Helper()
 	path := filepath.Join(tb.TempDir(), filepath.Base(pkg))
@@ -86,10 +86,10 @@
 	return path
 }
 
-// BuildAt builds a command of this module at a path.
+// BuildAt builds a command of this module and writes the program to a path.
 func BuildAt(path, pkg string) error {
 	if out, err := exec.Command("go", "build", "-o", path, pkg).CombinedOutput(); err != nil {
-		return fmt.Errorf("build of %s: %w\n%s", pkg, err, out)
+		return fmt.Errorf("building %s: %w\n%s", pkg, err, out)
 	}
 	return nil
 }
--- a/internal/lab/live/addresses.go
+++ b/internal/lab/live/addresses.go
@@ -7,37 +7,42 @@
 	"sync/atomic"
 )
 
-// addressTries is how many nets pickAddresses looks at.
-const addressTries = 40
+// maxAddressAttempts is how many subnets pickAddresses tries.
+const maxAddressAttempts = 40
 
-// daysBegun counts the days that this process has begun. Each day starts to look for free addresses at another place.
-var daysBegun atomic.Int64
+// runsStarted counts the runs that this process has started. Each run starts its search for free addresses at another
+// subnet.
+var runsStarted atomic.Int64
 
-// pickAddresses finds a net in 127.0.0.0/8 that nobody on this machine uses.
+// pickAddresses finds a /16 subnet of 127.0.0.0/8 that no other process on this machine uses.
 func (r *run) pickAddresses() error {
 	var last error
-	for range addressTries {
-		r.base = 20 + (os.Getpid()+37*int(daysBegun.Add(1)))%200
-		l, err := net.Listen("tcp", r.clientsAt(0))
+	for range maxAddressAttempts {
+		r.addressOctet = 20 + (os.Getpid()+37*int(runsStarted.Add(1)))%200
+		l, err := net.Listen("tcp", r.clientAddress(0))
 		if err != nil {
 			last = err
 			continue
 		}
 		return l.Close()
 	}
-	return fmt.Errorf("no free addresses in 127.0.0.0/8: %w", last)
+	return fmt.Errorf("no free subnet in 127.0.0.0/8 after %d attempts: %w", maxAddressAttempts, last)
 }
 
-// clientsAt is where balancer b serves its clients.
-func (r *run) clientsAt(b int) string { return fmt.Sprintf("127.%d.1.%d:7070", r.base, b+1) }
+// clientAddress returns the address at which balancer b serves clients.
+func (r *run) clientAddress(b int) string {
+	return fmt.Sprintf("127.%d.1.%d:7070", r.addressOctet, b+1)
+}
 
-// operatorsAt is where balancer b takes management calls.
-func (r *run) operatorsAt(b int) string { return fmt.Sprintf("127.%d.1.%d:7071", r.base, b+1) }
+// managementAddress returns the address at which balancer b serves management calls.
+func (r *run) managementAddress(b int) string {
+	return fmt.Sprintf("127.%d.1.%d:7071", r.addressOctet, b+1)
+}
 
-// agentAt is where balancer b finds its discovery agent.
-func (r *run) agentAt(b int) string { return fmt.Sprintf("127.%d.2.%d:8500", r.base, b+1) }
+// agentAddress returns the address of balancer b's discovery agent.
+func (r *run) agentAddress(b int) string { return fmt.Sprintf("127.%d.2.%d:8500", r.addressOctet, b+1) }
 
-// upstreamAt is where balancer b finds upstream u.
-func (r *run) upstreamAt(b, u int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", r.base, 3+u/20000, b+1, 10000+u%20000)
+// upstreamAddress returns the address at which balancer b reaches upstream u.
+func (r *run) upstreamAddress(b, u int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", r.addressOctet, 3+u/20000, b+1, 10000+u%20000)
 }
--- a/internal/lab/live/agentcalls.go
+++ b/internal/lab/live/agentcalls.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// maxWatch is the longest that an agent delays the answer to a call until there is an update.
-	maxWatch = time.Minute
+	// maxWatchTimeout is the longest that an agent holds a watch without an update.
+	maxWatchTimeout = time.Minute
 	// listPath is where an agent serves the endpoint list.
 	listPath = "/v1/servers"
 )
 
-// handleList answers a call of balancer b for the list.
+// handleList answers a request of balancer b for the endpoint list.
 func (g *registry) handleList(b int, w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != listPath || r.Method != http.MethodGet {
 		http.NotFound(w, r)
 		return
 	}
-	answering, fails := g.drawCall(b)
-	if !g.waitFor(r, answering) {
+	answering, fails := g.sampleCall(b)
+	if !g.waitForClose(r, answering) {
 		return
 	}
 	if fails {
@@ -39,32 +39,34 @@
 		http.Error(w, "since is no revision", http.StatusBadRequest)
 		return
 	}
-	ms, _ := strconv.ParseInt(r.URL.Query().Get("timeout_ms"), 10, 64) // none: no wait
-	if !g.waitForRevision(r, since, min(time.Duration(ms)*time.Millisecond, maxWatch)) {
+	ms, _ := strconv.ParseInt(r.URL.Query().Get("timeout_ms"), 10, 64) // absent: 0, the answer comes at once
+	if !g.waitForRevision(r, since, min(time.Duration(ms)*time.Millisecond, maxWatchTimeout)) {
 		return
 	}
-	if !g.waitFor(r, g.answeringOf(b)) { // it may have been silenced meanwhile
+	if !g.waitForClose(r, g.answeringOf(b)) { // a fault may have silenced the agent in the meantime
 		return
 	}
 	g.writeSince(b, w, since)
 }
 
-// drawCall is a channel that is closed while the agent answers, and whether it fails this call.
-func (g *registry) drawCall(b int) (answering <-chan struct{}, fails bool) {
+// sampleCall returns a channel that is closed while the agent answers, and decides at random, by the agent's error rate,
+// whether it fails this call.
+func (g *registry) sampleCall(b int) (answering <-chan struct{}, fails bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	a := &g.agents[b]
 	return a.answering, a.errorRate > 0 && g.rng.Float64() < a.errorRate
 }
 
+// answeringOf returns a channel that is closed while the agent of balancer b answers.
 func (g *registry) answeringOf(b int) <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.agents[b].answering
 }
 
-// waitFor waits for a channel to be closed. It reports false if the call ended before.
-func (g *registry) waitFor(r *http.Request, closed <-chan struct{}) bool {
+// waitForClose waits until a channel is closed. It returns false if the call or the run ends first.
+func (g *registry) waitForClose(r *http.Request, closed <-chan struct{}) bool {
 	select {
 	case <-closed:
 		return true
@@ -74,7 +76,8 @@
 	return false
 }
 
-// waitForRevision waits for a revision after since, or for the timeout. It reports false if the call ended before.
+// waitForRevision waits for a revision after since, or for the timeout. It returns false if the call or the run ends
+// first.
 func (g *registry) waitForRevision(r *http.Request, since uint64, timeout time.Duration) bool {
 	limit := time.NewTimer(timeout)
 	defer limit.Stop()
@@ -98,16 +101,17 @@
 	}
 }
 
-// writeFull writes the complete list.
+// writeFull writes the complete endpoint list.
 func (g *registry) writeFull(b int, w http.ResponseWriter) {
 	g.mu.Lock()
 	list := g.listFor(b, present)
-	notified := g.deliver(b, 0)
+	notified := g.markDelivered(b, 0)
 	g.mu.Unlock()
 	g.write(w, list, notified)
 }
 
-// writeSince writes what has changed since a revision, or the complete list where that revision is not known.
+// writeSince writes the entries that have changed since a revision, or the complete list if that revision does not exist
+// yet.
 func (g *registry) writeSince(b int, w http.ResponseWriter, since uint64) {
 	g.mu.Lock()
 	var list listing
@@ -117,14 +121,14 @@
 	} else {
 		list = g.listFor(b, present)
 	}
-	notified := g.deliver(b, since)
+	notified := g.markDelivered(b, since)
 	g.mu.Unlock()
 	g.write(w, list, notified)
 }
 
-// deliver counts the list as delivered to balancer b, and returns the events of the entries after a revision. g.mu is
-// held.
-func (g *registry) deliver(b int, since uint64) []history.Event {
+// markDelivered notes that balancer b gets the current revision. It returns an event for each entry that is newer than the
+// revision since. The caller holds g.mu.
+func (g *registry) markDelivered(b int, since uint64) []history.Event {
 	var notified []history.Event
 	for u, e := range g.entries {
 		if e.revision > since {
@@ -136,13 +140,13 @@
 	return notified
 }
 
-// write writes a list, and records that its balancer knows it.
+// write writes a list, and records that the balancer has been notified of its entries.
 func (g *registry) write(w http.ResponseWriter, list listing, notified []history.Event) {
 	text, err := json.Marshal(list)
 	if err != nil {
 		return
 	}
-	_, _ = w.Write(text) // a caller that has disconnected gets nothing
+	_, _ = w.Write(text) // the caller may have disconnected
 	for _, e := range notified {
 		g.run.recorder.record(e)
 	}
--- a/internal/lab/live/exchange.go
+++ b/internal/lab/live/exchange.go
@@ -16,33 +16,33 @@
 	"sprucehill/internal/lab/history"
 )
 
-// staleConnWindow bounds the time in which a reused connection that ends without a byte was closed before its request
-// had been read.
+// staleConnWindow is the time after sending within which the end of a reused connection, without a byte of an answer,
+// means that the balancer closed it before it read the request.
 const staleConnWindow = 50 * time.Millisecond
 
-// requestEnd is how a client's request ended.
+// requestEnd is the result of a client's request.
 type requestEnd struct {
 	result     client.Result
-	retryAfter time.Duration // as the answer advises; 0: it does not
-	staleConn  bool          // its connection had been closed before the request came
+	retryAfter time.Duration // from the Retry-After header of the answer; 0: none
+	staleConn  bool          // the balancer had closed the connection before the request arrived
 }
 
-// sendRequest sends a request through its zone's front and reads the answer. A request that meets a connection which its
-// balancer has just closed is sent once more, on a new one.
+// sendRequest sends a request through the ingress of its zone and reads the answer. If the balancer has just closed the
+// reused connection, the request is sent once more on a new one.
 func (r *run) sendRequest(ctx context.Context, q *clientRequest) requestEnd {
-	f := r.fronts[r.arrivals[q.arrival].Zone]
+	in := r.ingresses[r.arrivals[q.arrival].Zone]
 	for newConn := false; ; newConn = true {
-		b, ok := f.nextBalancer()
+		b, ok := in.nextBalancer()
 		if !ok {
 			return requestEnd{result: client.NotConnected}
 		}
 		q.balancer = b
-		c, err := f.connect(ctx, b, newConn, q.deadline)
+		c, err := in.connect(ctx, b, newConn, q.deadline)
 		if err != nil {
 			r.recorder.record(q.event(history.NotConnected))
 			return requestEnd{result: client.NotConnected}
 		}
-		end := r.exchange(q, c, f)
+		end := r.exchange(q, c, in)
 		if !end.staleConn || newConn {
 			return end
 		}
@@ -50,45 +50,45 @@
 	}
 }
 
-// exchange writes a request on a connection and reads its answer.
-func (r *run) exchange(q *clientRequest, c *clientConn, f *ingress) requestEnd {
+// exchange writes a request to a connection and reads the answer.
+func (r *run) exchange(q *clientRequest, c *clientConn, in *ingress) requestEnd {
 	message := r.encode(q)
 	reused := c.reused
-	asked := q.event(history.Sent)
-	asked.Deadline = q.deadline
+	sent := q.event(history.Sent)
+	sent.Deadline = q.deadline
 	if _, err := c.Write(message); err != nil {
 		c.Close()
 		if reused {
 			return requestEnd{result: client.NotConnected, staleConn: true}
 		}
-		r.recorder.record(q.event(history.NotConnected)) // the request was not sent in full
+		r.recorder.record(q.event(history.NotConnected)) // the request was not written in full
 		return requestEnd{result: client.NotConnected}
 	}
-	q.wroteAt = r.now()
-	asked.At = q.wroteAt
-	r.recorder.record(asked)
-	until := q.deadline + check.Grace
-	if q.leavesAt > 0 {
-		until = q.leavesAt
+	q.sentAt = r.now()
+	sent.At = q.sentAt
+	r.recorder.record(sent)
+	readDeadline := q.deadline + check.Grace
+	if q.disconnectsAt > 0 {
+		readDeadline = q.disconnectsAt
 	}
-	c.SetReadDeadline(r.origin.Add(until))
+	c.SetReadDeadline(r.startedAt.Add(readDeadline))
 	if _, err := c.reader.Peek(1); err != nil {
 		c.Close()
 		return r.endWithoutAnswer(q, reused, err)
 	}
-	return r.readAnswer(q, c, f)
+	return r.readAnswer(q, c, in)
 }
 
-// encode is the request as it goes over the wire.
+// encode returns the request in its wire format.
 func (r *run) encode(q *clientRequest) []byte {
 	timeout := q.deadline - r.now()
 	request, err := http.NewRequest(q.method, "http://api.internal"+q.path, bytes.NewReader(q.body))
 	if err != nil {
-		panic(err) // method and path are made by newRequest
+		panic(err) // newRequest makes only valid methods and paths
 	}
 	header := request.Header
 	header.Set("X-Request-Id", fmt.Sprintf("%016x", q.id))
-	header.Set("X-Class", r.day.Classes[q.class].Name)
+	header.Set("X-Class", r.scenario.Classes[q.class].Name)
 	header.Set("X-Deadline-Ms", strconv.FormatInt(max(0, timeout.Milliseconds()), 10))
 	if q.tenant != "" {
 		header.Set("X-Tenant", q.tenant)
@@ -101,22 +101,22 @@
 	}
 	var message bytes.Buffer
 	if err := request.Write(&message); err != nil {
-		panic(err) // a buffer takes all
+		panic(err) // writing to a buffer never fails
 	}
 	return message.Bytes()
 }
 
-// endWithoutAnswer is how a request ended that got no byte of an answer. err is the error of reading.
+// endWithoutAnswer returns the result of a request that got no byte of an answer. err is the error of the read.
 func (r *run) endWithoutAnswer(q *clientRequest, reused bool, err error) requestEnd {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		if q.leavesAt > 0 {
+		if q.disconnectsAt > 0 {
 			r.recorder.record(q.event(history.ClientLeft))
 			return requestEnd{result: client.Disconnected}
 		}
 		r.recorder.record(q.event(history.TimedOut))
 		return requestEnd{result: client.Failed}
 	}
-	stale := reused && r.now()-q.wroteAt < staleConnWindow && !q.seenUpstream.Load() && !r.nodes[q.balancer].wasKilled()
+	stale := reused && r.now()-q.sentAt < staleConnWindow && !q.seenUpstream.Load() && !r.nodes[q.balancer].wasKilled()
 	if stale {
 		return requestEnd{result: client.NotConnected, staleConn: true}
 	}
@@ -124,13 +124,13 @@
 	return requestEnd{result: client.Failed}
 }
 
-// readAnswer reads the answer, of which the first byte has come.
-func (r *run) readAnswer(q *clientRequest, c *clientConn, f *ingress) requestEnd {
+// readAnswer reads an answer whose first byte has arrived.
+func (r *run) readAnswer(q *clientRequest, c *clientConn, in *ingress) requestEnd {
 	answered := q.event(history.Answered)
 	resp, err := http.ReadResponse(c.reader, nil)
 	var body []byte
 	if err == nil {
-		c.SetReadDeadline(r.origin.Add(q.deadline + check.Grace))
+		c.SetReadDeadline(r.startedAt.Add(q.deadline + check.Grace))
 		body, err = io.ReadAll(resp.Body)
 	}
 	if err != nil {
@@ -152,13 +152,13 @@
 	}
 	r.recorder.record(answered)
 	c.lastAnswer = answered
-	if resp.Close || !f.putIdle(q.balancer, c) {
+	if resp.Close || !in.putIdle(q.balancer, c) {
 		c.Close()
 	}
 	return requestEnd{result: answered.Result, retryAfter: retryAfter}
 }
 
-// retryAfterOf is the Retry-After of an answer. It is 0 if there is none or it is malformed.
+// retryAfterOf returns the Retry-After header of an answer, or 0 if it is missing or malformed.
 func retryAfterOf(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil {
@@ -167,9 +167,9 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// parseBody is the upstream that made a body for a request, with the serial of its attempt. wrong says why no upstream made
-// it, and is empty if one did.
-func parseBody(id uint64, body []byte) (upstream, serial int32, wrong string) {
+// parseBody returns the upstream that produced a body for a request, and the serial of the attempt. If the body is not that
+// of any upstream for this request, malformed describes it; otherwise it is empty.
+func parseBody(id uint64, body []byte) (upstream, serial int32, malformed string) {
 	var got uint64
 	if n, err := fmt.Sscanf(string(body), "%x %d %d\n", &got, &upstream, &serial); n != 3 || err != nil || got != id {
 		return history.None, 0, fmt.Sprintf("body %.60q", body)
--- a/internal/lab/live/ingress.go
+++ b/internal/lab/live/ingress.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// healthCheckInterval is how often a front checks a balancer's health, and healthCheckTimeout how long it waits.
+	// healthCheckInterval is how often an ingress checks a balancer's health, and healthCheckTimeout how long a check waits.
 	healthCheckInterval = 100 * time.Millisecond
 	healthCheckTimeout  = time.Second
-	// maxIdleConns is how many idle connections a front keeps to a balancer.
+	// maxIdleConns is how many idle connections an ingress keeps to each balancer.
 	maxIdleConns = 64
 )
 
-// clientConn is a connection of a front's to a balancer.
+// clientConn is a connection from an ingress to a balancer.
 type clientConn struct {
 	*link.Conn
 	reader     *bufio.Reader
@@ -29,8 +29,8 @@
 	lastAnswer history.Event
 }
 
-// ingress spreads the clients of a zone over its balancers. It sends nobody to one that has not said that it is healthy,
-// and learns late that one has died.
+// ingress distributes the requests of a zone's clients over its balancers, round robin. It sends none to a balancer that
+// has not yet passed a health check, and detects a dead balancer only after a delay that the scenario sets.
 type ingress struct {
 	run      *run
 	zone     int
@@ -38,17 +38,17 @@
 	cancel   context.CancelFunc
 	watchers sync.WaitGroup
 
-	mu       sync.Mutex
-	healthy  map[int]bool // by balancer
-	wasReady map[int]bool // has ever been healthy
-	idle     map[int][]*clientConn
-	turn     int // round-robin position
+	mu        sync.Mutex
+	healthy   map[int]bool // by balancer
+	wasReady  map[int]bool // has ever been healthy
+	idle      map[int][]*clientConn
+	lastIndex int // round-robin position
 }
 
-// newIngress starts the front of a zone. It checks health until ctx ends or the front is closed.
+// newIngress starts the ingress of a zone. It checks health until ctx ends or the ingress is closed.
 func (r *run) newIngress(ctx context.Context, z int) *ingress {
 	ctx, cancel := context.WithCancel(ctx)
-	f := &ingress{
+	in := &ingress{
 		run:      r,
 		zone:     z,
 		party:    scenario.Party{Kind: scenario.ClientsParty, Index: z},
@@ -58,37 +58,38 @@
 		idle:     map[int][]*clientConn{},
 	}
 	for _, b := range r.fleet.Zones[z].Balancers {
-		f.watchers.Go(func() { f.watchHealth(ctx, b) })
+		in.watchers.Go(func() { in.watchHealth(ctx, b) })
 	}
-	return f
+	return in
 }
 
-func (f *ingress) close() {
-	f.cancel()
-	f.watchers.Wait()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, conns := range f.idle {
+func (in *ingress) close() {
+	in.cancel()
+	in.watchers.Wait()
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	for _, conns := range in.idle {
 		for _, c := range conns {
 			c.Close()
 		}
 	}
 }
 
-// unready is a balancer of the zone that has never been healthy, if there is one.
-func (f *ingress) unready() (b int, found bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, b := range f.run.fleet.Zones[f.zone].Balancers {
-		if !f.wasReady[b] {
+// neverReady returns a balancer of the zone that has never been healthy, if there is one.
+func (in *ingress) neverReady() (b int, found bool) {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	for _, b := range in.run.fleet.Zones[in.zone].Balancers {
+		if !in.wasReady[b] {
 			return b, true
 		}
 	}
 	return 0, false
 }
 
-// watchHealth checks a balancer's health until ctx ends.
-func (f *ingress) watchHealth(ctx context.Context, b int) {
+// watchHealth checks a balancer's health until ctx ends. A check without an answer counts only once no check has been
+// answered for the time after which the scenario lets an ingress detect a dead balancer.
+func (in *ingress) watchHealth(ctx context.Context, b int) {
 	tick := time.NewTicker(healthCheckInterval)
 	defer tick.Stop()
 	var failingSince time.Time // zero: the last check was answered
@@ -98,39 +99,39 @@
 			return
 		case <-tick.C:
 		}
-		result := f.checkHealth(ctx, b)
+		result := in.checkHealth(ctx, b)
 		now := time.Now()
 		switch {
 		case result == checkHealthy:
 			failingSince = time.Time{}
-			f.setHealthy(b)
+			in.setHealthy(b)
 		case result == checkUnhealthy:
-			f.setUnhealthy(b)
+			in.setUnhealthy(b)
 		case failingSince.IsZero():
 			failingSince = now
-		case now.Sub(failingSince) >= f.run.day.Balancer.Notice.D():
-			f.setUnhealthy(b)
+		case now.Sub(failingSince) >= in.run.scenario.Balancer.Notice.D():
+			in.setUnhealthy(b)
 		}
 	}
 }
 
-func (f *ingress) setHealthy(b int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if !f.healthy[b] {
-		f.run.recorder.record(history.Event{Kind: history.Ready, Balancer: int32(b), Upstream: history.None, Arrival: history.None})
+func (in *ingress) setHealthy(b int) {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	if !in.healthy[b] {
+		in.run.recorder.record(history.Event{Kind: history.Ready, Balancer: int32(b), Upstream: history.None, Arrival: history.None})
 	}
-	f.healthy[b] = true
-	f.wasReady[b] = true
+	in.healthy[b] = true
+	in.wasReady[b] = true
 }
 
-func (f *ingress) setUnhealthy(b int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.healthy[b] = false
+func (in *ingress) setUnhealthy(b int) {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	in.healthy[b] = false
 }
 
-// checkResult is what a health check found.
+// checkResult is the result of a health check.
 type checkResult uint8
 
 const (
@@ -140,17 +141,17 @@
 )
 
 // checkHealth checks a balancer's health once.
-func (f *ingress) checkHealth(ctx context.Context, b int) checkResult {
+func (in *ingress) checkHealth(ctx context.Context, b int) checkResult {
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
-	c, err := f.dial(ctx, b)
+	c, err := in.dial(ctx, b)
 	if err != nil {
 		return checkFailed
 	}
 	defer c.Close()
 	limit, _ := ctx.Deadline()
 	c.SetDeadline(limit)
-	stop := context.AfterFunc(ctx, func() { c.Close() }) // also where the link is cut meanwhile
+	stop := context.AfterFunc(ctx, func() { c.Close() }) // ends the check also if the link is cut in the meantime
 	defer stop()
 	if _, err := io.WriteString(c, "GET /healthz HTTP/1.1\r\nHost: api.internal\r\nConnection: close\r\n\r\n"); err != nil {
 		return checkFailed
@@ -167,70 +168,70 @@
 }
 
 // dial opens a connection to a balancer.
-func (f *ingress) dial(ctx context.Context, b int) (*link.Conn, error) {
-	return f.run.net.Dial(ctx, f.party, scenario.Party{Kind: scenario.BalancerParty, Index: b}, f.run.clientsAt(b))
+func (in *ingress) dial(ctx context.Context, b int) (*link.Conn, error) {
+	return in.run.net.Dial(ctx, in.party, scenario.Party{Kind: scenario.BalancerParty, Index: b}, in.run.clientAddress(b))
 }
 
-// nextBalancer is the next healthy balancer, round robin.
-func (f *ingress) nextBalancer() (int, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	all := f.run.fleet.Zones[f.zone].Balancers
+// nextBalancer returns the next healthy balancer in round-robin order. It returns false if none is healthy.
+func (in *ingress) nextBalancer() (int, bool) {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	all := in.run.fleet.Zones[in.zone].Balancers
 	for range all {
-		f.turn++
-		if b := all[f.turn%len(all)]; f.healthy[b] {
+		in.lastIndex++
+		if b := all[in.lastIndex%len(all)]; in.healthy[b] {
 			return b, true
 		}
 	}
 	return 0, false
 }
 
-// connect returns an idle connection to a balancer, or a new one if there is none or a new one is wanted. It waits until
-// the deadline at most, which is a time of the day.
-func (f *ingress) connect(ctx context.Context, b int, newConn bool, deadline time.Duration) (*clientConn, error) {
+// connect returns an idle connection to a balancer, or a new one if there is none or newConn is set. It waits no longer than
+// the deadline, which is relative to the start of the run.
+func (in *ingress) connect(ctx context.Context, b int, newConn bool, deadline time.Duration) (*clientConn, error) {
 	for !newConn {
-		c := f.takeIdle(b)
+		c := in.takeIdle(b)
 		if c == nil {
 			break
 		}
-		if f.checkIdle(c) {
+		if in.checkIdle(c) {
 			return c, nil
 		}
 	}
-	ctx, cancel := context.WithDeadline(ctx, f.run.origin.Add(deadline))
+	ctx, cancel := context.WithDeadline(ctx, in.run.startedAt.Add(deadline))
 	defer cancel()
-	c, err := f.dial(ctx, b)
+	c, err := in.dial(ctx, b)
 	if err != nil {
 		return nil, err
 	}
 	return &clientConn{Conn: c, reader: bufio.NewReader(c)}, nil
 }
 
-// takeIdle takes the idle connection to a balancer that was used last. It is nil if there is none.
-func (f *ingress) takeIdle(b int) *clientConn {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	conns := f.idle[b]
+// takeIdle removes and returns the most recently used idle connection to a balancer, or nil if there is none.
+func (in *ingress) takeIdle(b int) *clientConn {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	conns := in.idle[b]
 	if len(conns) == 0 {
 		return nil
 	}
 	c := conns[len(conns)-1]
-	f.idle[b] = conns[:len(conns)-1]
+	in.idle[b] = conns[:len(conns)-1]
 	return c
 }
 
-// checkIdle reports whether an idle connection is good to use, and closes it if not: it may have ended, or brought what
-// nobody asked for. A second answer is recorded under the request before.
-func (f *ingress) checkIdle(c *clientConn) bool {
+// checkIdle reports whether an idle connection can be reused, and closes it otherwise: the balancer may have closed it, or
+// sent data without a request. Such data is recorded as a second answer to the previous request.
+func (in *ingress) checkIdle(c *clientConn) bool {
 	waiting := c.reader.Buffered() > 0
 	ended := false
 	if !waiting {
 		waiting, ended = c.Pending()
 	}
 	if waiting {
-		again := c.lastAnswer
-		again.At = f.run.now()
-		f.run.recorder.record(again)
+		extraAnswer := c.lastAnswer
+		extraAnswer.At = in.run.now()
+		in.run.recorder.record(extraAnswer)
 	}
 	if waiting || ended {
 		c.Close()
@@ -239,18 +240,18 @@
 	return true
 }
 
-// putIdle takes back a connection for other requests. It reports whether the connection stays open.
-func (f *ingress) putIdle(b int, c *clientConn) bool {
+// putIdle returns a connection to the idle ones. It reports false if the connection can't be kept.
+func (in *ingress) putIdle(b int, c *clientConn) bool {
 	c.reused = true
 	c.SetReadDeadline(time.Time{})
 	if c.reader.Buffered() > 0 {
-		return f.checkIdle(c)
+		return in.checkIdle(c)
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if len(f.idle[b]) >= maxIdleConns {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	if len(in.idle[b]) >= maxIdleConns {
 		return false
 	}
-	f.idle[b] = append(f.idle[b], c)
+	in.idle[b] = append(in.idle[b], c)
 	return true
 }
--- a/internal/lab/live/limits.go
+++ b/internal/lab/live/limits.go
@@ -12,10 +12,10 @@
 	"sprucehill/internal/lab/history"
 )
 
-// limitCheckInterval is how often the memory and descriptors of processes are looked at.
+// limitCheckInterval is how often the memory and file descriptors of the balancers' processes are checked.
 const limitCheckInterval = 500 * time.Millisecond
 
-// watchLimits records every process that is over a limit of memory or descriptors, until ctx ends.
+// watchLimits records, until ctx ends, each balancer process that exceeds its limit of memory or file descriptors.
 func (r *run) watchLimits(ctx context.Context) {
 	tick := time.NewTicker(limitCheckInterval)
 	defer tick.Stop()
@@ -38,17 +38,17 @@
 	}
 	memoryMB, descriptors, err := processUsage(p.Pid)
 	if err != nil {
-		return // it has just ended
+		return // the process has just ended
 	}
-	if limit := r.day.Balancer.MemoryMB; memoryMB > limit {
+	if limit := r.scenario.Balancer.MemoryMB; memoryMB > limit {
 		n.record(history.OverLimit, memoryMB, fmt.Sprintf("memory, of %d MB", limit))
 	}
-	if limit := r.day.Balancer.Sockets; descriptors > limit {
+	if limit := r.scenario.Balancer.Sockets; descriptors > limit {
 		n.record(history.OverLimit, descriptors, fmt.Sprintf("descriptors, of %d", limit))
 	}
 }
 
-// processUsage is the resident memory, in MB, and the descriptors that a process has now.
+// processUsage returns the current resident memory, in MB, and the number of open file descriptors of a process.
 func processUsage(pid int) (memoryMB, descriptors int, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 	fields := strings.Fields(string(text))
 	if len(fields) < 2 {
-		return 0, 0, fmt.Errorf("statm of %d has no resident size", pid)
+		return 0, 0, fmt.Errorf("/proc/%d/statm: got %d fields, expected at least 2", pid, len(fields))
 	}
 	pages, err := strconv.Atoi(fields[1])
 	if err != nil {
@@ -66,7 +66,7 @@
 	return pages * os.Getpagesize() >> 20, len(open), err
 }
 
-// labCPUTime is the processor time of this process.
+// labCPUTime returns the CPU time that this process has used.
 func labCPUTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/internal/lab/live/listing.go
+++ b/internal/lab/live/listing.go
@@ -1,19 +1,20 @@
 package live
 
-// cellsPerZone numbers the cells of all zones apart, as the model engine does.
+// cellsPerZone spaces the cell numbers of the zones, so that cells of different zones never share a number. The model
+// engine uses the same numbers.
 const cellsPerZone = 1000
 
-// present reports whether an entry stands in a complete list.
+// present reports whether an entry belongs in a complete list.
 func present(e listEntry) bool { return e.phase != "removed" }
 
-// listing is discovery's form of the list, also of what a configuration calls known.
+// listing is discovery's JSON format of the endpoint list, also used under the key "known" of a configuration.
 type listing struct {
 	Revision uint64   `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []member `json:"members"`
 }
 
-// member is an upstream in a listing.
+// member is an endpoint in a listing.
 type member struct {
 	ID        string  `json:"id"`
 	HostPort  string  `json:"host_port"`
@@ -25,7 +26,8 @@
 	UpSinceMS int64   `json:"up_since_ms"`
 }
 
-// listFor has the entries that a function selects, as balancer b is to see them. g.mu is held.
+// listFor returns the entries that a function selects, with the addresses and start times that balancer b has to see. The
+// caller holds g.mu.
 func (g *registry) listFor(b int, selected func(listEntry) bool) listing {
 	list := listing{Revision: g.revision, Complete: true, Members: []member{}}
 	fleet := g.run.fleet
@@ -36,7 +38,7 @@
 		up := fleet.Upstreams[u]
 		m := member{
 			ID:       up.ID,
-			HostPort: g.run.upstreamAt(b, u),
+			HostPort: g.run.upstreamAddress(b, u),
 			Locality: fleet.Locality(up.Zone),
 			Flavor:   up.Model,
 			Cell:     up.Zone*cellsPerZone + up.Cell,
@@ -51,7 +53,7 @@
 	return list
 }
 
-// initialList is the list that a balancer is started with.
+// initialList returns the endpoint list for the configuration of balancer b.
 func (g *registry) initialList(b int) listing {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/lab/live/log.go
+++ b/internal/lab/live/log.go
@@ -9,14 +9,14 @@
 	"sprucehill/internal/lab/history"
 )
 
-// The messages under which a balancer logs the state of a zone.
+// The messages with which a balancer logs the state of a zone.
 const (
 	zoneStateMessage = "zone state changed"
-	// formerZoneStateMessage is that of builds up to 2026-12-02, which lab compare still plays.
+	// formerZoneStateMessage is the message of builds up to 2026-12-02, which lab compare still runs.
 	formerZoneStateMessage = "zone"
 )
 
-// zoneLogLine is what the lab reads of a balancer's log: its lines on zones.
+// zoneLogLine has the fields that the lab reads from a line of a balancer's log on the state of a zone.
 type zoneLogLine struct {
 	Time  time.Time `json:"time"`
 	Msg   string    `json:"msg"`
@@ -24,12 +24,13 @@
 	State string    `json:"state"`
 }
 
-// isZoneState reports whether the line is about the state of a zone.
+// isZoneState reports whether the line reports the state of a zone.
 func (l zoneLogLine) isZoneState() bool {
 	return l.Msg == zoneStateMessage || l.Msg == formerZoneStateMessage
 }
 
-// zoneEvents reads from the log how the balancer judged its zones. A program that writes no such lines gives none.
+// zoneEvents returns the changes of zone states in the balancer's log, with times relative to origin. Programs that do not
+// log zone states have none.
 func (n *node) zoneEvents(origin time.Time) []history.Event {
 	f, err := os.Open(n.log.Name())
 	if err != nil {
--- a/internal/lab/live/node.go
+++ b/internal/lab/live/node.go
@@ -14,39 +14,39 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// lastLogLines is how many lines of its log an error on a process shows.
+// lastLogLines is how many lines from the end of a process's log an error about the process quotes.
 const lastLogLines = 3
 
-// node is one balancer's process.
+// node runs the process of one balancer, through all its restarts.
 type node struct {
 	run     *run
 	index   int // of the balancer in the fleet
 	starter *starter
-	config  string // path of its configuration
+	config  string // path of the configuration file
 	env     []string
 	log     *os.File
-	known   listing // of its configuration
+	known   listing // endpoint list in the configuration
 
 	mu           sync.Mutex
 	cmd          *exec.Cmd     // nil: not started yet
-	ended        chan struct{} // closed at the process's end
-	exitExpected bool          // it was asked to end
-	killed       bool          // by the timetable: what its connections carried may have run
-	forced       bool          // it had to be killed
-	cpuTime      time.Duration // of its processes that have ended
-	incarnation  int           // counts starts
+	ended        chan struct{} // closed when the process has exited
+	exitExpected bool          // the lab has sent a signal that ends it
+	killed       bool          // by a fault with SIGKILL: requests in flight may have been executed
+	forced       bool          // killed with SIGKILL because it did not exit in time after SIGTERM
+	cpuTime      time.Duration // of all its processes that have exited
+	incarnation  int           // number of the current start, from 1
 }
 
 func (n *node) name() string     { return n.run.fleet.Balancers[n.index].Name }
 func (n *node) stateDir() string { return filepath.Join(n.run.folder(n.index), "state") }
 
-// start starts the process.
+// start writes the configuration and starts the process.
 func (n *node) start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.incarnation++
 	if err := n.writeConfig(); err != nil {
-		return fmt.Errorf("%s: %w", n.name(), err)
+		return fmt.Errorf("writing the configuration of %s: %w", n.name(), err)
 	}
 	cmd := exec.Command(n.run.options.Command[0], n.run.options.Command[1:]...)
 	cmd.Dir = n.run.options.Dir
@@ -55,7 +55,7 @@
 	cmd.Stderr = n.log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := n.starter.start(cmd); err != nil {
-		return fmt.Errorf("%w: %s does not start: %w", scenario.ErrInput, n.name(), err)
+		return fmt.Errorf("%w: starting %s: %w", scenario.ErrInput, n.name(), err)
 	}
 	n.cmd = cmd
 	n.ended = make(chan struct{})
@@ -67,9 +67,9 @@
 	return nil
 }
 
-// wait records the end of a process.
+// wait waits for a process to exit, and records its exit status.
 func (n *node) wait(cmd *exec.Cmd, ended chan struct{}) {
-	_ = cmd.Wait() // how it ended is read from ProcessState below
+	_ = cmd.Wait() // the exit status is read from ProcessState below
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	text := ""
@@ -83,7 +83,7 @@
 	close(ended)
 }
 
-// record records an event of the process.
+// record records an event of this process.
 func (n *node) record(kind history.Kind, status int, text string) {
 	n.run.recorder.record(history.Event{
 		Kind:     kind,
@@ -95,7 +95,8 @@
 	})
 }
 
-// processState is the process of now, a channel that closes at its end, and whether that has come.
+// processState returns the current process, a channel that is closed when it has exited, and whether it has. The process is
+// nil before the first start.
 func (n *node) processState() (p *os.Process, ended <-chan struct{}, over bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -110,14 +111,15 @@
 	}
 }
 
-// wasKilled reports whether the process of now was ended by SIGKILL.
+// wasKilled reports whether a fault has sent SIGKILL to the current process.
 func (n *node) wasKilled() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.killed
 }
 
-// signal sends a signal, after recording it as an event of a kind.
+// signal records an event of a kind and sends a signal to the process. The event comes first, so that it precedes all that
+// the signal causes.
 func (n *node) signal(sig syscall.Signal, kind history.Kind) error {
 	p, _, over := n.processState()
 	if over {
@@ -131,7 +133,7 @@
 	return p.Signal(sig)
 }
 
-// beginFault begins a fault that hits this balancer.
+// beginFault applies the beginning of a fault on this balancer.
 func (n *node) beginFault(fault scenario.Fault) error {
 	switch fault.Kind {
 	case scenario.BalancerKill:
@@ -151,7 +153,7 @@
 	return nil
 }
 
-// endFault ends a fault that hits this balancer.
+// endFault applies the end of a fault on this balancer.
 func (n *node) endFault(fault scenario.Fault) error {
 	switch fault.Kind {
 	case scenario.BalancerKill:
@@ -167,10 +169,10 @@
 	return nil
 }
 
-// exitTimeout is how long after SIGTERM a process may take to end.
-func (n *node) exitTimeout() time.Duration { return n.run.day.MaxDeadline() + exitMargin }
+// exitTimeout returns how long a process may take to exit after SIGTERM.
+func (n *node) exitTimeout() time.Duration { return n.run.scenario.MaxDeadline() + exitMargin }
 
-// restart starts the process again after a fault, without its saved state where the fault loses it.
+// restart starts the process again after a fault. It deletes the saved state first if the fault says so.
 func (n *node) restart(fault scenario.Fault) error {
 	if fault.State == "lose" {
 		if err := os.RemoveAll(n.stateDir()); err != nil {
@@ -183,7 +185,7 @@
 	return n.start()
 }
 
-// terminate ends the process by SIGTERM, and by SIGKILL where it takes longer than the timeout.
+// terminate ends the process with SIGTERM, and with SIGKILL if it has not exited within the timeout.
 func (n *node) terminate(timeout time.Duration) error {
 	p, ended, over := n.processState()
 	if over {
@@ -200,22 +202,22 @@
 	n.mu.Lock()
 	n.forced = true
 	n.mu.Unlock()
-	p.Kill() // if it fails it has ended
+	p.Kill() // fails only if the process has exited
 	<-ended
 	return nil
 }
 
-// end ends the process after the day.
+// end ends the process after the run.
 func (n *node) end() {
 	p, _, over := n.processState()
 	if over {
 		return
 	}
-	_ = p.Signal(syscall.SIGCONT)    // a process that is still stopped does not handle SIGTERM; one that has ended needs neither
-	_ = n.terminate(n.exitTimeout()) // its only error says that the process has ended
+	_ = p.Signal(syscall.SIGCONT)    // a process stopped by SIGSTOP does not handle SIGTERM; an error means that it has exited
+	_ = n.terminate(n.exitTimeout()) // fails only if the process has exited
 }
 
-// kill ends the process with SIGKILL.
+// kill ends the process with SIGKILL and waits for its exit.
 func (n *node) kill() {
 	p, ended, over := n.processState()
 	if over {
@@ -228,17 +230,17 @@
 	<-ended
 }
 
-// killOrphans records processes that the balancer has started and left behind, and ends them.
+// killOrphans records and kills child processes of the balancer that still run after its exit.
 func (n *node) killOrphans() {
 	p, _, _ := n.processState()
 	if p == nil || syscall.Kill(-p.Pid, 0) != nil {
 		return
 	}
 	n.record(history.Orphan, 0, fmt.Sprintf("process group %d", p.Pid))
-	_ = syscall.Kill(-p.Pid, syscall.SIGKILL) // an error means that the group has ended
+	_ = syscall.Kill(-p.Pid, syscall.SIGKILL) // an error means that the group has exited
 }
 
-// lastLog is the end of what the process has logged.
+// lastLog returns the last lines of the process's log.
 func (n *node) lastLog() string {
 	text, err := os.ReadFile(n.log.Name())
 	if err != nil {
--- a/internal/lab/live/recorder.go
+++ b/internal/lab/live/recorder.go
@@ -9,37 +9,37 @@
 	"sprucehill/internal/lab/history"
 )
 
-// recorder gathers what happens on a live day. It is safe for concurrent use.
+// recorder collects the events of a live run. It is safe for concurrent use.
 type recorder struct {
 	mu         sync.Mutex
-	begunAt    time.Time // zero: the day has not begun
+	startedAt  time.Time // zero: the run has not started
 	events     []history.Event
-	serial     int32                     // of the latest attempt at an upstream
-	staleConns int                       // requests that met a connection which had just been closed
-	requests   map[uint64]*clientRequest // that clients have sent and upstreams may see
+	serial     int32                     // of the latest attempt that an upstream has received
+	staleConns int                       // requests sent on a connection that the balancer had just closed
+	requests   map[uint64]*clientRequest // sent by clients, by id
 }
 
 func newRecorder() *recorder { return &recorder{requests: map[uint64]*clientRequest{}} }
 
-// begin notes the begin of the day, from which the times of events count.
-func (r *recorder) begin(at time.Time) {
+// start sets the start of the run, which the times of events are relative to.
+func (r *recorder) start(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.begunAt = at
+	r.startedAt = at
 }
 
-// record adds an event to the history. An event without a time gets the present one. Events before the begin of the day
-// are at 0.
+// record adds an event to the history. An event without a time gets the current one. Events before the start of the run
+// have the time 0.
 func (r *recorder) record(e history.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if e.At == 0 && !r.begunAt.IsZero() {
-		e.At = time.Since(r.begunAt)
+	if e.At == 0 && !r.startedAt.IsZero() {
+		e.At = time.Since(r.startedAt)
 	}
 	r.events = append(r.events, e)
 }
 
-// nextSerial numbers the attempts that upstreams receive.
+// nextSerial returns the serial number of the next attempt that an upstream receives.
 func (r *recorder) nextSerial() int32 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -47,28 +47,29 @@
 	return r.serial
 }
 
-// countStaleConn counts a request that met a connection which had just been closed.
+// countStaleConn counts a request sent on a connection that the balancer had just closed.
 func (r *recorder) countStaleConn() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.staleConns++
 }
 
-// addRequest adds a request before a client sends it.
+// addRequest registers a request before a client sends it.
 func (r *recorder) addRequest(q *clientRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.requests[q.id] = q
 }
 
-// requestByID is the request with an id. It is nil if no client has sent it.
+// requestByID returns the request with an id, or nil if no client has sent one.
 func (r *recorder) requestByID(id uint64) *clientRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.requests[id]
 }
 
-// finish adds further events. It returns all events in order of time, and how many requests met a closed connection.
+// finish adds further events and returns all events in order of time, with the number of requests sent on a connection
+// that the balancer had just closed.
 func (r *recorder) finish(further []history.Event) (events []history.Event, staleConns int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/live/registry.go
+++ b/internal/lab/live/registry.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	// undeliveredAfter is how long after an agent has an update its balancer counts as notified though it has not asked,
-	// as long as the agent would have answered.
+	// undeliveredAfter is the time after which a balancer that has not polled its agent counts as notified of an update,
+	// provided that the agent would have answered.
 	undeliveredAfter = 6 * time.Second
-	// agentHeaderTimeout is how long a call to an agent may take to send its header.
+	// agentHeaderTimeout is how long an agent waits for the header of a call.
 	agentHeaderTimeout = 10 * time.Second
-	// registryStream sets the registry's random draws apart from other uses of the day's seed.
+	// registryStream selects the registry's random stream, so that its draws are independent of other uses of the seed.
 	registryStream = 0x64697363
 )
 
-// listEntry is what discovery has of an upstream.
+// listEntry is discovery's entry of an upstream.
 type listEntry struct {
 	phase     string    // up, draining or removed
-	startedAt time.Time // zero: long past
+	startedAt time.Time // zero: long before the run
 	revision  uint64
 }
 
-// registry is discovery with its agents, one on each balancer's machine. An agent answers at once with what it has.
+// registry emulates discovery with its agents, one on the machine of each balancer. An agent answers at once with the
+// endpoint list that it has.
 type registry struct {
 	run     *run
 	servers []*http.Server
-	ended   chan struct{} // closed at the end of the day
+	ended   chan struct{} // closed at the end of the run
 
 	mu       sync.Mutex
 	revision uint64
@@ -45,11 +46,11 @@
 
 // agent is one balancer's agent.
 type agent struct {
-	silenced          int           // faults that silence it now
+	silenced          int           // number of active faults that silence it
 	answering         chan struct{} // closed while it is not silenced
 	errorRate         float64       // share of calls that it fails
-	clockOffset       time.Duration // of the balancer's clock against discovery's
-	deliveredRevision uint64        // the newest that it has answered with
+	clockOffset       time.Duration // of the balancer's clock relative to discovery's
+	deliveredRevision uint64        // the newest that it has sent to the balancer
 }
 
 func newRegistry(r *run) *registry {
@@ -58,7 +59,7 @@
 		ended:    make(chan struct{}),
 		revision: 1,
 		changed:  make(chan struct{}),
-		rng:      rand.New(rand.NewPCG(r.day.Seed, registryStream)),
+		rng:      rand.New(rand.NewPCG(r.scenario.Seed, registryStream)),
 	}
 	for range r.fleet.Balancers {
 		answering := make(chan struct{})
@@ -73,9 +74,9 @@
 
 // serve starts the agent of a balancer.
 func (g *registry) serve(b int) error {
-	l, err := net.Listen("tcp", g.run.agentAt(b))
+	l, err := net.Listen("tcp", g.run.agentAddress(b))
 	if err != nil {
-		return fmt.Errorf("an emulated address is not free: %w", err)
+		return fmt.Errorf("listening for the discovery agent of balancer %d: %w", b, err)
 	}
 	s := &http.Server{
 		Handler:           http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { g.handleList(b, w, r) }),
@@ -93,7 +94,7 @@
 	}
 }
 
-// announce gives every agent an upstream's new phase after a delay.
+// announce publishes an upstream's new phase to all agents after a delay.
 func (g *registry) announce(u int, phase string, startedAt time.Time, delay time.Duration) {
 	time.AfterFunc(delay, func() {
 		g.mu.Lock()
@@ -107,7 +108,7 @@
 	})
 }
 
-// recordUndelivered records a balancer as notified if it has not polled for an entry although it could have.
+// recordUndelivered records each balancer as notified of an entry that has not polled for it although its agent answers.
 func (g *registry) recordUndelivered(u int, e listEntry) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -118,14 +119,14 @@
 	}
 }
 
-// phaseEvent says that balancer b knows upstream u to be in a phase.
+// phaseEvent is the event that balancer b has been notified of upstream u's phase.
 func phaseEvent(b, u int, phase string) history.Event {
 	return history.Event{Kind: history.Notified, Balancer: int32(b), Upstream: int32(u), Arrival: history.None, Text: phase}
 }
 
-// onUpstreamFault announces what a fault does to an upstream, when discovery notices it.
+// onUpstreamFault announces the phase that a fault on an upstream leads to, after the delay with which discovery detects it.
 func (g *registry) onUpstreamFault(u int, fault scenario.Fault, transition scenario.Transition, at time.Time) {
-	phase, delay, warmsUp := g.run.day.EndpointPhase(fault, transition)
+	phase, delay, warmsUp := g.run.scenario.EndpointPhase(fault, transition)
 	if phase == "" {
 		return
 	}
@@ -136,7 +137,7 @@
 	g.announce(u, phase, startedAt, delay)
 }
 
-// silence makes an agent answer no call. Silences overlap, so that each needs an endSilence of its own.
+// silence makes an agent leave calls unanswered. Faults may overlap, so each call of silence needs one of endSilence.
 func (g *registry) silence(b int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -147,7 +148,7 @@
 	}
 }
 
-// endSilence ends one silence of an agent. It answers again once all have ended.
+// endSilence ends one silence of an agent, which answers again once all of them have ended.
 func (g *registry) endSilence(b int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -161,14 +162,14 @@
 	}
 }
 
-// setErrorRate makes an agent fail a share of its calls, from 0 to 1.
+// setErrorRate makes an agent fail a share of the calls, from 0 to 1.
 func (g *registry) setErrorRate(b int, share float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.agents[b].errorRate = share
 }
 
-// setClockOffset sets the offset of a balancer's clock against discovery's.
+// setClockOffset sets the offset of a balancer's clock relative to discovery's.
 func (g *registry) setClockOffset(b int, offset time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -1,6 +1,6 @@
-// Package live plays a day with real processes of the balancer on loopback addresses. Upstreams, discovery's agents,
-// fronts, clients and the network between them are part of this process. The package records what happens. Package check
-// judges it.
+// Package live runs a scenario with real processes of the balancer on loopback addresses. Upstreams, discovery agents,
+// ingresses, clients and the network between them are emulated in this process. The package records a history of events,
+// which package check searches for violations.
 package live
 
 import (
@@ -18,61 +18,61 @@
 )
 
 const (
-	// startTimeout is how long all balancers together may take to be ready before the day begins.
+	// startTimeout is how long all balancers together may take to become ready before the run starts.
 	startTimeout = 30 * time.Second
-	// readyPollInterval is how often the lab looks whether they are.
+	// readyPollInterval is how often the lab checks whether they are ready.
 	readyPollInterval = 20 * time.Millisecond
-	// exitMargin is how long after SIGTERM and the longest deadline a process may take to end.
+	// exitMargin is how long a process may take to exit after SIGTERM, in addition to the longest deadline of a request.
 	exitMargin = 5 * time.Second
-	// maxBalancers bounds a live fleet: each has addresses of its own within 127.x.0.0/16.
+	// maxBalancers limits a live fleet: the number of a balancer is the last byte of its addresses within 127.x.0.0/16.
 	maxBalancers = 250
-	// connsPerPair is how many connections between a balancer and an upstream are planned for.
+	// connsPerPair is the number of descriptors that checkLimits allows for connections of a balancer with an upstream.
 	connsPerPair = 3
-	// spareDescriptors is how many descriptors are planned for all else in this process.
+	// spareDescriptors is the number of descriptors that checkLimits allows for everything else in this process.
 	spareDescriptors = 100
 )
 
-// Options is how a live day is run.
+// Options are the settings of a live run.
 type Options struct {
-	Command []string // starts a balancer
-	Dir     string   // where it is started
-	Work    string   // folder for configurations, state and logs; the run does not remove it
-	// Progress is called for each second of the day that has passed. It may be nil.
+	Command []string // command line that starts a balancer
+	Dir     string   // working directory of the balancers
+	Work    string   // folder for configurations, state and logs; it is not removed after the run
+	// Progress is called once a second with the time since the start of the run. It may be nil.
 	Progress func(at time.Duration)
 }
 
-// Outcome is the history of a live day and what it cost.
+// Outcome is the history of a live run and the resources that it used.
 type Outcome struct {
 	Events          []history.Event
-	Lateness        []time.Duration // by arrival: how late each was begun
+	Lateness        []time.Duration // by arrival: delay between its time and its start
 	LabCPU          time.Duration   // of this process
 	BalancerCPU     time.Duration   // of all balancers together
-	RetriesOnClosed int             // requests that met a connection which had just been closed, and were sent once more
+	RetriesOnClosed int             // requests sent again because the balancer had just closed their connection
 }
 
-// run is a day being played.
+// run is a scenario that is being run.
 type run struct {
-	day          *scenario.Scenario
-	fleet        *scenario.Fleet
-	options      Options
-	net          *link.Network
-	base         int // second byte of all addresses
-	arrivals     []scenario.Arrival
-	serverOrigin time.Time       // of the upstreams' own time
-	origin       time.Time       // of the day's time: when the first requests are due
-	lateness     []time.Duration // by arrival
-	recorder     *recorder
+	scenario            *scenario.Scenario
+	fleet               *scenario.Fleet
+	options             Options
+	net                 *link.Network
+	addressOctet        int // second byte of all addresses
+	arrivals            []scenario.Arrival
+	upstreamClockOrigin time.Time       // time 0 of the upstreams' servers
+	startedAt           time.Time       // time 0 of arrivals, faults and events
+	lateness            []time.Duration // by arrival
+	recorder            *recorder
 
 	registry  *registry
 	upstreams []*upstream
 	nodes     []*node
-	fronts    []*ingress
+	ingresses []*ingress
 }
 
-// Play runs a day. It checks what can be known before anything starts. When ctx ends the day is broken off, and nothing
-// is left behind.
+// Play runs a scenario. It checks the limits of this machine before it starts anything. If ctx ends, it stops the run and
+// cleans up all processes, connections and listeners.
 func Play(ctx context.Context, d *scenario.Scenario, o Options) (*Outcome, error) {
-	r := &run{day: d, fleet: d.Fleet(), options: o, recorder: newRecorder()}
+	r := &run{scenario: d, fleet: d.Fleet(), options: o, recorder: newRecorder()}
 	if err := r.checkLimits(); err != nil {
 		return nil, err
 	}
@@ -81,8 +81,8 @@
 	}
 	r.net = link.New(d.NewPaths(r.fleet), d.Seed)
 	r.arrivals = d.Arrivals()
-	r.serverOrigin = time.Now()
-	r.origin = r.serverOrigin
+	r.upstreamClockOrigin = time.Now()
+	r.startedAt = r.upstreamClockOrigin
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	starter, endStarter := newStarter()
@@ -92,7 +92,7 @@
 		return nil, err
 	}
 	labBefore := labCPUTime()
-	if err := r.play(ctx); err != nil {
+	if err := r.execute(ctx); err != nil {
 		return nil, err
 	}
 	labCPU := labCPUTime() - labBefore
@@ -100,33 +100,33 @@
 	return r.outcome(labCPU), nil
 }
 
-// outcome gathers the outcome of the day once its processes have ended.
+// outcome collects the outcome of the run once its processes have exited.
 func (r *run) outcome(labCPU time.Duration) *Outcome {
 	o := &Outcome{LabCPU: labCPU, Lateness: r.lateness}
 	var zoneEvents []history.Event
 	for _, n := range r.nodes {
 		o.BalancerCPU += n.cpuTime
-		zoneEvents = append(zoneEvents, n.zoneEvents(r.origin)...)
+		zoneEvents = append(zoneEvents, n.zoneEvents(r.startedAt)...)
 	}
 	o.Events, o.RetriesOnClosed = r.recorder.finish(zoneEvents)
 	return o
 }
 
-// checkLimits refuses a day that this machine can't play.
+// checkLimits returns an error if this machine can't run the scenario.
 func (r *run) checkLimits() error {
 	balancers := len(r.fleet.Balancers)
 	upstreams := len(r.fleet.Upstreams)
 	if balancers > maxBalancers {
-		return fmt.Errorf("%w: a live day takes %d balancers at most, this has %d: use the model engine", scenario.ErrInput, maxBalancers, balancers)
+		return fmt.Errorf("%w: the live engine supports at most %d balancers, the scenario has %d: use the model engine", scenario.ErrInput, maxBalancers, balancers)
 	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return fmt.Errorf("reading the limit of descriptors: %w", err)
+		return fmt.Errorf("reading the limit of file descriptors: %w", err)
 	}
 	// A listener and connections for each pair, two listeners and connections of clients for each balancer.
-	need := uint64(balancers*upstreams*(1+connsPerPair) + balancers*(2+r.day.Balancer.Sockets/2) + spareDescriptors)
+	need := uint64(balancers*upstreams*(1+connsPerPair) + balancers*(2+r.scenario.Balancer.Sockets/2) + spareDescriptors)
 	if need > limit.Cur {
-		return fmt.Errorf("%w: the day needs about %d descriptors and this process may have %d: raise ulimit -n, or make the fleet smaller",
+		return fmt.Errorf("%w: the scenario needs about %d file descriptors and this process may have %d: raise ulimit -n or use a smaller fleet",
 			scenario.ErrInput, need, limit.Cur)
 	}
 	if _, err := os.Stat(r.options.Dir); err != nil {
@@ -135,10 +135,10 @@
 	return nil
 }
 
-// now is the day's time.
-func (r *run) now() time.Duration { return time.Since(r.origin) }
+// now returns the time since the start of the run.
+func (r *run) now() time.Duration { return time.Since(r.startedAt) }
 
-// start brings the fleet up and returns when all balancers are ready.
+// start starts the fleet and returns when all balancers are ready.
 func (r *run) start(ctx context.Context, s *starter) error {
 	if err := os.MkdirAll(r.options.Work, 0o755); err != nil {
 		return fmt.Errorf("%w: %w", scenario.ErrInput, err)
@@ -167,43 +167,43 @@
 		}
 	}
 	for z := range r.fleet.Zones {
-		r.fronts = append(r.fronts, r.newIngress(ctx, z))
+		r.ingresses = append(r.ingresses, r.newIngress(ctx, z))
 	}
 	return r.waitReady(ctx)
 }
 
-// waitReady waits until every balancer has been healthy.
+// waitReady waits until every balancer has passed a health check.
 func (r *run) waitReady(ctx context.Context) error {
 	timeout := time.After(startTimeout)
 	for {
 		for _, n := range r.nodes {
 			if _, _, ended := n.processState(); ended {
-				return fmt.Errorf("%s has ended before it was ready; its log: %s", n.name(), n.lastLog())
+				return fmt.Errorf("%s has ended before it was ready; end of its log: %s", n.name(), n.lastLog())
 			}
 		}
-		waitsFor := ""
-		for _, f := range r.fronts {
-			if b, found := f.unready(); found {
-				waitsFor = r.fleet.Balancers[b].Name
+		notReady := ""
+		for _, in := range r.ingresses {
+			if b, found := in.neverReady(); found {
+				notReady = r.fleet.Balancers[b].Name
 			}
 		}
-		if waitsFor == "" {
+		if notReady == "" {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-timeout:
-			return fmt.Errorf("%s was not ready within %v", waitsFor, startTimeout)
+			return fmt.Errorf("%s was not ready within %v", notReady, startTimeout)
 		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
-// play sends the clients' requests and applies the faults, until all requests have ended.
-func (r *run) play(ctx context.Context) error {
-	r.origin = time.Now()
-	r.recorder.begin(r.origin)
+// execute sends the clients' requests and applies the faults, until all requests have ended.
+func (r *run) execute(ctx context.Context) error {
+	r.startedAt = time.Now()
+	r.recorder.start(r.startedAt)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var background sync.WaitGroup
@@ -211,7 +211,7 @@
 	background.Go(func() { r.watchLimits(ctx) })
 	background.Go(func() { r.reportProgress(ctx) })
 	done := make(chan struct{})
-	go func() { // sendArrivals locks its goroutine to a thread
+	go func() { // sendArrivals locks its goroutine to a thread, so it gets one of its own
 		defer close(done)
 		r.sendArrivals(ctx)
 	}()
@@ -222,7 +222,7 @@
 	return err
 }
 
-// endNodes ends the processes gracefully, all at once.
+// endNodes shuts all processes down gracefully and concurrently.
 func (r *run) endNodes() {
 	var all sync.WaitGroup
 	for _, n := range r.nodes {
@@ -234,10 +234,10 @@
 	}
 }
 
-// stop ends all processes, connections and listeners that are left.
+// stop ends all remaining processes, connections and listeners.
 func (r *run) stop() {
-	for _, f := range r.fronts {
-		f.close()
+	for _, in := range r.ingresses {
+		in.close()
 	}
 	for _, n := range r.nodes {
 		n.kill()
@@ -250,7 +250,7 @@
 	}
 }
 
-// reportProgress calls Progress for each second that passes, until ctx ends.
+// reportProgress calls Progress once a second until ctx ends.
 func (r *run) reportProgress(ctx context.Context) {
 	if r.options.Progress == nil {
 		return
@@ -262,10 +262,10 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			r.options.Progress(min(r.now(), r.day.Length.D()))
+			r.options.Progress(min(r.now(), r.scenario.Length.D()))
 		}
 	}
 }
 
-// folder is where a balancer's files are.
+// folder returns the folder of a balancer's files.
 func (r *run) folder(b int) string { return filepath.Join(r.options.Work, r.fleet.Balancers[b].Name) }
--- a/internal/lab/live/starter.go
+++ b/internal/lab/live/starter.go
@@ -5,11 +5,11 @@
 	"runtime"
 )
 
-// starter starts processes from one thread that lives as long as they may: the kernel kills them when the thread ends
-// (Pdeathsig), so that a lab that is killed leaves none behind.
+// starter starts all processes from one locked thread. With Pdeathsig the kernel kills a process when the thread that
+// started it ends, so the thread has to outlive the processes. If the lab itself is killed, its processes end with it.
 type starter struct{ jobs chan func() }
 
-// newStarter starts the thread; end ends it.
+// newStarter starts the thread. The function end stops it, which kills the processes that still run.
 func newStarter() (s *starter, end func()) {
 	s = &starter{jobs: make(chan func())}
 	done := make(chan struct{})
@@ -27,6 +27,7 @@
 	}
 }
 
+// start starts a command from the thread of the starter.
 func (s *starter) start(cmd *exec.Cmd) error {
 	done := make(chan error)
 	s.jobs <- func() { done <- cmd.Start() }
--- a/internal/lab/live/timetable.go
+++ b/internal/lab/live/timetable.go
@@ -11,9 +11,9 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// runTimetable carries the faults out, each at its time, until ctx ends.
+// runTimetable begins and ends each fault at its time, until ctx ends.
 func (r *run) runTimetable(ctx context.Context) {
-	changes, hits := r.day.Timetable()
+	changes, hits := r.scenario.Timetable()
 	for _, c := range changes {
 		select {
 		case <-ctx.Done():
@@ -31,7 +31,7 @@
 
 // applyChange begins or ends a fault.
 func (r *run) applyChange(c scenario.Change, hit scenario.Hit) {
-	fault := r.day.Faults[c.Fault]
+	fault := r.scenario.Faults[c.Fault]
 	switch hit.Scope {
 	case scenario.OnLinks:
 		r.net.Apply(c.Fault, c.Transition)
@@ -41,7 +41,7 @@
 		}
 	case scenario.OnBalancers:
 		for _, b := range hit.Targets {
-			go r.applyNodeFault(b, fault, c.Transition) // it may wait for the process's end
+			go r.applyNodeFault(b, fault, c.Transition) // it may wait until the process exits
 		}
 	case scenario.OnDiscovery:
 		for _, b := range hit.Targets {
@@ -50,6 +50,7 @@
 	}
 }
 
+// applyNodeFault begins or ends a fault on a balancer. That the process has exited already is not an error.
 func (r *run) applyNodeFault(b int, fault scenario.Fault, transition scenario.Transition) {
 	n := r.nodes[b]
 	apply := n.endFault
@@ -57,10 +58,11 @@
 		apply = n.beginFault
 	}
 	if err := apply(fault); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		slog.Error("fault not carried out", "kind", fault.Kind, "balancer", n.name(), "err", err)
+		slog.Error("applying a fault failed", "kind", fault.Kind, "balancer", n.name(), "err", err)
 	}
 }
 
+// applyDiscoveryFault begins or ends a fault on a balancer's discovery agent.
 func (r *run) applyDiscoveryFault(b int, fault scenario.Fault, transition scenario.Transition) {
 	begins := transition == scenario.Begin
 	switch {
--- a/internal/lab/live/upstream.go
+++ b/internal/lab/live/upstream.go
@@ -13,22 +13,22 @@
 	"sprucehill/internal/lab/server"
 )
 
-// upstream is an emulated upstream on sockets: one listener for each balancer, one server core.
+// upstream is an emulated upstream: a server model behind one listener for each balancer.
 type upstream struct {
-	run     *run
-	index   int
-	party   scenario.Party
-	changed chan struct{} // something has arrived: the next wake-up may be sooner
-	ended   chan struct{} // closed at the end of the day
-	done    sync.WaitGroup
+	run        *run
+	index      int
+	party      scenario.Party
+	changed    chan struct{} // signals advanceLoop that the next wake-up may be sooner
+	ended      chan struct{} // closed at the end of the run
+	goroutines sync.WaitGroup
 
 	mu        sync.Mutex
-	server    *server.Server // nil: no process runs
+	server    *server.Server // nil: the process is not running
 	jobs      map[server.JobID]*upstreamAttempt
 	lastJob   server.JobID
-	listeners []*link.Listener // nil: the addresses are closed
+	listeners []*link.Listener // nil: not listening
 	conns     map[*link.Conn]struct{}
-	faults    []scenario.Fault // that act now
+	faults    []scenario.Fault // active
 }
 
 func (r *run) newUpstream(index int) (*upstream, error) {
@@ -44,39 +44,39 @@
 	if err := u.start(false); err != nil {
 		return nil, err
 	}
-	u.done.Go(u.advanceLoop)
+	u.goroutines.Go(u.advanceLoop)
 	return u, nil
 }
 
 func (u *upstream) model() scenario.Model {
-	return u.run.day.Models[u.run.fleet.Upstreams[u.index].Model]
+	return u.run.scenario.Models[u.run.fleet.Upstreams[u.index].Model]
 }
 
-// clock is the server's time.
-func (u *upstream) clock() time.Duration { return time.Since(u.run.serverOrigin) }
+// clock returns the time of the server model.
+func (u *upstream) clock() time.Duration { return time.Since(u.run.upstreamClockOrigin) }
 
-// start starts the upstream's process, which warms up or is warm from the start.
+// start starts the upstream's process, which warms up or has its full capacity at once.
 func (u *upstream) start(warmsUp bool) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	seed := u.run.day.Seed<<16 + uint64(u.index)
-	u.server = server.New(u.model(), u.run.day.Balancer, seed, u.clock(), warmsUp)
+	seed := u.run.scenario.Seed<<16 + uint64(u.index)
+	u.server = server.New(u.model(), u.run.scenario.Balancer, seed, u.clock(), warmsUp)
 	u.server.SetFaults(u.faults)
 	if u.listeners != nil {
 		return nil
 	}
 	for b := range u.run.fleet.Balancers {
-		l, err := u.run.net.Listen(u.party, scenario.Party{Kind: scenario.BalancerParty, Index: b}, u.run.upstreamAt(b, u.index))
+		l, err := u.run.net.Listen(u.party, scenario.Party{Kind: scenario.BalancerParty, Index: b}, u.run.upstreamAddress(b, u.index))
 		if err != nil {
 			return err
 		}
 		u.listeners = append(u.listeners, l)
-		u.done.Go(func() { u.accept(l, b) })
+		u.goroutines.Go(func() { u.accept(l, b) })
 	}
 	return nil
 }
 
-// advanceLoop advances the server whenever it has something to do, until the day ends.
+// advanceLoop advances the server model whenever an event of it is due, until the run ends.
 func (u *upstream) advanceLoop() {
 	wake := time.NewTimer(0)
 	defer wake.Stop()
@@ -98,15 +98,16 @@
 	}
 }
 
-// wakeLoop makes advanceLoop look again when the next wake-up is due.
-func (u *upstream) wakeLoop() {
+// wakeAdvanceLoop makes advanceLoop recompute its next wake-up.
+func (u *upstream) wakeAdvanceLoop() {
 	select {
 	case u.changed <- struct{}{}:
 	default:
 	}
 }
 
-// advance brings the server to now and replies to what it has run. u.mu is held.
+// advance brings the server model to the current time and replies to the requests that it has completed. The caller holds
+// u.mu.
 func (u *upstream) advance() {
 	for _, done := range u.server.Advance(u.clock()) {
 		a := u.jobs[done.Job]
@@ -122,7 +123,7 @@
 	}
 }
 
-// loadReport is the load report as a header's value, or empty if there is none. u.mu is held.
+// loadReport returns the load report as the value of a header, or an empty string if there is none. The caller holds u.mu.
 func (u *upstream) loadReport() string {
 	if l, ok := u.server.Load(); ok {
 		return fmt.Sprintf("util=%.3f,eps=%.2f,queue=%.0f", l.Util, l.Errors, l.Queue)
@@ -130,12 +131,12 @@
 	return ""
 }
 
-// processEvent is an event of the upstream's process.
+// processEvent returns an event of the upstream's process.
 func (u *upstream) processEvent(kind history.Kind) history.Event {
 	return history.Event{Kind: kind, Upstream: int32(u.index), Balancer: history.None, Arrival: history.None}
 }
 
-// applyFault begins or ends a fault that hits this upstream.
+// applyFault begins or ends a fault on this upstream.
 func (u *upstream) applyFault(fault scenario.Fault, transition scenario.Transition) {
 	u.setFault(fault, transition)
 	begins := transition == scenario.Begin
@@ -152,7 +153,7 @@
 	u.run.registry.onUpstreamFault(u.index, fault, transition, time.Now())
 }
 
-// setFault adds a fault to those that act on the server, or removes it.
+// setFault adds a fault to the active ones of the server model, or removes it.
 func (u *upstream) setFault(fault scenario.Fault, transition scenario.Transition) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -181,7 +182,7 @@
 	u.run.recorder.record(u.processEvent(history.UpstreamStopped))
 }
 
-// stopMachine takes the machine off the network. Its connections stay open without an answer.
+// stopMachine disconnects the machine from the network. Its connections stay open but get no answer.
 func (u *upstream) stopMachine() {
 	u.run.net.Disconnect(u.party)
 	u.mu.Lock()
@@ -190,7 +191,7 @@
 	u.run.recorder.record(u.processEvent(history.UpstreamStopped))
 }
 
-// abandonJobs ends the server with all that it has in work. u.mu is held.
+// abandonJobs stops the server model and abandons all attempts in progress. The caller holds u.mu.
 func (u *upstream) abandonJobs() {
 	u.server = nil
 	for job, a := range u.jobs {
@@ -199,15 +200,15 @@
 	}
 }
 
-// restartProcess starts the process again. It warms up.
+// restartProcess starts the process again, which then warms up.
 func (u *upstream) restartProcess() {
 	if err := u.start(true); err != nil {
-		return // the address was free a moment ago; discovery's list then leads nowhere
+		return // the address has been taken in the meantime: the upstream stays unreachable at its listed address
 	}
 	u.announceRestart()
 }
 
-// restartMachine reconnects a machine and starts its process again. It warms up.
+// restartMachine reconnects the machine and starts its process again, which then warms up.
 func (u *upstream) restartMachine() {
 	if err := u.start(true); err != nil {
 		return // as in restartProcess
@@ -222,10 +223,10 @@
 	u.announceRestart()
 }
 
-// announceRestart records the start and lets the loop go on.
+// announceRestart records the start of the process and wakes advanceLoop.
 func (u *upstream) announceRestart() {
 	u.run.recorder.record(u.processEvent(history.UpstreamStarted))
-	u.wakeLoop()
+	u.wakeAdvanceLoop()
 }
 
 func (u *upstream) close() {
@@ -238,5 +239,5 @@
 		l.Close()
 	}
 	u.run.net.ResetAll(u.party)
-	u.done.Wait()
+	u.goroutines.Wait()
 }
--- a/internal/lab/live/upstreamconn.go
+++ b/internal/lab/live/upstreamconn.go
@@ -14,13 +14,13 @@
 	"sprucehill/internal/lab/server"
 )
 
-// readTimeout is how long a request may take from its first byte to its last.
+// readTimeout is how long the transfer of a request may take after its first byte.
 const readTimeout = time.Minute
 
-// notFound answers what no client sent.
+// notFound is the answer to a request that no client has sent.
 const notFound = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 
-// upstreamAttempt is one attempt of a request, as its upstream sees it.
+// upstreamAttempt is an attempt that an upstream has received.
 type upstreamAttempt struct {
 	id          uint64
 	request     *clientRequest
@@ -28,16 +28,16 @@
 	serial      int32
 	firstByteAt time.Duration
 	conn        *link.Conn
-	job         server.JobID // 0: it was never in work
+	job         server.JobID // 0: it was never started
 }
 
-// event is an event of this attempt.
+// event returns an event of this attempt.
 func (a *upstreamAttempt) event(u *upstream, kind history.Kind) history.Event {
 	return history.Event{
 		Kind:      kind,
 		RequestID: a.id,
 		Arrival:   int32(a.request.arrival),
-		Retry:     int8(a.request.number),
+		Retry:     int8(a.request.retryNumber),
 		Class:     int16(a.request.class),
 		Balancer:  int32(a.balancer),
 		Upstream:  int32(u.index),
@@ -45,7 +45,7 @@
 	}
 }
 
-// arrivalEvent is the event of an attempt that has arrived. kind says whether it was accepted.
+// arrivalEvent returns the event of an attempt's arrival. kind tells whether the server has accepted it.
 func (u *upstream) arrivalEvent(a *upstreamAttempt, kind history.Kind) history.Event {
 	event := a.event(u, kind)
 	event.FirstByteAt = a.firstByteAt
@@ -53,7 +53,7 @@
 	return event
 }
 
-// accept takes connections of balancer b until the listener is closed.
+// accept accepts connections of balancer b until the listener is closed.
 func (u *upstream) accept(l *link.Listener, b int) {
 	for {
 		c, err := l.Accept()
@@ -64,11 +64,11 @@
 			c.Reset()
 			continue
 		}
-		u.done.Go(func() { u.serveConn(c, b) })
+		u.goroutines.Go(func() { u.serveConn(c, b) })
 	}
 }
 
-// addConn counts a new connection. false: no process runs.
+// addConn registers a new connection. It returns false if the process is not running.
 func (u *upstream) addConn(c *link.Conn) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -88,7 +88,7 @@
 	u.limitConns()
 }
 
-// limitConns stops taking connections at the model's limit, and takes them again below it. u.mu is held.
+// limitConns stops accepting connections at the limit of the upstream's model, and resumes below it. The caller holds u.mu.
 func (u *upstream) limitConns() {
 	limit := u.model().Connections
 	if limit == 0 {
@@ -100,13 +100,13 @@
 	}
 }
 
-// serveConn reads the requests of one connection.
+// serveConn serves the requests of one connection, one at a time.
 func (u *upstream) serveConn(c *link.Conn, b int) {
 	defer u.removeConn(c)
 	defer c.Close()
 	reader := bufio.NewReader(c)
 	for {
-		c.SetReadDeadline(time.Now().Add(u.run.day.Balancer.KeepAlive.D()))
+		c.SetReadDeadline(time.Now().Add(u.run.scenario.Balancer.KeepAlive.D()))
 		if _, err := reader.Peek(1); err != nil {
 			return
 		}
@@ -122,7 +122,7 @@
 		}
 		q := u.identify(request, body, b)
 		if q == nil {
-			_, _ = io.WriteString(c, notFound) // if it fails the next read fails too
+			_, _ = io.WriteString(c, notFound) // if it fails, the next read fails too
 			continue
 		}
 		a := &upstreamAttempt{id: q.id, request: q, balancer: b, serial: u.run.recorder.nextSerial(), firstByteAt: firstByteAt, conn: c}
@@ -133,10 +133,10 @@
 	}
 }
 
-// identify is the client's request that a balancer has forwarded. It is nil if no client sent it in this form, which is
-// recorded.
+// identify returns the client's request that balancer b has forwarded. It returns nil, and records a stray request, if no
+// client has sent it in this form.
 func (u *upstream) identify(request *http.Request, body []byte, b int) *clientRequest {
-	stray := func(format string, args ...any) *clientRequest {
+	recordStray := func(format string, args ...any) *clientRequest {
 		text := fmt.Sprintf("%s %s ", request.Method, request.RequestURI) + fmt.Sprintf(format, args...)
 		u.run.recorder.record(history.Event{Kind: history.Stray, Arrival: history.None, Balancer: int32(b), Upstream: int32(u.index), Text: text})
 		return nil
@@ -144,27 +144,27 @@
 	header := request.Header.Get("X-Request-Id")
 	id, err := strconv.ParseUint(header, 16, 64)
 	if err != nil {
-		return stray("with X-Request-Id %q", header)
+		return recordStray("with X-Request-Id %q", header)
 	}
 	q := u.run.recorder.requestByID(id)
 	if q == nil {
-		return stray("with the id %016x", id)
+		return recordStray("with the id %016x", id)
 	}
 	same := request.Method == q.method && request.RequestURI == q.path && bytes.Equal(body, q.body) &&
 		request.Header.Get("Idempotency-Key") == q.key
 	if !same {
-		return stray("with the id %016x is not what its client sent", id)
+		return recordStray("with the id %016x is not what its client sent", id)
 	}
 	q.seenUpstream.Store(true)
 	return q
 }
 
-// receive gives an attempt to the server.
+// receive passes an attempt to the server model.
 func (u *upstream) receive(a *upstreamAttempt) {
 	arrival := u.run.arrivals[a.request.arrival]
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.server == nil { // it has died meanwhile
+	if u.server == nil { // the process has ended in the meantime
 		u.run.recorder.record(u.arrivalEvent(a, history.Arrived))
 		u.run.recorder.record(a.event(u, history.Abandoned))
 		a.conn.Reset()
@@ -173,22 +173,22 @@
 	u.advance()
 	u.lastJob++
 	a.job = u.lastJob
-	taken, toppled := u.server.Arrive(a.job, arrival.Work, arrival.Wait)
-	if !taken {
+	accepted, collapsed := u.server.Arrive(a.job, arrival.Work, arrival.Wait)
+	if !accepted {
 		u.run.recorder.record(u.arrivalEvent(a, history.Rejected))
 		go u.reply(a, http.StatusServiceUnavailable, u.loadReport())
 		return
 	}
 	u.jobs[a.job] = a
 	u.run.recorder.record(u.arrivalEvent(a, history.Arrived))
-	if toppled {
+	if collapsed {
 		u.run.recorder.record(u.processEvent(history.Collapsed))
 	}
-	u.wakeLoop()
+	u.wakeAdvanceLoop()
 }
 
-// awaitEnd waits, on the connection of an attempt, for the next request behind its reply. false: the connection has
-// ended, and with it the attempt if it is still in work.
+// awaitEnd waits for the next request on the connection of an attempt. It returns false if the connection has ended. An
+// attempt that is still in progress then is cancelled and recorded as abandoned.
 func (u *upstream) awaitEnd(reader *bufio.Reader, a *upstreamAttempt) bool {
 	_, err := reader.Peek(1)
 	u.mu.Lock()
@@ -204,7 +204,7 @@
 	return err == nil
 }
 
-// reply writes a reply. A balancer that gave up gets none, which is recorded where its connection ends.
+// reply writes the reply to an attempt. If the balancer has closed the connection, awaitEnd records that.
 func (u *upstream) reply(a *upstreamAttempt, status int, loadReport string) {
 	rejected := status == http.StatusServiceUnavailable
 	body := fmt.Appendf(nil, "%016x %d %d\n", a.id, u.index, a.serial)
@@ -222,6 +222,6 @@
 		event.Status = int16(status)
 		u.run.recorder.record(event)
 	}
-	a.conn.SetReadDeadline(time.Now().Add(u.run.day.Balancer.KeepAlive.D()))
-	_, _ = a.conn.Write(message.Bytes()) // if it fails the reader of the connection sees its end
+	a.conn.SetReadDeadline(time.Now().Add(u.run.scenario.Balancer.KeepAlive.D()))
+	_, _ = a.conn.Write(message.Bytes()) // if it fails, the reader of the connection fails too
 }
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// Scope is what a fault acts on.
+// Scope is the kind of component that a fault affects.
 type Scope uint8
 
-// The scopes.
+// The scopes of faults.
 const (
 	OnLinks Scope = iota
 	OnUpstreams
@@ -23,10 +23,10 @@
 	OnLoad
 )
 
-// FaultKind is the kind of a fault, as day files write it.
+// FaultKind is the kind of a fault, as scenario files write it.
 type FaultKind string
 
-// The kinds of faults. faultKinds says what each of them does.
+// The kinds of faults. faultKinds describes the effect of each.
 const (
 	LinkCut   FaultKind = "cut"
 	LinkDelay FaultKind = "delay"
@@ -53,41 +53,41 @@
 	TrafficBurst FaultKind = "burst"
 )
 
-// faultKind is what a kind of fault acts on and the figures that it needs.
+// faultKind describes a kind of fault: its scope, the parameters that it requires, and its effect.
 type faultKind struct {
 	scope       Scope
-	least, most float64 // of size; most 0: size is not used
-	delay, rate bool    // needed
+	least, most float64 // range of size; most 0: size is not used
+	delay, rate bool    // required
 	about       string
 }
 
-// faultKinds is every kind of fault. The engines carry out what about says.
+// faultKinds describes every kind of fault. Both engines implement the effect that about describes.
 var faultKinds = map[FaultKind]faultKind{
-	LinkCut:   {scope: OnLinks, about: "nothing passes: open connections fall silent, new ones do not come up"},
+	LinkCut:   {scope: OnLinks, about: "no message arrives: open connections hang, new ones can't be established"},
 	LinkDelay: {scope: OnLinks, delay: true, about: "messages take longer by delay"},
-	LinkSlow:  {scope: OnLinks, rate: true, about: "bytes pass at rate"},
-	LinkLossy: {scope: OnLinks, least: 0.0001, most: 0.5, about: "a share of messages, size, is lost and sent again"},
-	LinkReset: {scope: OnLinks, about: "open connections are reset at that moment, also under a request"},
+	LinkSlow:  {scope: OnLinks, rate: true, about: "bandwidth is limited to rate"},
+	LinkLossy: {scope: OnLinks, least: 0.0001, most: 0.5, about: "a share of messages, size, is lost and retransmitted"},
+	LinkReset: {scope: OnLinks, about: "open connections are reset once, including those with a request in flight"},
 
-	UpstreamDown:   {scope: OnUpstreams, about: "the process dies: connections are reset; it returns cold"},
-	UpstreamVanish: {scope: OnUpstreams, about: "the machine falls silent; it returns cold"},
-	UpstreamDrain:  {scope: OnUpstreams, about: "discovery lists it as draining; at the end it is up again"},
-	UpstreamErrors: {scope: OnUpstreams, least: 0.0001, most: 1, about: "a share, size, fails at once"},
-	NoisyNeighbour: {scope: OnUpstreams, least: 0.0001, most: 0.99, about: "another program takes a share, size, of the machine"},
+	UpstreamDown:   {scope: OnUpstreams, about: "the process ends and connections are reset; it warms up after the restart"},
+	UpstreamVanish: {scope: OnUpstreams, about: "the machine becomes unreachable; it warms up after the restart"},
+	UpstreamDrain:  {scope: OnUpstreams, about: "discovery lists it as draining, and at the end as up"},
+	UpstreamErrors: {scope: OnUpstreams, least: 0.0001, most: 1, about: "a share of requests, size, fails immediately"},
+	NoisyNeighbour: {scope: OnUpstreams, least: 0.0001, most: 0.99, about: "another program uses a share of the machine, size"},
 	LateReports:    {scope: OnUpstreams, delay: true, about: "load reports are older by delay"},
 
 	BalancerKill:      {scope: OnBalancers, about: "SIGKILL; started again at the end"},
-	BalancerTerminate: {scope: OnBalancers, about: "SIGTERM, SIGKILL if it has not ended in time; started again at the end"},
+	BalancerTerminate: {scope: OnBalancers, about: "SIGTERM, and SIGKILL if it has not exited in time; started again at the end"},
 	BalancerFreeze:    {scope: OnBalancers, about: "SIGSTOP, and SIGCONT at the end"},
-	BalancerRestart:   {scope: OnBalancers, about: "SIGTERM, and started again as soon as it has ended"},
-	ClockOffset:       {scope: OnBalancers, delay: true, about: "its clock is off by delay against what discovery dates"},
+	BalancerRestart:   {scope: OnBalancers, about: "SIGTERM; started again as soon as it has exited"},
+	ClockOffset:       {scope: OnBalancers, delay: true, about: "its clock differs from discovery's by delay"},
 
-	DiscoverySilent:     {scope: OnDiscovery, about: "agents answer nothing"},
+	DiscoverySilent:     {scope: OnDiscovery, about: "agents do not answer"},
 	DiscoveryOverloaded: {scope: OnDiscovery, least: 0.0001, most: 1, about: "a share of calls, size, fails"},
-	TrafficBurst:        {scope: OnLoad, least: 0.01, most: 100, about: "arrivals times size"},
+	TrafficBurst:        {scope: OnLoad, least: 0.01, most: 100, about: "the rate of arrivals is multiplied by size"},
 }
 
-// faultKindNames lists all kinds for an error message.
+// faultKindNames returns all kinds, for an error message.
 func faultKindNames() string {
 	var names []string
 	for kind := range faultKinds {
@@ -97,14 +97,14 @@
 	return strings.Join(names, ", ")
 }
 
-// vanishDetectionDelay is how much later discovery learns of a machine that has vanished than of a process that has ended.
+// vanishDetectionDelay is how much longer discovery takes to detect the loss of a machine than the exit of a process.
 const vanishDetectionDelay = 4 * time.Second
 
 // EndpointPhase returns the phase in which discovery lists the upstreams of a fault after a transition, and the delay until
-// its agents have it. An empty phase means that the list does not change: discovery knows only of processes. warmsUp
-// reports that the upstreams have started again and warm up.
-func (d *Scenario) EndpointPhase(fault Fault, transition Transition) (phase string, delay time.Duration, warmsUp bool) {
-	delay = d.Discovery.Delay.D()
+// its agents have it. An empty phase means that the list does not change: discovery detects only whether processes run.
+// warmsUp reports that the upstreams have started again and warm up.
+func (s *Scenario) EndpointPhase(fault Fault, transition Transition) (phase string, delay time.Duration, warmsUp bool) {
+	delay = s.Discovery.Delay.D()
 	switch fault.Kind {
 	case UpstreamDrain:
 		phase = "draining"
@@ -124,22 +124,23 @@
 	return phase, delay, false
 }
 
-// Hit is whom a fault acts on.
+// Hit is the set of components that a fault affects.
 type Hit struct {
 	Scope    Scope
-	From, To map[Party]bool // links
-	Targets  []int          // upstreams, balancers, or zones of clients, in order
+	From, To map[Party]bool // the two sides of the affected links
+	Targets  []int          // indices of upstreams, balancers, or zones of clients, in ascending order
 }
 
-// resolve draws whom fault i hits.
-func (d *Scenario) resolve(f *Fleet, i int) (Hit, error) {
-	fault := d.Faults[i]
+// resolve returns the components that fault i affects, with a random selection if the fault affects only a part of its
+// targets.
+func (s *Scenario) resolve(f *Fleet, i int) (Hit, error) {
+	fault := s.Faults[i]
 	h := Hit{Scope: faultKinds[fault.Kind].scope}
 	if h.Scope == OnLinks {
 		return f.resolveLinks(h, fault)
 	}
 	if len(fault.From)+len(fault.To) > 0 {
-		return h, fmt.Errorf("from and to are for links; %s has a target", fault.Kind)
+		return h, fmt.Errorf("from and to are only for faults on links; a fault of kind %s has a target", fault.Kind)
 	}
 	if (h.Scope == OnDiscovery || h.Scope == OnLoad) && len(fault.Target) == 0 {
 		fault.Target = []string{"all"}
@@ -156,19 +157,19 @@
 		}
 	}
 	if len(h.Targets) == 0 {
-		return h, fmt.Errorf("target: %v names nobody that %s could hit", fault.Target, fault.Kind)
+		return h, fmt.Errorf("target: %v matches nothing that a fault of kind %s can affect", fault.Target, fault.Kind)
 	}
-	rng := rand.New(rand.NewPCG(d.Seed, randomStream("fault", i)))
+	rng := rand.New(rand.NewPCG(s.Seed, randomStream("fault", i)))
 	rng.Shuffle(len(h.Targets), func(a, b int) { h.Targets[a], h.Targets[b] = h.Targets[b], h.Targets[a] })
 	h.Targets = h.Targets[:int(math.Ceil(fault.Part*float64(len(h.Targets))))]
 	slices.Sort(h.Targets)
 	return h, nil
 }
 
-// resolveLinks resolves the two sides of a fault on links.
+// resolveLinks returns the links that a fault affects.
 func (f *Fleet) resolveLinks(h Hit, fault Fault) (Hit, error) {
 	if len(fault.Target) > 0 {
-		return h, errors.New("target: a fault on links has from and to")
+		return h, errors.New("target: a fault on links has from and to in place of a target")
 	}
 	for _, side := range []struct {
 		key string
@@ -190,30 +191,30 @@
 	return h, nil
 }
 
-// Transition says whether a fault ends or begins.
+// Transition is the beginning or the end of a fault.
 type Transition uint8
 
-// The transitions. Of several at one moment ends come first, so End is the smaller value.
+// The transitions. End is the smaller value, because of several transitions at the same time the ends come first.
 const (
 	End Transition = iota
 	Begin
 )
 
-// Change is the begin or the end of a fault.
+// Change is an entry of the timetable: the beginning or the end of a fault.
 type Change struct {
-	At         time.Duration // since the start of the day
-	Fault      int           // index into Day.Faults
+	At         time.Duration // since the start of the run
+	Fault      int           // index into Scenario.Faults
 	Transition Transition
 }
 
-// Timetable is every begin and end of a fault, in order of time. Of several at one moment, ends come first, and then the
-// order of the file counts. hits is by the index of the fault.
-func (d *Scenario) Timetable() (changes []Change, hits []Hit) {
-	f := d.Fleet()
-	for i, fault := range d.Faults {
-		hit, err := d.resolve(f, i)
+// Timetable returns the beginnings and ends of all faults in order of time. At the same time, ends come first, and then the
+// faults are in the order of the file. hits has the affected components by the index of the fault.
+func (s *Scenario) Timetable() (changes []Change, hits []Hit) {
+	f := s.Fleet()
+	for i, fault := range s.Faults {
+		hit, err := s.resolve(f, i)
 		if err != nil {
-			panic(err) // a Day is checked before anyone has it
+			panic(err) // Parse has checked this
 		}
 		hits = append(hits, hit)
 		changes = append(changes, Change{fault.At.D(), i, Begin})
@@ -227,12 +228,12 @@
 	return changes, hits
 }
 
-// DescribeFault is what a kind of fault does, for people.
+// DescribeFault returns a human-readable description of the effect of a kind of fault.
 func DescribeFault(kind FaultKind) string { return faultKinds[kind].about }
 
-// TargetNames names those that fault i hits, for people.
-func (d *Scenario) TargetNames(f *Fleet, i int, hit Hit) string {
-	fault := d.Faults[i]
+// TargetNames returns a human-readable list of the components that fault i affects.
+func (s *Scenario) TargetNames(f *Fleet, i int, hit Hit) string {
+	fault := s.Faults[i]
 	if hit.Scope == OnLinks {
 		arrow := "<->"
 		if fault.OneWay {
--- a/internal/lab/scenario/fleet.go
+++ b/internal/lab/scenario/fleet.go
@@ -9,23 +9,24 @@
 	"strings"
 )
 
-// PartyKind is what a party of the day is.
+// PartyKind is the kind of a party.
 type PartyKind uint8
 
-// The parties.
+// The kinds of parties.
 const (
 	BalancerParty PartyKind = iota
 	UpstreamParty
-	ClientsParty // all clients of a zone with their front
+	ClientsParty // all clients of a zone with their ingress
 )
 
-// Party is one end of a link. It can be a map key.
+// Party is an end of a link. It can be used as a map key.
 type Party struct {
 	Kind  PartyKind
-	Index int // of its kind, in the fleet's order
+	Index int // into the list of its kind in Fleet
 }
 
-// Fleet is who takes part in a day, in the order of the file. Indices into its lists name parties everywhere.
+// Fleet lists the regions, zones, balancers and upstreams of a scenario, in the order of the file. Other packages refer to
+// them by their indices in these lists.
 type Fleet struct {
 	Regions   []string
 	Zones     []FleetZone
@@ -33,39 +34,39 @@
 	Upstreams []Upstream
 }
 
-// FleetZone is a zone with its members.
+// FleetZone is a zone with its balancers.
 type FleetZone struct {
 	Name      string
 	Region    int
-	Share     float64 // of the load; all sum to 1
+	Share     float64 // of the load; the shares of all zones add up to 1
 	Balancers []int
 }
 
-// Balancer is one process of the program.
+// Balancer is a process of the balancer.
 type Balancer struct {
 	Name string
 	Zone int
 }
 
-// Upstream is one server.
+// Upstream is an upstream server.
 type Upstream struct {
 	Name  string
-	ID    string // as discovery has it; neither zone nor model can be read from it
+	ID    string // in discovery; it does not reveal the zone or the model
 	Zone  int
 	Cell  int
 	Model string
-	Size  float64 // nominal: cores by their speed
+	Size  float64 // nominal capacity: number of cores times their speed
 }
 
-// cellSize is how many upstreams of a zone share the idempotency keys that they know.
+// cellSize is the number of upstreams in a cell, which share their idempotency keys.
 const cellSize = 6
 
-// Fleet lists who takes part.
-func (d *Scenario) Fleet() *Fleet {
+// Fleet returns the fleet that the scenario describes.
+func (s *Scenario) Fleet() *Fleet {
 	f := &Fleet{}
 	taken := map[string]bool{}
 	var shares float64
-	for r, region := range d.Regions {
+	for r, region := range s.Regions {
 		f.Regions = append(f.Regions, region.Name)
 		for _, z := range region.Zones {
 			at := len(f.Zones)
@@ -78,7 +79,7 @@
 			n := 0
 			for _, g := range z.Groups {
 				for range g.Count {
-					m := d.Models[g.Model]
+					m := s.Models[g.Model]
 					u := Upstream{Name: fmt.Sprintf("%s-u%d", z.Name, n+1), Zone: at, Cell: n / cellSize, Model: g.Model,
 						Size: float64(m.Cores) * m.Speed}
 					u.ID = serverID(u.Name, taken)
@@ -97,7 +98,7 @@
 	return f
 }
 
-// serverID is an id that all balancers map to the same number.
+// serverID returns a unique id for an upstream, in a form that every balancer converts to the same number.
 func serverID(name string, taken map[string]bool) string {
 	for salt := 0; ; salt++ {
 		h := fnv.New32a()
@@ -110,7 +111,8 @@
 	}
 }
 
-// Locality is a zone's name as discovery and the settings have it: with its region before it where there are several.
+// Locality returns the name of a zone in discovery and in the settings: with the region as a prefix if there are several
+// regions.
 func (f *Fleet) Locality(zone int) string {
 	z := f.Zones[zone]
 	if len(f.Regions) < 2 {
@@ -119,7 +121,7 @@
 	return f.Regions[z.Region] + "/" + z.Name
 }
 
-// ZoneByLocality is the index of the zone of a locality, or -1 if there is none.
+// ZoneByLocality returns the index of the zone with a locality, or -1 if there is none.
 func (f *Fleet) ZoneByLocality(locality string) int {
 	for z := range f.Zones {
 		if f.Locality(z) == locality {
@@ -129,7 +131,7 @@
 	return -1
 }
 
-// Name is a party's name for people.
+// Name returns a human-readable name of a party.
 func (f *Fleet) Name(p Party) string {
 	switch p.Kind {
 	case BalancerParty:
@@ -140,7 +142,7 @@
 	return "clients of " + f.Zones[p.Index].Name
 }
 
-// ZoneOf is the zone that a party lies in.
+// ZoneOf returns the index of a party's zone.
 func (f *Fleet) ZoneOf(p Party) int {
 	switch p.Kind {
 	case BalancerParty:
@@ -151,9 +153,9 @@
 	return p.Index
 }
 
-// selectParties lists whom selectors name, each once: balancers, then upstreams, then clients. A selector is "all", or
-// zone:, region:, balancer:, upstream: or clients: with a name or a pattern of path.Match. One that names nobody is an
-// error.
+// selectParties returns the parties that selectors match, each once: balancers, then upstreams, then clients. A selector is
+// "all", or zone:, region:, balancer:, upstream: or clients: with a name or a pattern of path.Match. A selector without a
+// match is an error.
 func (f *Fleet) selectParties(selectors []string) ([]Party, error) {
 	var all []Party
 	for i := range f.Balancers {
@@ -179,13 +181,13 @@
 			}
 		}
 		if !found {
-			return nil, fmt.Errorf("%q names nobody: write all, or zone:, region:, balancer:, upstream: or clients: and a name", s)
+			return nil, fmt.Errorf("%q matches nothing: expected all, or zone:, region:, balancer:, upstream: or clients: with a name or pattern", s)
 		}
 	}
 	return slices.DeleteFunc(all, func(p Party) bool { return !chosen[p] }), nil
 }
 
-// matches reports whether a selector of the kind what, with a pattern that is valid, selects p.
+// matches reports whether p matches a selector of the kind what with a valid pattern.
 func (f *Fleet) matches(p Party, what, pattern string) bool {
 	match := func(name string) bool {
 		ok, _ := path.Match(pattern, name) // selectParties has checked the pattern
@@ -209,8 +211,8 @@
 	return false
 }
 
-// randomStream is the number of a random stream for a purpose, so that one more draw for one purpose changes none of
-// another's.
+// randomStream returns the number of the random stream for a purpose. With a stream for each purpose, an additional draw
+// for one leaves those for the others unchanged.
 func randomStream(purpose string, index int) uint64 {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, purpose) // a hash never returns an error
--- a/internal/lab/scenario/paths.go
+++ b/internal/lab/scenario/paths.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Condition is what one direction of the link between two parties is like at a moment.
+// Condition is the state of one direction of the link between two parties.
 type Condition struct {
 	Delay time.Duration
 	Loss  float64
-	Rate  float64 // bytes a second; 0: no bound
+	Rate  float64 // bytes a second; 0: unlimited
 	Cut   bool
 }
 
-// minRetransmitTimeout is how long after a loss a message is sent again: TCP_RTO_MIN of Linux. Each further loss of the
-// same message doubles it.
+// minRetransmitTimeout is the time after which a lost message is retransmitted: TCP_RTO_MIN of Linux. Each further loss of
+// the same message doubles it.
 const minRetransmitTimeout = 200 * time.Millisecond
 
-// Lag is how long a message of size bytes takes on a link that is not cut. draw returns random numbers from 0 to 1.
+// Lag returns how long a message of size bytes takes on a link that is not cut. draw returns random numbers from 0 to 1.
 func (c Condition) Lag(size float64, draw func() float64) time.Duration {
 	d := c.Delay
 	for timeout := minRetransmitTimeout; c.Loss > 0 && draw() < c.Loss; timeout *= 2 {
@@ -30,33 +30,33 @@
 	return d
 }
 
-// Paths is the condition of every link between parties: the network's own, and on it the faults that are active. Delays
-// and losses of overlapping faults add up. The lowest rate counts. A link stays cut until the last cut ends. Paths is not
-// safe for concurrent use.
+// Paths is the condition of every link between parties: that of the network, changed by the active faults. Delays and
+// losses of overlapping faults accumulate, and the lowest rate applies. A link stays cut until the last cut ends. Paths is
+// not safe for concurrent use.
 type Paths struct {
 	day          *Scenario
 	fleet        *Fleet
 	hits         []Hit
 	active       []bool
-	activeFaults int           // how many faults on links are active
-	base         [][]Condition // by zone and zone
+	activeFaults int           // number of active faults on links
+	base         [][]Condition // without faults; by source zone and destination zone
 }
 
-// NewPaths returns the links of a day with no fault active.
-func (d *Scenario) NewPaths(f *Fleet) *Paths {
-	_, hits := d.Timetable()
-	p := &Paths{day: d, fleet: f, hits: hits, active: make([]bool, len(d.Faults))}
+// NewPaths returns the links of a scenario without an active fault.
+func (s *Scenario) NewPaths(f *Fleet) *Paths {
+	_, hits := s.Timetable()
+	p := &Paths{day: s, fleet: f, hits: hits, active: make([]bool, len(s.Faults))}
 	for from, a := range f.Zones {
 		row := make([]Condition, len(f.Zones))
 		for to, b := range f.Zones {
-			c := Condition{Delay: d.Network.CrossRegion.D(), Loss: d.Network.Loss}
+			c := Condition{Delay: s.Network.CrossRegion.D(), Loss: s.Network.Loss}
 			switch {
 			case from == to:
-				c.Delay = d.Network.SameZone.D()
+				c.Delay = s.Network.SameZone.D()
 			case a.Region == b.Region:
-				c.Delay = d.Network.CrossZone.D()
+				c.Delay = s.Network.CrossZone.D()
 			}
-			for _, l := range d.Network.Links {
+			for _, l := range s.Network.Links {
 				if from != to && f.inSelector(a, l.From) && f.inSelector(b, l.To) {
 					c.Delay, c.Loss = l.Delay.D(), l.Loss
 				}
@@ -68,7 +68,7 @@
 	return p
 }
 
-// inSelector reports whether a zone is selected by zone:NAME or region:NAME.
+// inSelector reports whether a zone matches the selector zone:NAME or region:NAME.
 func (f *Fleet) inSelector(z FleetZone, selector string) bool {
 	what, pattern, _ := strings.Cut(selector, ":")
 	name := z.Name
@@ -79,7 +79,7 @@
 	return ok
 }
 
-// Apply begins or ends fault i, if it is one on links. A fault that is active already, or has ended, stays as it is.
+// Apply begins or ends fault i if it is a fault on links. Beginning an active fault or ending an inactive one has no effect.
 func (p *Paths) Apply(i int, transition Transition) {
 	begins := transition == Begin
 	if p.hits[i].Scope != OnLinks || p.active[i] == begins {
@@ -93,19 +93,19 @@
 	}
 }
 
-// ResetsConns reports whether fault i resets the open connections of the links that it acts on.
+// ResetsConns reports whether fault i resets the open connections of the affected links.
 func (p *Paths) ResetsConns(i int) bool { return p.day.Faults[i].Kind == LinkReset }
 
-// OnLinks reports whether fault i is one on links.
+// OnLinks reports whether fault i is a fault on links.
 func (p *Paths) OnLinks(i int) bool { return p.hits[i].Scope == OnLinks }
 
-// Hits reports whether fault i, on links, acts on what goes from one party to another.
+// Hits reports whether fault i, which is a fault on links, affects messages from one party to another.
 func (p *Paths) Hits(i int, from, to Party) bool {
 	h := p.hits[i]
 	return (h.From[from] && h.To[to]) || (!p.day.Faults[i].OneWay && h.From[to] && h.To[from])
 }
 
-// Condition is that of the link from one party to another.
+// Condition returns the condition of the link from one party to another.
 func (p *Paths) Condition(from, to Party) Condition {
 	c := p.base[p.fleet.ZoneOf(from)][p.fleet.ZoneOf(to)]
 	if p.activeFaults == 0 {
@@ -132,7 +132,7 @@
 	return c
 }
 
-// MinDelay is the shortest delay between any two parties, whatever faults are active.
+// MinDelay returns the shortest delay between any two parties. Faults never make it shorter.
 func (p *Paths) MinDelay() time.Duration {
 	least := p.base[0][0].Delay
 	for _, row := range p.base {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package scenario reads a scenario file, which describes an experiment: a fleet in regions and zones, its clients, and a timetable
-// of faults. It draws from one seed all that chance decides before a day begins, so that the same file and seed give the
-// same arrivals, the same choices of who is hit, and the same timetable in both engines. It has no clock and no sockets.
+// Package scenario reads scenario files. A scenario describes an experiment: a fleet in regions and zones, its clients, and
+// a timetable of faults. All random choices that are made before a run come from one seed, so the same file and seed
+// give the same arrivals, targets of faults and timetable in both engines. The package uses no clock and no sockets.
 //
 // The exported fields of a Scenario and its parts are the keys of its JSON form: they keep their names.
 package scenario
@@ -15,22 +15,22 @@
 	"sprucehill/internal/tomlfile"
 )
 
-// ErrInput is wrapped by every error that a day file can cause.
-var ErrInput = errors.New("unusable day")
+// ErrInput is wrapped by every error that a scenario file can cause.
+var ErrInput = errors.New("invalid scenario")
 
-// Duration is a time in a day file, written as Go writes it: "250ms", "1.5s".
+// Duration is a duration in a scenario file, in the notation of Go: "250ms", "1.5s".
 type Duration = tomlfile.Duration
 
-// Range is the least and the most of what is drawn evenly between them.
+// Range is the minimum and the maximum of an even random distribution.
 type Range [2]Duration
 
-// Scenario is a day file.
+// Scenario is the contents of a scenario file.
 type Scenario struct {
 	Name   string   `toml:"name"`
-	About  string   `toml:"about"`  // one sentence: what the day shows
-	Seed   uint64   `toml:"seed"`   // draws everything that chance decides
-	Length Duration `toml:"length"` // of the arrivals; the day goes on until all is answered
-	Settle Duration `toml:"settle"` // the first stretch, reported apart: histograms and shares begin empty
+	About  string   `toml:"about"`  // one sentence on what the scenario shows
+	Seed   uint64   `toml:"seed"`   // of all random choices
+	Length Duration `toml:"length"` // of the arrivals; the run goes on until all requests have ended
+	Settle Duration `toml:"settle"` // warm-up at the start, reported separately because histograms and shares are still empty
 	Window Duration `toml:"window"` // of the time series
 
 	Regions   []Region         `toml:"region"`
@@ -44,24 +44,24 @@
 	Load      Load             `toml:"load"`
 	Faults    []Fault          `toml:"fault"`
 
-	Path string `toml:"-"` // of the file, for messages
+	Path string `toml:"-"` // of the file, for error messages
 }
 
-// Region is a group of zones that lie close together.
+// Region is a group of zones that are close to each other.
 type Region struct {
 	Name  string `toml:"name"`
 	Zones []Zone `toml:"zone"`
 }
 
-// Zone is a data centre: its clients reach its own balancers through a front.
+// Zone is a data centre. Its clients reach the balancers of the same zone through an ingress.
 type Zone struct {
 	Name      string  `toml:"name"`
 	Balancers int     `toml:"balancers"`
-	Share     float64 `toml:"share"` // of the load, against the other zones'; absent: by its balancers
+	Share     float64 `toml:"share"` // of the load, relative to the other zones; absent: the number of its balancers
 	Groups    []Group `toml:"upstreams"`
 }
 
-// Group is a number of like upstreams.
+// Group is a number of identical upstreams.
 type Group struct {
 	Model string `toml:"model"`
 	Count int    `toml:"count"`
@@ -70,29 +70,29 @@
 // Model is a kind of upstream.
 type Model struct {
 	Cores       int      `toml:"cores"`
-	Speed       float64  `toml:"speed"`        // of a core; work is stated for a speed of 1
-	Slots       int      `toml:"slots"`        // requests in work at once
-	Queue       int      `toml:"queue"`        // and waiting behind them; more are rejected
-	ColdFrom    float64  `toml:"cold_from"`    // share of its capacity at its start
-	Warm        Duration `toml:"warm"`         // and how long it takes to rise, evenly, to all of it
+	Speed       float64  `toml:"speed"`        // of a core; the work of requests is given for a speed of 1
+	Slots       int      `toml:"slots"`        // requests in progress at the same time
+	Queue       int      `toml:"queue"`        // waiting requests; any more are rejected
+	ColdFrom    float64  `toml:"cold_from"`    // share of the capacity that is available at the start
+	Warm        Duration `toml:"warm"`         // duration of the linear increase to the full capacity
 	PauseEvery  Duration `toml:"pause_every"`  // mean time between pauses; 0: none
-	Pause       Duration `toml:"pause"`        // all work stands still so long
-	ErrorRate   float64  `toml:"error_rate"`   // part of requests that fail at their end
-	Connections int      `toml:"connections"`  // open at once; 0: no limit
-	ReportEvery Duration `toml:"report_every"` // how often its load report is renewed
-	ReportDelay Duration `toml:"report_delay"` // and how old it is by then
+	Pause       Duration `toml:"pause"`        // duration of a pause, in which no request makes progress
+	ErrorRate   float64  `toml:"error_rate"`   // share of requests that fail after their work
+	Connections int      `toml:"connections"`  // open at the same time; 0: unlimited
+	ReportEvery Duration `toml:"report_every"` // interval between load reports
+	ReportDelay Duration `toml:"report_delay"` // age of a load report when it appears
 }
 
-// Network is the delays, one way, and losses of links between parties.
+// Network has the one-way delays and the losses of the links between parties.
 type Network struct {
 	SameZone    Duration `toml:"same_zone"`
 	CrossZone   Duration `toml:"cross_zone"`
 	CrossRegion Duration `toml:"cross_region"`
-	Loss        float64  `toml:"loss"` // part of messages lost; each loss costs a retransmission
-	Links       []Link   `toml:"link"` // pairs that differ
+	Loss        float64  `toml:"loss"` // share of messages that are lost; each loss costs a retransmission
+	Links       []Link   `toml:"link"` // exceptions for pairs of zones or regions
 }
 
-// Link is the link from one region or zone to another.
+// Link has the delay and the loss of the links from one region or zone to another.
 type Link struct {
 	From  string   `toml:"from"` // zone:NAME or region:NAME
 	To    string   `toml:"to"`
@@ -100,85 +100,85 @@
 	Loss  float64  `toml:"loss"`
 }
 
-// Discovery is the service from which balancers have the list of upstreams.
+// Discovery is the service that gives balancers the endpoint list.
 type Discovery struct {
-	Delay Duration `toml:"delay"` // from a change to the agents
+	Delay Duration `toml:"delay"` // until a change has reached the agents
 }
 
-// Balancers is what all balancers are given.
+// Balancers has the settings that all balancers share.
 type Balancers struct {
 	MemoryMB       int      `toml:"memory_mb"`
 	Sockets        int      `toml:"sockets"`
 	MaxAttempts    int      `toml:"max_attempts"`
 	SecondCopies   bool     `toml:"second_copies"`
 	Probes         bool     `toml:"probes"`
-	RetryAfter     Duration `toml:"max_retry_after"` // 0: refusals advise nothing
+	RetryAfter     Duration `toml:"max_retry_after"` // 0: rejections carry no Retry-After
 	ConnectTimeout Duration `toml:"connect_timeout"`
-	KeepAlive      Duration `toml:"keepalive"` // an upstream closes what has idled so long
+	KeepAlive      Duration `toml:"keepalive"` // an upstream closes connections that have been idle for it
 	DrainGrace     Duration `toml:"drain_grace"`
 	TipMultiple    float64  `toml:"tip_multiple"`
 	TipAfter       Duration `toml:"tip_after"`
-	Notice         Duration `toml:"front_notice"` // after it a front learns that a balancer has died
-	State          bool     `toml:"state"`        // they save their state on disk
-	Known          string   `toml:"known"`        // the list in their configuration: that of "now", or of the day's "begin"
+	Notice         Duration `toml:"front_notice"` // time after which an ingress detects a dead balancer
+	State          bool     `toml:"state"`        // whether balancers save their state to disk
+	Known          string   `toml:"known"`        // endpoint list in the configuration: "now", the current one, or "begin", that of the first start
 }
 
-// Class is one kind of request.
+// Class is a class of requests.
 type Class struct {
 	Name     string   `toml:"name"`
 	Share    float64  `toml:"share"`
 	Repeat   string   `toml:"repeat"` // safe, keyed or unsafe
 	Group    string   `toml:"group"`  // for keyed: all, zone or cell
-	Memory   Duration `toml:"memory"` // for keyed: how long a repeat is dropped
+	Memory   Duration `toml:"memory"` // for keyed: idempotency window
 	Aim      Duration `toml:"aim"`
 	Deadline Duration `toml:"deadline"`
 	Worth    float64  `toml:"worth"`
-	Work     Range    `toml:"work"` // of a core of speed 1
-	Wait     Range    `toml:"wait"` // on others, beside the cores
+	Work     Range    `toml:"work"` // on a core of speed 1
+	Wait     Range    `toml:"wait"` // for other services, without use of a core
 }
 
 // Tenant is a customer.
 type Tenant struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"`
-	Quota float64 `toml:"quota"` // requests a second inside its share, over all balancers
+	Quota float64 `toml:"quota"` // requests a second within the tenant's share, over all balancers
 }
 
-// Clients is how clients behave.
+// Clients has the behaviour of clients.
 type Clients struct {
 	Retries    int      `toml:"retries"`    // at most
 	Wait       Duration `toml:"wait"`       // before a retry
-	Budget     float64  `toml:"budget"`     // retries as a part of first requests; 0: no budget
-	Impatience float64  `toml:"impatience"` // part that leave before their deadline
-	Honour     float64  `toml:"honour"`     // part that follow Retry-After
-	Keys       int      `toml:"keys"`       // distinct subjects of keyed requests
+	Budget     float64  `toml:"budget"`     // retries as a share of first requests; 0: no budget
+	Impatience float64  `toml:"impatience"` // share that disconnect before their deadline
+	Honour     float64  `toml:"honour"`     // share that follow Retry-After
+	Keys       int      `toml:"keys"`       // number of distinct keys of keyed requests
 }
 
-// Load is how many requests come, over all zones.
+// Load has the rate of requests over all zones.
 type Load struct {
 	Rate   float64  `toml:"rate"`   // first requests a second
 	Shape  string   `toml:"shape"`  // flat or wave
-	Swing  float64  `toml:"swing"`  // of a wave, as a part of the rate
+	Swing  float64  `toml:"swing"`  // amplitude of a wave, as a share of the rate
 	Period Duration `toml:"period"` // of a wave
 }
 
-// Fault is one row of the timetable.
+// Fault is a fault in the timetable.
 type Fault struct {
 	At     Duration  `toml:"at"`
-	For    Duration  `toml:"for"` // 0: to the end of the day
+	For    Duration  `toml:"for"` // 0: until the end of the run
 	Kind   FaultKind `toml:"kind"`
-	Target []string  `toml:"target"` // whom it hits: zone:, region:, balancer: or upstream: and a name or pattern
-	Part   float64   `toml:"part"`   // of those, drawn by the seed; absent: all
+	Target []string  `toml:"target"` // affected components: zone:, region:, balancer: or upstream: with a name or pattern
+	Part   float64   `toml:"part"`   // share of the targets, selected at random; absent: all
 	From   []string  `toml:"from"`   // of a fault on links
 	To     []string  `toml:"to"`
 	OneWay bool      `toml:"one_way"`
-	Size   float64   `toml:"size"`  // share that fails, share taken, loss, or factor, by kind
-	Delay  Duration  `toml:"delay"` // added, or a clock's offset
+	Size   float64   `toml:"size"`  // share that fails, share of capacity taken, loss, or factor, by kind
+	Delay  Duration  `toml:"delay"` // added delay, or offset of a clock
 	Rate   float64   `toml:"rate"`  // bytes a second of a slow link
 	State  string    `toml:"state"` // of a restart: keep or lose the state folder
 }
 
-// LoadFile reads a day file, sets defaults for what it leaves out and checks it.
+// LoadFile reads a scenario file, sets defaults for missing values and validates it.
 func LoadFile(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -187,20 +187,20 @@
 	return Parse(path, text)
 }
 
-// Parse reads the text of a day file; path is for messages.
+// Parse reads the text of a scenario file; path is used for error messages and the default name.
 func Parse(path string, text []byte) (*Scenario, error) {
-	d := &Scenario{Path: path}
-	if err := tomlfile.Decode(path, text, d); err != nil {
+	s := &Scenario{Path: path}
+	if err := tomlfile.Decode(path, text, s); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInput, err)
 	}
-	d.setDefaults()
-	if err := d.check(); err != nil {
+	s.setDefaults()
+	if err := s.validate(); err != nil {
 		return nil, fmt.Errorf("%w: %s: %w", ErrInput, path, err)
 	}
-	return d, nil
+	return s, nil
 }
 
-// setDefault sets a value that a file has left out.
+// setDefault sets a value that is missing in the file.
 func setDefault[T comparable](to *T, value T) {
 	var zero T
 	if *to == zero {
@@ -210,35 +210,35 @@
 
 const ms = Duration(time.Millisecond)
 
-// setDefaults sets what the file leaves out: the figures of a small site with usual rules.
-func (d *Scenario) setDefaults() {
-	setDefault(&d.Name, strings.TrimSuffix(baseName(d.Path), ".toml"))
-	setDefault(&d.Seed, 1)
-	setDefault(&d.Settle, min(5000*ms, d.Length/4))
-	setDefault(&d.Window, 1000*ms)
-	setDefault(&d.Network.SameZone, ms/4)
-	setDefault(&d.Network.CrossZone, 4*d.Network.SameZone)
-	setDefault(&d.Network.CrossRegion, 10*d.Network.CrossZone)
-	setDefault(&d.Discovery.Delay, 500*ms)
-	d.Balancer.setDefaults()
-	setDefault(&d.Clients.Keys, 1000)
-	setDefault(&d.Load.Shape, "flat")
-	setDefault(&d.Load.Period, max(d.Length/2, ms))
-	for name, m := range d.Models {
+// setDefaults sets the missing values to those of a small site with common requirements.
+func (s *Scenario) setDefaults() {
+	setDefault(&s.Name, strings.TrimSuffix(baseName(s.Path), ".toml"))
+	setDefault(&s.Seed, 1)
+	setDefault(&s.Settle, min(5000*ms, s.Length/4))
+	setDefault(&s.Window, 1000*ms)
+	setDefault(&s.Network.SameZone, ms/4)
+	setDefault(&s.Network.CrossZone, 4*s.Network.SameZone)
+	setDefault(&s.Network.CrossRegion, 10*s.Network.CrossZone)
+	setDefault(&s.Discovery.Delay, 500*ms)
+	s.Balancer.setDefaults()
+	setDefault(&s.Clients.Keys, 1000)
+	setDefault(&s.Load.Shape, "flat")
+	setDefault(&s.Load.Period, max(s.Length/2, ms))
+	for name, m := range s.Models {
 		m.setDefaults()
-		d.Models[name] = m
+		s.Models[name] = m
 	}
-	for r := range d.Regions {
-		for z := range d.Regions[r].Zones {
-			d.Regions[r].Zones[z].setDefaults()
+	for r := range s.Regions {
+		for z := range s.Regions[r].Zones {
+			s.Regions[r].Zones[z].setDefaults()
 		}
 	}
-	for i := range d.Classes {
-		d.Classes[i].setDefaults()
+	for i := range s.Classes {
+		s.Classes[i].setDefaults()
 	}
-	for i := range d.Faults {
-		setDefault(&d.Faults[i].Part, 1)
-		setDefault(&d.Faults[i].State, "keep")
+	for i := range s.Faults {
+		setDefault(&s.Faults[i].Part, 1)
+		setDefault(&s.Faults[i].State, "keep")
 	}
 }
 
@@ -281,14 +281,14 @@
 	setDefault(&c.Worth, 1)
 }
 
-// MaxDeadline is the longest that a client waits.
-func (d *Scenario) MaxDeadline() time.Duration {
+// MaxDeadline returns the longest deadline of all classes.
+func (s *Scenario) MaxDeadline() time.Duration {
 	var longest time.Duration
-	for _, c := range d.Classes {
+	for _, c := range s.Classes {
 		longest = max(longest, c.Deadline.D())
 	}
 	return longest
 }
 
-// baseName is the last part of a path.
+// baseName returns the last element of a path.
 func baseName(path string) string { return path[strings.LastIndexByte(path, '/')+1:] }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -11,6 +11,7 @@
 	"pgregory.net/rapid"
 )
 
+// small is a scenario with two zones in two regions; tests append to it.
 const small = `
 length = "10s"
 [[region]]
@@ -44,15 +45,15 @@
 	return d
 }
 
-// What is wrong with a file is said in a line that names file and key, and of an unknown key the nearest known one.
-func TestInvalidDays(t *testing.T) {
+// An error about a file is one line with the file and the key; for an unknown key it suggests the most similar known key.
+func TestInvalidScenarios(t *testing.T) {
 	for _, c := range []struct{ add, want string }{
 		{"[clients]\nretry = 3\n", `d.toml:24: unknown key "clients.retry"; did you mean "retries"?`},
 		{"[model.n]\ncors = 3\n", `unknown key "model.n.cors"; did you mean "cores"?`},
 		{"[clients]\nwait = \"soon\"\n", `d.toml:24:`},
 		{"[[fault]]\nat=\"1s\"\nkind=\"fire\"\n", `fault[1].kind: "fire" is unknown`},
-		{"[[fault]]\nat=\"1s\"\nkind=\"kill\"\ntarget=[\"balancer:x\"]\n", `names nobody`},
-		{"[[fault]]\nat=\"1s\"\nkind=\"kill\"\ntarget=[\"upstream:*\"]\n", `names nobody that kill could hit`},
+		{"[[fault]]\nat=\"1s\"\nkind=\"kill\"\ntarget=[\"balancer:x\"]\n", `"balancer:x" matches nothing`},
+		{"[[fault]]\nat=\"1s\"\nkind=\"kill\"\ntarget=[\"upstream:*\"]\n", `matches nothing that a fault of kind kill can affect`},
 		{"[[fault]]\nat=\"11s\"\nkind=\"kill\"\ntarget=[\"all\"]\n", `fault[1].at`},
 		{"[[fault]]\nat=\"1s\"\nkind=\"cut\"\nfrom=[\"all\"]\n", `to: is missing`},
 		{"[[fault]]\nat=\"1s\"\nkind=\"errors\"\nsize=2\ntarget=[\"all\"]\n", `fault[1].size`},
@@ -66,28 +67,28 @@
 	}
 }
 
-// The same file and seed give the same arrivals and the same choice of whom a fault hits; another seed others.
-func TestSeedDeterminesTheDay(t *testing.T) {
+// The same file and seed give the same arrivals and the same targets of faults; another seed gives different arrivals.
+func TestSeedDeterminesArrivalsAndTargets(t *testing.T) {
 	text := small + "[[fault]]\nat=\"1s\"\nkind=\"errors\"\nsize=0.5\npart=0.4\ntarget=[\"upstream:*\"]\n"
 	a, b, c := parse(t, text), parse(t, text), parse(t, "seed = 2\n"+text)
 	_, ha := a.Timetable()
 	_, hb := b.Timetable()
 	if !reflect.DeepEqual(a.Arrivals(), b.Arrivals()) || !reflect.DeepEqual(ha, hb) {
-		t.Error("one seed gave two days")
+		t.Error("two scenarios with the same seed differ in arrivals or targets")
 	}
 	if len(ha[0].Targets) != 2 {
-		t.Errorf("0.4 of 5 upstreams are %v", ha[0].Targets)
+		t.Errorf("a fault on 0.4 of 5 upstreams has the targets %v, want 2", ha[0].Targets)
 	}
 	if reflect.DeepEqual(a.Arrivals(), c.Arrivals()) {
-		t.Error("two seeds gave the same arrivals")
+		t.Error("scenarios with different seeds have the same arrivals")
 	}
 	n := float64(len(a.Arrivals()))
 	if n < 400 || n > 600 {
-		t.Errorf("%v arrivals in 10 s at 50 a second", n)
+		t.Errorf("%v arrivals in 10 s at 50 a second, want 400 to 600", n)
 	}
 }
 
-// Ids of tries never meet.
+// Request ids are unique within a run.
 func TestRequestIDsAreUnique(t *testing.T) {
 	d := parse(t, small)
 	rapid.Check(t, func(t *rapid.T) {
@@ -95,12 +96,12 @@
 		a, b := rapid.IntRange(0, 1<<30).Draw(t, "a"), rapid.IntRange(0, 1<<30).Draw(t, "b")
 		x, y := rapid.IntRange(0, MaxRequestsPerArrival-1).Draw(t, "x"), rapid.IntRange(0, MaxRequestsPerArrival-1).Draw(t, "y")
 		if (a != b || x != y) == (d.RequestID(a, x) == d.RequestID(b, y)) {
-			t.Fatalf("try %d of %d and try %d of %d", x, a, y, b)
+			t.Fatalf("retry %d of arrival %d and retry %d of arrival %d: equal requests must have equal ids, different ones different ids", x, a, y, b)
 		}
 	})
 }
 
-// Faults on one way add up, and end one by one.
+// The effects of overlapping faults on a link accumulate, and each ends with its fault.
 func TestLinkFaultsOverlap(t *testing.T) {
 	d := parse(t, small+`
 [[fault]]
@@ -130,17 +131,17 @@
 		p.Apply(i, Begin)
 	}
 	if c := p.Condition(there, back); c.Delay != base+12*time.Millisecond || !c.Cut {
-		t.Errorf("there: %+v", c)
+		t.Errorf("from balancer to upstream: %+v", c)
 	}
 	if c := p.Condition(back, there); c.Delay != base+5*time.Millisecond || !c.Cut {
-		t.Errorf("back: %+v", c)
+		t.Errorf("from upstream to balancer: %+v", c)
 	}
 	if c := p.Condition(Party{BalancerParty, 1}, back); c.Cut {
-		t.Error("the cut hits a balancer that it does not name")
+		t.Error("the cut affects a balancer that is not among its targets")
 	}
 	p.Apply(2, End)
 	p.Apply(0, End)
 	if c := p.Condition(there, back); c.Delay != base+7*time.Millisecond || c.Cut {
-		t.Errorf("after two ends: %+v", c)
+		t.Errorf("after the end of two faults: %+v", c)
 	}
 }
--- a/internal/lab/scenario/settings.go
+++ b/internal/lab/scenario/settings.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// settings is the settings object of a balancer's configuration. The JSON names are the platform's; the fields stand in
-// the order in which the object is written.
+// settings is the settings object of a balancer's configuration. The platform defines the JSON names. The order of the
+// fields is the order in the output.
 type settings struct {
 	Zone                string           `json:"az"`
 	Balancers           int              `json:"balancers"`
@@ -24,7 +24,7 @@
 	Zones               []string         `json:"zones"`
 }
 
-// settingsLimits is what a balancer may use. Spans are in microseconds.
+// settingsLimits is the features and resources that a balancer may use. Durations are in microseconds.
 type settingsLimits struct {
 	Cancel          bool  `json:"cancel"`
 	ConnectTimeout  int64 `json:"connect_timeout_us"`
@@ -38,7 +38,7 @@
 	RequestsPerConn int   `json:"streams_per_conn"`
 }
 
-// settingsRules is what a balancer has to comply with. Spans are in microseconds.
+// settingsRules is the requirements that a balancer has to meet. Durations are in microseconds.
 type settingsRules struct {
 	AnswerSlack           int64   `json:"answer_slack_us"`
 	DiscoveryPollInterval int64   `json:"ask_within_us"`
@@ -49,7 +49,7 @@
 	OverloadMultiple      float64 `json:"tip_multiple"`
 }
 
-// settingsClass is a class of requests. Spans are in microseconds.
+// settingsClass is a class of requests. Durations are in microseconds.
 type settingsClass struct {
 	Deadline          int64   `json:"give_up_us"`
 	Group             string  `json:"group"`
@@ -62,14 +62,14 @@
 	PriorityWeight    float64 `json:"worth"`
 }
 
-// settingsTenant is a tenant and its quota, a ratio of the fleet's capacity and a rate in requests a second.
+// settingsTenant is a tenant with its quota, both as a share of the fleet's capacity and in requests a second.
 type settingsTenant struct {
 	Name      string  `json:"name"`
 	QuotaRate float64 `json:"quota_rps"`
 	Quota     float64 `json:"share"`
 }
 
-// settingsReports is which load reports upstreams send, and how.
+// settingsReports is the contents of load reports and how upstreams send them.
 type settingsReports struct {
 	Fields []string `json:"fields"`
 	Via    string   `json:"via"`
@@ -83,39 +83,39 @@
 	requestsPerConnection = 1
 )
 
-// repeatNames are, for each kind of repeat in a day file, that of the settings.
+// repeatNames maps the values of "repeat" in a scenario file to those in the settings.
 var repeatNames = map[string]string{"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
 
-// Settings returns the settings object that balancer b reads from its configuration, in the platform's JSON form. Both
-// engines hand it to the program through the same decoder.
-func (d *Scenario) Settings(f *Fleet, b int) json.RawMessage {
+// Settings returns the settings object for the configuration of balancer b, in the platform's JSON format. The balancer
+// decodes it with the same code in both engines.
+func (s *Scenario) Settings(f *Fleet, b int) json.RawMessage {
 	text, err := json.Marshal(settings{
 		Zone:                f.Locality(f.Balancers[b].Zone),
 		Balancers:           len(f.Balancers),
 		Family:              "proxy",
 		TickMicros:          tickMicros,
-		EndpointKinds:       d.modelNames(),
-		Limits:              d.settingsLimits(),
+		EndpointKinds:       s.modelNames(),
+		Limits:              s.settingsLimits(),
 		MembershipMode:      "pushed",
-		Obligations:         d.settingsRules(),
+		Obligations:         s.settingsRules(),
 		OverQuotaWeight:     overQuotaWeight,
-		Classes:             d.settingsClasses(),
+		Classes:             s.settingsClasses(),
 		Rank:                b,
 		LoadReports:         settingsReports{Fields: []string{"load_share", "err_ps", "depth"}, Via: "piggyback"},
-		Tenants:             d.settingsTenants(),
+		Tenants:             s.settingsTenants(),
 		NominalWeights:      "nominal",
 		PriorityWeightUnits: "request",
 		Zones:               f.localities(),
 	})
 	if err != nil {
-		panic(err) // all of it is plain figures and names
+		panic(err) // only numbers, strings and booleans, which can always be encoded
 	}
 	return text
 }
 
-func (d *Scenario) modelNames() []string {
+func (s *Scenario) modelNames() []string {
 	names := []string{}
-	for name := range d.Models {
+	for name := range s.Models {
 		names = append(names, name)
 	}
 	return names
@@ -129,8 +129,8 @@
 	return zones
 }
 
-func (d *Scenario) settingsLimits() settingsLimits {
-	l := d.Balancer
+func (s *Scenario) settingsLimits() settingsLimits {
+	l := s.Balancer
 	return settingsLimits{
 		Cancel:          true,
 		ConnectTimeout:  micros(l.ConnectTimeout),
@@ -144,15 +144,16 @@
 	}
 }
 
-// settingsRules returns the longest slow start and the lowest capacity at a start of all models.
-func (d *Scenario) settingsRules() settingsRules {
+// settingsRules returns the requirements. The settings have one slow start for all models: the longest duration and the
+// lowest capacity at its start.
+func (s *Scenario) settingsRules() settingsRules {
 	capacity := 1.0
 	slowStart := Duration(0)
-	for _, m := range d.Models {
+	for _, m := range s.Models {
 		capacity = min(capacity, m.ColdFrom)
 		slowStart = max(slowStart, m.Warm)
 	}
-	l := d.Balancer
+	l := s.Balancer
 	return settingsRules{
 		AnswerSlack:           answerSlackMicros,
 		DiscoveryPollInterval: discoveryPollMicros,
@@ -164,9 +165,9 @@
 	}
 }
 
-func (d *Scenario) settingsClasses() []settingsClass {
+func (s *Scenario) settingsClasses() []settingsClass {
 	classes := []settingsClass{}
-	for _, c := range d.Classes {
+	for _, c := range s.Classes {
 		classes = append(classes, settingsClass{
 			Deadline:          micros(c.Deadline),
 			Group:             c.Group,
@@ -180,13 +181,13 @@
 	return classes
 }
 
-func (d *Scenario) settingsTenants() []settingsTenant {
+func (s *Scenario) settingsTenants() []settingsTenant {
 	tenants := []settingsTenant{}
-	for _, t := range d.Tenants {
+	for _, t := range s.Tenants {
 		tenants = append(tenants, settingsTenant{Name: t.Name, QuotaRate: t.Quota, Quota: t.Share})
 	}
 	return tenants
 }
 
-// micros returns a span in microseconds, the unit of the settings object.
+// micros converts a duration to microseconds, the unit of the settings object.
 func micros(x Duration) int64 { return x.D().Microseconds() }
--- a/internal/lab/zones_test.go
+++ b/internal/lab/zones_test.go
@@ -9,8 +9,8 @@
 	"sprucehill/internal/lab/labtest"
 )
 
-// zoneDay is a fleet; each %s is its zones, and its faults.
-const zoneDay = `
+// zoneScenario is a scenario without its zones, the first %s, and without its faults, the second %s.
+const zoneScenario = `
 seed = 11
 length = "13s"
 settle = "2s"
@@ -49,12 +49,13 @@
 %s
 `
 
-func fault(kind, from, length, rest string) string {
+// faultTOML returns a fault as a scenario file has it.
+func faultTOML(kind, from, length, rest string) string {
 	return fmt.Sprintf("[[fault]]\nat = %q\nfor = %q\nkind = %q\n%s\n", from, length, kind, rest)
 }
 
-// Days on which zones fail, with real processes: no rule is broken, most is served, the zone's own balancer leaves it
-// where it has to, and nobody leaves one that is well.
+// Runs with real processes in which zones fail: no rule is violated, most requests are served, the balancer in the failed
+// zone stops using that zone where it has to, and no balancer stops using a healthy zone.
 func TestZonesFailAndRecover(t *testing.T) {
 	const b = `target = ["upstream:b-*"]`
 	zones := ""
@@ -64,39 +65,40 @@
 	program := labtest.Build(t, "../../cmd/balancer")
 	for _, c := range []struct {
 		name, faults string
-		// mustLeave says that its own balancer has to leave zone b. Elsewhere it may: chance can make a half look like
-		// most, and a bad link of its own hits its own zone, to which it sends most, first.
+		// mustLeave requires that the balancer in zone b stops using the zone. In the other cases it may: with half of
+		// the upstreams lost, by chance most requests can fail, and a lossy link of the balancer affects its own zone
+		// first, as it sends most requests there.
 		mustLeave bool
 	}{
-		{"lost", fault("vanish", "4s", "4s", b), true},
-		{"dead", fault("down", "4s", "4s", b), true},
-		{"black hole", fault("errors", "4s", "4s", "size = 1\n"+b), true},
-		{"half", fault("vanish", "4s", "4s", "part = 0.5\n"+b), false},
-		{"one way", fault("cut", "4s", "4s", "one_way = true\nfrom = [\"upstream:b-*\"]\nto = [\"balancer:b-*\"]"), true},
-		{"two at once", fault("vanish", "4s", "4s", `target = ["upstream:b-*", "upstream:c-*"]`), true},
-		{"flapping", fault("vanish", "3s", "2s", b) + fault("vanish", "7s", "2s", b), true},
-		{"own link", fault("lossy", "4s", "4s", "size = 0.15\nfrom = [\"balancer:b-*\"]\nto = [\"upstream:*\"]"), false},
-		{"stale list", fault("discovery-silent", "3s", "6s", "") + fault("vanish", "4s", "3s", b), true},
-		{"balancer lost too", fault("vanish", "4s", "4s", b) + fault("kill", "4s", "3s", `target = ["balancer:c-*"]`), true},
+		{"lost", faultTOML("vanish", "4s", "4s", b), true},
+		{"dead", faultTOML("down", "4s", "4s", b), true},
+		{"black hole", faultTOML("errors", "4s", "4s", "size = 1\n"+b), true},
+		{"half", faultTOML("vanish", "4s", "4s", "part = 0.5\n"+b), false},
+		{"one way", faultTOML("cut", "4s", "4s", "one_way = true\nfrom = [\"upstream:b-*\"]\nto = [\"balancer:b-*\"]"), true},
+		{"two at once", faultTOML("vanish", "4s", "4s", `target = ["upstream:b-*", "upstream:c-*"]`), true},
+		{"flapping", faultTOML("vanish", "3s", "2s", b) + faultTOML("vanish", "7s", "2s", b), true},
+		{"own link", faultTOML("lossy", "4s", "4s", "size = 0.15\nfrom = [\"balancer:b-*\"]\nto = [\"upstream:*\"]"), false},
+		{"stale list", faultTOML("discovery-silent", "3s", "6s", "") + faultTOML("vanish", "4s", "3s", b), true},
+		{"balancer lost too", faultTOML("vanish", "4s", "4s", b) + faultTOML("kill", "4s", "3s", `target = ["balancer:c-*"]`), true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r := play(t, labtest.Day(t, fmt.Sprintf(zoneDay, zones, c.faults)), program)
+			r := runLive(t, labtest.Day(t, fmt.Sprintf(zoneScenario, zones, c.faults)), program)
 			for _, v := range r.Violations {
 				t.Errorf("%s at %v: %s", v.Rule, v.At, v.What)
 			}
 			if r.Summary.Main.ServedRatio < 0.6 {
-				t.Errorf("%.2f of the worth was served: %v", r.Summary.Main.ServedRatio, r.Summary.Main.ShareByOutcome)
+				t.Errorf("weighted share of served requests is %.2f, want at least 0.60: %v", r.Summary.Main.ServedRatio, r.Summary.Main.ShareByOutcome)
 			}
 			left := slices.ContainsFunc(r.Events, func(e history.Event) bool {
 				return e.Kind == history.ZoneState && e.Zone == 1 && e.Balancer == 1 && e.Text == "failed"
 			})
 			if c.mustLeave && !left {
-				t.Error("zone b was not left by its balancer")
+				t.Error("the balancer in zone b did not stop using the zone")
 			}
 			for _, e := range r.Events {
 				if e.Kind == history.ZoneState && e.Text == "failed" && e.Zone != 1 && c.name != "two at once" {
-					t.Errorf("at %v balancer %d left zone %d, which was well", e.At, e.Balancer, e.Zone)
+					t.Errorf("at %v balancer %d stopped using zone %d, which was healthy", e.At, e.Balancer, e.Zone)
 				}
 			}
 		})
