--- a/cmd/balancerctl/scenariotext.go
+++ b/cmd/balancerctl/scenariotext.go
@@ -104,7 +104,7 @@
 // faultRows returns a table with a row for each start and end of a fault, in order of time.
 func faultRows(sc *scenario.Scenario, fleet *scenario.Fleet) [][]any {
 	rows := [][]any{{"at", "", "fault", "targets", "effect"}}
-	changes, targets := sc.Timetable()
+	changes, targets := sc.FaultSchedule()
 	for _, c := range changes {
 		kind := sc.Faults[c.Fault].Kind
 		transition := "ends"
--- a/internal/lab/check/answers.go
+++ b/internal/lab/check/answers.go
@@ -89,7 +89,7 @@
 			break
 		}
 		i := int(e.Fault)
-		if !c.paths.OnLinks(i) || (!c.paths.Hits(i, clients, balancer) && !c.paths.Hits(i, balancer, clients)) {
+		if !c.paths.IsLinkFault(i) || (!c.paths.Affects(i, clients, balancer) && !c.paths.Affects(i, balancer, clients)) {
 			continue
 		}
 		active[e.Fault] = e.Kind == history.FaultBegan
--- a/internal/lab/check/fleet.go
+++ b/internal/lab/check/fleet.go
@@ -60,7 +60,7 @@
 	u := scenario.Party{Kind: scenario.UpstreamParty, Index: int(attempt.Upstream)}
 	d := c.paths.Condition(b, u).Delay
 	for i, fault := range c.scenario.Faults {
-		if fault.At.D() > attempt.At || !c.paths.OnLinks(i) || !c.paths.Hits(i, b, u) {
+		if fault.At.D() > attempt.At || !c.paths.IsLinkFault(i) || !c.paths.Affects(i, b, u) {
 			continue
 		}
 		switch fault.Kind {
--- a/internal/lab/link/network.go
+++ b/internal/lab/link/network.go
@@ -46,7 +46,7 @@
 	n.paths.Apply(i, transition)
 	var affected []*Conn
 	if transition == scenario.Begin && n.paths.ResetsConns(i) {
-		affected = n.connsWhere(func(c *Conn) bool { return n.paths.Hits(i, c.near, c.far) || n.paths.Hits(i, c.far, c.near) })
+		affected = n.connsWhere(func(c *Conn) bool { return n.paths.Affects(i, c.near, c.far) || n.paths.Affects(i, c.far, c.near) })
 	}
 	n.notifyChange()
 	n.mu.Unlock()
@@ -137,7 +137,7 @@
 	if condition.Cut || n.vanished[from] || n.vanished[to] {
 		return transit{cut: true, changed: n.changed}
 	}
-	return transit{delay: condition.Lag(float64(size), n.rng.Float64), changed: n.changed}
+	return transit{delay: condition.TransferTime(float64(size), n.rng.Float64), changed: n.changed}
 }
 
 // Dial opens a connection from near to an address of far's. While the link is cut it waits, until ctx is done.
--- a/internal/lab/live/timetable.go
+++ b/internal/lab/live/timetable.go
@@ -13,7 +13,7 @@
 
 // runTimetable begins and ends each fault at its time, until ctx ends.
 func (r *run) runTimetable(ctx context.Context) {
-	changes, hits := r.scenario.Timetable()
+	changes, hits := r.scenario.FaultSchedule()
 	for _, c := range changes {
 		select {
 		case <-ctx.Done():
@@ -30,7 +30,7 @@
 }
 
 // applyChange begins or ends a fault.
-func (r *run) applyChange(c scenario.Change, hit scenario.Hit) {
+func (r *run) applyChange(c scenario.FaultTransition, hit scenario.AffectedSet) {
 	fault := r.scenario.Faults[c.Fault]
 	switch hit.Scope {
 	case scenario.OnLinks:
--- a/internal/lab/measure/zones.go
+++ b/internal/lab/measure/zones.go
@@ -95,7 +95,7 @@
 		}
 	}
 	if slices.ContainsFunc(events, func(e history.Event) bool { return e.Kind == history.ZoneState }) {
-		_, hits := sc.Timetable()
+		_, hits := sc.FaultSchedule()
 		oracle := faultOracle{sc, f, sc.NewPaths(f), hits}
 		z.LeaveTimes = oracle.leaveTimes(events)
 		z.WronglyDoubtedRatio = oracle.wronglyDoubtedRatio(events)
@@ -175,7 +175,7 @@
 	scenario *scenario.Scenario
 	fleet    *scenario.Fleet
 	paths    *scenario.Paths
-	hits     []scenario.Hit
+	hits     []scenario.AffectedSet
 }
 
 // hitShare returns the share of a zone's upstreams that fault i makes unreachable for a balancer.
@@ -204,7 +204,7 @@
 	case hit.Scope == scenario.OnLinks && kind == scenario.LinkCut:
 		b := scenario.Party{Kind: scenario.BalancerParty, Index: balancer}
 		u := scenario.Party{Kind: scenario.UpstreamParty, Index: upstream}
-		return o.paths.Hits(i, b, u) || o.paths.Hits(i, u, b)
+		return o.paths.Affects(i, b, u) || o.paths.Affects(i, u, b)
 	}
 	return false
 }
--- a/internal/lab/model/actor.go
+++ b/internal/lab/model/actor.go
@@ -60,7 +60,7 @@
 		a.blocked = append(a.blocked, blockedMessage{to, m})
 		return
 	}
-	delay := conditions.Lag(messageSize, a.rng.Float64)
+	delay := conditions.TransferTime(messageSize, a.rng.Float64)
 	m.at = a.now + max(delay, a.sim.minDelay)
 	m.from = a.id
 	m.to = to.id
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -112,5 +112,5 @@
 
 // onLinkFault reports whether a fault on links affects the one between this node and another party, in either direction.
 func (n *node) onLinkFault(faultIndex int, p scenario.Party) bool {
-	return n.sim.paths.Hits(faultIndex, n.party, p) || n.sim.paths.Hits(faultIndex, p, n.party)
+	return n.sim.paths.Affects(faultIndex, n.party, p) || n.sim.paths.Affects(faultIndex, p, n.party)
 }
--- a/internal/lab/model/sim.go
+++ b/internal/lab/model/sim.go
@@ -42,12 +42,12 @@
 	fleet       *scenario.Fleet
 	paths       *scenario.Paths
 	arrivals    []scenario.Arrival
-	faultHits   []scenario.Hit // by fault
-	minDelay    time.Duration  // between any two parties
-	ingresses   []*actor       // by zone
-	nodes       []*actor       // by balancer
-	servers     []*actor       // by upstream
-	actors      []*actor       // all actors, by id
+	faultHits   []scenario.AffectedSet // by fault
+	minDelay    time.Duration          // between any two parties
+	ingresses   []*actor               // by zone
+	nodes       []*actor               // by balancer
+	servers     []*actor               // by upstream
+	actors      []*actor               // all actors, by id
 	queue       actorQueue
 	faultEvents []history.Event
 }
@@ -65,7 +65,7 @@
 func runWithPolicy(ctx context.Context, sc *scenario.Scenario, o Options, policy policyFactory) ([]history.Event, error) {
 	s := &sim{scenario: sc, fleet: sc.Fleet(), arrivals: sc.Arrivals()}
 	s.paths = sc.NewPaths(s.fleet)
-	_, s.faultHits = sc.Timetable()
+	_, s.faultHits = sc.FaultSchedule()
 	s.minDelay = s.paths.MinDelay()
 	if err := s.populate(policy); err != nil {
 		return nil, err
@@ -137,7 +137,7 @@
 
 // run processes messages and faults in steps of at most minDelay, until the end of the run.
 func (s *sim) run(ctx context.Context, o Options) error {
-	changes, _ := s.scenario.Timetable()
+	changes, _ := s.scenario.FaultSchedule()
 	end := s.scenario.Length.D() + s.scenario.MaxDeadline() + tailDuration
 	progress := progressReporter{report: o.Progress, length: s.scenario.Length.D()}
 	workers := newPool(max(1, o.Workers))
@@ -229,7 +229,7 @@
 }
 
 // applyChange applies the begin or the end of a fault.
-func (s *sim) applyChange(c scenario.Change) {
+func (s *sim) applyChange(c scenario.FaultTransition) {
 	fault := s.scenario.Faults[c.Fault]
 	hit := s.faultHits[c.Fault]
 	event := history.Event{At: c.At, Kind: history.FaultEnded, Fault: int32(c.Fault), Arrival: history.None, Balancer: history.None, Upstream: history.None}
@@ -273,7 +273,7 @@
 
 // announceUpdate sends every discovery agent the change of the endpoint list that a fault causes, after the delay with
 // which discovery notices it.
-func (s *sim) announceUpdate(c scenario.Change, fault scenario.Fault, hit scenario.Hit) {
+func (s *sim) announceUpdate(c scenario.FaultTransition, fault scenario.Fault, hit scenario.AffectedSet) {
 	phase, delay, warmsUp := s.scenario.EndpointPhase(fault, c.Transition)
 	if phase == "" {
 		return
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -174,7 +174,7 @@
 }
 
 func (p *page) fillTimetable() {
-	_, hits := p.Day.Timetable()
+	_, hits := p.Day.FaultSchedule()
 	for i, f := range p.Day.Faults {
 		to := "the end"
 		if f.For > 0 {
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -124,8 +124,8 @@
 	return phase, delay, false
 }
 
-// Hit is the set of components that a fault affects.
-type Hit struct {
+// AffectedSet is the set of components that a fault affects.
+type AffectedSet struct {
 	Scope    Scope
 	From, To map[Party]bool // the two sides of the affected links
 	Targets  []int          // indices of upstreams, balancers, or zones of clients, in ascending order
@@ -133,9 +133,9 @@
 
 // resolve returns the components that fault i affects, with a random selection if the fault affects only a part of its
 // targets.
-func (s *Scenario) resolve(f *Fleet, i int) (Hit, error) {
+func (s *Scenario) resolve(f *Fleet, i int) (AffectedSet, error) {
 	fault := s.Faults[i]
-	h := Hit{Scope: faultKinds[fault.Kind].scope}
+	h := AffectedSet{Scope: faultKinds[fault.Kind].scope}
 	if h.Scope == OnLinks {
 		return f.resolveLinks(h, fault)
 	}
@@ -167,7 +167,7 @@
 }
 
 // resolveLinks returns the links that a fault affects.
-func (f *Fleet) resolveLinks(h Hit, fault Fault) (Hit, error) {
+func (f *Fleet) resolveLinks(h AffectedSet, fault Fault) (AffectedSet, error) {
 	if len(fault.Target) > 0 {
 		return h, errors.New("target: a fault on links has from and to in place of a target")
 	}
@@ -200,16 +200,16 @@
 	Begin
 )
 
-// Change is an entry of the timetable: the beginning or the end of a fault.
-type Change struct {
+// FaultTransition is an entry of the timetable: the beginning or the end of a fault.
+type FaultTransition struct {
 	At         time.Duration // since the start of the run
 	Fault      int           // index into Scenario.Faults
 	Transition Transition
 }
 
-// Timetable returns the beginnings and ends of all faults in order of time. At the same time, ends come first, and then the
+// FaultSchedule returns the beginnings and ends of all faults in order of time. At the same time, ends come first, and then the
 // faults are in the order of the file. hits has the affected components by the index of the fault.
-func (s *Scenario) Timetable() (changes []Change, hits []Hit) {
+func (s *Scenario) FaultSchedule() (changes []FaultTransition, hits []AffectedSet) {
 	f := s.Fleet()
 	for i, fault := range s.Faults {
 		hit, err := s.resolve(f, i)
@@ -217,12 +217,12 @@
 			panic(err) // Parse has checked this
 		}
 		hits = append(hits, hit)
-		changes = append(changes, Change{fault.At.D(), i, Begin})
+		changes = append(changes, FaultTransition{fault.At.D(), i, Begin})
 		if end := fault.At + fault.For; fault.For > 0 && fault.Kind != LinkReset {
-			changes = append(changes, Change{end.D(), i, End})
+			changes = append(changes, FaultTransition{end.D(), i, End})
 		}
 	}
-	slices.SortStableFunc(changes, func(a, b Change) int {
+	slices.SortStableFunc(changes, func(a, b FaultTransition) int {
 		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Transition, b.Transition), cmp.Compare(a.Fault, b.Fault))
 	})
 	return changes, hits
@@ -232,7 +232,7 @@
 func DescribeFault(kind FaultKind) string { return faultKinds[kind].about }
 
 // TargetNames returns a human-readable list of the components that fault i affects.
-func (s *Scenario) TargetNames(f *Fleet, i int, hit Hit) string {
+func (s *Scenario) TargetNames(f *Fleet, i int, hit AffectedSet) string {
 	fault := s.Faults[i]
 	if hit.Scope == OnLinks {
 		arrow := "<->"
--- a/internal/lab/scenario/paths.go
+++ b/internal/lab/scenario/paths.go
@@ -18,8 +18,8 @@
 // the same message doubles it.
 const minRetransmitTimeout = 200 * time.Millisecond
 
-// Lag returns how long a message of size bytes takes on a link that is not cut. draw returns random numbers from 0 to 1.
-func (c Condition) Lag(size float64, draw func() float64) time.Duration {
+// TransferTime returns how long a message of size bytes takes on a link that is not cut. draw returns random numbers from 0 to 1.
+func (c Condition) TransferTime(size float64, draw func() float64) time.Duration {
 	d := c.Delay
 	for timeout := minRetransmitTimeout; c.Loss > 0 && draw() < c.Loss; timeout *= 2 {
 		d += timeout
@@ -36,7 +36,7 @@
 type Paths struct {
 	day          *Scenario
 	fleet        *Fleet
-	hits         []Hit
+	hits         []AffectedSet
 	active       []bool
 	activeFaults int           // number of active faults on links
 	base         [][]Condition // without faults; by source zone and destination zone
@@ -44,7 +44,7 @@
 
 // NewPaths returns the links of a scenario without an active fault.
 func (s *Scenario) NewPaths(f *Fleet) *Paths {
-	_, hits := s.Timetable()
+	_, hits := s.FaultSchedule()
 	p := &Paths{day: s, fleet: f, hits: hits, active: make([]bool, len(s.Faults))}
 	for from, a := range f.Zones {
 		row := make([]Condition, len(f.Zones))
@@ -96,11 +96,11 @@
 // ResetsConns reports whether fault i resets the open connections of the affected links.
 func (p *Paths) ResetsConns(i int) bool { return p.day.Faults[i].Kind == LinkReset }
 
-// OnLinks reports whether fault i is a fault on links.
-func (p *Paths) OnLinks(i int) bool { return p.hits[i].Scope == OnLinks }
+// IsLinkFault reports whether fault i is a fault on links.
+func (p *Paths) IsLinkFault(i int) bool { return p.hits[i].Scope == OnLinks }
 
-// Hits reports whether fault i, which is a fault on links, affects messages from one party to another.
-func (p *Paths) Hits(i int, from, to Party) bool {
+// Affects reports whether fault i, which is a fault on links, affects messages from one party to another.
+func (p *Paths) Affects(i int, from, to Party) bool {
 	h := p.hits[i]
 	return (h.From[from] && h.To[to]) || (!p.day.Faults[i].OneWay && h.From[to] && h.To[from])
 }
@@ -112,7 +112,7 @@
 		return c
 	}
 	for i, on := range p.active {
-		if !on || !p.Hits(i, from, to) {
+		if !on || !p.Affects(i, from, to) {
 			continue
 		}
 		fault := p.day.Faults[i]
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -71,8 +71,8 @@
 func TestSeedDeterminesArrivalsAndTargets(t *testing.T) {
 	text := small + "[[fault]]\nat=\"1s\"\nkind=\"errors\"\nsize=0.5\npart=0.4\ntarget=[\"upstream:*\"]\n"
 	a, b, c := parse(t, text), parse(t, text), parse(t, "seed = 2\n"+text)
-	_, ha := a.Timetable()
-	_, hb := b.Timetable()
+	_, ha := a.FaultSchedule()
+	_, hb := b.FaultSchedule()
 	if !reflect.DeepEqual(a.Arrivals(), b.Arrivals()) || !reflect.DeepEqual(ha, hb) {
 		t.Error("two scenarios with the same seed differ in arrivals or targets")
 	}
--- a/internal/lab/scenario/schedule.go
+++ b/internal/lab/scenario/schedule.go
@@ -32,7 +32,7 @@
 // the answers to earlier requests.
 func (s *Scenario) Arrivals() []Arrival {
 	f := s.Fleet()
-	_, hits := s.Timetable()
+	_, hits := s.FaultSchedule()
 	var all []Arrival
 	for z := range f.Zones {
 		all = append(all, s.zoneArrivals(hits, z, f.Zones[z].Share)...)
@@ -43,7 +43,7 @@
 
 // zoneArrivals returns the first requests of a zone with a share of the load. It thins a Poisson process: candidates arrive
 // at the peak rate, and each is accepted with the ratio of the rate at its time to the peak rate.
-func (s *Scenario) zoneArrivals(hits []Hit, zone int, share float64) []Arrival {
+func (s *Scenario) zoneArrivals(hits []AffectedSet, zone int, share float64) []Arrival {
 	rng := rand.New(rand.NewPCG(s.Seed, randomStream("arrivals", zone)))
 	keys := rand.NewZipf(rng, keyExponent, keyOffset, uint64(s.Clients.Keys-1))
 	classes := cumulative(s.Classes, func(c Class) float64 { return c.Share })
@@ -77,7 +77,7 @@
 }
 
 // rate returns the number of requests a second that would arrive at a point in time if all clients were in zone z.
-func (s *Scenario) rate(hits []Hit, z int, at time.Duration) float64 {
+func (s *Scenario) rate(hits []AffectedSet, z int, at time.Duration) float64 {
 	r := s.Load.Rate
 	if s.Load.Shape == "wave" {
 		r *= 1 + s.Load.Swing*math.Sin(2*math.Pi*at.Seconds()/s.Load.Period.D().Seconds())
@@ -92,7 +92,7 @@
 }
 
 // peak returns an upper bound of rate over the whole run.
-func (s *Scenario) peak(hits []Hit, z int) float64 {
+func (s *Scenario) peak(hits []AffectedSet, z int) float64 {
 	r := s.Load.Rate
 	if s.Load.Shape == "wave" {
 		r *= 1 + s.Load.Swing
