--- a/cmd/balancerctl/comparecommand.go
+++ b/cmd/balancerctl/comparecommand.go
@@ -42,8 +42,8 @@
 // Name returns the command-line argument that selects the side.
 func (s *commandSide) Name() string { return s.name }
 
-// Play runs the scenario once with the given seed.
-func (s *commandSide) Play(ctx context.Context, seed uint64) (*measure.Summary, error) {
+// Run runs the scenario once with the given seed.
+func (s *commandSide) Run(ctx context.Context, seed uint64) (*measure.Summary, error) {
 	output, err := s.run(ctx, seed)
 	if err != nil {
 		return nil, err
--- a/cmd/balancerctl/comparelive.go
+++ b/cmd/balancerctl/comparelive.go
@@ -42,13 +42,13 @@
 // Name returns the command-line argument that selects the side.
 func (s *liveSide) Name() string { return s.name }
 
-// Play runs the scenario once with the given seed.
-func (s *liveSide) Play(ctx context.Context, seed uint64) (*measure.Summary, error) {
+// Run runs the scenario once with the given seed.
+func (s *liveSide) Run(ctx context.Context, seed uint64) (*measure.Summary, error) {
 	sc, err := loadWithSeed(s.file, seed)
 	if err != nil {
 		return nil, err
 	}
-	r, err := lab.Live(ctx, sc, live.Options{Command: s.program.Command(), Dir: s.program.Root, Work: s.out})
+	r, err := lab.RunLive(ctx, sc, live.Options{Command: s.program.Command(), Dir: s.program.Root, WorkDir: s.out})
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/balancerctl/comparemodel.go
+++ b/cmd/balancerctl/comparemodel.go
@@ -25,13 +25,13 @@
 // Name returns the command-line argument that selects the side.
 func (s *modelSide) Name() string { return s.name }
 
-// Play runs the scenario once with the given seed.
-func (s *modelSide) Play(ctx context.Context, seed uint64) (*measure.Summary, error) {
+// Run runs the scenario once with the given seed.
+func (s *modelSide) Run(ctx context.Context, seed uint64) (*measure.Summary, error) {
 	sc, err := loadWithSeed(s.file, seed)
 	if err != nil {
 		return nil, err
 	}
-	r, err := lab.Model(ctx, sc, model.Options{Workers: 4, Policy: s.policy})
+	r, err := lab.RunModel(ctx, sc, model.Options{Workers: 4, Policy: s.policy})
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/balancerctl/lab.go
+++ b/cmd/balancerctl/lab.go
@@ -122,7 +122,7 @@
 		if c.Workers == 0 {
 			c.Workers = runtime.GOMAXPROCS(0)
 		}
-		return lab.Model(ctx, sc, model.Options{Workers: c.Workers, Policy: c.Policy, Progress: p.showElapsed})
+		return lab.RunModel(ctx, sc, model.Options{Workers: c.Workers, Policy: c.Policy, Progress: p.showElapsed})
 	}
 	balancer, err := program.Find(c.Program)
 	if err != nil {
@@ -135,7 +135,7 @@
 		}
 	}
 	p.show("starting the balancers")
-	return lab.Live(ctx, sc, live.Options{Command: balancer.Command(), Dir: balancer.Root, Work: out, Progress: p.showElapsed})
+	return lab.RunLive(ctx, sc, live.Options{Command: balancer.Command(), Dir: balancer.Root, WorkDir: out, Progress: p.showElapsed})
 }
 
 // writeJSON writes a value to standard output as indented JSON.
@@ -153,7 +153,7 @@
 	}
 	defer f.Close()
 	for _, e := range r.Events {
-		if _, err := fmt.Fprintln(f, e.Describe(r.Day, r.Fleet)); err != nil {
+		if _, err := fmt.Fprintln(f, e.Describe(r.Scenario, r.Fleet)); err != nil {
 			return err
 		}
 	}
--- a/cmd/balancerctl/scale.go
+++ b/cmd/balancerctl/scale.go
@@ -110,7 +110,7 @@
 		return result, err
 	}
 	start := time.Now()
-	events, err := model.Play(ctx, sc, options)
+	events, err := model.Run(ctx, sc, options)
 	if err != nil {
 		return result, err
 	}
--- a/cmd/balancerctl/violationtext.go
+++ b/cmd/balancerctl/violationtext.go
@@ -30,7 +30,7 @@
 	for _, v := range r.Violations[:min(maxShownViolations, len(r.Violations))] {
 		fmt.Fprintf(w, "\n%s at %v: %s\n", v.Rule, v.At.Round(time.Millisecond), v.What)
 		for _, e := range v.Trace[max(0, len(v.Trace)-maxShownTraceLines):] {
-			fmt.Fprintln(w, "  ", e.Describe(r.Day, r.Fleet))
+			fmt.Fprintln(w, "  ", e.Describe(r.Scenario, r.Fleet))
 		}
 	}
 }
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -23,7 +23,7 @@
 // Side is one of the two variants that are compared. Play runs its scenario with a seed.
 type Side interface {
 	Name() string
-	Play(ctx context.Context, seed uint64) (*measure.Summary, error)
+	Run(ctx context.Context, seed uint64) (*measure.Summary, error)
 }
 
 // Measure is a figure of a run by which sides are compared.
@@ -155,7 +155,7 @@
 		for turn := range sides {
 			sideIndex := (pair + turn) % len(sides)
 			side := sides[sideIndex]
-			summary, err := side.Play(ctx, pairSeed)
+			summary, err := side.Run(ctx, pairSeed)
 			if err != nil {
 				return nil, fmt.Errorf("running side %s with seed %d: %w", side.Name(), pairSeed, err)
 			}
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -18,7 +18,7 @@
 
 func (n *noisySide) Name() string { return n.name }
 
-func (n *noisySide) Play(_ context.Context, seed uint64) (*measure.Summary, error) {
+func (n *noisySide) Run(_ context.Context, seed uint64) (*measure.Summary, error) {
 	*n.runOrder = append(*n.runOrder, n.name)
 	shared := rand.New(rand.NewPCG(seed, 1)).Float64()
 	return &measure.Summary{Score: n.mean + shared + n.noise*n.rng.NormFloat64()}, nil
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -15,7 +15,7 @@
 
 // Result is the result of a run.
 type Result struct {
-	Day        *scenario.Scenario
+	Scenario   *scenario.Scenario
 	Fleet      *scenario.Fleet
 	Arrivals   []scenario.Arrival
 	Events     []history.Event
@@ -23,14 +23,14 @@
 	Summary    *measure.Summary
 }
 
-// Good reports whether the run is valid and has no violations.
-func (r *Result) Good() bool {
+// Passed reports whether the run is valid and has no violations.
+func (r *Result) Passed() bool {
 	return len(r.Violations) == 0 && (r.Summary.Lab == nil || r.Summary.Lab.VoidReason == "")
 }
 
-// Live runs a scenario with real processes of the balancer.
-func Live(ctx context.Context, s *scenario.Scenario, o live.Options) (*Result, error) {
-	out, err := live.Play(ctx, s, o)
+// RunLive runs a scenario with real processes of the balancer.
+func RunLive(ctx context.Context, s *scenario.Scenario, o live.Options) (*Result, error) {
+	out, err := live.Run(ctx, s, o)
 	if err != nil {
 		return nil, err
 	}
@@ -39,9 +39,9 @@
 	return r, nil
 }
 
-// Model runs a scenario in virtual time.
-func Model(ctx context.Context, s *scenario.Scenario, o model.Options) (*Result, error) {
-	events, err := model.Play(ctx, s, o)
+// RunModel runs a scenario in virtual time.
+func RunModel(ctx context.Context, s *scenario.Scenario, o model.Options) (*Result, error) {
+	events, err := model.Run(ctx, s, o)
 	if err != nil {
 		return nil, err
 	}
@@ -50,7 +50,7 @@
 
 // newResult checks and measures the history of a run.
 func newResult(s *scenario.Scenario, engine string, events []history.Event) *Result {
-	r := &Result{Day: s, Fleet: s.Fleet(), Arrivals: s.Arrivals(), Events: events}
+	r := &Result{Scenario: s, Fleet: s.Fleet(), Arrivals: s.Arrivals(), Events: events}
 	r.Violations = check.Judge(s, r.Fleet, events)
 	r.Summary = measure.Summarize(s, r.Fleet, engine, r.Arrivals, events, r.Violations)
 	return r
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -67,7 +67,7 @@
 	t.Helper()
 	work := t.TempDir()
 	t.Cleanup(func() { logProcesses(t, s, work) })
-	r, err := Live(context.Background(), s, live.Options{Command: command, Dir: ".", Work: work})
+	r, err := RunLive(context.Background(), s, live.Options{Command: command, Dir: ".", WorkDir: work})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,7 +119,7 @@
 				}
 				t.Errorf("%s at %v: %s", v.Rule, v.At, v.What)
 				for _, e := range v.Trace[:min(len(v.Trace), 20)] {
-					t.Log(e.Describe(r.Day, r.Fleet))
+					t.Log(e.Describe(r.Scenario, r.Fleet))
 				}
 			}
 			if c.rule != "" && !detected {
--- a/internal/lab/live/run.go
+++ b/internal/lab/live/run.go
@@ -36,7 +36,7 @@
 type Options struct {
 	Command []string // command line that starts a balancer
 	Dir     string   // working directory of the balancers
-	Work    string   // folder for configurations, state and logs; it is not removed after the run
+	WorkDir string   // folder for configurations, state and logs; it is not removed after the run
 	// Progress is called once a second with the time since the start of the run. It may be nil.
 	Progress func(at time.Duration)
 }
@@ -69,9 +69,9 @@
 	ingresses []*ingress
 }
 
-// Play runs a scenario. It checks the limits of this machine before it starts anything. If ctx ends, it stops the run and
+// Run runs a scenario. It checks the limits of this machine before it starts anything. If ctx ends, it stops the run and
 // cleans up all processes, connections and listeners.
-func Play(ctx context.Context, d *scenario.Scenario, o Options) (*Outcome, error) {
+func Run(ctx context.Context, d *scenario.Scenario, o Options) (*Outcome, error) {
 	r := &run{scenario: d, fleet: d.Fleet(), options: o, recorder: newRecorder()}
 	if err := r.checkLimits(); err != nil {
 		return nil, err
@@ -140,7 +140,7 @@
 
 // start starts the fleet and returns when all balancers are ready.
 func (r *run) start(ctx context.Context, s *starter) error {
-	if err := os.MkdirAll(r.options.Work, 0o755); err != nil {
+	if err := os.MkdirAll(r.options.WorkDir, 0o755); err != nil {
 		return fmt.Errorf("%w: %w", scenario.ErrInput, err)
 	}
 	for u := range r.fleet.Upstreams {
@@ -268,4 +268,6 @@
 }
 
 // folder returns the folder of a balancer's files.
-func (r *run) folder(b int) string { return filepath.Join(r.options.Work, r.fleet.Balancers[b].Name) }
+func (r *run) folder(b int) string {
+	return filepath.Join(r.options.WorkDir, r.fleet.Balancers[b].Name)
+}
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -109,7 +109,7 @@
 
 func runScenario(t *testing.T, sc *scenario.Scenario, o Options) []history.Event {
 	t.Helper()
-	events, err := Play(context.Background(), sc, o)
+	events, err := Run(context.Background(), sc, o)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/model/sim.go
+++ b/internal/lab/model/sim.go
@@ -52,8 +52,8 @@
 	faultEvents []history.Event
 }
 
-// Play runs a scenario in virtual time and returns its history.
-func Play(ctx context.Context, sc *scenario.Scenario, o Options) ([]history.Event, error) {
+// Run runs a scenario in virtual time and returns its history.
+func Run(ctx context.Context, sc *scenario.Scenario, o Options) ([]history.Event, error) {
 	policy, err := policyByName(o.Policy)
 	if err != nil {
 		return nil, err
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -113,8 +113,8 @@
 	s := r.Summary
 	p := newPlot(fmt.Sprintf("%s, %s engine: worth served in time", s.Day, s.Engine), "share of the offered worth", s.LengthSeconds)
 	top := 1.02
-	for i, f := range r.Day.Faults {
-		from, to := faultSpan(r.Day, f)
+	for i, f := range r.Scenario.Faults {
+		from, to := faultSpan(r.Scenario, f)
 		y := 1.04 + float64(i)*faultBarHeight
 		ink := lineColors[(i+1)%len(lineColors)]
 		if err := addBox(p, from, to, y, y+faultBarHeight*0.7, color.NRGBA{ink.R, ink.G, ink.B, 0x99}); err != nil {
@@ -158,7 +158,7 @@
 			top = max(top, value(w, i))
 		}
 	}
-	if err := shadeFaults(p, r.Day, max(top*1.25, 1e-6)); err != nil {
+	if err := shadeFaults(p, r.Scenario, max(top*1.25, 1e-6)); err != nil {
 		return nil, err
 	}
 	for i, name := range names {
@@ -170,7 +170,7 @@
 }
 
 // perSecond converts a window's count to a rate.
-func perSecond(r *lab.Result, n int) float64 { return float64(n) / r.Day.Window.D().Seconds() }
+func perSecond(r *lab.Result, n int) float64 { return float64(n) / r.Scenario.Window.D().Seconds() }
 
 // zonesPlot plots the traffic between zones, a line for each of the busiest pairs.
 func zonesPlot(r *lab.Result) (*plot.Plot, error) {
@@ -301,7 +301,7 @@
 
 // figures returns all plots of a run.
 func figures(r *lab.Result) ([]figure, error) {
-	servedHeight := plotHeight + rowsHeight(len(r.Day.Faults))
+	servedHeight := plotHeight + rowsHeight(len(r.Scenario.Faults))
 	upstreams := min(len(r.Fleet.Upstreams), maxUpstreamRows)
 	upstreamsHeight := max(plotHeight, rowsHeight(upstreams))
 	var all []figure
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -164,7 +164,7 @@
 	}
 	for _, r := range p.Summary.WorstRequests {
 		a := p.Arrivals[r.Arrival]
-		title := fmt.Sprintf("%s from %s at %.3f s: %s after %d tries and %d attempts", p.Day.Classes[a.Class].Name,
+		title := fmt.Sprintf("%s from %s at %.3f s: %s after %d tries and %d attempts", p.Scenario.Classes[a.Class].Name,
 			p.Fleet.Zones[a.Zone].Name, a.At.Seconds(), r.Outcome, r.Tries, r.Attempts)
 		if r.Latency > 0 {
 			title += fmt.Sprintf(", %.0f ms", r.Latency.Seconds()*1000)
@@ -174,8 +174,8 @@
 }
 
 func (p *page) fillTimetable() {
-	_, hits := p.Day.FaultSchedule()
-	for i, f := range p.Day.Faults {
+	_, hits := p.Scenario.FaultSchedule()
+	for i, f := range p.Scenario.Faults {
 		to := "the end"
 		if f.For > 0 {
 			to = (f.At + f.For).D().String()
@@ -184,7 +184,7 @@
 			At:      f.At.D().String(),
 			To:      to,
 			Kind:    string(f.Kind),
-			Targets: p.Day.TargetNames(p.Fleet, i, hits[i]),
+			Targets: p.Scenario.TargetNames(p.Fleet, i, hits[i]),
 			About:   scenario.DescribeFault(f.Kind),
 		})
 	}
@@ -212,7 +212,7 @@
 func (p *page) eventLog(title string, trace []history.Event) eventLog {
 	s := eventLog{Title: title}
 	for _, e := range trace[max(0, len(trace)-shownEvents):] {
-		s.Lines = append(s.Lines, e.Describe(p.Day, p.Fleet))
+		s.Lines = append(s.Lines, e.Describe(p.Scenario, p.Fleet))
 	}
 	return s
 }
