--- a/cmd/balancerctl/crash.go
+++ b/cmd/balancerctl/crash.go
@@ -27,12 +27,12 @@
 			maxCrashUpstreams, maxCrashRounds)
 	}
 	saves := crash.GenerateSaves(c.Rounds, c.Upstreams, c.Seed)
-	r, err := crash.Run(saves, crash.Options{SampleOneIn: c.Every, RecoveryCutOneIn: c.Again, Seed: c.Seed})
+	r, err := crash.Run(saves, crash.Options{SampleOneIn: c.Every, RecoveryPowerLossOneIn: c.Again, Seed: c.Seed})
 	if err != nil {
 		return err
 	}
 	fmt.Printf("%d cases: %d with a power loss, %d with a flipped byte, %d with another power loss during recovery\n",
-		r.Cases(), r.PowerCuts, r.ByteFlips, r.RecoveryCuts)
+		r.Cases(), r.PowerLosses, r.ByteFlips, r.RecoveryPowerLosses)
 	fmt.Printf("records loaded: %d times the newest, %d times an older one that is allowed, %d times none because none had been saved\n",
 		r.LoadedNewest, r.LoadedPrevious, r.LoadedNone)
 	for _, violation := range r.Violations {
--- a/cmd/balancerctl/violationtext.go
+++ b/cmd/balancerctl/violationtext.go
@@ -28,7 +28,7 @@
 		return
 	}
 	for _, v := range r.Violations[:min(maxShownViolations, len(r.Violations))] {
-		fmt.Fprintf(w, "\n%s at %v: %s\n", v.Rule, v.At.Round(time.Millisecond), v.What)
+		fmt.Fprintf(w, "\n%s at %v: %s\n", v.Rule, v.At.Round(time.Millisecond), v.Description)
 		for _, e := range v.Trace[max(0, len(v.Trace)-maxShownTraceLines):] {
 			fmt.Fprintln(w, "  ", e.Describe(r.Scenario, r.Fleet))
 		}
--- a/internal/lab/check/answers.go
+++ b/internal/lab/check/answers.go
@@ -43,7 +43,7 @@
 		return fmt.Sprintf("got %d responses, want 1", count)
 	case answer.Text != "":
 		return "served with a response that no upstream produced for it: " + answer.Text
-	case sent != nil && answer.At > sent.Deadline+Grace+tolerance && !c.excused(*sent, answer.At):
+	case sent != nil && answer.At > sent.Deadline+DeadlineGrace+tolerance && !c.excused(*sent, answer.At):
 		return fmt.Sprintf("answered %v after its deadline", answer.At-sent.Deadline)
 	}
 	return ""
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -17,31 +17,31 @@
 
 // The rules.
 const (
-	OneAnswer  Rule = "one-answer" // each accepted request gets exactly one final response, its own, in time
-	OneEffect  Rule = "one-effect" // a request that may have run is retried only as its class permits, and no request is invented
-	Drained    Rule = "drained"    // no new request to an upstream after the notification that it is draining or removed
-	ColdStart  Rule = "cold-start" // no warming-up upstream is overloaded by balancers that were notified of its start
-	Limits     Rule = "limits"     // memory and file descriptors stay within their limits
-	NoCrash    Rule = "no-crash"   // a process exits only after a signal
-	NoLeftover Rule = "no-orphan"  // no process outlives the run
+	OneAnswer Rule = "one-answer" // each accepted request gets exactly one final response, its own, in time
+	OneEffect Rule = "one-effect" // a request that may have run is retried only as its class permits, and no request is invented
+	Drained   Rule = "drained"    // no new request to an upstream after the notification that it is draining or removed
+	ColdStart Rule = "cold-start" // no warming-up upstream is overloaded by balancers that were notified of its start
+	Limits    Rule = "limits"     // memory and file descriptors stay within their limits
+	NoCrash   Rule = "no-crash"   // a process exits only after a signal
+	NoOrphan  Rule = "no-orphan"  // no process outlives the run
 )
 
 // Rules lists all rules, in the order of reports.
-var Rules = []Rule{OneAnswer, OneEffect, Drained, ColdStart, Limits, NoCrash, NoLeftover}
+var Rules = []Rule{OneAnswer, OneEffect, Drained, ColdStart, Limits, NoCrash, NoOrphan}
 
 // Violation is one violation of a rule with its evidence.
 type Violation struct {
-	Rule  Rule
-	At    time.Duration
-	What  string
-	Trace []history.Event // all events of the request, or those around the violation at the upstream or process
+	Rule        Rule
+	At          time.Duration
+	Description string
+	Trace       []history.Event // all events of the request, or those around the violation at the upstream or process
 }
 
 const (
 	// tolerance is added to every time limit, for clock error and socket latency.
 	tolerance = 50 * time.Millisecond
-	// Grace is how long after its deadline a response is still accepted. It does not count as served in time.
-	Grace = 500 * time.Millisecond
+	// DeadlineGrace is how long after its deadline a response is still accepted. It does not count as served in time.
+	DeadlineGrace = 500 * time.Millisecond
 	// informedShare is the minimum share of the work sent to a collapsed upstream that must come from balancers notified of
 	// its start for the collapse to violate ColdStart.
 	informedShare = 2.0 / 3
@@ -64,8 +64,8 @@
 	violations      []Violation
 }
 
-// Judge returns every violation in a history, in order of time. Events must be in order of time.
-func Judge(sc *scenario.Scenario, f *scenario.Fleet, events []history.Event) []Violation {
+// Check returns every violation in a history, in order of time. Events must be in order of time.
+func Check(sc *scenario.Scenario, f *scenario.Fleet, events []history.Event) []Violation {
 	c := &checker{
 		scenario:        sc,
 		fleet:           f,
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -87,7 +87,7 @@
 
 // Each history violates exactly the rule given with it, or none.
 func TestRules(t *testing.T) {
-	sc := labtest.Day(t, testScenario)
+	sc := labtest.ParseScenario(t, testScenario)
 	onSecondBalancer := func(t trace) trace {
 		for i := range t {
 			t[i].Balancer = 1
@@ -125,10 +125,10 @@
 		{"exited without a signal", NoCrash, trace{}.process(0, history.Started).process(500*ms, history.Exited)},
 		{"memory over its limit", Limits, trace{}.add(0, history.OverLimit, func(e *history.Event) { e.Text = "memory" })},
 	} {
-		got := Judge(sc, sc.Fleet(), c.events)
+		got := Check(sc, sc.Fleet(), c.events)
 		switch {
 		case c.rule == "" && len(got) > 0:
-			t.Errorf("%s: %s: %s", c.name, got[0].Rule, got[0].What)
+			t.Errorf("%s: %s: %s", c.name, got[0].Rule, got[0].Description)
 		case c.rule != "" && (len(got) != 1 || got[0].Rule != c.rule):
 			t.Errorf("%s: %v, want one violation of %s", c.name, got, c.rule)
 		}
@@ -137,7 +137,7 @@
 
 // Overloading a warming-up upstream is a violation only if the balancer had been notified of its start.
 func TestColdStartNeedsKnowledge(t *testing.T) {
-	sc := labtest.Day(t, testScenario)
+	sc := labtest.ParseScenario(t, testScenario)
 	for _, notified := range []bool{true, false} {
 		events := trace{}.add(0, history.UpstreamStarted, func(e *history.Event) { e.Upstream = 0 })
 		if notified {
@@ -149,7 +149,7 @@
 			})
 		}
 		events = events.add(300*ms, history.Collapsed, func(e *history.Event) { e.Upstream = 0 })
-		if got := Judge(sc, sc.Fleet(), events); (len(got) == 1 && got[0].Rule == ColdStart) != notified {
+		if got := Check(sc, sc.Fleet(), events); (len(got) == 1 && got[0].Rule == ColdStart) != notified {
 			t.Errorf("balancer notified: %t: got %v", notified, got)
 		}
 	}
--- a/internal/lab/check/effects.go
+++ b/internal/lab/check/effects.go
@@ -80,5 +80,5 @@
 			return e.At
 		}
 	}
-	return c.scenario.Length.D() + Grace
+	return c.scenario.Length.D() + DeadlineGrace
 }
--- a/internal/lab/check/fleet.go
+++ b/internal/lab/check/fleet.go
@@ -144,7 +144,7 @@
 			}
 			reported[e.Text] = true
 		case history.Orphan:
-			c.add(NoLeftover, e.At, name+" left a process running after the run: "+e.Text, []history.Event{e})
+			c.add(NoOrphan, e.At, name+" left a process running after the run: "+e.Text, []history.Event{e})
 		}
 	}
 }
--- a/internal/lab/crash/crash_test.go
+++ b/internal/lab/crash/crash_test.go
@@ -27,7 +27,7 @@
 	} {
 		t.Run(fmt.Sprintf("%d upstreams", c.upstreams), func(t *testing.T) {
 			const seed = 5
-			options := Options{SampleOneIn: c.sampleOneIn, RecoveryCutOneIn: c.recoveryCutOneIn, Seed: seed}
+			options := Options{SampleOneIn: c.sampleOneIn, RecoveryPowerLossOneIn: c.recoveryCutOneIn, Seed: seed}
 			result, err := Run(GenerateSaves(3, c.upstreams, seed), options)
 			if err != nil {
 				t.Fatal(err)
@@ -35,7 +35,7 @@
 			for _, violation := range result.Violations {
 				t.Errorf("seed %d: %s", seed, violation)
 			}
-			if result.PowerCuts < 1000 || result.ByteFlips < 500 || result.RecoveryCuts < 20 {
+			if result.PowerLosses < 1000 || result.ByteFlips < 500 || result.RecoveryPowerLosses < 20 {
 				t.Errorf("too few cases: %+v", *result)
 			}
 			if result.LoadedNewest == 0 || result.LoadedPrevious == 0 || result.LoadedNone == 0 {
--- a/internal/lab/crash/matrix.go
+++ b/internal/lab/crash/matrix.go
@@ -32,9 +32,9 @@
 type Options struct {
 	// SampleOneIn is n if one case in n is checked, chosen at random by the seed; 1 checks all cases.
 	SampleOneIn int
-	// RecoveryCutOneIn is n if a second power loss at each step of the recovery is checked in one recovery in n, chosen at
+	// RecoveryPowerLossOneIn is n if a second power loss at each step of the recovery is checked in one recovery in n, chosen at
 	// random by the seed; 0 checks none.
-	RecoveryCutOneIn int
+	RecoveryPowerLossOneIn int
 	// Seed determines the sample.
 	Seed uint64
 }
@@ -43,9 +43,9 @@
 type Result struct {
 	// The numbers of cases that were checked.
 
-	PowerCuts    int // folders that a power loss may leave
-	ByteFlips    int // folders with flipped bits in one byte
-	RecoveryCuts int // folders that a second power loss, during the recovery from the first, may leave
+	PowerLosses         int // folders that a power loss may leave
+	ByteFlips           int // folders with flipped bits in one byte
+	RecoveryPowerLosses int // folders that a second power loss, during the recovery from the first, may leave
 
 	// The results of loading each kind in these cases.
 
@@ -60,7 +60,7 @@
 
 // Cases returns the number of all checked cases.
 func (r *Result) Cases() int {
-	return r.PowerCuts + r.ByteFlips + r.RecoveryCuts
+	return r.PowerLosses + r.ByteFlips + r.RecoveryPowerLosses
 }
 
 // matrix is the state of one run.
@@ -123,9 +123,9 @@
 		if !m.sample(m.options.SampleOneIn) {
 			return
 		}
-		m.PowerCuts++
+		m.PowerLosses++
 		const description = "power loss"
-		if m.options.RecoveryCutOneIn > 0 && m.sample(m.options.RecoveryCutOneIn) {
+		if m.options.RecoveryPowerLossOneIn > 0 && m.sample(m.options.RecoveryPowerLossOneIn) {
 			m.checkPowerLossesInRecovery(remaining, description)
 		}
 		m.checkRecovery(remaining, description, m.acknowledged)
@@ -137,7 +137,7 @@
 func (m *matrix) checkPowerLossesInRecovery(disk *Disk, description string) {
 	disk.onChange = func() {
 		err := disk.forEachPowerLossOutcome(func(remaining *Disk) {
-			m.RecoveryCuts++
+			m.RecoveryPowerLosses++
 			m.checkRecovery(remaining, description+", and another in the recovery", m.acknowledged)
 		})
 		m.keepFirstError(err)
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	r := newResult(s, "live", out.Events)
-	r.Summary.Lab = measure.LabOf(out.Lateness, s.Length.D().Seconds(), out.LabCPU, out.BalancerCPU, out.RetriesOnClosed)
+	r.Summary.Lab = measure.NewLab(out.Lateness, s.Length.D().Seconds(), out.LabCPU, out.BalancerCPU, out.RetriesOnClosed)
 	return r, nil
 }
 
@@ -51,7 +51,7 @@
 // newResult checks and measures the history of a run.
 func newResult(s *scenario.Scenario, engine string, events []history.Event) *Result {
 	r := &Result{Scenario: s, Fleet: s.Fleet(), Arrivals: s.Arrivals(), Events: events}
-	r.Violations = check.Judge(s, r.Fleet, events)
+	r.Violations = check.Check(s, r.Fleet, events)
 	r.Summary = measure.Summarize(s, r.Fleet, engine, r.Arrivals, events, r.Violations)
 	return r
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -103,7 +103,7 @@
 		{"forger", check.OneAnswer}, {"repeater", check.OneEffect}, {"inventor", check.OneEffect},
 		{"copier", check.OneEffect},
 		{"drained", check.Drained}, {"deaf", check.Drained}, {"flood", check.ColdStart}, {"hungry", check.Limits}, {"crasher", check.NoCrash},
-		{"orphan", check.NoLeftover}, {"balancer", ""},
+		{"orphan", check.NoOrphan}, {"balancer", ""},
 	} {
 		t.Run(c.mode, func(t *testing.T) {
 			t.Parallel()
@@ -111,13 +111,13 @@
 			if c.mode == "balancer" {
 				command = []string{program}
 			}
-			r := runLive(t, labtest.Day(t, checkerScenario), command...)
+			r := runLive(t, labtest.ParseScenario(t, checkerScenario), command...)
 			detected := false
 			for _, v := range r.Violations {
 				if detected = detected || v.Rule == c.rule; v.Rule == c.rule {
 					continue
 				}
-				t.Errorf("%s at %v: %s", v.Rule, v.At, v.What)
+				t.Errorf("%s at %v: %s", v.Rule, v.At, v.Description)
 				for _, e := range v.Trace[:min(len(v.Trace), 20)] {
 					t.Log(e.Describe(r.Scenario, r.Fleet))
 				}
--- a/internal/lab/labtest/labtest.go
+++ b/internal/lab/labtest/labtest.go
@@ -14,8 +14,8 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// Day parses a scenario. It fails the test if the text is not a valid scenario.
-func Day(tb testing.TB, text string) *scenario.Scenario {
+// ParseScenario parses a scenario. It fails the test if the text is not a valid scenario.
+func ParseScenario(tb testing.TB, text string) *scenario.Scenario {
 	tb.Helper()
 	d, err := scenario.Parse("test.toml", []byte(text))
 	if err != nil {
@@ -30,8 +30,8 @@
 	return filepath.Join(moduleRoot(tb), "examples", filepath.FromSlash(name))
 }
 
-// Example loads an example scenario, given its path below the folder examples.
-func Example(tb testing.TB, name string) *scenario.Scenario {
+// LoadExample loads an example scenario, given its path below the folder examples.
+func LoadExample(tb testing.TB, name string) *scenario.Scenario {
 	tb.Helper()
 	d, err := scenario.LoadFile(ExampleFile(tb, name))
 	if err != nil {
@@ -40,8 +40,8 @@
 	return d
 }
 
-// Examples returns the paths of all examples below the folder examples, in lexical order.
-func Examples(tb testing.TB) []string {
+// ExampleNames returns the paths of all examples below the folder examples, in lexical order.
+func ExampleNames(tb testing.TB) []string {
 	tb.Helper()
 	var names []string
 	err := fs.WalkDir(os.DirFS(filepath.Join(moduleRoot(tb), "examples")), ".", func(name string, e fs.DirEntry, err error) error {
--- a/internal/lab/leases/leases.go
+++ b/internal/lab/leases/leases.go
@@ -30,8 +30,8 @@
 	RegrantTerm     bool // a voter grants a term again to another candidate
 }
 
-// World is a state of the model: the voters, some of which are candidates too, their clocks, and the messages in transit.
-type World struct {
+// State is a state of the model: the voters, some of which are candidates too, their clocks, and the messages in transit.
+type State struct {
 	clocks      [MaxVoters]time.Duration
 	voters      [MaxVoters]membership.Voter
 	candidates  [MaxVoters]membership.Candidate
@@ -51,11 +51,11 @@
 	Mutations
 }
 
-var _ explore.Model[World] = Model{}
+var _ explore.Model[State] = Model{}
 
 // Initial returns the state in which every member has just started and no voter has granted a lease.
-func (m Model) Initial() World {
-	var w World
+func (m Model) Initial() State {
+	var w State
 	for i := range m.Voters {
 		w.candidates[i] = membership.NewCandidate(processName(i, 0))
 		w.clocks[i] = membership.LeaseDuration
@@ -77,7 +77,7 @@
 func processName(i int, incarnation uint8) string { return fmt.Sprint(memberName(i), "/", incarnation) }
 
 // holds reports whether member i considers itself the holder.
-func (m Model) holds(w *World, i int) bool {
+func (m Model) holds(w *State, i int) bool {
 	now := w.clocks[i]
 	if m.OverlongHold {
 		now -= overlongHold
@@ -86,7 +86,7 @@
 }
 
 // respond applies a lease request to its voter and returns the response.
-func (m Model) respond(w *World, request message) message {
+func (m Model) respond(w *State, request message) message {
 	voter := &w.voters[request.to]
 	if m.RegrantTerm && request.term == voter.Term {
 		voter.Term--
@@ -107,7 +107,7 @@
 
 // handleResponse applies a response to its candidate. If that makes the candidate the holder, it records the term, and sets
 // termReused if the term did not rise.
-func (m Model) handleResponse(w *World, response message) {
+func (m Model) handleResponse(w *State, response message) {
 	i := int(response.to)
 	process := processName(i, response.incarnation)
 	candidate := &w.candidates[i]
@@ -132,42 +132,42 @@
 
 // Transitions lists the possible next states: time passes, a candidate starts a round, a message arrives, or a voter
 // restarts.
-func (m Model) Transitions(w World) []explore.Transition[World] {
-	var transitions []explore.Transition[World]
-	add := func(label string, apply func(next *World)) {
+func (m Model) Transitions(w State) []explore.Transition[State] {
+	var transitions []explore.Transition[State]
+	add := func(label string, apply func(next *State)) {
 		next := w
 		apply(&next)
 		next.sortMessages()
-		transitions = append(transitions, explore.Transition[World]{Label: label, To: next})
+		transitions = append(transitions, explore.Transition[State]{Label: label, To: next})
 	}
 	add("time", m.advanceClocks)
 	for i := range m.Candidates {
 		if w.candidates[i].Term() < maxTerm {
-			add(memberName(i)+" starts a round", func(next *World) { m.startRound(next, i) })
+			add(memberName(i)+" starts a round", func(next *State) { m.startRound(next, i) })
 		}
 	}
 	for _, msg := range w.inTransit {
 		if msg != (message{}) {
 			label := memberName(int(msg.from)) + " to " + memberName(int(msg.to))
-			add(label, func(next *World) { m.deliver(next, msg) })
+			add(label, func(next *State) { m.deliver(next, msg) })
 		}
 	}
 	if w.restarts < m.MaxRestarts {
 		for i := range m.Voters {
-			add(memberName(i)+" restarts", func(next *World) { m.restart(next, i) })
+			add(memberName(i)+" restarts", func(next *State) { m.restart(next, i) })
 		}
 	}
 	return transitions
 }
 
-func (m Model) advanceClocks(w *World) {
+func (m Model) advanceClocks(w *State) {
 	for i := range m.Voters {
 		w.clocks[i] += clockAdvance(i)
 	}
 }
 
 // startRound sends a candidate's requests to all voters. The one to itself is answered at once.
-func (m Model) startRound(w *World, i int) {
+func (m Model) startRound(w *State, i int) {
 	request := w.candidates[i].StartRound(w.clocks[i])
 	for voter := range m.Voters {
 		msg := message{from: int8(i), to: int8(voter), term: request.Term, incarnation: w.incarnation[i], round: request.Round}
@@ -180,7 +180,7 @@
 }
 
 // deliver delivers a message. It stays in transit, since it may be delivered again.
-func (m Model) deliver(w *World, msg message) {
+func (m Model) deliver(w *State, msg message) {
 	if msg.isResponse {
 		m.handleResponse(w, msg)
 	} else {
@@ -189,7 +189,7 @@
 }
 
 // restart replaces the process of a voter. Only the persisted grant survives.
-func (m Model) restart(w *World, i int) {
+func (m Model) restart(w *State, i int) {
 	w.restarts++
 	w.incarnation[i]++
 	w.candidates[i] = membership.NewCandidate(processName(i, w.incarnation[i]))
@@ -202,7 +202,7 @@
 }
 
 // Check returns an error if more than one member holds the role, or if terms did not rise from holder to holder.
-func (m Model) Check(w World) error {
+func (m Model) Check(w State) error {
 	holders := 0
 	for i := range m.Voters {
 		if m.holds(&w, i) {
--- a/internal/lab/leases/message.go
+++ b/internal/lab/leases/message.go
@@ -21,7 +21,7 @@
 }
 
 // send puts a message in transit. It may be delivered at any later time, any number of times, or never.
-func (w *World) send(msg message) {
+func (w *State) send(msg message) {
 	if slices.Contains(w.inTransit[:], msg) {
 		return
 	}
@@ -31,7 +31,7 @@
 }
 
 // sortMessages puts the messages into a canonical order, so that equivalent states compare equal.
-func (w *World) sortMessages() { slices.SortFunc(w.inTransit[:], compareMessages) }
+func (w *State) sortMessages() { slices.SortFunc(w.inTransit[:], compareMessages) }
 
 func compareMessages(x, y message) int {
 	return cmp.Or(
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -51,7 +51,7 @@
 // balancer's plain socket, near the upstream's end in the network.
 func connect(t *testing.T) (*Network, *Listener, net.Conn, *Conn) {
 	t.Helper()
-	sc := labtest.Day(t, cutScenario)
+	sc := labtest.ParseScenario(t, cutScenario)
 	n := New(sc.NewPaths(sc.Fleet()), 1)
 	l, err := n.Listen(upstreamParty, balancerParty, "127.0.0.1:0")
 	if err != nil {
--- a/internal/lab/live/exchange.go
+++ b/internal/lab/live/exchange.go
@@ -67,7 +67,7 @@
 	q.sentAt = r.now()
 	sent.At = q.sentAt
 	r.recorder.record(sent)
-	readDeadline := q.deadline + check.Grace
+	readDeadline := q.deadline + check.DeadlineGrace
 	if q.disconnectsAt > 0 {
 		readDeadline = q.disconnectsAt
 	}
@@ -130,7 +130,7 @@
 	resp, err := http.ReadResponse(c.reader, nil)
 	var body []byte
 	if err == nil {
-		c.SetReadDeadline(r.startedAt.Add(q.deadline + check.Grace))
+		c.SetReadDeadline(r.startedAt.Add(q.deadline + check.DeadlineGrace))
 		body, err = io.ReadAll(resp.Body)
 	}
 	if err != nil {
--- a/internal/lab/measure/lab.go
+++ b/internal/lab/measure/lab.go
@@ -20,9 +20,9 @@
 	VoidReason      string `json:"Void"` // empty if the run is valid
 }
 
-// LabOf computes the figures of the lab itself on a live run, from how late each request was started, the length of the run,
+// NewLab computes the figures of the lab itself on a live run, from how late each request was started, the length of the run,
 // the processor time of the lab and of all balancers, and how many requests met a connection that had just been closed.
-func LabOf(lateness []time.Duration, runSeconds float64, labCPU, balancerCPU time.Duration, retriesOnClosed int) *Lab {
+func NewLab(lateness []time.Duration, runSeconds float64, labCPU, balancerCPU time.Duration, retriesOnClosed int) *Lab {
 	h := newHistogram()
 	for _, l := range lateness {
 		h.record(max(l, time.Microsecond))
--- a/internal/lab/measure/measure_test.go
+++ b/internal/lab/measure/measure_test.go
@@ -53,7 +53,7 @@
 // latency and by the upstream that respond returns, or fails if the latency is 0.
 func syntheticRun(t *testing.T, respond func(i int, a scenario.Arrival) (latency time.Duration, upstream int32)) (*scenario.Scenario, []scenario.Arrival, []history.Event) {
 	t.Helper()
-	sc := labtest.Day(t, testScenario)
+	sc := labtest.ParseScenario(t, testScenario)
 	var arrivals []scenario.Arrival
 	var events []history.Event
 	for i := range 200 {
@@ -128,11 +128,11 @@
 // A run on which the lab started requests late is void.
 func TestLateLabIsVoid(t *testing.T) {
 	late := make([]time.Duration, 1000)
-	if l := LabOf(late, 1, 0, 0, 0); l.VoidReason != "" {
+	if l := NewLab(late, 1, 0, 0, 0); l.VoidReason != "" {
 		t.Errorf("run without lateness is void: %s", l.VoidReason)
 	}
 	late[7] = time.Second
-	if l := LabOf(late, 1, 0, 0, 0); l.VoidReason == "" {
+	if l := NewLab(late, 1, 0, 0, 0); l.VoidReason == "" {
 		t.Error("run with a request started 1 s late is not void")
 	}
 }
--- a/internal/lab/model/ingress.go
+++ b/internal/lab/model/ingress.go
@@ -138,7 +138,7 @@
 	}
 	// The first timer ends the wait for a connection, the second one the wait for a response.
 	in.after(r.deadline-in.now, message{kind: msgClientTimeout, id: r.id})
-	in.after(r.deadline+check.Grace-in.now, message{kind: msgClientTimeout, id: r.id})
+	in.after(r.deadline+check.DeadlineGrace-in.now, message{kind: msgClientTimeout, id: r.id})
 }
 
 // assign sends a request to the next healthy balancer in round-robin order, on an idle connection if there is one.
@@ -233,7 +233,7 @@
 	case !r.sent && in.now >= r.deadline:
 		in.record(in.event(r, history.NotConnected))
 		in.finish(r, client.NotConnected, 0)
-	case r.sent && in.now >= r.deadline+check.Grace:
+	case r.sent && in.now >= r.deadline+check.DeadlineGrace:
 		in.disconnect(r, history.TimedOut)
 		in.finish(r, client.Failed, 0)
 	}
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -104,7 +104,7 @@
 	} {
 		text += fmt.Sprintf("[[fault]]\nat = \"%dms\"\nfor = \"2s\"\n%s\n", 2000+450*i, f)
 	}
-	return labtest.Day(t, text)
+	return labtest.ParseScenario(t, text)
 }
 
 func runScenario(t *testing.T, sc *scenario.Scenario, o Options) []history.Event {
@@ -171,12 +171,12 @@
 // The decision module violates no rule of the checker on any example: three seeds for those in examples itself, one for
 // those in subdirectories.
 func TestExamplesKeepTheRules(t *testing.T) {
-	names := labtest.Examples(t)
+	names := labtest.ExampleNames(t)
 	if len(names) < 20 {
 		t.Fatalf("found %d examples, want at least 20", len(names))
 	}
 	for _, name := range names {
-		sc := labtest.Example(t, name)
+		sc := labtest.LoadExample(t, name)
 		if len(sc.Fleet().Balancers) > 50 { // docs/lab.md has the run time of such a fleet
 			continue
 		}
@@ -187,8 +187,8 @@
 				seeds = 1
 			}
 			for sc.Seed = 1; sc.Seed <= seeds; sc.Seed++ {
-				for _, v := range check.Judge(sc, sc.Fleet(), runScenario(t, sc, Options{Workers: 1})) {
-					t.Errorf("seed %d: %s at %v: %s", sc.Seed, v.Rule, v.At, v.What)
+				for _, v := range check.Check(sc, sc.Fleet(), runScenario(t, sc, Options{Workers: 1})) {
+					t.Errorf("seed %d: %s at %v: %s", sc.Seed, v.Rule, v.At, v.Description)
 				}
 			}
 		})
@@ -198,7 +198,7 @@
 // The true-state policy serves at least as large a fraction as the decision module, in a scenario whose fault no balancer
 // can detect immediately.
 func TestTrueStateServesMost(t *testing.T) {
-	sc := labtest.Example(t, "zones/two.toml")
+	sc := labtest.LoadExample(t, "zones/two.toml")
 	servedFraction := func(policy string) float64 {
 		served, sent := 0, 0
 		for _, e := range runScenario(t, sc, Options{Workers: 2, Policy: policy}) {
@@ -226,11 +226,11 @@
 target = ["upstream:*"]
 part = 0.8
 `
-	sc := labtest.Day(t, text)
+	sc := labtest.ParseScenario(t, text)
 	sc.Load.Rate *= 3
 	coldStartViolations := func(policy string) int {
 		n := 0
-		for _, v := range check.Judge(sc, sc.Fleet(), runScenario(t, sc, Options{Policy: policy})) {
+		for _, v := range check.Check(sc, sc.Fleet(), runScenario(t, sc, Options{Policy: policy})) {
 			if v.Rule == check.ColdStart {
 				n++
 			}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -131,7 +131,7 @@
 		p.Rules = append(p.Rules, ruleRow{rule, p.Summary.Broken[rule]})
 	}
 	for _, v := range p.Violations[:min(len(p.Violations), shownViolations)] {
-		title := fmt.Sprintf("%s at %v: %s", v.Rule, v.At.Round(time.Millisecond), v.What)
+		title := fmt.Sprintf("%s at %v: %s", v.Rule, v.At.Round(time.Millisecond), v.Description)
 		p.ViolationLogs = append(p.ViolationLogs, p.eventLog(title, v.Trace))
 	}
 	p.fillWorst()
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -17,7 +17,7 @@
 // The report is one HTML file without external resources. It has every plot with labelled axes, the timetable, and the events
 // of the worst requests. The plots are also written as PNG files that decode.
 func TestReportIsComplete(t *testing.T) {
-	r, err := lab.RunModel(context.Background(), labtest.Example(t, "zone-fire.toml"), model.Options{})
+	r, err := lab.RunModel(context.Background(), labtest.LoadExample(t, "zone-fire.toml"), model.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/zones_test.go
+++ b/internal/lab/zones_test.go
@@ -83,9 +83,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r := runLive(t, labtest.Day(t, fmt.Sprintf(zoneScenario, zones, c.faults)), program)
+			r := runLive(t, labtest.ParseScenario(t, fmt.Sprintf(zoneScenario, zones, c.faults)), program)
 			for _, v := range r.Violations {
-				t.Errorf("%s at %v: %s", v.Rule, v.At, v.What)
+				t.Errorf("%s at %v: %s", v.Rule, v.At, v.Description)
 			}
 			if r.Summary.Main.ServedRatio < 0.6 {
 				t.Errorf("weighted share of served requests is %.2f, want at least 0.60: %v", r.Summary.Main.ServedRatio, r.Summary.Main.ShareByOutcome)
