--- a/internal/lab/leases/leases.go
+++ b/internal/lab/leases/leases.go
@@ -1,7 +1,7 @@
 // Package leases models the lease on a role that at most one member may hold. It runs the voters and candidates of
 // internal/membership under lost, delayed and duplicated messages, restarts and clock skew, for internal/lab/explore to check.
 //
-// A Model is immutable, and a World is a value: nothing is shared between states.
+// A Model is immutable, and a State is a value: nothing is shared between states.
 package leases
 
 import (
