--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -70,7 +70,7 @@
 //	recovery of a zone | zonehealth.go | recoverZone, advanceRecovery, endRecovery | recoveryStep (ratio), minStepPeriods (periods), maxStepMultiple (multiple) | the full share at once would overload a zone whose endpoints warm up
 //	weight of a snapshot | restore.go | confidence | snapshotLifetime (duration), Snapshot.TakenAt (time) | older values are less likely to be valid
 //	restored endpoint | restore.go | restoreEndpoint, restoreSlowStart, restoreBudget | EndpointStats.Unresponsive (flag), EndpointStats.Backoff (duration), EndpointStats.WarmingSince (time) | an endpoint that was ejected must pass a trial first
-//	restored zone | restore.go | restoreZone | ZoneStats.Failed (flag), ZoneStats.RecoveredShare (ratio) | a zone that was ejected must pass its trials first
+//	restored zone | restore.go | restoreZone | ZoneStats.Ejected (flag), ZoneStats.RecoveredShare (ratio) | a zone that was ejected must pass its trials first
 //
 // # States of a zone
 //
--- a/cmd/balancerctl/main_test.go
+++ b/cmd/balancerctl/main_test.go
@@ -89,7 +89,7 @@
 		{[]string{"lab", "run", quick, "--engine", "model"}, exitOK, "no rule was broken"},
 		{[]string{"lab", "run", quick, "--engine", "model", "--policy", "best"}, exitUnusable, `policy "best"`},
 		{[]string{"lab", "run", labtest.ExampleFile(t, "fleet-500.toml"), "--program", newWorkTree(t, "exec true")}, exitUnusable, "use the model engine"},
-		{[]string{"lab", "run", quick, "--program", t.TempDir()}, exitUnusable, "deploy/balancer.toml is neither in"},
+		{[]string{"lab", "run", quick, "--program", t.TempDir()}, exitUnusable, "deploy/balancer.toml found neither in"},
 		{[]string{"lab", "run", quick, "--program", newWorkTree(t, "exec false")}, exitUnusable, "ended before it was ready"},
 		{[]string{"lab", "run", quick, "--program", newWorkTree(t, "exec true"), "--engine", "nothing"}, exitUnusable, "--engine"},
 		{[]string{"lab", "compare", "policy:round-robin", "this", "--day", fire, "--plays", "3", "--expect", "better"}, exitOK, "yes, B is better"},
--- a/internal/lab/report/layout.go
+++ b/internal/lab/report/layout.go
@@ -15,7 +15,7 @@
 @media print { body { max-width: none; margin: 0; } svg, table { break-inside: avoid; } }
 </style></head><body>
 <h1>{{.Summary.Day}}</h1>
-<p>{{.Day.About}} {{.Summary.Engine}} engine, seed {{.Summary.Seed}}, {{printf "%.0f" .Summary.LengthSeconds}} s: {{len .Fleet.Balancers}} balancers,
+<p>{{.Scenario.About}} {{.Summary.Engine}} engine, seed {{.Summary.Seed}}, {{printf "%.0f" .Summary.LengthSeconds}} s: {{len .Fleet.Balancers}} balancers,
 {{len .Fleet.Upstreams}} upstreams, {{len .Fleet.Zones}} zones.</p>
 {{with .Summary.Lab}}{{if .VoidReason}}<p class="bad"><strong>Void: {{.VoidReason}}.</strong></p>{{end}}{{end}}
 <table><tr><th></th><th>requests</th><th>worth served</th><th>in time</th><th>late</th><th>refused</th><th>failed</th><th>not connected</th><th>left early</th><th>p50 ms</th><th>p99 ms</th><th>p99.9 ms</th></tr>
