--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -11,12 +11,15 @@
 )
 
 // endpoint is the state of one endpoint.
+//
+// Work is counted in mean requests. One unit is the expected work of a request whose cost hint equals the mean
+// of all cost hints or, without a hint, of a request whose class has the mean latency of all responses.
 type endpoint struct {
 	Endpoint
 	zone            *zone
 	inSubset        bool
 	ringPosition    uint64
-	weight          float64 // for routing; 1 is the weight of a mean endpoint
+	weight          float64 // capacity used for routing, see WeightKind; 1 for an average endpoint
 	shareFactor     float64 // fraction of the traffic share left after cuts, minShareFactor to 1
 	nextTurn        float64 // virtual time at which its next turn is due
 	healthCheckedAt time.Duration
@@ -36,7 +39,7 @@
 	readings     int // number of readings since the last reset
 	mean         float64
 	deviation    float64
-	area         float64 // integral of the band gap since the period began, in full utilization x bandPeriod
+	area         float64 // integral of the band gap since the period began; a gap of 1 for one bandPeriod adds 1
 	integratedAt time.Duration
 	lastReport   LoadReport
 }
@@ -60,7 +63,7 @@
 type latencyStats struct {
 	mean      float64
 	deviation float64 // mean absolute deviation
-	workUnits float64 // mean work of its responses, in mean requests
+	workUnits float64 // moving average of the work per response, in mean requests
 	smoothed  float64 // slower moving average of the latency per unit of work
 	baseline  float64 // lowest value of smoothed; drifts up slowly
 }
@@ -68,7 +71,7 @@
 // perUnit returns the latency per unit of work in ns.
 func (l *latencyStats) perUnit() float64 { return l.mean / l.workUnits }
 
-// workStats counts the work sent to an endpoint in mean requests.
+// workStats measures the work sent to an endpoint, in mean requests.
 type workStats struct {
 	period float64 // in the current period
 	mean   float64 // moving average over periods
@@ -80,14 +83,14 @@
 	ceiling      float64       // upper bound of current in this period
 	reducedAt    time.Duration // last reduction
 	pausedUntil  time.Duration
-	missedTurnAt time.Duration // last time that this local endpoint lost a turn to another zone because of its limit
+	missedTurnAt time.Duration // last time its turn went to an endpoint of another zone because of its limit
 }
 
 // slowStart is the slow-start state of an endpoint.
 type slowStart struct {
 	active bool
 	since  time.Duration
-	budget leakybucket.Bucket // work sent to the endpoint, in mean requests
+	budget leakybucket.Bucket // counts the work sent to the endpoint, in mean requests
 }
 
 // outlierState is the evidence used to detect failed endpoints.
@@ -153,8 +156,8 @@
 	e.outlier.errorRate = 0
 }
 
-// joinSubset initializes an endpoint that joins a subset of a size. Its first turn, pause and health check get a random
-// offset, so that balancers do not act in lockstep.
+// joinSubset initializes an endpoint that joins the subset. size is the target size of the subset. The endpoint's first
+// turn, pause and health check get a random offset, so that balancers do not act in lockstep.
 func (b *Balancer) joinSubset(e *endpoint, size float64, now time.Duration) {
 	offset := b.rng.Float64()
 	e.limit.current = cmp.Or(e.limit.current, b.endpoints.initialLimit)
--- a/cmd/balancer/drain_test.go
+++ b/cmd/balancer/drain_test.go
@@ -190,7 +190,7 @@
 	name    string
 	sent    string // before the drain starts
 	partial bool   // sent doesn't end with a complete request
-	active  bool   // the balancer has a request's head and owes its response
+	active  bool   // the balancer has received a request's head and has not sent the complete response
 }{
 	{name: "pending response", sent: rawRequest("delay=2500ms", "8000", ""), active: true},
 	{name: "request that fails at its deadline", sent: rawRequest("delay=20s", "2500", ""), active: true},
--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -140,7 +140,8 @@
 	return fmt.Errorf("%s: %w", os.Getenv(fleet.EnvironmentVariable), err)
 }
 
-// limitResources sets the core, garbage collection and memory limits of the Go runtime.
+// limitResources limits the CPU cores that the Go runtime uses, sets a soft limit on its memory, and sets the heap growth
+// that starts a garbage collection.
 func limitResources(config proxy.Config) {
 	runtime.GOMAXPROCS(maxCores)
 	debug.SetGCPercent(gcPercent)
--- a/cmd/balancerctl/comparecommand.go
+++ b/cmd/balancerctl/comparecommand.go
@@ -16,7 +16,8 @@
 	"sprucehill/internal/lab/scenario"
 )
 
-// commandSide runs the model engine of another work tree, and so that tree's decision module, by starting its command.
+// commandSide runs scenarios with the model engine and the decision module of another work tree. It does so by starting the
+// command that was built from that tree.
 type commandSide struct{ name, file, command string }
 
 // newCommandSide builds the command of a work tree and returns a side that runs it.
--- a/internal/durable/folder.go
+++ b/internal/durable/folder.go
@@ -31,8 +31,8 @@
 var _ LockableFS = (*Folder)(nil)
 
 // OpenFolder opens a state folder, and creates it if it is missing. It returns a FolderError for a symbolic link, a folder
-// of another user and a folder that other users may write to, because whoever can change the state controls the balancer.
-// Other errors are those of the operating system.
+// of another user and a folder that other users may write to, because a user who can change the state can control the
+// balancer. Other errors are those of the operating system.
 func OpenFolder(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, err
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -20,7 +20,7 @@
 // familyError is the family-wise error rate: the chance of at least one false positive if the sides do not differ.
 const familyError = 0.05
 
-// Side is one of the two variants that are compared. Play runs its scenario with a seed.
+// Side is one of the two variants that are compared. Run runs its scenario once with a seed.
 type Side interface {
 	Name() string
 	Run(ctx context.Context, seed uint64) (*measure.Summary, error)
@@ -117,8 +117,8 @@
 	MeanA            float64 `json:"A"`
 	MeanB            float64 `json:"B"`
 	RatioOfMeans     float64 `json:"Ratio"` // 0 if MeanA is 0
-	LowestRatio      float64 `json:"Low"`   // of a pair of runs
-	HighestRatio     float64 `json:"High"`  // of a pair of runs
+	LowestRatio      float64 `json:"Low"`   // over the pairs of runs
+	HighestRatio     float64 `json:"High"`  // over the pairs of runs
 	MeanDiff         float64 `json:"Diff"`  // mean of B minus A
 	DiffHalfInterval float64 `json:"Half"`  // half the width of the confidence interval of MeanDiff
 	IsBeyondNoise    bool    `json:"Beyond"`
--- a/internal/lab/crash/crash_test.go
+++ b/internal/lab/crash/crash_test.go
@@ -77,8 +77,9 @@
 	}
 }
 
-// If an operation of the disk fails, once or several times, only saves fail: the last acknowledged record, or a later one, is
-// loaded, and saves succeed again once the operation does.
+// If an operation of the disk fails, once or several times, only saves fail. After a power loss, the last acknowledged record
+// is loaded, or a later one that was written although its save returned an error. Saves succeed again as soon as the
+// operation does.
 func TestSavesOnFailingDisk(t *testing.T) {
 	operations := []Operation{OpCreate, OpWrite, OpSync, OpClose, OpRename, OpSyncFolder, OpRemove, OpList}
 	for _, op := range operations {
--- a/internal/lab/leases/leases.go
+++ b/internal/lab/leases/leases.go
@@ -32,21 +32,21 @@
 
 // State is a state of the model: the voters, some of which are candidates too, their clocks, and the messages in transit.
 type State struct {
-	clocks      [MaxVoters]time.Duration
-	voters      [MaxVoters]membership.Voter
-	candidates  [MaxVoters]membership.Candidate
-	inTransit   [maxInTransit]message
-	incarnation [MaxVoters]uint8 // of the voter's process; a restart raises it
-	restarts    int8
-	fence       uint64 // highest term of any holder so far
-	fenceHolder string // process that held fence
-	termReused  bool   // another process became holder in a term not above fence
+	clocks          [MaxVoters]time.Duration
+	voters          [MaxVoters]membership.Voter
+	candidates      [MaxVoters]membership.Candidate
+	inTransit       [maxInTransit]message
+	incarnation     [MaxVoters]uint8 // of the voter's process; a restart raises it
+	restarts        int8
+	fence           uint64 // term of the process that became holder last
+	fenceHolder     string // that process
+	fencingViolated bool   // a process became holder in a term below fence, or in the same term as another process
 }
 
 // Model describes a fleet of voters. Their clocks run at rates that differ by as much as the protocol allows.
 type Model struct {
 	Voters      int  // 1 to MaxVoters
-	Candidates  int  // how many voters request the role, from the first on
+	Candidates  int  // number of candidates: the voters with the lowest indexes request the role
 	MaxRestarts int8 // total over all voters
 	Mutations
 }
@@ -55,12 +55,12 @@
 
 // Initial returns the state in which every member has just started and no voter has granted a lease.
 func (m Model) Initial() State {
-	var w State
+	var state State
 	for i := range m.Voters {
-		w.candidates[i] = membership.NewCandidate(processName(i, 0))
-		w.clocks[i] = membership.LeaseDuration
+		state.candidates[i] = membership.NewCandidate(processName(i, 0))
+		state.clocks[i] = membership.LeaseDuration
 	}
-	return w
+	return state
 }
 
 // clockAdvance returns how far the clock of member i advances in a tick. The fastest runs a tenth faster than the slowest.
@@ -77,22 +77,22 @@
 func processName(i int, incarnation uint8) string { return fmt.Sprint(memberName(i), "/", incarnation) }
 
 // holds reports whether member i considers itself the holder.
-func (m Model) holds(w *State, i int) bool {
-	now := w.clocks[i]
+func (m Model) holds(state *State, i int) bool {
+	now := state.clocks[i]
 	if m.OverlongHold {
 		now -= overlongHold
 	}
-	return w.candidates[i].Holds(now)
+	return state.candidates[i].Holds(now)
 }
 
 // respond applies a lease request to its voter and returns the response.
-func (m Model) respond(w *State, request message) message {
-	voter := &w.voters[request.to]
+func (m Model) respond(state *State, request message) message {
+	voter := &state.voters[request.to]
 	if m.RegrantTerm && request.term == voter.Term {
 		voter.Term--
 	}
 	requester := processName(int(request.from), request.incarnation)
-	decision := voter.RequestLease(w.clocks[request.to], requester, request.term)
+	decision := voter.RequestLease(state.clocks[request.to], requester, request.term)
 	return message{
 		isResponse:  true,
 		from:        request.to,
@@ -105,13 +105,14 @@
 	}
 }
 
-// handleResponse applies a response to its candidate. If that makes the candidate the holder, it records the term, and sets
-// termReused if the term did not rise.
-func (m Model) handleResponse(w *State, response message) {
+// handleResponse applies a response to its candidate. If that makes the candidate the holder, it sets fence to its term. It
+// sets fencingViolated if that term is lower than the previous fence, or equal to it although another process held it. A
+// process may become holder again in the same term.
+func (m Model) handleResponse(state *State, response message) {
 	i := int(response.to)
 	process := processName(i, response.incarnation)
-	candidate := &w.candidates[i]
-	heldBefore := m.holds(w, i)
+	candidate := &state.candidates[i]
+	heldBefore := m.holds(state, i)
 	candidate.HandleResponse(membership.LeaseResponse{
 		Voter:       int(response.from),
 		Requester:   process,
@@ -119,40 +120,40 @@
 		Granted:     response.granted,
 		HighestTerm: response.highestTerm,
 	}, m.Voters)
-	if heldBefore || !m.holds(w, i) {
+	if heldBefore || !m.holds(state, i) {
 		return
 	}
 	term := candidate.Term()
-	if term < w.fence || term == w.fence && process != w.fenceHolder {
-		w.termReused = true
+	if term < state.fence || term == state.fence && process != state.fenceHolder {
+		state.fencingViolated = true
 	}
-	w.fence = term
-	w.fenceHolder = process
+	state.fence = term
+	state.fenceHolder = process
 }
 
 // Transitions lists the possible next states: time passes, a candidate starts a round, a message arrives, or a voter
 // restarts.
-func (m Model) Transitions(w State) []explore.Transition[State] {
+func (m Model) Transitions(state State) []explore.Transition[State] {
 	var transitions []explore.Transition[State]
 	add := func(label string, apply func(next *State)) {
-		next := w
+		next := state
 		apply(&next)
 		next.sortMessages()
 		transitions = append(transitions, explore.Transition[State]{Label: label, To: next})
 	}
 	add("time", m.advanceClocks)
 	for i := range m.Candidates {
-		if w.candidates[i].Term() < maxTerm {
+		if state.candidates[i].Term() < maxTerm {
 			add(memberName(i)+" starts a round", func(next *State) { m.startRound(next, i) })
 		}
 	}
-	for _, msg := range w.inTransit {
+	for _, msg := range state.inTransit {
 		if msg != (message{}) {
 			label := memberName(int(msg.from)) + " to " + memberName(int(msg.to))
 			add(label, func(next *State) { m.deliver(next, msg) })
 		}
 	}
-	if w.restarts < m.MaxRestarts {
+	if state.restarts < m.MaxRestarts {
 		for i := range m.Voters {
 			add(memberName(i)+" restarts", func(next *State) { m.restart(next, i) })
 		}
@@ -160,60 +161,61 @@
 	return transitions
 }
 
-func (m Model) advanceClocks(w *State) {
+func (m Model) advanceClocks(state *State) {
 	for i := range m.Voters {
-		w.clocks[i] += clockAdvance(i)
+		state.clocks[i] += clockAdvance(i)
 	}
 }
 
 // startRound sends a candidate's requests to all voters. The one to itself is answered at once.
-func (m Model) startRound(w *State, i int) {
-	request := w.candidates[i].StartRound(w.clocks[i])
+func (m Model) startRound(state *State, i int) {
+	request := state.candidates[i].StartRound(state.clocks[i])
 	for voter := range m.Voters {
-		msg := message{from: int8(i), to: int8(voter), term: request.Term, incarnation: w.incarnation[i], round: request.Round}
+		msg := message{from: int8(i), to: int8(voter), term: request.Term, incarnation: state.incarnation[i], round: request.Round}
 		if voter == i {
-			m.handleResponse(w, m.respond(w, msg))
+			m.handleResponse(state, m.respond(state, msg))
 		} else {
-			w.send(msg)
+			state.send(msg)
 		}
 	}
 }
 
 // deliver delivers a message. It stays in transit, since it may be delivered again.
-func (m Model) deliver(w *State, msg message) {
+func (m Model) deliver(state *State, msg message) {
 	if msg.isResponse {
-		m.handleResponse(w, msg)
+		m.handleResponse(state, msg)
 	} else {
-		w.send(m.respond(w, msg))
+		state.send(m.respond(state, msg))
 	}
 }
 
 // restart replaces the process of a voter. Only the persisted grant survives.
-func (m Model) restart(w *State, i int) {
-	w.restarts++
-	w.incarnation[i]++
-	w.candidates[i] = membership.NewCandidate(processName(i, w.incarnation[i]))
-	grant := w.voters[i].Grant
+func (m Model) restart(state *State, i int) {
+	state.restarts++
+	state.incarnation[i]++
+	state.candidates[i] = membership.NewCandidate(processName(i, state.incarnation[i]))
+	grant := state.voters[i].Grant
 	if m.SkipRestartWait {
-		w.voters[i] = membership.Voter{Grant: grant}
+		state.voters[i] = membership.Voter{Grant: grant}
 	} else {
-		w.voters[i] = membership.NewVoter(w.clocks[i], grant)
+		state.voters[i] = membership.NewVoter(state.clocks[i], grant)
 	}
 }
 
 // Check returns an error if more than one member holds the role, or if terms did not rise from holder to holder.
-func (m Model) Check(w State) error {
+func (m Model) Check(state State) error {
 	holders := 0
 	for i := range m.Voters {
-		if m.holds(&w, i) {
+		if m.holds(&state, i) {
 			holders++
 		}
 	}
 	switch {
 	case holders > 1:
 		return fmt.Errorf("%d members hold the role, want at most 1", holders)
-	case w.termReused:
-		return fmt.Errorf("%s holds the role in term %d, which is not higher than the previous holder's", w.fenceHolder, w.fence)
+	case state.fencingViolated:
+		return fmt.Errorf("%s holds the role in term %d, which is not higher than the previous holder's",
+			state.fenceHolder, state.fence)
 	}
 	return nil
 }
--- a/internal/lab/leases/message.go
+++ b/internal/lab/leases/message.go
@@ -21,17 +21,17 @@
 }
 
 // send puts a message in transit. It may be delivered at any later time, any number of times, or never.
-func (w *State) send(msg message) {
-	if slices.Contains(w.inTransit[:], msg) {
+func (s *State) send(msg message) {
+	if slices.Contains(s.inTransit[:], msg) {
 		return
 	}
-	if free := slices.Index(w.inTransit[:], message{}); free >= 0 {
-		w.inTransit[free] = msg
+	if free := slices.Index(s.inTransit[:], message{}); free >= 0 {
+		s.inTransit[free] = msg
 	}
 }
 
 // sortMessages puts the messages into a canonical order, so that equivalent states compare equal.
-func (w *State) sortMessages() { slices.SortFunc(w.inTransit[:], compareMessages) }
+func (s *State) sortMessages() { slices.SortFunc(s.inTransit[:], compareMessages) }
 
 func compareMessages(x, y message) int {
 	return cmp.Or(
--- a/internal/lab/link/listener.go
+++ b/internal/lab/link/listener.go
@@ -43,7 +43,7 @@
 	closed     bool
 }
 
-// Listen listens at an address of near's that only far connects to.
+// Listen listens at an address of the party near. Only the party far may connect to that address.
 func (n *Network) Listen(near, far scenario.Party, address string) (*Listener, error) {
 	tcp, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/lab/live/exchange.go
+++ b/internal/lab/live/exchange.go
@@ -16,8 +16,8 @@
 	"sprucehill/internal/lab/history"
 )
 
-// staleConnWindow is the time after sending within which the end of a reused connection, without a byte of an answer,
-// means that the balancer closed it before it read the request.
+// staleConnWindow is how long after a request was sent on a reused connection the end of that connection still counts as a
+// close before the balancer read the request, provided that no byte of an answer has arrived.
 const staleConnWindow = 50 * time.Millisecond
 
 // requestEnd is the result of a client's request.
--- a/internal/lab/server/server.go
+++ b/internal/lab/server/server.go
@@ -190,7 +190,8 @@
 	s.now = to
 }
 
-// handleDue handles what is due now: a pause, a load report, and requests that start to run or end.
+// handleDue handles the events that are due at the current time: the start of a pause, a new load report, and requests that
+// start to run or end.
 func (s *Server) handleDue() {
 	if s.now >= s.pause.nextAt {
 		s.pause.endAt = s.now + s.model.Pause.D()
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -2,8 +2,8 @@
 // response: a status line that begins with YES or NO, or several lines followed by a line END.
 //
 // Every command that is a complete line gets a response, even while many clients hold connections open: the number of
-// connections and the duration of each are bounded. Clients are not authenticated; whoever can reach the address may send
-// commands.
+// connections and the duration of each are bounded. Clients are not authenticated; any client that can reach the address may
+// send commands.
 //
 // The package manages its connections only; the Balancer that it is given implements the commands.
 package management
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -10,7 +10,8 @@
 // grants from a majority of the voters holds the lease for a shorter time by its own clock, counted from before it sent its
 // requests. So its lease has expired before enough voters can grant the role to another process, as long as no clock runs
 // faster than another by more than maxClockSkewRate. Clocks need not be synchronized. Each voter grants each term once, in
-// ascending order, which makes the term a fencing token: whoever executes a holder's commands rejects those of a lower term.
+// ascending order, which makes the term a fencing token: a process that executes the commands of holders rejects those with
+// a lower term than it has already seen.
 //
 // Any majorities of two lists of voters that differ by one name have a voter in common, so the list may change by one name
 // at a time. A voter must persist its grant across restarts. A voter that has lost its grant must not vote under its name
@@ -92,8 +93,8 @@
 	Round uint32 // echoed in the response
 }
 
-// StartRound starts a round of requests to all voters. A holder requests its current term again, to renew it; any other
-// candidate requests a term higher than all that it knows of.
+// StartRound starts a round of requests to all voters. A holder requests its current term again, to renew the lease. Any
+// other candidate requests a term that is higher than every term it has requested or a voter has reported to it.
 func (c *Candidate) StartRound(now time.Duration) LeaseRequest {
 	if !c.Holds(now) {
 		c.term = max(c.highestTerm, c.term) + 1
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -24,7 +24,7 @@
 	// Seeds are the host:port of some members. They may be down, and may include this member.
 	Seeds []string
 	// KeyFile is the path of the file with 1 to maxKeys encryption keys. If it is empty, gossip is not encrypted, and
-	// whoever can reach the port can become a member.
+	// any host that can reach the port can become a member.
 	KeyFile string
 	// Configured is the configured fleet size and rank of this member, which apply until another member is seen.
 	Configured Placement
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -100,8 +100,8 @@
 
 // ServeHTTP handles one request.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// During a drain or a shutdown, a connection that closes after its response can't be in use when the listener closes.
-	// Near the connection limit, new clients need its file descriptor.
+	// During a drain or a shutdown, the connection is closed after its response so that it is no longer in use when the
+	// listener closes. Near the connection limit, it is closed to free its file descriptor for a new client.
 	if cause, closes := f.closeCause(); closes {
 		f.closeAfterResponse(w, cause)
 	}
